--- /dev/null
+++ b/crates/simhost/tests/characterization/frames.rs
@@ -0,0 +1,280 @@
+//! Frames of the simulator's wire, written and read by their byte offsets.
+
+use std::io::{Read, Write};
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
+
+/// The adapter's executable: the one place that follows a rename of its package.
+const ADAPTER: &str = env!("CARGO_BIN_EXE_hollymux-simhost");
+const EVENT_BYTES: usize = 48;
+const ACTION_BYTES: usize = 32;
+/// The numbered list that every list of hosts is sent as.
+const LIST: u32 = 0;
+
+/// A host as it stands in a list of hosts.
+#[derive(Clone, Copy)]
+pub struct ListedHost {
+    pub id: u64,
+    pub cell: u16,
+    pub zone: u8,
+    pub kind: u16,
+    pub weight: f32,
+    pub state: u8,
+    pub started: u64,
+}
+
+/// A request as the wire tells it.
+pub struct RequestFields {
+    pub id: u32,
+    pub size_kb: f32,
+    pub part: f32,
+    pub class: u16,
+    pub object: u64,
+    pub deadline: u64,
+    pub group: f32,
+    pub flags: u8,
+}
+
+/// The end of an attempt as the wire tells it.
+pub struct OutcomeFields {
+    pub request: u32,
+    pub host: u64,
+    pub latency: u32,
+    pub attempt: u16,
+    pub status: u8,
+    pub ended: bool,
+    pub note: u8,
+}
+
+/// An action of a reply, as far as the world reacts to it.
+pub enum Action {
+    Attempt(AttemptFields),
+    Cancel { request: u32, attempt: u16 },
+    Refuse { request: u32 },
+    Fail { request: u32 },
+    Timer { after: u32, token: u64 },
+    FetchHosts,
+    Subscribe,
+    Probe { host: u64 },
+    Other,
+}
+
+/// An attempt that is to be sent.
+#[derive(Clone)]
+pub struct AttemptFields {
+    pub request: u32,
+    pub host: u64,
+    pub timeout: u32,
+    pub source: u64,
+    pub keep: u8,
+    pub max_age: u32,
+    pub flags: u8,
+}
+
+/// The records and the tail of one batch.
+#[derive(Default)]
+pub struct Batch {
+    records: Vec<u8>,
+    tail: Vec<u8>,
+}
+
+impl Batch {
+    fn record(&mut self, code: u8, instance: u16, fields: &[(usize, &[u8])]) {
+        let mut record = [0; EVENT_BYTES];
+        record[0] = code;
+        record[1..3].copy_from_slice(&instance.to_le_bytes());
+        for (at, bytes) in fields {
+            record[*at..*at + bytes.len()].copy_from_slice(bytes);
+        }
+        self.records.extend(record);
+    }
+
+    pub fn create(&mut self, instance: u16, seed: u64, settings: &str) {
+        let offset = self.tail.len() as u32;
+        self.tail.extend(settings.as_bytes());
+        let length = settings.len() as u32;
+        let fields: [(usize, &[u8]); 3] =
+            [(3, &seed.to_le_bytes()), (11, &offset.to_le_bytes()), (15, &length.to_le_bytes())];
+        self.record(70, instance, &fields);
+    }
+
+    pub fn power_off(&mut self, instance: u16) {
+        self.record(110, instance, &[]);
+    }
+
+    /// A list of hosts and the event that tells it; `how` is 0 for changes, 1 for all, 2 for a remembered list.
+    pub fn hosts(&mut self, instance: u16, how: u8, hosts: &[ListedHost]) {
+        let offset = self.tail.len() as u32;
+        for host in hosts {
+            self.tail.extend(host.cell.to_le_bytes());
+            self.tail.extend(&host.id.to_le_bytes()[..6]);
+            self.tail.extend(host.weight.to_le_bytes());
+            self.tail.push(host.state);
+            self.tail.extend(host.started.to_le_bytes());
+            self.tail.push(host.zone);
+            self.tail.extend(host.kind.to_le_bytes());
+        }
+        let count = hosts.len() as u32;
+        let numbered: [(usize, &[u8]); 3] =
+            [(1, &LIST.to_le_bytes()), (5, &offset.to_le_bytes()), (9, &count.to_le_bytes())];
+        self.record(40, 0, &numbered);
+        self.record(50, instance, &[(3, &[how]), (8, &LIST.to_le_bytes())]);
+    }
+
+    pub fn hosts_failed(&mut self, instance: u16) {
+        self.record(50, instance, &[(3, &[3])]);
+    }
+
+    pub fn request(&mut self, instance: u16, request: &RequestFields) {
+        let fields: [(usize, &[u8]); 8] = [
+            (3, &request.id.to_le_bytes()),
+            (7, &request.size_kb.to_le_bytes()),
+            (11, &request.part.to_le_bytes()),
+            (15, &request.class.to_le_bytes()),
+            (17, &request.object.to_le_bytes()),
+            (29, &request.deadline.to_le_bytes()),
+            (37, &request.group.to_le_bytes()),
+            (41, &[request.flags]),
+        ];
+        self.record(60, instance, &fields);
+    }
+
+    pub fn outcome(&mut self, instance: u16, outcome: &OutcomeFields) {
+        let fields: [(usize, &[u8]); 7] = [
+            (3, &outcome.request.to_le_bytes()),
+            (11, &outcome.host.to_le_bytes()[..6]),
+            (17, &outcome.latency.to_le_bytes()),
+            (21, &outcome.attempt.to_le_bytes()),
+            (23, &[outcome.status]),
+            (24, &[u8::from(outcome.ended)]),
+            (25, &[outcome.note]),
+        ];
+        self.record(100, instance, &fields);
+    }
+
+    pub fn started(&mut self, instance: u16, request: u32, attempt: u16) {
+        self.record(20, instance, &[(3, &request.to_le_bytes()), (7, &attempt.to_le_bytes())]);
+    }
+
+    pub fn withdrawn(&mut self, instance: u16, request: u32) {
+        self.record(80, instance, &[(3, &request.to_le_bytes())]);
+    }
+
+    pub fn timer(&mut self, instance: u16, token: u64) {
+        self.record(30, instance, &[(3, &token.to_le_bytes())]);
+    }
+
+    /// A purge; object 0 stands for the whole group.
+    pub fn purge(&mut self, instance: u16, since: u32, group: u16, object: u64) {
+        let fields: [(usize, &[u8]); 3] =
+            [(3, &since.to_le_bytes()), (7, &group.to_le_bytes()), (9, &object.to_le_bytes())];
+        self.record(10, instance, &fields);
+    }
+
+    pub fn probed(&mut self, instance: u16, host: u64, status: u8) {
+        self.record(120, instance, &[(3, &host.to_le_bytes()[..6]), (9, &[status])]);
+    }
+
+    fn frame(&self, now: u64) -> Vec<u8> {
+        let length = 16 + self.records.len() + self.tail.len();
+        let mut frame = now.to_le_bytes().to_vec();
+        frame.extend((length as u32).to_le_bytes());
+        frame.extend(((self.records.len() / EVENT_BYTES) as u32).to_le_bytes());
+        frame.extend(&self.records);
+        frame.extend(&self.tail);
+        frame
+    }
+}
+
+/// An FNV-1a digest of 64 bits over all actions.
+pub struct Digest(pub u64);
+
+impl Default for Digest {
+    fn default() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Digest {
+    fn add(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+/// The adapter as a process.
+pub struct Adapter {
+    child: Child,
+    input: ChildStdin,
+    output: ChildStdout,
+    pub digest: Digest,
+}
+
+impl Adapter {
+    pub fn start() -> Adapter {
+        let mut command = Command::new(ADAPTER);
+        let mut child =
+            command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("the adapter starts");
+        let input = child.stdin.take().expect("its input is a pipe");
+        let output = child.stdout.take().expect("its output is a pipe");
+        Adapter { child, input, output, digest: Digest::default() }
+    }
+
+    /// Sends one batch and reads the actions of the reply.
+    pub fn exchange(&mut self, now: u64, batch: &Batch) -> Vec<Action> {
+        self.input.write_all(&batch.frame(now)).expect("the adapter reads");
+        let mut header = [0; 8];
+        self.output.read_exact(&mut header).expect("the adapter replies");
+        let length = number(&header, 0, 4) as usize;
+        let count = number(&header, 4, 4) as usize;
+        let mut body = vec![0; length - header.len()];
+        self.output.read_exact(&mut body).expect("the reply is whole");
+        self.digest.add(&header[4..]);
+        let records = body.chunks_exact(ACTION_BYTES).take(count);
+        records.map(|record| self.read(record)).collect()
+    }
+
+    /// The wording of log lines is no decision: of them only that there is one counts.
+    fn read(&mut self, record: &[u8]) -> Action {
+        let is_log = record[0] == 40;
+        self.digest.add(if is_log { &record[..3] } else { record });
+        action(record)
+    }
+
+    /// Ends the adapter and gives the digest of all replies.
+    pub fn finish(self) -> u64 {
+        let Adapter { mut child, input, output, digest } = self;
+        drop((input, output));
+        assert!(child.wait().expect("the adapter ends").success());
+        digest.0
+    }
+}
+
+fn number(bytes: &[u8], at: usize, length: usize) -> u64 {
+    let mut wide = [0; 8];
+    wide[..length].copy_from_slice(&bytes[at..at + length]);
+    u64::from_le_bytes(wide)
+}
+
+fn action(record: &[u8]) -> Action {
+    let request = number(record, 3, 4) as u32;
+    match record[0] {
+        60 => Action::Attempt(AttemptFields {
+            request,
+            host: number(record, 7, 6),
+            timeout: number(record, 13, 4) as u32,
+            source: number(record, 17, 6),
+            keep: record[23],
+            max_age: number(record, 24, 4) as u32,
+            flags: record[28],
+        }),
+        30 => Action::Cancel { request, attempt: number(record, 7, 2) as u16 },
+        110 => Action::Refuse { request },
+        100 => Action::Fail { request },
+        130 => Action::Timer { after: request, token: number(record, 7, 8) },
+        10 => Action::FetchHosts,
+        70 => Action::Subscribe,
+        50 => Action::Probe { host: number(record, 3, 6) },
+        _ => Action::Other,
+    }
+}
