--- a/crates/appliance/src/membership.rs
+++ b/crates/appliance/src/membership.rs
@@ -5,7 +5,8 @@
 //! `even_so`; one that keeps a rule never does. It does not decide where requests go: that is the decision module's,
 //! which is told lines of the member list.
 
-use hollymux_decide::{HostState, Time, MS, SEC};
+use crate::{Time, MS, SEC};
+use hollymux_decide::HostState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/appliance/tests/membership.rs
+++ b/crates/appliance/tests/membership.rs
@@ -1,7 +1,8 @@
 //! The roster's guards: no order of signs and commands leads to a state that they forbid, and each says why.
 
 use hollymux_appliance::membership::*;
-use hollymux_decide::{HostState, Time, MS, SEC};
+use hollymux_appliance::{Time, MS, SEC};
+use hollymux_decide::HostState;
 use proptest::prelude::*;
 
 const WARM: Time = 17 * SEC;
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -95,10 +95,11 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
+    use std::time::Duration;
 
     fn class(deadline: u64, effect: u8) -> Class {
         let effect = if effect == 0 { Effect::Safe } else { Effect::Unsafe };
-        Class { deadline, effect, ..Class::default() }
+        Class { deadline: Duration::from_micros(deadline), effect, ..Class::default() }
     }
 
     proptest! {
--- a/crates/core/src/filings.rs
+++ b/crates/core/src/filings.rs
@@ -1,11 +1,12 @@
 //! Requests that may not be repeated, remembered by id so that none runs twice.
 
 use crate::legacy::Filing;
-use hollymux_decide::{HostId, Time};
+use hollymux_decide::{HostId, Timestamp};
 use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
 
 /// Requests that may not be repeated are remembered for this long at least, up to so many.
-const FILING_KEPT: Time = 3_600_000_000;
+const FILING_KEPT: Duration = Duration::from_secs(3_600);
 const FILINGS: usize = 100_000;
 /// ...and up to so many for each MB of memory: one takes some 120 bytes.
 const FILINGS_PER_MB: usize = 1_000;
@@ -14,9 +15,9 @@
 /// were taken here.
 #[derive(Debug)]
 pub(crate) struct Filings {
-    pub(crate) by_id: HashMap<u64, (Time, Option<HostId>)>,
+    pub(crate) by_id: HashMap<u64, (Timestamp, Option<HostId>)>,
     /// In the order in which they came, those among them that are no longer remembered too.
-    order: VecDeque<(Time, u64)>,
+    order: VecDeque<(Timestamp, u64)>,
     pub(crate) most: usize,
     /// Those that came since they were last asked for, if somebody is to hear of them.
     pub(crate) fresh: Option<Vec<Filing>>,
@@ -29,12 +30,12 @@
     }
 
     /// Remembers one; false if there is no room and nothing is old enough to be forgotten.
-    pub(crate) fn add(&mut self, now: Time, rid: u64, host: Option<HostId>) -> bool {
+    pub(crate) fn add(&mut self, now: Timestamp, rid: u64, host: Option<HostId>) -> bool {
         if self.by_id.len() >= self.most || self.order.len() >= 2 * self.most {
             // Those that were refused must not take up the room of those that may have run.
             let by_id = &self.by_id;
             self.order.retain(|(at, rid)| by_id.get(rid).is_some_and(|f| f.0 == *at));
-            while self.order.front().is_some_and(|(at, _)| now >= at + FILING_KEPT) {
+            while self.order.front().is_some_and(|(at, _)| now >= *at + FILING_KEPT) {
                 self.order.pop_front().map(|(_, old)| self.by_id.remove(&old));
             }
         }
--- a/crates/core/src/follow.rs
+++ b/crates/core/src/follow.rs
@@ -4,11 +4,13 @@
 //! A lookup's answer is used at once or not at all. A request that may not be repeated is looked up and sent
 //! once: it fails if it may have run, and is refused if it can't have.
 
+use hollymux_decide::time::divide_to_micros;
 use hollymux_decide::*;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The wait before a further lookup, times the attempts so far.
-const AGAIN: Time = 25 * MS;
+const AGAIN: Duration = Duration::from_millis(25);
 /// Purges remembered.
 const PURGES: usize = 20_000;
 /// The bit of a timer's token that marks a further lookup rather than the deadline.
@@ -52,7 +54,7 @@
     }
 
     /// Takes the purges that another router knew.
-    pub fn recall(&mut self, now: Time, memory: &Memory) {
+    pub fn recall(&mut self, now: Timestamp, memory: &Memory) {
         self.purges.recall(now, &memory.purges, memory.floor, PURGES);
     }
 
@@ -62,12 +64,12 @@
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Time, event: Event, acts: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, acts: &mut Vec<Action>) {
         match event {
             Event::Request(r) => {
                 let id = r.id;
                 let once = self.settings.class(&r).effect != Effect::Safe;
-                acts.push(Action::timer(r.deadline.saturating_sub(now), u64::from(id) << 1));
+                acts.push(Action::timer(r.deadline.saturating_duration_since(now), u64::from(id) << 1));
                 let f = Followed { r, once, attempts: 0, looking: false, out: false, ran: false };
                 self.open.insert(id, f);
                 self.look(now, id, acts);
@@ -83,14 +85,14 @@
             Event::Outcome(out) => self.on_outcome(now, &out, acts),
             Event::Withdrawn { request } => self.call_off(request, acts),
             Event::Purged(p) => {
-                self.purges.forget(now.saturating_sub(self.settings.purge_done + SEC));
+                self.purges.forget(now.saturating_sub(self.settings.purge_life()));
                 self.purges.add(now, &p, PURGES);
             }
             Event::Hosts { .. } | Event::HostsFailed | Event::Started { .. } | Event::Probed { .. } => {}
         }
     }
 
-    fn look(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    fn look(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         let Some(f) = self.open.get_mut(&id).filter(|f| !f.out && !f.looking) else { return };
         // What was sent and may have run is never looked up again.
         if f.attempts >= self.settings.max_attempts || now >= f.r.deadline || f.once && f.attempts > 0 {
@@ -101,7 +103,13 @@
     }
 
     /// The lookup of a request has ended.
-    pub fn found(&mut self, now: Time, id: RequestId, found: Found<(HostId, Fill)>, acts: &mut Vec<Action>) {
+    pub fn found(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        found: Found<(HostId, Fill)>,
+        acts: &mut Vec<Action>,
+    ) {
         let Some(f) = self.open.get_mut(&id).filter(|f| f.looking) else { return };
         f.looking = false;
         if now >= f.r.deadline {
@@ -112,11 +120,11 @@
             Found::Box((host, mut fill)) => {
                 f.out = true;
                 let purged = self.purges.latest(&f.r);
-                if purged > 0 {
-                    let bound = now.saturating_sub(purged + MS).max(1);
+                if purged > Timestamp::ZERO {
+                    let bound = Purges::oldest_copy(now, purged);
                     fill.max_age = Some(fill.max_age.map_or(bound, |a| a.min(bound)));
                 }
-                let timeout = f.r.deadline - now;
+                let timeout = f.r.deadline.duration_since(now);
                 acts.push(Action::Attempt { request: id, host, timeout, fill });
             }
             Found::Refused => self.end(now, id, acts),
@@ -125,17 +133,17 @@
     }
 
     /// A further lookup after a while, where that is allowed.
-    fn later(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    fn later(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         match self.open.get(&id) {
             Some(f) if f.once => self.end(now, id, acts),
             Some(f) => {
-                acts.push(Action::timer(AGAIN * Time::from(f.attempts), u64::from(id) << 1 | LOOKUP));
+                acts.push(Action::timer(AGAIN * f.attempts, u64::from(id) << 1 | LOOKUP));
             }
             None => {}
         }
     }
 
-    fn on_outcome(&mut self, now: Time, out: &Outcome, acts: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: Timestamp, out: &Outcome, acts: &mut Vec<Action>) {
         let Some(f) = self.open.get_mut(&out.request) else { return };
         f.out = false;
         f.ran |= !out.status.never_ran();
@@ -147,11 +155,12 @@
     }
 
     /// The final answer, at once: a refusal where nothing can have run that may not be repeated.
-    fn end(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    fn end(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         let Some(f) = self.open.get(&id) else { return };
         let harmless = !f.once || !(f.ran || f.out);
         if harmless && now < f.r.deadline {
-            let wait = if self.settings.retry_after { self.settings.max_retry_after / 2 } else { 0 };
+            let half = divide_to_micros(self.settings.max_retry_after, 2);
+            let wait = if self.settings.retry_after { half } else { Duration::ZERO };
             acts.push(Action::refuse(id, wait));
         } else {
             acts.push(Action::Fail { request: id });
--- a/crates/core/src/legacy.rs
+++ b/crates/core/src/legacy.rs
@@ -3,7 +3,7 @@
 
 use crate::members::Member;
 use crate::{host_id, Told};
-use hollymux_decide::{HostEntry, HostState, Memory, Time};
+use hollymux_decide::{HostEntry, HostState, Memory, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -30,11 +30,11 @@
     /// It finishes what it has; nothing new.
     pub draining: bool,
     /// When it started, if late.
-    pub started: Time,
+    pub started: Timestamp,
 }
 
 /// A request that may not be repeated: its id, when it came, and where a lookup sent it.
-pub type Filing = (u64, Time, Option<u64>);
+pub type Filing = (u64, Timestamp, Option<u64>);
 
 /// Everything that is handed over.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -2,27 +2,28 @@
 //! operators' calls and a replacement are told here, and connections, requests and readiness ask here. What is open
 //! is not known to it: who has nothing open asks whether he may stay.
 
-use hollymux_decide::{Time, MS};
+use hollymux_decide::Timestamp;
+use std::time::Duration;
 
 /// New connections and requests are taken for this long after SIGTERM.
-pub const LINGER: Time = 700 * MS;
+pub const LINGER: Duration = Duration::from_millis(700);
 /// Clients whose connections are shut at the end have so long to close theirs: a process that ends over bytes that it
 /// has not read resets the connection, and an answer on its way with it.
-pub const FAREWELL: Time = 250 * MS;
+pub const FAREWELL: Duration = Duration::from_millis(250);
 /// A front that is told no sends nobody new 0.2 s later, and asks every 0.1 s: before that a connection that is
 /// closed only comes back.
-const NOTICE: Time = 400 * MS;
+const NOTICE: Duration = Duration::from_millis(400);
 /// On standby a connection that never pauses is closed by refusing what comes on it from then on. What was taken
 /// before keeps its time.
-const PATIENCE: Time = 2_000 * MS;
+const PATIENCE: Duration = Duration::from_secs(2);
 /// SIGKILL comes this long after the linger, or the longest deadline if that is less...
-const KILL_MOST: Time = 3_000 * MS;
+const KILL_MOST: Duration = Duration::from_secs(3);
 /// ...and answers need so long to be on their way before it.
-const SPARE: Time = 200 * MS;
+const SPARE: Duration = Duration::from_millis(200);
 /// With less time than this before that a request is rather refused than begun.
-const WORTH: Time = 700 * MS;
+const WORTH: Duration = Duration::from_millis(700);
 /// Whoever connects to a router on standby has so long to begin his first request.
-const FIRST: Time = 100 * MS;
+const FIRST: Duration = Duration::from_millis(100);
 
 /// What the router is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,14 +61,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
     began: bool,
-    standby: Option<Time>,
+    standby: Option<Timestamp>,
     replaced: bool,
-    stopping: Option<Time>,
+    stopping: Option<Timestamp>,
 }
 
 impl Lifecycle {
     /// Takes an event; false if it can't be followed, which only the return from an end can't.
-    pub fn on(&mut self, now: Time, event: Event) -> bool {
+    pub fn on(&mut self, now: Timestamp, event: Event) -> bool {
         match event {
             Event::Began => self.began = true,
             Event::Standby => self.standby = self.standby.or(Some(now)),
@@ -103,13 +104,13 @@
 
     /// Whether new connections are taken. Standby takes them: a front sends some until it has noticed, and whom
     /// nobody takes is lost.
-    pub fn accepts(&self, now: Time) -> bool {
+    pub fn accepts(&self, now: Timestamp) -> bool {
         self.began && !self.replaced && !self.lingered(now)
     }
 
     /// Whether a request that comes now is served; else it is refused at once. `longest` is the longest deadline of a
     /// class.
-    pub fn serves(&self, now: Time, longest: Time) -> bool {
+    pub fn serves(&self, now: Timestamp, longest: Duration) -> bool {
         let late = self.ends_by(longest).is_some_and(|by| now + longest.min(WORTH) >= by);
         self.standby.is_none_or(|at| now < at + PATIENCE) && !late
     }
@@ -117,14 +118,14 @@
     /// When a request that comes now has to be ended at the latest. The clients of a process that was replaced don't
     /// know that it ends and go on as long as their connections do: what came later than 0.7 s and is open when the
     /// process is killed is lost.
-    pub fn ends_by(&self, longest: Time) -> Option<Time> {
+    pub fn ends_by(&self, longest: Duration) -> Option<Timestamp> {
         let killed = |at| at + longest.min(KILL_MOST) + LINGER;
         self.stopping.filter(|_| self.replaced).map(|at| killed(at) - SPARE)
     }
 
     /// Whether a connection stays on which nothing is open. `fresh` since when it has waited for its first request,
     /// if it does.
-    pub fn stays(&self, now: Time, fresh: Option<Time>) -> bool {
+    pub fn stays(&self, now: Timestamp, fresh: Option<Timestamp>) -> bool {
         let noticed = self.standby.is_some_and(|at| now >= at + NOTICE);
         // Whoever is let go by a process that was replaced finds the other one.
         let replaced = self.replaced && self.stopping.is_some();
@@ -135,19 +136,19 @@
 
     /// Whether it ends with connections still open on which nothing is: their clients know that it ends, and had time
     /// to close them. Those of a process that was replaced are let go one by one.
-    pub fn drops(&self, now: Time) -> bool {
+    pub fn drops(&self, now: Timestamp) -> bool {
         !self.replaced && self.stopping.is_some_and(|at| now >= at + LINGER + FAREWELL)
     }
 
     /// From when on connections with nothing open are closed.
-    pub fn empties_at(&self) -> Option<Time> {
+    pub fn empties_at(&self) -> Option<Timestamp> {
         let standby = self.standby.map(|at| at + NOTICE);
         let stopping = self.stopping.map(|at| if self.replaced { at } else { at + LINGER });
         standby.into_iter().chain(stopping).min()
     }
 
     /// Whether it is to end and nothing new is taken any more: it ends when nothing is open.
-    pub fn lingered(&self, now: Time) -> bool {
+    pub fn lingered(&self, now: Timestamp) -> bool {
         self.stopping.is_some_and(|at| now >= at + LINGER)
     }
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,6 +1,6 @@
 //! The member list's lines and what a control feed tells, as the core knows them.
 
-use hollymux_decide::{HostEntry, HostId, Time};
+use hollymux_decide::{HostEntry, HostId, Timestamp};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -32,7 +32,7 @@
         /// The group.
         group: u32,
         /// When it happened.
-        at: Time,
+        at: Timestamp,
     },
 }
 
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -6,6 +6,7 @@
 use hollymux_decide::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Who is owed an answer: a connection and the tag of a request on it. The core only gives it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -48,7 +49,7 @@
     /// Where it goes.
     pub target: Target,
     /// Its time-out.
-    pub timeout: Time,
+    pub timeout: Duration,
     /// Its class by number.
     pub class: u16,
     /// What is asked.
@@ -56,7 +57,7 @@
     /// Who asks: nothing goes out for one who has left.
     pub client: Client,
     /// It may not go out after this: what may have run before is told apart as a repeat only for so long.
-    pub by: Option<Time>,
+    pub by: Option<Timestamp>,
 }
 
 /// What a DNS answer told a follower: a box by name and address, and the fill as texts.
@@ -78,7 +79,7 @@
     /// The rank at which the copy is kept, 0 to 3.
     pub keep: u8,
     /// The oldest copy that will do.
-    pub max_age: Option<Time>,
+    pub max_age: Option<Duration>,
     /// Join a fill under way.
     pub join: bool,
     /// Serve an ageing copy and fetch it anew behind.
@@ -187,11 +188,11 @@
     /// What was asked for.
     pub wanted: Wanted,
     /// When it came.
-    pub arrived: Time,
+    pub arrived: Timestamp,
     /// How long the client would wait.
-    pub budget: Time,
+    pub budget: Duration,
     /// How long it was open.
-    pub took: Time,
+    pub took: Duration,
     /// How it was closed.
     pub result: Closed,
     /// Why.
@@ -218,7 +219,7 @@
     /// How it ended.
     pub status: Status,
     /// How long it was out.
-    pub took: Time,
+    pub took: Duration,
 }
 
 /// What the core wants done.
@@ -236,7 +237,7 @@
     /// Give a client its final answer.
     Reply(Client, Reply),
     /// Wake the core at that time.
-    Wake(Time, Wake),
+    Wake(Timestamp, Wake),
     /// Look up where a request is to go.
     Look(RequestId, Wanted),
     /// Probe a host.
--- a/crates/core/src/router.rs
+++ b/crates/core/src/router.rs
@@ -13,17 +13,19 @@
 use crate::legacy::{Filing, Legacy, Line};
 use crate::members::{Member, Told};
 use crate::orders::*;
+use hollymux_decide::time::{divide_to_micros, whole_micros};
 use hollymux_decide::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Requests open at a time; beyond them new ones are refused.
 const OPEN_MOST: usize = 4_096;
 /// Addresses whose last host is remembered beyond those that are listed.
 const TENANTS: usize = 4_096;
 /// A budget above this multiple of its class's deadline is no usable one.
-const PATIENCE: Time = 2;
+const PATIENCE: u32 = 2;
 
 #[derive(Debug)]
 struct Open {
@@ -32,23 +34,23 @@
     /// Who is owed an answer and what was asked; none: a lookup.
     from: Option<(Client, Rc<Ask>)>,
     attempts: u16,
-    arrived: Time,
-    deadline: Time,
+    arrived: Timestamp,
+    deadline: Timestamp,
     /// The last box asked and its source, by name, and how that ended.
     tried: (Option<Rc<str>>, Option<Rc<str>>),
     last: Option<Status>,
     /// When the first attempt was sent that may have run.
-    ran: Option<Time>,
+    ran: Option<Timestamp>,
 }
 
 impl Open {
-    fn ended(&self, request: RequestId, now: Time, result: Closed, why: Why, bytes: usize) -> Command {
+    fn ended(&self, request: RequestId, now: Timestamp, result: Closed, why: Why, bytes: usize) -> Command {
         Command::Ended(Box::new(Ended {
             request,
             wanted: self.wanted.clone(),
             arrived: self.arrived,
-            budget: self.deadline.saturating_sub(self.arrived),
-            took: now.saturating_sub(self.arrived),
+            budget: self.deadline.saturating_duration_since(self.arrived),
+            took: now.saturating_duration_since(self.arrived),
             result,
             why,
             bytes: bytes as u64,
@@ -72,7 +74,7 @@
     class: u16,
     host: HostId,
     source: Option<HostId>,
-    sent: Time,
+    sent: Timestamp,
     /// Only named to somebody: it is held to be out for a while, and nothing will be heard of it.
     named: bool,
 }
@@ -202,7 +204,7 @@
     }
 
     /// A request that is refused before it is opened; what there is to say of it.
-    pub fn turn_away(&mut self, now: Time, ask: &Ask) -> Option<Command> {
+    pub fn turn_away(&mut self, now: Timestamp, ask: &Ask) -> Option<Command> {
         self.counters.turned_away += 1;
         let class = self.classes.named(&ask.class)?;
         self.count(class, End::Throttled);
@@ -232,7 +234,7 @@
     }
 
     /// What cold hosts are asked for here.
-    pub fn cold_demands(&self, now: Time) -> Vec<ColdDemand> {
+    pub fn cold_demands(&self, now: Timestamp) -> Vec<ColdDemand> {
         self.control.cold_demands(now)
     }
 
@@ -269,7 +271,7 @@
     }
 
     /// Takes one input and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
+    pub fn handle(&mut self, now: Timestamp, input: Input, commands: &mut Vec<Command>) {
         match input {
             Input::Ask(client, ask) => self.on_ask(now, client, ask, commands),
             Input::Undo(client) => self.withdraw(now, client, commands),
@@ -311,7 +313,7 @@
     }
 
     /// Answers whatever is open: nothing may be left when the router ends.
-    fn end_all(&mut self, now: Time, commands: &mut Vec<Command>) {
+    fn end_all(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         for request in std::mem::take(&mut self.by_client).into_values() {
             if let Some(mind) = self.open.get(&request).map(|o| o.mind) {
                 self.reply(now, request, Reply::Failed, commands);
@@ -320,7 +322,7 @@
         }
     }
 
-    fn on_ask(&mut self, now: Time, client: Client, ask: Ask, commands: &mut Vec<Command>) {
+    fn on_ask(&mut self, now: Timestamp, client: Client, ask: Ask, commands: &mut Vec<Command>) {
         self.counters.taken += 1;
         let Some(class) = self.classes.named(&ask.class) else {
             self.counters.failed += 1;
@@ -330,7 +332,7 @@
         // An id that is open can't be told from the first one at a shelf; nobody waits for longer than his class.
         let limit = self.settings.classes[usize::from(class)].deadline * PATIENCE;
         let rid = ask.rid.1;
-        if self.open_ids.contains(&rid) || limit > 0 && ask.budget * 1_000 > limit {
+        if self.open_ids.contains(&rid) || !limit.is_zero() && Duration::from_millis(ask.budget) > limit {
             self.tally(class, &Reply::Failed);
             commands.push(unopened(&wanted, now, ask.budget, Closed::Failed, Why::Unusable));
             return commands.push(Command::Reply(client, Reply::Failed));
@@ -344,13 +346,13 @@
         }
         let room = self.open.len() < OPEN_MOST && once.is_none_or(|rid| self.filings.add(now, rid, None));
         if !room {
-            let refused = Reply::Refused(self.settings.max_retry_after / 1_000);
+            let refused = Reply::Refused(whole_micros(self.settings.max_retry_after) / 1_000);
             self.tally(class, &refused);
             commands.push(unopened(&wanted, now, ask.budget, Closed::Refused, Why::NoRoom));
             return commands.push(Command::Reply(client, refused));
         }
         let mind = if self.follow.is_some() { Mind::Follow } else { Mind::Module };
-        let deadline = now + ask.budget * 1_000;
+        let deadline = now + Duration::from_millis(ask.budget);
         self.begin(now, deadline, mind, wanted, Some((client, Rc::new(ask))), commands);
     }
 
@@ -368,8 +370,8 @@
     /// Opens a request.
     fn begin(
         &mut self,
-        now: Time,
-        deadline: Time,
+        now: Timestamp,
+        deadline: Timestamp,
         mind: Mind,
         wanted: Wanted,
         from: Option<(Client, Rc<Ask>)>,
@@ -389,7 +391,7 @@
         id
     }
 
-    fn withdraw(&mut self, now: Time, client: Client, commands: &mut Vec<Command>) {
+    fn withdraw(&mut self, now: Timestamp, client: Client, commands: &mut Vec<Command>) {
         if let Some(request) = self.by_client.remove(&client) {
             if let Some(open) = self.open.remove(&request) {
                 open.wanted.rid.map(|rid| self.open_ids.remove(&rid));
@@ -400,7 +402,7 @@
     }
 
     /// The one final answer of a request; it is closed by it.
-    fn reply(&mut self, now: Time, request: RequestId, reply: Reply, commands: &mut Vec<Command>) {
+    fn reply(&mut self, now: Timestamp, request: RequestId, reply: Reply, commands: &mut Vec<Command>) {
         let Some(open) = self.open.remove(&request) else {
             // A second final answer would leave the client with an answer to nothing.
             self.counters.broken += 1;
@@ -432,7 +434,7 @@
 
     fn on_said(
         &mut self,
-        now: Time,
+        now: Timestamp,
         attempt: AttemptId,
         said: Said,
         note: Option<Note>,
@@ -466,7 +468,13 @@
     }
 
     /// An attempt has ended; later news of it is no news.
-    fn end(&mut self, now: Time, attempt: AttemptId, ending: impl Into<Ending>, commands: &mut Vec<Command>) {
+    fn end(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        ending: impl Into<Ending>,
+        commands: &mut Vec<Command>,
+    ) {
         let mind = self.out.get(&attempt).map(|o| o.mind);
         if let (Some(mind), Some(outcome)) = (mind, self.outcome(now, attempt, ending, commands)) {
             self.drive(now, mind, outcome, commands);
@@ -475,7 +483,7 @@
 
     fn outcome(
         &mut self,
-        now: Time,
+        now: Timestamp,
         attempt: AttemptId,
         ending: impl Into<Ending>,
         commands: &mut Vec<Command>,
@@ -490,14 +498,14 @@
         }
         let name = |id: HostId| self.members.get(&id).map(|m| m.0.clone());
         if let Some(host) = name(out.host).filter(|_| !out.named) {
-            let (source, took) = (out.source.and_then(name), now.saturating_sub(out.sent));
+            let (source, took) = (out.source.and_then(name), now.saturating_duration_since(out.sent));
             commands.push(Command::Tried(Tried { attempt, host, source, status, took }));
         }
         Some(Event::Outcome(Outcome {
             request: attempt.request,
             attempt: attempt.number,
             host: out.host,
-            latency: now.saturating_sub(out.sent),
+            latency: now.saturating_duration_since(out.sent),
             status,
             ended: !self.open.contains_key(&attempt.request),
             note,
@@ -506,7 +514,7 @@
     }
 
     /// Hands an event to whoever decides and carries the actions out.
-    fn drive(&mut self, now: Time, mind: Mind, event: Event, commands: &mut Vec<Command>) {
+    fn drive(&mut self, now: Timestamp, mind: Mind, event: Event, commands: &mut Vec<Command>) {
         let mut actions = Vec::new();
         match (mind, &mut self.follow) {
             (Mind::Follow, Some(follow)) => follow.handle(now, event, &mut actions),
@@ -516,7 +524,7 @@
     }
 
     /// Carries actions out, in order; their immediate ends are events again.
-    fn carry(&mut self, now: Time, mind: Mind, actions: Vec<Action>, commands: &mut Vec<Command>) {
+    fn carry(&mut self, now: Timestamp, mind: Mind, actions: Vec<Action>, commands: &mut Vec<Command>) {
         let ends: Vec<Event> = actions.into_iter().filter_map(|a| self.act(now, mind, a, commands)).collect();
         ends.into_iter().for_each(|event| self.drive(now, mind, event, commands));
         let wanted = self.follow.as_mut().map(|f| std::mem::take(&mut f.wanted)).unwrap_or_default();
@@ -527,7 +535,13 @@
         }
     }
 
-    fn act(&mut self, now: Time, mind: Mind, action: Action, commands: &mut Vec<Command>) -> Option<Event> {
+    fn act(
+        &mut self,
+        now: Timestamp,
+        mind: Mind,
+        action: Action,
+        commands: &mut Vec<Command>,
+    ) -> Option<Event> {
         match action {
             Action::Attempt { request, host, timeout, fill } => {
                 return self.attempt(now, request, host, timeout, fill, commands);
@@ -541,7 +555,7 @@
                 return self.outcome(now, attempt, Status::Cancelled, commands);
             }
             Action::Refuse { request, retry_after } => {
-                self.reply(now, request, Reply::Refused(retry_after.div_ceil(1_000)), commands)
+                self.reply(now, request, Reply::Refused(whole_micros(retry_after).div_ceil(1_000)), commands)
             }
             Action::Fail { request } => self.reply(now, request, Reply::Failed, commands),
             Action::Timer { after, token } => {
@@ -560,10 +574,10 @@
 
     fn attempt(
         &mut self,
-        now: Time,
+        now: Timestamp,
         request: RequestId,
         host: HostId,
-        timeout: Time,
+        timeout: Duration,
         fill: Fill,
         commands: &mut Vec<Command>,
     ) -> Option<Event> {
@@ -580,7 +594,7 @@
         let ask = open.from.as_ref().map(|(client, ask)| (*client, ask.clone()));
         // A tenth of the window is left for the way there, as in the decision.
         let keyed = &self.settings.classes[usize::from(class)];
-        let keyed = Some(keyed.window / 10 * 9).filter(|_| keyed.effect == Effect::Keyed);
+        let keyed = Some(divide_to_micros(keyed.window, 10) * 9).filter(|_| keyed.effect == Effect::Keyed);
         let by = open.ran.zip(keyed).map(|(ran, window)| ran + window);
         self.out
             .insert(attempt, Out { mind, class, host, source: fill.source, sent: now, named: ask.is_none() });
@@ -611,13 +625,13 @@
 }
 
 /// A request that was answered without being opened; `budget` in milliseconds.
-pub fn unopened(wanted: &Wanted, arrived: Time, budget: u64, result: Closed, why: Why) -> Command {
+pub fn unopened(wanted: &Wanted, arrived: Timestamp, budget: u64, result: Closed, why: Why) -> Command {
     Command::Ended(Box::new(Ended {
         request: 0,
         wanted: wanted.clone(),
         arrived,
-        budget: budget.saturating_mul(MS),
-        took: 0,
+        budget: Duration::from_millis(budget),
+        took: Duration::ZERO,
         result,
         why,
         bytes: 0,
--- a/crates/core/src/router/lookups.rs
+++ b/crates/core/src/router/lookups.rs
@@ -11,7 +11,7 @@
 
     /// Chooses a box for somebody who will go there himself. It counts as sent until its aim has passed; what
     /// becomes of it is not known and teaches nothing.
-    pub fn lookup(&mut self, now: Time, wanted: Wanted, commands: &mut Vec<Command>) -> Found<Target> {
+    pub fn lookup(&mut self, now: Timestamp, wanted: Wanted, commands: &mut Vec<Command>) -> Found<Target> {
         let class = wanted.class;
         let found = self.name(now, wanted, commands);
         let end = match &found {
@@ -23,7 +23,7 @@
         found
     }
 
-    fn name(&mut self, now: Time, wanted: Wanted, commands: &mut Vec<Command>) -> Found<Target> {
+    fn name(&mut self, now: Timestamp, wanted: Wanted, commands: &mut Vec<Command>) -> Found<Target> {
         self.counters.lookups += 1;
         let once = wanted.rid;
         if let Some(known) = once.and_then(|rid| self.filings.by_id.get(&rid)) {
@@ -67,7 +67,7 @@
     /// elsewhere by now, is no answer.
     pub(super) fn on_found(
         &mut self,
-        now: Time,
+        now: Timestamp,
         id: RequestId,
         found: Found<Hint>,
         commands: &mut Vec<Command>,
--- a/crates/core/src/router/succession.rs
+++ b/crates/core/src/router/succession.rs
@@ -18,7 +18,7 @@
         };
         let mut members: Vec<Line> = self.members.values().map(line).collect();
         members.sort_by(|a, b| a.uid.cmp(&b.uid));
-        let filing = |(rid, f): (&u64, &(Time, Option<HostId>))| (*rid, f.0, f.1.map(|h| h.0));
+        let filing = |(rid, f): (&u64, &(Timestamp, Option<HostId>))| (*rid, f.0, f.1.map(|h| h.0));
         let mut filings: Vec<Filing> = self.filings.by_id.iter().map(filing).collect();
         filings.sort_unstable_by_key(|f| (f.1, f.0));
         self.filings.fresh = Some(Vec::new());
@@ -42,14 +42,14 @@
     }
 
     /// Requests that another router took and that may have run: they are never taken here.
-    pub fn recall_filings(&mut self, now: Time, filings: &[Filing]) {
+    pub fn recall_filings(&mut self, now: Timestamp, filings: &[Filing]) {
         for (rid, at, host) in filings {
             let _room = self.filings.add((*at).min(now), *rid, host.map(HostId));
         }
     }
 
     /// Goes on with another router's legacy, after its list of members was told here.
-    pub fn recall(&mut self, now: Time, legacy: &Legacy) {
+    pub fn recall(&mut self, now: Timestamp, legacy: &Legacy) {
         self.recall_filings(now, &legacy.filings);
         let mut memory = legacy.memory.clone();
         let learnt = std::mem::take(&mut memory.classes);
--- a/crates/core/src/router/told.rs
+++ b/crates/core/src/router/told.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl Router {
-    pub(super) fn on_told(&mut self, now: Time, told: Told, commands: &mut Vec<Command>) {
+    pub(super) fn on_told(&mut self, now: Timestamp, told: Told, commands: &mut Vec<Command>) {
         match told {
             Told::Purge { object, group, at } => {
-                let purge = Purge { since: now.saturating_sub(at), object, group };
+                let purge = Purge { since: now.saturating_duration_since(at), object, group };
                 if self.follow.is_some() {
                     self.drive(now, Mind::Follow, Event::Purged(purge.clone()), commands);
                 }
--- a/crates/core/tests/interleavings.rs
+++ b/crates/core/tests/interleavings.rs
@@ -7,11 +7,12 @@
 use hollymux_decide::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-const START: Time = 1_000 * SEC;
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
-const WINDOW: Time = 900 * MS;
+const WINDOW: Duration = Duration::from_millis(900);
 /// What may be repeated, what hosts tell apart for `WINDOW`, and what never runs twice.
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 const NAMES: [&str; 3] = ["read", "order", "filing"];
@@ -20,8 +21,8 @@
 
 fn settings() -> Settings {
     let class = |effect| Class {
-        aim: 250 * MS,
-        deadline: 2 * SEC,
+        aim: Duration::from_millis(250),
+        deadline: Duration::from_secs(2),
         effect,
         scope: Scope::All,
         window: WINDOW,
@@ -38,15 +39,15 @@
         max_attempts: ATTEMPTS,
         cancel: true,
         retry_after: true,
-        max_retry_after: SEC,
-        connect_timeout: 400 * MS,
-        purge_done: 6 * SEC,
-        purge_slack: 300 * MS,
-        drain_grace: 500 * MS,
+        max_retry_after: Duration::from_secs(1),
+        connect_timeout: Duration::from_millis(400),
+        purge_done: Duration::from_secs(6),
+        purge_slack: Duration::from_millis(300),
+        drain_grace: Duration::from_millis(500),
         cold_from: 0.2,
-        cold_for: 10 * SEC,
+        cold_for: Duration::from_secs(10),
         fall_multiple: 2.5,
-        fall_after: SEC,
+        fall_after: Duration::from_secs(1),
         ..Settings::default()
     }
 }
@@ -59,7 +60,7 @@
         kind: [0, 0, 0, PARENT, PARENT, ORIGIN][i],
         weight: 4.0,
         state,
-        started: 0,
+        started: Timestamp::ZERO,
         in_place_of: None,
     };
     let addr = Some(([127, 0, 0, 1], 5_000 + i as u16).into());
@@ -71,21 +72,21 @@
 struct Asked {
     class: usize,
     /// When the first attempt was sent that may have run.
-    ran: Option<Time>,
+    ran: Option<Timestamp>,
     attempts: u32,
 }
 
 struct World {
     router: Router,
     pool: Pool,
-    now: Time,
-    wakes: BTreeMap<(Time, usize), Wake>,
+    now: Timestamp,
+    wakes: BTreeMap<(Timestamp, usize), Wake>,
     serial: usize,
     /// Who is owed an answer.
     owed: BTreeMap<Client, Asked>,
     whose: BTreeMap<u32, Client>,
     /// Attempts that are out, and when they were sent.
-    out: BTreeMap<AttemptId, Time>,
+    out: BTreeMap<AttemptId, Timestamp>,
     /// Attempts that were given up or answered: their shelfs may still speak.
     past: Vec<AttemptId>,
     ready: BTreeSet<HostId>,
@@ -225,7 +226,7 @@
     }
 
     /// Time passes; after a stall all timers that are due come at once, in order.
-    fn pass(&mut self, long: Time, stall: bool) {
+    fn pass(&mut self, long: Duration, stall: bool) {
         let until = self.now + long;
         if stall {
             self.now = until;
@@ -267,8 +268,8 @@
     match what % 16 {
         0..=4 => world.ask(conn, usize::from(who) % 3, pick as u64 % 5),
         5..=8 => world.hear(pick, who),
-        9 | 10 => world.pass((pick as Time % 400) * MS, false),
-        11 => world.pass((pick as Time % 1_200) * MS, true),
+        9 | 10 => world.pass(Duration::from_millis(pick as u64 % 400), false),
+        11 => world.pass(Duration::from_millis(pick as u64 % 1_200), true),
         12 => world.leave(conn, true),
         13 => world.leave(conn, false),
         14 => {
@@ -277,7 +278,11 @@
         }
         _ => {
             let object = pick.is_multiple_of(2).then_some(pick as u64 % 5);
-            world.feed(Input::Told(Told::Purge { object, group: 1, at: world.now - 10 * MS }));
+            world.feed(Input::Told(Told::Purge {
+                object,
+                group: 1,
+                at: world.now - Duration::from_millis(10),
+            }));
         }
     }
 }
@@ -298,7 +303,7 @@
             // The router's time is over: what is open is answered at once.
             world.feed(Input::End);
         } else {
-            world.pass(3 * SEC, false);
+            world.pass(Duration::from_secs(3), false);
         }
         prop_assert!(world.owed.is_empty(), "{} clients without an answer", world.owed.len());
         prop_assert!(world.out.is_empty(), "attempts out that nobody waits for");
--- a/crates/decide/src/control.rs
+++ b/crates/decide/src/control.rs
@@ -10,7 +10,7 @@
 pub(crate) const TABLE: usize = 20_000;
 pub(crate) const FLEET: usize = 2_000;
 /// A host that is out gets a trial request after this long, doubled up to eight times as much.
-pub(crate) const OUT: Time = 500 * MS;
+pub(crate) const OUT: Duration = Duration::from_millis(500);
 /// The most further attempts saved up: enough for one host's loss at once.
 pub(crate) const RETRY_SAVE: f64 = 40.0;
 /// Hits are told from fills at their end at the earliest: an attempt that has been out for this many of its
@@ -35,7 +35,7 @@
     /// Share of attempts without an answer from a host that lives, smoothed.
     pub(crate) lost: f64,
     pub(crate) subscribed: bool,
-    pub(crate) logged: Time,
+    pub(crate) logged: Timestamp,
     pub(crate) relief: Relief,
 }
 
@@ -55,7 +55,7 @@
             retries: RETRY_SAVE,
             lost: 0.0,
             subscribed: false,
-            logged: 0,
+            logged: Timestamp::ZERO,
             relief: Relief::default(),
         })
     }
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -3,7 +3,7 @@
 
 use crate::control::{Control, LEARN};
 use crate::interface::*;
-use crate::state::{secs, Host, Learnt, Role, FILL_MEMORY, MEMORY};
+use crate::state::{Host, Learnt, Purges, Role, FILL_MEMORY, MEMORY};
 
 /// An attempt is overdue when this part of those answered take longer; more where answers get lost.
 const TAIL: f64 = 0.05;
@@ -50,22 +50,22 @@
 
     /// What a host can do by now at the least, in seconds of sending per second, and the multiple at which it
     /// falls over; none if it is warm. One that was seen dead starts anew when it answers.
-    pub(crate) fn cold(&self, now: Time, h: &Host) -> Option<(f64, f64)> {
+    pub(crate) fn cold(&self, now: Timestamp, h: &Host) -> Option<(f64, f64)> {
         let s = &self.settings;
         let (from, over, multiple) = match h.role {
             Role::Parent => (s.parent_cold_from, s.parent_cold_for, s.parent_fall_multiple),
             Role::Origin => return None,
             _ => (s.cold_from, s.cold_for, s.fall_multiple),
         };
-        let age = if h.died { 0 } else { now.saturating_sub(h.cold_since?) };
-        let share = from + (1.0 - from) * age as f64 / over.max(1) as f64;
+        let age = if h.died { Duration::ZERO } else { now.saturating_duration_since(h.cold_since?) };
+        let share = from + (1.0 - from) * micros_f64(age) / micros_f64(over.max(MICROSECOND));
         (age < over && multiple > 0.0).then(|| (share * self.size(h), multiple))
     }
 
     /// Overload: whether one more of its kind could still be sent in time at a host, by what is in hand there
     /// against its size. A class that is worth little for its work has the least slack and is turned away
     /// first. Also covers a jammed link and a slow host.
-    pub(crate) fn room(&self, now: Time, r: &Request, h: &Host) -> f64 {
+    pub(crate) fn room(&self, now: Timestamp, r: &Request, h: &Host) -> f64 {
         let class = self.settings.class(r);
         let slack = class.aim_stretch + secs(class.aim) / self.work(r);
         let room = ROOM * (TARDY / h.tardy).min(1.0);
@@ -75,7 +75,7 @@
     /// How far a transfer at a host is slowed by others, with one more; 1 where sizes are not told. One's own
     /// are counted. Each other dispatcher is held to have as many there as this one has on average: at this
     /// host as far as enough was sent there to tell, else at its like in proportion to size.
-    pub(crate) fn crowd(&self, now: Time, h: &Host) -> f64 {
+    pub(crate) fn crowd(&self, now: Timestamp, h: &Host) -> f64 {
         if self.settings.weights != Weights::Size || h.entry.weight <= 0.0 {
             return 1.0;
         }
@@ -97,7 +97,7 @@
         secs(class.aim) + class.aim_stretch * self.work(r)
     }
 
-    pub(crate) fn tardy(&mut self, r: &Request, id: HostId, latency: Time) {
+    pub(crate) fn tardy(&mut self, r: &Request, id: HostId, latency: Duration) {
         let aim = self.aim(r);
         if let Some(h) = self.fleet.hosts.get_mut(&id) {
             h.tardy += 0.05 * ((secs(latency) / aim).min(2.0) - h.tardy);
@@ -116,9 +116,16 @@
     }
 
     /// When an attempt is looked at: it has taken longer than nearly all of its like.
-    pub(crate) fn overdue_after(&self, r: &Request) -> Time {
+    pub(crate) fn overdue_after(&self, r: &Request) -> Duration {
         let slow = self.learnt[usize::from(r.class)].slow;
-        ((slow * self.scale(r) * 1.1).max(0.1) * SEC as f64) as Time
+        span_from_secs((slow * self.scale(r) * 1.1).max(0.1))
+    }
+
+    /// The oldest copy that purges allow, until all older copies have gone by themselves.
+    pub(crate) fn purge_bound(&self, now: Timestamp, r: &Request) -> Option<Duration> {
+        let at = self.purges.latest(r);
+        let open = at > Timestamp::ZERO && at + self.settings.purge_life() > now;
+        open.then(|| Purges::oldest_copy(now, at))
     }
 
     pub(crate) fn is_parent(&self, id: HostId) -> bool {
--- a/crates/decide/src/events.rs
+++ b/crates/decide/src/events.rs
@@ -4,13 +4,17 @@
 use crate::interface::*;
 
 const RESUBSCRIBE: u64 = u64::MAX;
+/// After a call for the host list failed, the next one comes after this long.
+const RESUBSCRIBE_AFTER: Duration = Duration::from_secs(1);
+/// Hosts that are held to be out are logged no more often than this.
+const LOG_EVERY: Duration = Duration::from_secs(1);
 
 impl Control {
     /// Takes one event and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Time, event: Event, acts: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, acts: &mut Vec<Action>) {
         match event {
             Event::Hosts { kind, entries } => self.on_hosts(kind, entries, acts),
-            Event::HostsFailed => acts.push(Action::timer(SEC, RESUBSCRIBE)),
+            Event::HostsFailed => acts.push(Action::timer(RESUBSCRIBE_AFTER, RESUBSCRIBE)),
             Event::Request(r) => self.on_request(now, r, acts),
             Event::Started { request, attempt } => {
                 if let Some(o) = self.open.get_mut(&request) {
@@ -30,9 +34,9 @@
         for id in self.fleet.apply(&self.settings, kind, entries) {
             let Some(h) = self.fleet.hosts.get_mut(&id) else { continue };
             // A start is told: it is cold from then, and what was held against it is void.
-            h.cold_since = h.cold_since.max((h.entry.started > 0).then_some(h.entry.started));
+            h.cold_since = h.cold_since.max((h.entry.started > Timestamp::ZERO).then_some(h.entry.started));
             (h.strikes, h.out, h.backoff) = (0.0, None, OUT);
-            (h.trial, h.died, h.phase, h.slot) = (false, false, None, 0);
+            (h.trial, h.died, h.phase, h.slot) = (false, false, None, Timestamp::ZERO);
             if h.cold_since.is_some() {
                 self.chilled.insert(id);
             }
@@ -45,8 +49,8 @@
     }
 
     /// Says which hosts are held to be out, at most once a second.
-    pub(crate) fn log(&mut self, now: Time, acts: &mut Vec<Action>) {
-        if now < self.logged + SEC {
+    pub(crate) fn log(&mut self, now: Timestamp, acts: &mut Vec<Action>) {
+        if now < self.logged + LOG_EVERY {
             return;
         }
         let out = self.fleet.hosts.values().filter(|h| h.entry.state == HostState::Ready && !h.up());
--- a/crates/decide/src/interface.rs
+++ b/crates/decide/src/interface.rs
@@ -1,14 +1,13 @@
 //! The interface of the decision module: settings, events and actions, as plain types.
 //!
-//! Nothing here decides anything. Times are microseconds on a monotonic clock of any origin.
+//! Nothing here decides anything.
 
-/// A point in time, or a span of it, in microseconds.
-pub type Time = u64;
+pub(crate) use crate::time::{divide_to_micros, micros_f64, ratio, secs, span_from_secs, whole_micros};
+pub(crate) use crate::time::{Timestamp, MICROSECOND};
+pub(crate) use std::time::Duration;
 
-/// A millisecond as a [`Time`].
-pub const MS: Time = 1_000;
-/// A second as a [`Time`].
-pub const SEC: Time = 1_000_000;
+/// A purge counts for this much longer than hosts say that they need to drop purged copies.
+const PURGE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Identifies a request while it is open; never seen twice by one dispatcher.
 pub type RequestId = u32;
@@ -85,11 +84,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Full worth is earned within this time...
-    pub aim: Time,
+    pub aim: Duration,
     /// ...plus this multiple of the request's own sending time.
     pub aim_stretch: f64,
     /// The client's whole patience.
-    pub deadline: Time,
+    pub deadline: Duration,
     /// What a request is worth.
     pub worth: f64,
     /// Share of the worth that a late answer earns.
@@ -99,15 +98,15 @@
     /// For keyed classes: who drops repeats...
     pub scope: Scope,
     /// ...and for how long after the first send that may have run.
-    pub window: Time,
+    pub window: Duration,
     /// Answers are streamed.
     pub stream: bool,
     /// Requests run at the origin and leave no copy.
     pub write: bool,
-    /// How long a copy is fresh; 0: until purged.
-    pub fresh: Time,
+    /// How long a copy is fresh; zero: until purged.
+    pub fresh: Duration,
     /// How much older a copy may be if asked for.
-    pub grace: Time,
+    pub grace: Duration,
     /// Share of the worth that a stale copy earns.
     pub stale_worth: f64,
 }
@@ -115,18 +114,18 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 0,
+            aim: Duration::ZERO,
             aim_stretch: 0.0,
-            deadline: 0,
+            deadline: Duration::ZERO,
             worth: 1.0,
             late_worth: 0.0,
             effect: Effect::Unsafe,
             scope: Scope::Cell,
-            window: 0,
+            window: Duration::ZERO,
             stream: false,
             write: false,
-            fresh: 0,
-            grace: 0,
+            fresh: Duration::ZERO,
+            grace: Duration::ZERO,
             stale_worth: 1.0,
         }
     }
@@ -162,27 +161,27 @@
     /// How the host list arrives.
     pub discovery: Discovery,
     /// With [`Discovery::Ask`]: silence beyond this counts as having been told.
-    pub ask_within: Time,
+    pub ask_within: Duration,
     /// From this long after a purge was told, no older copy may answer.
-    pub purge_slack: Time,
+    pub purge_slack: Duration,
     /// After this long hosts have dropped purged copies themselves.
-    pub purge_done: Time,
+    pub purge_done: Duration,
     /// Sends to a draining or gone host must have ceased after this long.
-    pub drain_grace: Time,
+    pub drain_grace: Duration,
     /// A final answer counts until this long after the client's deadline.
-    pub answer_slack: Time,
+    pub answer_slack: Duration,
     /// A cache starts at this share of its capacity or more...
     pub cold_from: f64,
     /// ...and is warm after this long at the latest.
-    pub cold_for: Time,
+    pub cold_for: Duration,
     /// It falls over at this multiple of its present capacity...
     pub fall_multiple: f64,
     /// ...borne for this long (caches and parents).
-    pub fall_after: Time,
+    pub fall_after: Duration,
     /// A parent starts at this share of its link or more...
     pub parent_cold_from: f64,
     /// ...and is warm after this long at the latest.
-    pub parent_cold_for: Time,
+    pub parent_cold_for: Duration,
     /// A cold parent falls over at this multiple.
     pub parent_fall_multiple: f64,
     /// The origin stops for a while at this multiple of what it can do; 0: it never does.
@@ -198,9 +197,9 @@
     /// Clients are told when to come back.
     pub retry_after: bool,
     /// The longest such advice that clients honour.
-    pub max_retry_after: Time,
+    pub max_retry_after: Duration,
     /// A connection not made within this time has failed.
-    pub connect_timeout: Time,
+    pub connect_timeout: Duration,
 }
 
 impl Default for Settings {
@@ -219,17 +218,17 @@
             flow_kb_per_s: 0.0,
             weights: Weights::None,
             discovery: Discovery::Push,
-            ask_within: 0,
-            purge_slack: 0,
-            purge_done: 0,
-            drain_grace: 0,
-            answer_slack: 0,
+            ask_within: Duration::ZERO,
+            purge_slack: Duration::ZERO,
+            purge_done: Duration::ZERO,
+            drain_grace: Duration::ZERO,
+            answer_slack: Duration::ZERO,
             cold_from: 1.0,
-            cold_for: 0,
+            cold_for: Duration::ZERO,
             fall_multiple: 0.0,
-            fall_after: 0,
+            fall_after: Duration::ZERO,
             parent_cold_from: 1.0,
-            parent_cold_for: 0,
+            parent_cold_for: Duration::ZERO,
             parent_fall_multiple: 0.0,
             origin_fall_multiple: 0.0,
             max_attempts: 1,
@@ -237,8 +236,8 @@
             cancel: false,
             probes: false,
             retry_after: false,
-            max_retry_after: 0,
-            connect_timeout: 0,
+            max_retry_after: Duration::ZERO,
+            connect_timeout: Duration::ZERO,
         }
     }
 }
@@ -277,6 +276,11 @@
         &self.classes[usize::from(r.class)]
     }
 
+    /// How long a purge counts: until hosts have dropped purged copies themselves, and a little more.
+    pub fn purge_life(&self) -> Duration {
+        self.purge_done + PURGE_MARGIN
+    }
+
     /// The sending time of a request in seconds, where its size is told.
     pub(crate) fn told_work(&self, r: &Request) -> Option<f64> {
         let kb = r.size_kb.filter(|_| self.flow_kb_per_s > 0.0)?;
@@ -330,8 +334,8 @@
     pub weight: f64,
     /// Whether it takes work.
     pub state: HostState,
-    /// When it last started; 0: long past.
-    pub started: Time,
+    /// When it last started; [`Timestamp::ZERO`]: long past.
+    pub started: Timestamp,
     /// The host whose address it took: what was sent there since it started reached this one.
     pub in_place_of: Option<HostId>,
 }
@@ -363,7 +367,7 @@
     /// The part's size in KB, where told.
     pub size_kb: Option<f64>,
     /// When the client gives this try up.
-    pub deadline: Time,
+    pub deadline: Timestamp,
     /// The client marked it as a repeat.
     pub repeat: bool,
     /// It writes.
@@ -438,7 +442,7 @@
     /// The host it went to.
     pub host: HostId,
     /// Time since it was sent.
-    pub latency: Time,
+    pub latency: Duration,
     /// How it ended.
     pub status: Status,
     /// The request is finished, by this or an earlier outcome.
@@ -453,7 +457,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
     /// How long ago it happened.
-    pub since: Time,
+    pub since: Duration,
     /// The object with all parts, or `None`: the whole group.
     pub object: Option<u64>,
     /// The group.
@@ -512,7 +516,7 @@
     /// Rank at which the copy is kept, 1 to 3, lowest dropped first; 0: passed through.
     pub keep: u8,
     /// The oldest copy that will do; `None`: fresh ones.
-    pub max_age: Option<Time>,
+    pub max_age: Option<Duration>,
     /// Join a fill under way.
     pub join: bool,
     /// Serve an ageing copy and fetch it anew behind.
@@ -531,7 +535,7 @@
         /// The host to ask.
         host: HostId,
         /// Its time-out.
-        timeout: Time,
+        timeout: Duration,
         /// Fill and keep.
         fill: Fill,
     },
@@ -546,8 +550,8 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long to stay away; 0: no advice.
-        retry_after: Time,
+        /// How long to stay away; zero: no advice.
+        retry_after: Duration,
     },
     /// Final answer: failed, nothing promised.
     Fail {
@@ -557,7 +561,7 @@
     /// Wake me.
     Timer {
         /// After this long.
-        after: Time,
+        after: Duration,
         /// With this token.
         token: u64,
     },
@@ -576,7 +580,7 @@
 
 impl Action {
     /// An [`Action::Timer`].
-    pub fn timer(after: Time, token: u64) -> Action {
+    pub fn timer(after: Duration, token: u64) -> Action {
         Action::Timer { after, token }
     }
 
@@ -587,7 +591,7 @@
     }
 
     /// An [`Action::Refuse`].
-    pub fn refuse(request: RequestId, retry_after: Time) -> Action {
+    pub fn refuse(request: RequestId, retry_after: Duration) -> Action {
         Action::Refuse { request, retry_after }
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -7,8 +7,9 @@
 //!
 //! ```
 //! use hollymux_decide::*;
+//! use std::time::Duration;
 //!
-//! let class = Class { aim: 400_000, deadline: 2_500_000, effect: Effect::Safe, ..Class::default() };
+//! let class = Class { aim: Duration::from_millis(400), deadline: Duration::from_millis(2_500), effect: Effect::Safe, ..Class::default() };
 //! let settings = Settings {
 //!     classes: vec![class],
 //!     origin_kind: Some(1),
@@ -19,17 +20,18 @@
 //! let mut actions = Vec::new();
 //!
 //! let line = |id, kind| HostEntry {
-//!     id: HostId(id), cell: 0, zone: 0, kind, weight: 4.0, state: HostState::Ready, started: 0, in_place_of: None,
+//!     id: HostId(id), cell: 0, zone: 0, kind, weight: 4.0, state: HostState::Ready, started: Timestamp::ZERO, in_place_of: None,
 //! };
 //! let entries = vec![line(1, 0), line(2, 0), line(9, 1)];
-//! control.handle(1_000, Event::Hosts { kind: ListKind::Full, entries }, &mut actions);
+//! let now = Timestamp::from_micros(1_000);
+//! control.handle(now, Event::Hosts { kind: ListKind::Full, entries }, &mut actions);
 //!
 //! let request = Request {
 //!     id: 1, class: 0, object: 42, part: 0, group: 3, size_kb: None,
-//!     deadline: 2_501_000, repeat: false, write: false,
+//!     deadline: Timestamp::from_micros(2_501_000), repeat: false, write: false,
 //! };
 //! actions.clear();
-//! control.handle(1_000, Event::Request(request), &mut actions);
+//! control.handle(now, Event::Request(request), &mut actions);
 //! // One of the two caches is asked, and fills from the origin if it lacks the object.
 //! assert!(actions.iter().any(|a| matches!(a,
 //!     Action::Attempt { host: HostId(1 | 2), fill, .. } if fill.source == Some(HostId(9)))));
@@ -47,6 +49,7 @@
 mod retune;
 mod settings;
 mod state;
+pub mod time;
 
 pub use control::Control;
 pub use insight::Rotation;
@@ -55,3 +58,4 @@
 pub use parts::{ColdDemand, Sharers};
 pub use settings::{settings_from, Pairs, SettingError};
 pub use state::{Part, Purges};
+pub use time::Timestamp;
--- a/crates/decide/src/memory.rs
+++ b/crates/decide/src/memory.rs
@@ -2,9 +2,11 @@
 //! replaces this one. What is open stays here and is no part of it.
 
 use crate::control::{Control, FLEET, TABLE};
-use crate::interface::{HostId, HostState, Time};
+use crate::interface::{HostId, HostState, Timestamp};
 use crate::state::{Host, Learnt, Purges};
+use crate::time::serde_micros;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 
 /// Bounds of what is taken over beside those of the module's own tables.
 const LEDGER: usize = 10_000;
@@ -18,17 +20,17 @@
     /// Of classes, by number.
     pub classes: Vec<ClassMemory>,
     /// The levels of objects, and since when.
-    pub levels: Vec<(u64, u32, Time)>,
+    pub levels: Vec<(u64, u32, Timestamp)>,
     /// Requests a second.
     pub rate: f64,
     /// What was asked for lately, in two spans, and when the later one began.
     pub seen: [Vec<u64>; 2],
     /// When the later span began.
-    pub seen_since: Time,
+    pub seen_since: Timestamp,
     /// Purges: whether of a group, of what, and when.
-    pub purges: Vec<(bool, u64, Time)>,
+    pub purges: Vec<(bool, u64, Timestamp)>,
     /// Every object counts as purged then.
-    pub floor: Time,
+    pub floor: Timestamp,
     /// Further attempts that are saved up.
     pub retries: f64,
     /// Share of answers that are lost.
@@ -41,25 +43,26 @@
     /// Its identity.
     pub id: u64,
     /// Since when it may be cold.
-    pub cold_since: Option<Time>,
+    pub cold_since: Option<Timestamp>,
     /// Evidence of failure, share of faults, share of what it owes as a parent.
     pub blame: [f64; 3],
     /// When it answered last.
-    pub last_ok: Time,
+    pub last_ok: Timestamp,
     /// How often it answers.
     pub answers: f64,
     /// Out until then.
-    pub out: Option<Time>,
+    pub out: Option<Timestamp>,
     /// The next wait before a trial.
-    pub backoff: Time,
+    #[serde(with = "serde_micros")]
+    pub backoff: Duration,
     /// It was seen dead.
     pub died: bool,
     /// Part of the aim that its answers take.
     pub tardy: f64,
     /// Attempts in hand, smoothed, and when.
-    pub load: (f64, Time),
+    pub load: (f64, Timestamp),
     /// Work asked of it lately: when, and seconds of sending.
-    pub ledger: Vec<(Time, f64)>,
+    pub ledger: Vec<(Timestamp, f64)>,
 }
 
 /// What is known of a class.
@@ -117,7 +120,7 @@
 
     /// Goes on with what another one knew, after the list of hosts was told. Classes are this module's own, by number;
     /// what is no number or lies in the future is not taken.
-    pub fn recall(&mut self, now: Time, m: &Memory) {
+    pub fn recall(&mut self, now: Timestamp, m: &Memory) {
         for known in m.hosts.iter().take(FLEET) {
             let Some(h) = self.fleet.hosts.get_mut(&HostId(known.id)) else { continue };
             h.cold_since = h.cold_since.max(known.cold_since.map(|t| t.min(now)));
@@ -157,14 +160,20 @@
 
 impl Purges {
     /// All that is known: whether of a group, of what, and when; and when every object counts as purged.
-    pub fn list(&self) -> (Vec<(bool, u64, Time)>, Time) {
+    pub fn list(&self) -> (Vec<(bool, u64, Timestamp)>, Timestamp) {
         (self.at.iter().map(|((group, what), at)| (*group, *what, *at)).collect(), self.floor)
     }
 
     /// Takes what another list held.
-    pub fn recall(&mut self, now: Time, known: &[(bool, u64, Time)], floor: Time, most: usize) {
+    pub fn recall(
+        &mut self,
+        now: Timestamp,
+        known: &[(bool, u64, Timestamp)],
+        floor: Timestamp,
+        most: usize,
+    ) {
         for (group, what, at) in known {
-            let e = self.at.entry((*group, *what)).or_insert(0);
+            let e = self.at.entry((*group, *what)).or_insert(Timestamp::ZERO);
             *e = (*e).max((*at).min(now));
         }
         self.floor = self.floor.max(floor.min(now));
--- a/crates/decide/src/parts.rs
+++ b/crates/decide/src/parts.rs
@@ -2,7 +2,7 @@
 //! what is counted, set or agreed with others.
 
 use crate::control::Control;
-use crate::interface::{HostId, Time};
+use crate::interface::{HostId, Timestamp};
 use crate::state::{Host, Role};
 
 /// Of what a cold host is known to bear, all dispatchers together use this part...
@@ -64,7 +64,7 @@
     }
 
     /// What a host's cold budget is divided by to give what this dispatcher may use; infinite: nothing.
-    pub(crate) fn divisor(&self, now: Time, h: &Host) -> f64 {
+    pub(crate) fn divisor(&self, now: Timestamp, h: &Host) -> f64 {
         let Some(leased) = &self.fleet.leased else { return f64::from(self.sharing(h)) };
         let part = match (leased.parts.get(&h.entry.id), self.sharers(h)) {
             (Some(p), _) if now < p.until => p.now,
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decide/src/policy/attempts.rs
@@ -14,7 +14,7 @@
 pub(crate) const MAY_FILL: u64 = 0x8000;
 
 impl Control {
-    pub(crate) fn on_request(&mut self, now: Time, r: Request, acts: &mut Vec<Action>) {
+    pub(crate) fn on_request(&mut self, now: Timestamp, r: Request, acts: &mut Vec<Action>) {
         let (id, class) = (r.id, usize::from(r.class));
         if class >= self.settings.classes.len() {
             return acts.push(Action::Fail { request: id });
@@ -29,7 +29,7 @@
             self.learnt[class].learn_told(w, LEARN);
         }
         let token = u64::from(id) << 16 | DEADLINE;
-        acts.push(Action::timer(r.deadline.saturating_sub(now), token));
+        acts.push(Action::timer(r.deadline.saturating_duration_since(now), token));
         let open = Open {
             write: r.write || self.settings.classes[class].write,
             r,
@@ -44,7 +44,7 @@
     }
 
     /// Sends the next attempt of a request, or ends it.
-    pub(crate) fn advance(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    pub(crate) fn advance(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         let ended = |o: &&Open| o.done || o.stream || (o.out() > 0 && !self.settings.second_copies);
         let Some(o) = self.open.get(&id).filter(|o| !ended(o)) else { return };
         let (again, out) = (!o.tries.is_empty(), o.out() > 0);
@@ -61,25 +61,25 @@
         }
     }
 
-    fn send(&mut self, now: Time, id: RequestId, p: Plan, acts: &mut Vec<Action>) {
+    fn send(&mut self, now: Timestamp, id: RequestId, p: Plan, acts: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
         let c = self.settings.class(&o.r);
         let spared = self.spared(now, o);
-        let stale = ((o.stale || spared) && c.fresh > 0).then_some(c.fresh + c.grace);
+        let stale = ((o.stale || spared) && !c.fresh.is_zero()).then_some(c.fresh + c.grace);
         let bounds = [stale, self.purge_bound(now, &o.r)];
         let Plan(host, source, keep, trial) = p;
         let (work, sends) = (self.mean(&o.r), self.work(&o.r));
-        let timeout = o.r.deadline.saturating_sub(now).max(1);
+        let timeout = o.r.deadline.saturating_duration_since(now).max(MICROSECOND);
         let max_age = bounds.into_iter().flatten().min();
         let shallow = spared && source.is_some_and(|s| self.is_parent(s));
-        let fill =
-            Fill { source, keep, max_age, join: self.settings.joins, renew: c.fresh > 0 && !spared, shallow };
+        let renew = !c.fresh.is_zero() && !spared;
+        let fill = Fill { source, keep, max_age, join: self.settings.joins, renew, shallow };
         acts.push(Action::Attempt { request: id, host, timeout, fill });
-        let look = self.overdue_after(&o.r) / if trial { 2 } else { 1 };
+        let look = divide_to_micros(self.overdue_after(&o.r), if trial { 2 } else { 1 });
         let token = u64::from(id) << 16 | o.tries.len() as u64;
         acts.push(Action::timer(look, token));
         if source.is_some_and(|s| self.is_parent(s)) {
-            acts.push(Action::timer((sends * FILLING * SEC as f64) as Time, token | MAY_FILL));
+            acts.push(Action::timer(span_from_secs(sends * FILLING), token | MAY_FILL));
         }
         let source = source.filter(|s| *s != host);
         self.fleet.began(now, self.settings.fall_after, (host, source), token, work);
@@ -87,11 +87,4 @@
             o.tries.push(Try { host, source, sent: now, out: true, held: true, shallow, ..Try::default() });
         }
     }
-
-    /// The oldest copy that purges allow, until all older copies have gone by themselves.
-    fn purge_bound(&self, now: Time, r: &Request) -> Option<Time> {
-        let at = self.purges.latest(r);
-        let open = at > 0 && at + self.settings.purge_done + SEC > now;
-        open.then(|| now.saturating_sub(at + MS).max(1))
-    }
 }
--- a/crates/decide/src/policy/choice.rs
+++ b/crates/decide/src/policy/choice.rs
@@ -10,7 +10,7 @@
 
 impl Control {
     /// Whether the rule on effects lets this request go to this host now.
-    fn lawful(&self, now: Time, o: &Open, h: &Host) -> bool {
+    fn lawful(&self, now: Timestamp, o: &Open, h: &Host) -> bool {
         let c = self.settings.class(&o.r);
         let ran = o.ran.filter(|_| c.effect != Effect::Safe);
         let Some((at, first)) = ran else { return true };
@@ -21,10 +21,10 @@
             Scope::Cell => first.is_some_and(|f| f.cell == h.entry.cell),
         };
         // A tenth of the window is left for the way there.
-        c.effect == Effect::Keyed && scope && now + c.window / 10 < at + c.window
+        c.effect == Effect::Keyed && scope && now + divide_to_micros(c.window, 10) < at + c.window
     }
 
-    pub(crate) fn plan(&self, now: Time, o: &Open) -> Option<Plan> {
+    pub(crate) fn plan(&self, now: Timestamp, o: &Open) -> Option<Plan> {
         let mut order = self.order(o.key, Role::Own);
         order.retain(|h| self.lawful(now, o, h));
         let work = self.mean(&o.r);
--- a/crates/decide/src/policy/cold.rs
+++ b/crates/decide/src/policy/cold.rs
@@ -3,21 +3,21 @@
 use crate::control::Control;
 use crate::interface::*;
 use crate::parts::{cold_budget, COLD_USE};
-use crate::state::{secs, Host};
+use crate::state::Host;
 use rand_core::RngCore;
 
 impl Control {
     /// The cold budget, over every window and by the settings alone; guards the rule on cold hosts. This
     /// dispatcher's even share of what the host can do, where that is a request or more. Where it is less,
     /// one request in a slot as long as the window: see `slots`.
-    pub(crate) fn admits(&self, now: Time, h: &Host, work: f64) -> bool {
+    pub(crate) fn admits(&self, now: Timestamp, h: &Host, work: f64) -> bool {
         let Some((able, multiple)) = self.cold(now, h) else { return true };
         let window = self.settings.fall_after;
         let share = cold_budget(able, multiple, secs(window)) / self.divisor(now, h);
         let sparse = share < self.unit() && self.fleet.leased.is_none();
         let since = if sparse { h.slot } else { now.saturating_sub(window) };
         let lately: f64 = h.ledger.iter().filter(|l| l.0 > since).map(|l| l.2).sum();
-        let open = !sparse || (h.slot > 0 && now < h.slot + window);
+        let open = !sparse || (h.slot > Timestamp::ZERO && now < h.slot + window);
         h.noted(now, work, open && lately + work <= if sparse { self.unit() } else { share } + 1e-9)
     }
 
@@ -25,7 +25,7 @@
     /// and lapse if not used, so that nobody saves any up: of all dispatchers those whose slot begins within
     /// two windows can send in one. Their number is random; its mean is set so that three deviations
     /// more still stay below what makes the host fall.
-    pub(crate) fn slots(&mut self, now: Time) {
+    pub(crate) fn slots(&mut self, now: Timestamp) {
         let unit = self.unit();
         for id in self.chilled.clone() {
             // One that takes no work is not walked: it comes back by a start that is told.
@@ -41,9 +41,9 @@
             let fresh = self.rng.next_u64() as f64 / u64::MAX as f64;
             let Some(h) = self.fleet.hosts.get_mut(&id) else { continue };
             let (phase, at) = h.phase.unwrap_or((fresh, now));
-            let phase = phase + rate * secs(now - at);
+            let phase = phase + rate * secs(now.duration_since(at));
             if phase >= 1.0 {
-                h.slot = now.saturating_sub((phase.fract() / rate * SEC as f64) as Time);
+                h.slot = now.saturating_sub(span_from_secs(phase.fract() / rate));
             }
             h.phase = Some((phase.fract(), now));
         }
--- a/crates/decide/src/policy/doubt.rs
+++ b/crates/decide/src/policy/doubt.rs
@@ -5,7 +5,7 @@
 //! are told.
 
 use crate::control::Control;
-use crate::interface::{Action, HostId, Outcome, Status, Time, MS};
+use crate::interface::*;
 use crate::policy::health::STRIKES;
 use crate::state::{Host, Sign};
 
@@ -17,13 +17,19 @@
 const ASK: f64 = 4.0;
 /// A parent is asked again no sooner than this; doubled each time that it turns out to be well, to the
 /// longest.
-const PAUSE: Time = 500 * MS;
-const PAUSE_MOST: Time = 8_000 * MS;
+const PAUSE: Duration = Duration::from_millis(500);
+const PAUSE_MOST: Duration = Duration::from_secs(8);
 
 impl Control {
     /// An attempt that named it has ended. What counts is an answer, or a refusal within less than a dial
     /// takes: one after that is taken for a parent that is silent (see `on_full`).
-    pub(crate) fn doubt(&mut self, now: Time, id: Option<HostId>, out: &Outcome, acts: &mut Vec<Action>) {
+    pub(crate) fn doubt(
+        &mut self,
+        now: Timestamp,
+        id: Option<HostId>,
+        out: &Outcome,
+        acts: &mut Vec<Action>,
+    ) {
         let refused = out.status == Status::Full && out.latency < self.settings.connect_timeout;
         let counts = |h: &&mut Host| h.probed && !h.died && (refused || out.status == Status::Ok);
         let named = id.and_then(|id| self.fleet.hosts.get_mut(&id));
@@ -37,7 +43,7 @@
     }
 
     /// A probe of which nothing has come back in time has failed.
-    fn mute(&mut self, now: Time, id: Option<HostId>) {
+    fn mute(&mut self, now: Timestamp, id: Option<HostId>) {
         let wait = 2 * self.settings.connect_timeout.max(PAUSE / 2);
         let late = |h: &&Host| h.doubt.asked.is_some_and(|t| now >= t + wait);
         if let Some(id) = id.filter(|id| self.fleet.hosts.get(id).as_ref().is_some_and(late)) {
@@ -46,7 +52,7 @@
     }
 
     /// Asks parents that are held to be dead and due for their trial.
-    pub(crate) fn ask_dead(&mut self, now: Time, acts: &mut Vec<Action>) {
+    pub(crate) fn ask_dead(&mut self, now: Timestamp, acts: &mut Vec<Action>) {
         for id in self.chilled.clone() {
             self.mute(now, Some(id));
             let due =
@@ -60,9 +66,9 @@
 
     /// What a probe came to: any answer proves life, a refused connection death. None leaves it out, and a
     /// parent that was only cut off goes on where it was.
-    pub(crate) fn on_probed(&mut self, now: Time, id: HostId, status: Status) {
+    pub(crate) fn on_probed(&mut self, now: Timestamp, id: HostId, status: Status) {
         let Some(h) = self.fleet.hosts.get_mut(&id).filter(|h| h.doubt.asked.is_some()) else { return };
-        let waited = h.doubt.asked.take().map_or(0, |t| now.saturating_sub(t));
+        let waited = h.doubt.asked.take().map_or(Duration::ZERO, |t| now.saturating_duration_since(t));
         h.doubt.sum = 0.0;
         if matches!(status, Status::Ok | Status::Error) {
             h.doubt.pause = (2 * h.doubt.pause.max(PAUSE)).min(PAUSE_MOST);
@@ -72,7 +78,7 @@
                 self.fleet.hosts.entry(id).and_modify(|h| h.probed = true);
             }
         } else {
-            h.doubt.pause = 0;
+            h.doubt.pause = Duration::ZERO;
             self.strike(now, id, STRIKES, Sign::unconnected(&self.settings, waited));
         }
     }
--- a/crates/decide/src/policy/fills.rs
+++ b/crates/decide/src/policy/fills.rs
@@ -11,7 +11,7 @@
 impl Control {
     /// Where a miss is filled from: home for a widened object's extra copies, else the home parent, else
     /// what stands in for it.
-    pub(crate) fn source(&self, now: Time, o: &Open, at: &Host, home: Option<&Host>) -> Option<HostId> {
+    pub(crate) fn source(&self, now: Timestamp, o: &Open, at: &Host, home: Option<&Host>) -> Option<HostId> {
         let work = self.mean(&o.r);
         let ok = |h: &&Host| {
             h.entry.id != at.entry.id && !o.bad.contains(&h.entry.id) && self.admits(now, h, work)
@@ -44,7 +44,7 @@
     }
 
     /// The attempt has been out for as long as its like take to be sent: it is a fill, or waits like one.
-    pub(crate) fn on_filling(&mut self, now: Time, id: RequestId, n: usize) {
+    pub(crate) fn on_filling(&mut self, now: Timestamp, id: RequestId, n: usize) {
         let t = self.open.get_mut(&id).and_then(|o| o.tries.get_mut(n)).filter(|t| t.out);
         let Some(t) = t else { return };
         if let Some(h) = t.source.and_then(|s| self.fleet.hosts.get_mut(&s)) {
--- a/crates/decide/src/policy/health.rs
+++ b/crates/decide/src/policy/health.rs
@@ -2,7 +2,7 @@
 
 use crate::control::{Control, OUT};
 use crate::interface::*;
-use crate::state::{secs, Host, Role, Sign, Try, SURE, USUAL};
+use crate::state::{Host, Role, Sign, Try, SURE, USUAL};
 
 /// This much evidence in a row, without a sign of life between, takes a host out.
 pub(crate) const STRIKES: f64 = 2.0;
@@ -18,7 +18,7 @@
 const HUB_LEAST: usize = 2;
 const HUB_PART: usize = 3;
 /// A host that has answered nobody for this long is not merely jammed.
-const SILENT: Time = 2 * SEC;
+const SILENT: Duration = Duration::from_secs(2);
 
 impl Control {
     /// This request asks that host or source no more.
@@ -30,7 +30,7 @@
 
     /// An attempt took far longer than its like. Whichever of cache and parent has answered somebody since
     /// it was sent is not to blame; if both have, nobody is. Covers hangs, cuts and long pauses of either.
-    pub(crate) fn blame(&mut self, now: Time, id: RequestId, t: &Try) -> bool {
+    pub(crate) fn blame(&mut self, now: Timestamp, id: RequestId, t: &Try) -> bool {
         let lives = |h: Option<&Host>| h.is_none_or(|h| h.last_ok > t.sent);
         let parent = t.source.and_then(|s| self.fleet.hosts.get(&s));
         let parent = parent.filter(|h| h.role == Role::Parent);
@@ -50,7 +50,7 @@
     /// the parent, and where hits are not told from fills each looks like a sign of its life. So a parent
     /// is also out when many more of its attempts stay overdue than of other parents': that alone is no jam
     /// behind them all.
-    pub(crate) fn owe(&mut self, now: Time, t: &Try, overdue: bool) {
+    pub(crate) fn owe(&mut self, now: Timestamp, t: &Try, overdue: bool) {
         let untold = self.settings.notes == Notes::None;
         let Some(parent) = t.source.filter(|s| untold && self.is_parent(*s)) else { return };
         let others = || self.fleet.alike(Role::Parent).filter(|h| h.entry.id != parent);
@@ -66,9 +66,9 @@
     }
 
     /// A sign of life: what was held against the host is void; one seen dead comes back cold.
-    pub(crate) fn alive(&mut self, now: Time, id: HostId) {
+    pub(crate) fn alive(&mut self, now: Timestamp, id: HostId) {
         let Some(h) = self.fleet.hosts.get_mut(&id).filter(|h| !h.unproven()) else { return };
-        h.answers = 1.0 + h.answers * (-secs(now.saturating_sub(h.last_ok)) / secs(USUAL)).exp();
+        h.answers = 1.0 + h.answers * (-secs(now.saturating_duration_since(h.last_ok)) / secs(USUAL)).exp();
         (h.strikes, h.last_ok, h.trial) = (0.0, now, false);
         h.cold_since = h.cold_since.max(std::mem::take(&mut h.died).then_some(now));
         h.faults *= if h.out.is_some() { 0.5 } else { 1.0 - 1.0 / FAULTS };
@@ -81,7 +81,7 @@
     }
 
     /// Evidence against a host; enough of it takes the host out until a trial succeeds.
-    pub(crate) fn strike(&mut self, now: Time, id: HostId, weight: f64, sign: Sign) {
+    pub(crate) fn strike(&mut self, now: Timestamp, id: HostId, weight: f64, sign: Sign) {
         let Some(h) = self.fleet.hosts.get(&id).filter(|h| h.role != Role::Origin) else { return };
         // A jam looks like dead hosts: on slowness alone no more than half of a kind are taken out, but a
         // host that has answered nobody for long is (a location or hub that falls silent as a whole).
@@ -127,7 +127,7 @@
     /// Held to be cold from its next answer on.
     pub(crate) fn chill(&mut self, id: HostId) {
         let Some(h) = self.fleet.hosts.get_mut(&id).filter(|h| !h.died) else { return };
-        (h.died, h.phase, h.slot) = (true, None, 0);
+        (h.died, h.phase, h.slot) = (true, None, Timestamp::ZERO);
         self.chilled.insert(id);
     }
 }
--- a/crates/decide/src/policy/outcomes.rs
+++ b/crates/decide/src/policy/outcomes.rs
@@ -4,7 +4,7 @@
 use crate::interface::*;
 use crate::policy::attempts::{DEADLINE, MAY_FILL};
 use crate::policy::health::{FAULTS, FAULTY, STRIKES};
-use crate::state::{secs, Open, Sign, Try, MEMORY};
+use crate::state::{Open, Sign, Try, MEMORY, WORTH_MOVING};
 
 /// So many errors of one request, at different parents and caches, say that it is to blame itself.
 const ERRORS: usize = 3;
@@ -14,7 +14,7 @@
 const LOST_UNTOLD: f64 = 0.12;
 
 impl Control {
-    pub(crate) fn on_outcome(&mut self, now: Time, out: Outcome, acts: &mut Vec<Action>) {
+    pub(crate) fn on_outcome(&mut self, now: Timestamp, out: Outcome, acts: &mut Vec<Action>) {
         let (id, note) = (out.request, out.note);
         let n = usize::from(out.attempt);
         let held = |o: &&mut Open| o.tries.get(n).is_some_and(|t| t.out);
@@ -69,7 +69,7 @@
         let none = out.status == Status::Miss && (t.source.is_none() || t.shallow);
         let errors = o.tries.iter().filter(|t| t.failed).count() >= ERRORS;
         let hopeless = crowded || none || errors || note == Some(Note::OriginFailed);
-        let last = errors || self.settings.class(&r).grace == 0 || o.tries.len() > 1;
+        let last = errors || self.settings.class(&r).grace.is_zero() || o.tries.len() > 1;
         if out.ended || out.status == Status::Ok || o.done {
             self.finish(id, acts);
         } else if hopeless && last && o.out() == 0 {
@@ -101,7 +101,7 @@
     /// parent, or none, was named where it was served, else the parent. Yet one answer in some hundreds is
     /// an error for no reason: only repeated ones are a parent's death, else each has its parent held to be
     /// cold for as long as a restart takes.
-    fn settle_errors(&mut self, now: Time, id: RequestId, served: &Try) {
+    fn settle_errors(&mut self, now: Timestamp, id: RequestId, served: &Try) {
         let tries = self.open.get(&id).map_or(&[][..], |o| &o.tries);
         let failed: Vec<Try> = tries.iter().filter(|t| t.failed).cloned().collect();
         let untold = self.settings.notes != Notes::All;
@@ -123,7 +123,7 @@
         }
     }
 
-    fn on_ok(&mut self, now: Time, r: &Request, t: &Try, out: &Outcome) {
+    fn on_ok(&mut self, now: Timestamp, r: &Request, t: &Try, out: &Outcome) {
         self.alive(now, t.host);
         self.settle_errors(now, out.request, t);
         let filled = matches!(out.note, Some(Note::Filled | Note::FilledByOrigin));
@@ -151,7 +151,7 @@
     }
 
     /// Turned away: by the cache itself, or by the source of the fill, as far as that is told.
-    fn on_full(&mut self, now: Time, id: RequestId, t: &Try, note: Option<Note>, latency: Time) {
+    fn on_full(&mut self, now: Timestamp, id: RequestId, t: &Try, note: Option<Note>, latency: Duration) {
         self.alive(now, t.host);
         use Note::{OriginFailed, SourceLacks, SourceRefused, SourceUnreachable};
         let source = matches!(note, Some(SourceRefused | SourceLacks | OriginFailed | SourceUnreachable));
@@ -161,7 +161,7 @@
         let (dial, unreached) = (self.settings.connect_timeout, note == Some(SourceUnreachable));
         let gone = latency < 2 * dial && (unreached || unsaid && latency >= dial);
         // A refusal is told at once; a fill that broke off on its way proves no end of a process.
-        let broke = unreached && (dial / 4..dial).contains(&latency);
+        let broke = unreached && (divide_to_micros(dial, 4)..dial).contains(&latency);
         let sign = if gone && !broke { Sign::unconnected(&self.settings, latency) } else { Sign::Slow };
         if let Some(s) = t.source.filter(|_| unreached || unsaid) {
             self.strike(now, s, if unreached || gone { 1.0 } else { 0.5 }, sign);
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(crate) fn on_timer(&mut self, now: Time, token: u64, acts: &mut Vec<Action>) {
+    pub(crate) fn on_timer(&mut self, now: Timestamp, token: u64, acts: &mut Vec<Action>) {
         let (id, n) = ((token >> 16) as RequestId, token & 0xffff);
         if n != DEADLINE && n >= MAY_FILL {
             return self.on_filling(now, id, (n - MAY_FILL) as usize);
@@ -188,8 +188,9 @@
         let Some(t) = o.tries.get(n as usize).filter(|t| t.out).cloned() else { return };
         let (effect, class) = (self.settings.class(&o.r).effect, usize::from(o.r.class));
         let wait = self.overdue_after(&o.r);
+        let half = divide_to_micros(wait, 2);
         let other = (0..o.tries.len()).find(|i| *i != n as usize && o.tries[*i].out);
-        let left = o.r.deadline.saturating_sub(now);
+        let left = o.r.deadline.saturating_duration_since(now);
         let out = |id: HostId| self.fleet.hosts.get(&id).is_some_and(|h| !h.up());
         let trial = out(t.host) || t.source.is_some_and(|s| self.is_parent(s) && out(s));
         let blamed = self.blame(now, id, &t) || trial;
@@ -206,10 +207,10 @@
             o.lost = lost;
             o.tries[n as usize].looked |= blamed || now >= t.sent + 2 * wait;
         }
-        if left > wait / 2 && (!blamed || !self.settings.second_copies) {
-            acts.push(Action::timer(wait / 2, token));
+        if left > half && (!blamed || !self.settings.second_copies) {
+            acts.push(Action::timer(half, token));
         }
-        if (blamed && other.is_none() || lost) && effect != Effect::Unsafe && left > 50 * MS {
+        if (blamed && other.is_none() || lost) && effect != Effect::Unsafe && left > WORTH_MOVING {
             if let Some(o) = self.open.get_mut(&id) {
                 o.ran = o.ran.or(Some((t.sent, t.host)));
                 o.tries[n as usize].held &= !lost;
--- a/crates/decide/src/policy/refusals.rs
+++ b/crates/decide/src/policy/refusals.rs
@@ -6,7 +6,7 @@
 
 impl Control {
     /// The final answer, at once: a refusal with advice where that is allowed, else a failure.
-    pub(crate) fn give_up(&mut self, now: Time, id: RequestId, acts: &mut Vec<Action>) {
+    pub(crate) fn give_up(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
         let c = self.settings.class(&o.r);
         let harmless = match c.effect {
@@ -15,10 +15,10 @@
             Effect::Unsafe => o.ran.is_none(),
         };
         if harmless && now < o.r.deadline {
-            let half = self.settings.max_retry_after / 2;
-            let advice = half + self.rng.next_u64() % half.max(1);
+            let half = whole_micros(self.settings.max_retry_after) / 2;
+            let advice = Duration::from_micros(half + self.rng.next_u64() % half.max(1));
             let told = self.settings.retry_after && half > 0;
-            acts.push(Action::refuse(id, if told { advice } else { 0 }));
+            acts.push(Action::refuse(id, if told { advice } else { Duration::ZERO }));
         } else {
             acts.push(Action::Fail { request: id });
         }
--- a/crates/decide/src/policy/relief.rs
+++ b/crates/decide/src/policy/relief.rs
@@ -6,11 +6,11 @@
 
 use crate::control::Control;
 use crate::interface::*;
-use crate::state::{secs, Open, Relief, Role, Try};
+use crate::state::{Open, Relief, Role, Try};
 
 /// Lateness is that of about so many of the last answers, and of the last FADE.
 const LAST: f64 = 16.0;
-const FADE: Time = 3 * SEC;
+const FADE: Duration = Duration::from_secs(3);
 /// From this share of late answers on each further one has less asked for. Crowded hosts alone have a tenth
 /// late (the simulator's overloaded days), sources that stand still all misses.
 const LATE: f64 = 0.2;
@@ -19,7 +19,7 @@
 /// By so much each time: large, as what waits at the sources is late whatever is done...
 const CUT: f64 = 0.67;
 /// ...and the way back is slow, e-fold in this time: all dispatchers come back at once.
-const BACK: Time = 3 * SEC;
+const BACK: Duration = Duration::from_secs(3);
 /// This share goes on being asked for: it tells when the sources are well again.
 const LEAST: f64 = 0.03;
 /// Below this share no further attempt has a parent fetch anything.
@@ -30,23 +30,23 @@
 const WRITE: f64 = 2.0;
 /// The origin is held to be well for so long after it answered in time: a dispatcher of few requests has
 /// a write in some seconds. One that is late ends it at once.
-const WELL: Time = 10 * SEC;
+const WELL: Duration = Duration::from_secs(10);
 
 impl Relief {
     /// The share that may be asked for, and the lateness, as of now: the one grows once the other has faded.
-    fn now(&self, now: Time) -> (f64, f64) {
-        let past = now.saturating_sub(self.at) as f64;
-        let faded = (self.late / LATE).max(1.0).ln() * FADE as f64;
-        let open = self.open * ((past - faded).max(0.0) / BACK as f64).exp();
-        (open.min(1.0), self.late * (-past / FADE as f64).exp())
+    fn now(&self, now: Timestamp) -> (f64, f64) {
+        let past = micros_f64(now.saturating_duration_since(self.at));
+        let faded = (self.late / LATE).max(1.0).ln() * micros_f64(FADE);
+        let open = self.open * ((past - faded).max(0.0) / micros_f64(BACK)).exp();
+        (open.min(1.0), self.late * (-past / micros_f64(FADE)).exp())
     }
 
-    fn advance(&mut self, now: Time) {
+    fn advance(&mut self, now: Timestamp) {
         ((self.open, self.late), self.at) = (self.now(now), now);
     }
 
     /// An answer that may have come from afar, in time or late.
-    fn learn(&mut self, now: Time, late: bool, weight: f64) {
+    fn learn(&mut self, now: Timestamp, late: bool, weight: f64) {
         self.advance(now);
         self.late += (f64::from(u8::from(late)) - self.late) * weight / LAST;
         if late && self.late > LATE {
@@ -55,23 +55,23 @@
     }
 
     /// A write that was late: no hit is among those, so that one is enough.
-    fn late_write(&mut self, now: Time) {
+    fn late_write(&mut self, now: Timestamp) {
         self.advance(now);
-        (self.well, self.late) = (0, self.late.max(LATE * std::f64::consts::E));
+        (self.well, self.late) = (Timestamp::ZERO, self.late.max(LATE * std::f64::consts::E));
         self.open = (self.open * CUT.powf(WRITE)).max(LEAST);
     }
 }
 
 impl Control {
     /// Whether this request has nothing fetched for it by what is behind the caches and parents.
-    pub(crate) fn spared(&self, now: Time, o: &Open) -> bool {
+    pub(crate) fn spared(&self, now: Timestamp, o: &Open) -> bool {
         let open = self.relief.now(now).0;
         let part = (o.draw >> 32) as f64 / (1u64 << 32) as f64;
         !o.write && (part >= open || !o.tries.is_empty() && open < AGAIN)
     }
 
     /// What an attempt's end says of the sources behind caches and parents. A shallow one asked them nothing.
-    pub(crate) fn weigh(&mut self, now: Time, r: &Request, t: &Try, out: &Outcome) {
+    pub(crate) fn weigh(&mut self, now: Timestamp, r: &Request, t: &Try, out: &Outcome) {
         let source = t.source.unwrap_or(t.host);
         let behind = self.fleet.hosts.get(&source).map(|h| h.role);
         if t.shallow || !matches!(behind, Some(Role::Parent | Role::Origin)) {
--- a/crates/decide/src/policy/widening.rs
+++ b/crates/decide/src/policy/widening.rs
@@ -2,38 +2,38 @@
 
 use crate::control::{Control, TABLE};
 use crate::interface::*;
-use crate::state::{secs, Role};
+use crate::state::Role;
 
 /// Requests are counted per object in rounds of this length (DESIGN), or until so many were counted: at a
 /// few a second a share of one second's requests is noise.
-const ROUND: Time = SEC;
+const ROUND: Duration = Duration::from_secs(1);
 const SAMPLE: u32 = 40;
 /// A level drops by one after this long below its threshold (the paper's expiry, DESIGN).
-const DECAY: Time = 10 * SEC;
+const DECAY: Duration = Duration::from_secs(10);
 /// A level rises when the object's share exceeds this times next block / caches (DESIGN's π4).
 const WIDEN: f64 = 0.5;
 /// Guard against small samples: a count must clear the threshold by this many standard errors.
 const SIGMAS: f64 = 2.0;
 /// What was asked for within one to two of these spans is kept at the middle rank, else the lowest.
-const SEEN: Time = 20 * SEC;
+const SEEN: Duration = Duration::from_secs(20);
 
 impl Control {
     /// Counts a request, closing the round first where it is over.
-    pub(crate) fn count(&mut self, now: Time, key: u64) {
+    pub(crate) fn count(&mut self, now: Timestamp, key: u64) {
         let (round, rate) = (self.counts.start(now), self.counts.rate);
-        let gap = now.saturating_sub(std::mem::replace(&mut self.counts.last, now));
-        let elapsed = now - round;
+        let gap = now.saturating_duration_since(std::mem::replace(&mut self.counts.last, now));
+        let elapsed = now.duration_since(round);
         if elapsed >= DECAY || elapsed >= ROUND && self.counts.total >= SAMPLE {
             self.close_round(now, secs(elapsed + self.counts.stall));
             // What comes after a stall has gathered for as long as that: its round counts as so much longer.
             let stalled = gap > ROUND && secs(gap) * rate > f64::from(SAMPLE);
-            self.counts.stall = if stalled { gap } else { 0 };
+            self.counts.stall = if stalled { gap } else { Duration::ZERO };
         }
         self.counts.add(key, TABLE);
         self.counts.turn(now, SEEN, TABLE);
     }
 
-    fn close_round(&mut self, now: Time, elapsed: f64) {
+    fn close_round(&mut self, now: Timestamp, elapsed: f64) {
         let caches = self.fleet.alike(Role::Own).count().max(1) as f64;
         let rate = f64::from(self.counts.total) / elapsed;
         let before = if self.counts.rate == 0.0 { rate } else { self.counts.rate };
@@ -57,8 +57,7 @@
             }
             *level > 0
         });
-        let life = self.settings.purge_done + SEC;
-        self.purges.forget(now.saturating_sub(life));
+        self.purges.forget(now.saturating_sub(self.settings.purge_life()));
         (self.counts.round, self.counts.total) = (now, 0);
     }
 }
--- a/crates/decide/src/retune.rs
+++ b/crates/decide/src/retune.rs
@@ -1,9 +1,10 @@
 //! Other settings for a module in service.
 
 use crate::control::Control;
-use crate::interface::{HostId, HostState, Settings, SettingsError, Time};
+use crate::interface::{HostId, HostState, Settings, SettingsError, Timestamp};
 use crate::parts::{cold_budget, ColdDemand};
-use crate::state::{secs, Host, Learnt, Leased, Part};
+use crate::state::{Host, Learnt, Leased, Part};
+use crate::time::secs;
 use std::collections::BTreeMap;
 
 impl Control {
@@ -27,7 +28,7 @@
     }
 
     /// What cold hosts are asked for here, to agree on their parts by; none where none is cold.
-    pub fn cold_demands(&self, now: Time) -> Vec<ColdDemand> {
+    pub fn cold_demands(&self, now: Timestamp) -> Vec<ColdDemand> {
         let window = secs(self.settings.fall_after).max(0.001);
         let one = |id: &HostId| {
             // What is dead is asked for nothing; it counts from its return on.
@@ -35,7 +36,8 @@
             let h = self.fleet.hosts.get(id).filter(takes)?;
             let (able, multiple) = self.cold(now, h)?;
             let budget = cold_budget(able, multiple, window).max(1e-9);
-            let since = now.saturating_sub(self.settings.fall_after).max(h.cold_since.unwrap_or(0));
+            let since =
+                now.saturating_sub(self.settings.fall_after).max(h.cold_since.unwrap_or(Timestamp::ZERO));
             let used: f64 = h.ledger.iter().filter(|l| l.0 > since).map(|l| l.2).sum();
             let sharers = self.sharers(h);
             Some(ColdDemand {
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -44,6 +44,15 @@
         }
         Ok(())
     }
+    fn span(&self, key: &str, into: &mut Duration) -> Result<(), SettingError> {
+        if let Some(micros) = self.read(key)? {
+            *into = Duration::from_micros(micros);
+        }
+        Ok(())
+    }
+    fn spans(&self, key: &str) -> Result<Vec<Duration>, SettingError> {
+        Ok(self.list(key)?.into_iter().map(Duration::from_micros).collect())
+    }
     fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], into: &mut T) -> Result<(), SettingError> {
         if let Some(v) = self.0.get(key) {
             let hit = words.iter().find(|(w, _)| w == v);
@@ -81,10 +90,10 @@
     p.put("familyInfo.sharesFills", &mut s.joins)?;
     p.num("familyInfo.flowKbPerS", &mut s.flow_kb_per_s)?;
     p.num("familyInfo.originFallMultiple", &mut s.origin_fall_multiple)?;
-    p.put("familyInfo.purgeSlack", &mut s.purge_slack)?;
-    p.put("familyInfo.clearedWithin", &mut s.purge_done)?;
+    p.span("familyInfo.purgeSlack", &mut s.purge_slack)?;
+    p.span("familyInfo.clearedWithin", &mut s.purge_done)?;
     p.num("familyInfo.parentFloor", &mut s.parent_cold_from)?;
-    p.put("familyInfo.upperCold", &mut s.parent_cold_for)?;
+    p.span("familyInfo.upperCold", &mut s.parent_cold_for)?;
     p.num("familyInfo.parentFallMultiple", &mut s.parent_fall_multiple)?;
     let siblings = [("none", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)];
     p.word("familyInfo.neighbours", &siblings, &mut s.siblings)?;
@@ -99,42 +108,42 @@
     p.word("weightSource", &weights, &mut s.weights)?;
     let discovery = [("push", Discovery::Push), ("ask", Discovery::Ask)];
     p.word("discovery", &discovery, &mut s.discovery)?;
-    p.put("rules.mustAskIn", &mut s.ask_within)?;
-    p.put("rules.drainGrace", &mut s.drain_grace)?;
-    p.put("rules.graceToAnswer", &mut s.answer_slack)?;
+    p.span("rules.mustAskIn", &mut s.ask_within)?;
+    p.span("rules.drainGrace", &mut s.drain_grace)?;
+    p.span("rules.graceToAnswer", &mut s.answer_slack)?;
     p.num("rules.coldFrom", &mut s.cold_from)?;
-    p.put("rules.warmAfter", &mut s.cold_for)?;
+    p.span("rules.warmAfter", &mut s.cold_for)?;
     p.num("rules.overloadFactor", &mut s.fall_multiple)?;
-    p.put("rules.tipAfter", &mut s.fall_after)?;
+    p.span("rules.tipAfter", &mut s.fall_after)?;
     p.put("limits.sendCap", &mut s.max_attempts)?;
     p.put("limits.secondCopies", &mut s.second_copies)?;
     p.put("limits.cancel", &mut s.cancel)?;
     p.put("limits.probes", &mut s.probes)?;
     p.put("limits.retryAfter", &mut s.retry_after)?;
-    p.put("limits.maxRetryAfter", &mut s.max_retry_after)?;
-    p.put("limits.dialTimeout", &mut s.connect_timeout)?;
+    p.span("limits.maxRetryAfter", &mut s.max_retry_after)?;
+    p.span("limits.dialTimeout", &mut s.connect_timeout)?;
     let count: u16 = p.read("classes.count")?.unwrap_or(0);
     let writes: Vec<bool> = p.list("familyInfo.classWrite")?;
-    let fresh: Vec<Time> = p.list("familyInfo.maxAge")?;
-    let grace: Vec<Time> = p.list("familyInfo.usableAfter")?;
+    let fresh = p.spans("familyInfo.maxAge")?;
+    let grace = p.spans("familyInfo.usableAfter")?;
     let stale: Vec<f64> = p.list("familyInfo.staleEarns")?;
     for i in 0..usize::from(count) {
         let mut c = Class::default();
         let key = |k: &str| format!("classes.{i}.{k}");
-        p.put(&key("onTime"), &mut c.aim)?;
+        p.span(&key("onTime"), &mut c.aim)?;
         p.num(&key("aimStretch"), &mut c.aim_stretch)?;
-        p.put(&key("hardLimit"), &mut c.deadline)?;
+        p.span(&key("hardLimit"), &mut c.deadline)?;
         p.num(&key("worth"), &mut c.worth)?;
         p.num(&key("lateShare"), &mut c.late_worth)?;
         let effects = [("retryable", Effect::Safe), ("dedup", Effect::Keyed), ("fragile", Effect::Unsafe)];
         p.word(&key("effect"), &effects, &mut c.effect)?;
         let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
         p.word(&key("dedupScope"), &scopes, &mut c.scope)?;
-        p.put(&key("keyTtl"), &mut c.window)?;
+        p.span(&key("keyTtl"), &mut c.window)?;
         p.put(&key("stream"), &mut c.stream)?;
         c.write = writes.get(i).copied().unwrap_or(false);
-        c.fresh = fresh.get(i).copied().unwrap_or(0);
-        c.grace = grace.get(i).copied().unwrap_or(0);
+        c.fresh = fresh.get(i).copied().unwrap_or_default();
+        c.grace = grace.get(i).copied().unwrap_or_default();
         c.stale_worth = stale.get(i).copied().unwrap_or(1.0);
         s.classes.push(c);
     }
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -5,26 +5,27 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Work that cold budgets did not admit is forgotten over about this long.
-const KEPT: Time = 1_500 * MS;
+const KEPT: Duration = Duration::from_millis(1_500);
 
 /// Over about this long a host's answers are counted, to tell how many its silence lacks...
-pub(crate) const USUAL: Time = 10 * SEC;
+pub(crate) const USUAL: Duration = Duration::from_secs(10);
 /// ...and this much of an overdue attempt's evidence holds where none were to be expected.
 const RARE: f64 = 0.4;
 /// An attempt is moved from a host whose silence is worth this much: not for each large object.
 pub(crate) const SURE: f64 = 0.7;
+/// An attempt is moved only where the request has more time left than this.
+pub(crate) const WORTH_MOVING: Duration = Duration::from_millis(50);
 
 /// Own load is averaged over this long to tell others': several requests, yet short against an overload.
-pub(crate) const MEMORY: Time = 3 * SEC;
+pub(crate) const MEMORY: Duration = Duration::from_secs(3);
 /// ...and over this long at parents: what all start there in a second is more than they can bear.
-pub(crate) const FILL_MEMORY: Time = 1_500 * MS;
+pub(crate) const FILL_MEMORY: Duration = Duration::from_millis(1_500);
 
-fn past(long: Time) -> f64 {
-    (-(long as f64) / KEPT as f64).exp()
-}
+/// A copy must be younger than the purge of its object by this.
+const YOUNGER: Duration = Duration::from_millis(1);
 
-pub(crate) fn secs(t: Time) -> f64 {
-    t as f64 / SEC as f64
+fn past(long: Duration) -> f64 {
+    (-ratio(long, KEPT)).exp()
 }
 
 /// What a host is to this dispatcher.
@@ -54,19 +55,19 @@
     pub(crate) entry: HostEntry,
     pub(crate) role: Role,
     /// Since when it may be cold: its start as listed, or its return as seen here.
-    pub(crate) cold_since: Option<Time>,
+    pub(crate) cold_since: Option<Timestamp>,
     /// Evidence of failure since the last sign of life.
     pub(crate) strikes: f64,
     /// Part of its requests that met errors here and none elsewhere, smoothed.
     pub(crate) faults: f64,
     /// For a parent: part of the attempts that named it and stayed overdue, smoothed.
     pub(crate) owing: f64,
-    pub(crate) last_ok: Time,
+    pub(crate) last_ok: Timestamp,
     /// Signs of life over the last USUAL or so, as counted at the last one.
     pub(crate) answers: f64,
     /// Out until this time; then one trial leads back in.
-    pub(crate) out: Option<Time>,
-    pub(crate) backoff: Time,
+    pub(crate) out: Option<Timestamp>,
+    pub(crate) backoff: Duration,
     pub(crate) trial: bool,
     /// The process was seen dead (connections fail or break): it comes back cold.
     pub(crate) died: bool,
@@ -74,50 +75,50 @@
     pub(crate) probed: bool,
     pub(crate) doubt: Doubt,
     /// While cold: how far its next slot is, as of when, and when the latest began.
-    pub(crate) phase: Option<(f64, Time)>,
-    pub(crate) slot: Time,
+    pub(crate) phase: Option<(f64, Timestamp)>,
+    pub(crate) slot: Timestamp,
     /// Own attempts that it has in hand, and their smoothed number when that last changed.
     pub(crate) inflight: u32,
     pub(crate) load: f64,
-    pub(crate) load_at: Time,
+    pub(crate) load_at: Timestamp,
     /// Part of the aim that its answers take, smoothed.
     pub(crate) tardy: f64,
     /// Work asked of it lately: when, for which attempt, seconds of sending.
-    pub(crate) ledger: VecDeque<(Time, u64, f64)>,
+    pub(crate) ledger: VecDeque<(Timestamp, u64, f64)>,
     /// Work kept from it lately, as its cold budget was spent: as of when, seconds of sending.
-    unmet: Cell<(Time, f64)>,
+    unmet: Cell<(Timestamp, f64)>,
 }
 
 impl Host {
     /// Own attempts in hand, averaged over that long or so.
-    pub(crate) fn load(&self, now: Time, over: Time) -> f64 {
-        let past = (-(now.saturating_sub(self.load_at) as f64) / over as f64).exp();
+    pub(crate) fn load(&self, now: Timestamp, over: Duration) -> f64 {
+        let past = (-ratio(now.saturating_duration_since(self.load_at), over)).exp();
         f64::from(self.inflight) + (self.load - f64::from(self.inflight)) * past
     }
 
     /// Notes what its cold budget did not admit, once a moment: one request asks more than once.
-    pub(crate) fn noted(&self, now: Time, work: f64, admitted: bool) -> bool {
+    pub(crate) fn noted(&self, now: Timestamp, work: f64, admitted: bool) -> bool {
         let (at, unmet) = self.unmet.get();
         if !admitted && now > at {
-            self.unmet.set((now, unmet * past(now - at) + work));
+            self.unmet.set((now, unmet * past(now.duration_since(at)) + work));
         }
         admitted
     }
 
     /// Work that was kept from it within about the last KEPT.
-    pub(crate) fn unmet(&self, now: Time) -> f64 {
+    pub(crate) fn unmet(&self, now: Timestamp) -> f64 {
         let (at, unmet) = self.unmet.get();
-        unmet * past(now.saturating_sub(at))
+        unmet * past(now.saturating_duration_since(at))
     }
 
     /// Something was in hand for so long, as is known at its end.
-    pub(crate) fn spend(&mut self, now: Time, over: Time, spell: Time) {
-        let load = self.load(now, over) + spell as f64 / over as f64;
+    pub(crate) fn spend(&mut self, now: Timestamp, over: Duration, spell: Duration) {
+        let load = self.load(now, over) + ratio(spell, over);
         (self.load, self.load_at) = (load, now);
     }
 
     /// One more in hand, or one less.
-    pub(crate) fn hold(&mut self, now: Time, over: Time, more: bool) {
+    pub(crate) fn hold(&mut self, now: Timestamp, over: Duration, more: bool) {
         (self.load, self.load_at) = (self.load(now, over), now);
         self.inflight = if more { self.inflight + 1 } else { self.inflight.saturating_sub(1) };
     }
@@ -128,12 +129,12 @@
 
     /// What silence since then is worth as evidence: little at a host that this dispatcher rarely hears of.
     /// Several overdue attempts in a row still take such a host out.
-    pub(crate) fn silence(&self, now: Time, since: Time) -> f64 {
-        let expected = self.answers / secs(USUAL) * secs(now.saturating_sub(since));
+    pub(crate) fn silence(&self, now: Timestamp, since: Timestamp) -> f64 {
+        let expected = self.answers / secs(USUAL) * secs(now.saturating_duration_since(since));
         1.0 - (1.0 - RARE) * (-expected).exp()
     }
 
-    pub(crate) fn trial_due(&self, now: Time) -> bool {
+    pub(crate) fn trial_due(&self, now: Timestamp) -> bool {
         !self.trial && !self.unproven() && self.out.is_some_and(|t| now >= t)
     }
 
@@ -153,10 +154,10 @@
 pub(crate) struct Doubt {
     pub(crate) sum: f64,
     /// When it was asked, as long as nothing has come back.
-    pub(crate) asked: Option<Time>,
+    pub(crate) asked: Option<Timestamp>,
     /// No probe before this.
-    pub(crate) next: Time,
-    pub(crate) pause: Time,
+    pub(crate) next: Timestamp,
+    pub(crate) pause: Duration,
 }
 
 /// How freely what is behind the parents may be asked, and the evidence that it can't keep up.
@@ -166,16 +167,16 @@
     pub(crate) open: f64,
     /// Share of late answers among the last of them, as of `at`.
     pub(crate) late: f64,
-    pub(crate) at: Time,
+    pub(crate) at: Timestamp,
     /// When the origin itself last answered in time.
-    pub(crate) well: Time,
+    pub(crate) well: Timestamp,
     /// The last attempt that was refused: its host and its source.
     pub(crate) refused: Option<(HostId, HostId)>,
 }
 
 impl Default for Relief {
     fn default() -> Self {
-        Relief { open: 1.0, late: 0.0, at: 0, well: 0, refused: None }
+        Relief { open: 1.0, late: 0.0, at: Timestamp::ZERO, well: Timestamp::ZERO, refused: None }
     }
 }
 
@@ -190,8 +191,8 @@
 
 impl Sign {
     /// A refused connection is told at once. One waited for until its time was over is no more than silence.
-    pub(crate) fn unconnected(s: &Settings, latency: Time) -> Sign {
-        if s.connect_timeout > 0 && latency >= s.connect_timeout {
+    pub(crate) fn unconnected(s: &Settings, latency: Duration) -> Sign {
+        if s.connect_timeout > Duration::ZERO && latency >= s.connect_timeout {
             Sign::Unreached
         } else {
             Sign::Dead
@@ -204,7 +205,7 @@
 pub(crate) struct Try {
     pub(crate) host: HostId,
     pub(crate) source: Option<HostId>,
-    pub(crate) sent: Time,
+    pub(crate) sent: Timestamp,
     pub(crate) out: bool,
     /// It was overdue for long.
     pub(crate) looked: bool,
@@ -238,7 +239,7 @@
     pub(crate) lost: bool,
     pub(crate) tries: Vec<Try>,
     /// First attempt that may have run: when and where.
-    pub(crate) ran: Option<(Time, HostId)>,
+    pub(crate) ran: Option<(Timestamp, HostId)>,
     pub(crate) bad: BTreeSet<HostId>,
 }
 
@@ -312,21 +313,21 @@
 /// Requests per object: this round's, the levels they led to, and what was asked for lately.
 #[derive(Debug, Default)]
 pub(crate) struct Counted {
-    pub(crate) round: Time,
+    pub(crate) round: Timestamp,
     pub(crate) counts: BTreeMap<u64, u32>,
     pub(crate) total: u32,
     pub(crate) rate: f64,
-    pub(crate) last: Time,
-    pub(crate) stall: Time,
-    pub(crate) levels: BTreeMap<u64, (u32, Time)>,
+    pub(crate) last: Timestamp,
+    pub(crate) stall: Duration,
+    pub(crate) levels: BTreeMap<u64, (u32, Timestamp)>,
     pub(crate) seen: [BTreeSet<u64>; 2],
-    pub(crate) seen_since: Time,
+    pub(crate) seen_since: Timestamp,
 }
 
 impl Counted {
     /// When the round began; the first begins now.
-    pub(crate) fn start(&mut self, now: Time) -> Time {
-        self.round = if self.round == 0 { now } else { self.round };
+    pub(crate) fn start(&mut self, now: Timestamp) -> Timestamp {
+        self.round = if self.round == Timestamp::ZERO { now } else { self.round };
         self.round
     }
 
@@ -339,7 +340,7 @@
     }
 
     /// Starts a new table of what was seen after that span, or when it is full.
-    pub(crate) fn turn(&mut self, now: Time, span: Time, most: usize) {
+    pub(crate) fn turn(&mut self, now: Timestamp, span: Duration, most: usize) {
         if now >= self.seen_since + span || self.seen[0].len() > most {
             self.seen_since = now;
             self.seen[1] = std::mem::take(&mut self.seen[0]);
@@ -394,8 +395,8 @@
     /// An attempt is sent: it is in hand at its host, and counts as work asked of both within the window.
     pub(crate) fn began(
         &mut self,
-        now: Time,
-        window: Time,
+        now: Timestamp,
+        window: Duration,
         (host, source): (HostId, Option<HostId>),
         token: u64,
         work: f64,
@@ -413,7 +414,7 @@
     }
 
     /// An attempt has ended: it is no longer in hand, and a trial is over.
-    pub(crate) fn ended(&mut self, now: Time, t: &Try, out: &Outcome) {
+    pub(crate) fn ended(&mut self, now: Timestamp, t: &Try, out: &Outcome) {
         if let Some(h) = self.hosts.get_mut(&t.host) {
             if t.held {
                 h.hold(now, MEMORY, false);
@@ -438,7 +439,7 @@
     }
 
     /// Whether a host has answered anybody since then.
-    pub(crate) fn answered(&self, id: HostId, since: Time) -> bool {
+    pub(crate) fn answered(&self, id: HostId, since: Timestamp) -> bool {
         self.hosts.get(&id).is_some_and(|h| h.last_ok > since)
     }
 
@@ -474,13 +475,13 @@
 /// When what was purged last.
 #[derive(Debug, Default)]
 pub struct Purges {
-    pub(crate) at: BTreeMap<(bool, u64), Time>,
-    pub(crate) floor: Time,
+    pub(crate) at: BTreeMap<(bool, u64), Timestamp>,
+    pub(crate) floor: Timestamp,
 }
 
 impl Purges {
     /// Takes a purge. Beyond so many the latest time of those dropped stands for every object: nothing is forgotten.
-    pub fn add(&mut self, now: Time, p: &Purge, most: usize) {
+    pub fn add(&mut self, now: Timestamp, p: &Purge, most: usize) {
         let at = now.saturating_sub(p.since);
         let key = p.object.map_or((true, u64::from(p.group)), |o| (false, o));
         let e = self.at.entry(key).or_insert(at);
@@ -488,22 +489,27 @@
         self.trim(most);
     }
 
+    /// The oldest copy that will do now for what was purged at that time.
+    pub fn oldest_copy(now: Timestamp, purged: Timestamp) -> Duration {
+        now.saturating_duration_since(purged + YOUNGER).max(MICROSECOND)
+    }
+
     pub(crate) fn trim(&mut self, most: usize) {
         while self.at.len() > most {
-            self.floor = self.floor.max(self.at.pop_first().map_or(0, |p| p.1));
+            self.floor = self.floor.max(self.at.pop_first().map_or(Timestamp::ZERO, |p| p.1));
         }
     }
 
     /// Drops what was purged before that.
-    pub fn forget(&mut self, before: Time) {
+    pub fn forget(&mut self, before: Timestamp) {
         self.at.retain(|_, t| *t > before);
     }
 
-    /// The latest purge of a request's object; 0 if none is known.
-    pub fn latest(&self, r: &Request) -> Time {
+    /// The latest purge of a request's object; [`Timestamp::ZERO`] if none is known.
+    pub fn latest(&self, r: &Request) -> Timestamp {
         let object = self.at.get(&(false, r.object));
         let group = self.at.get(&(true, u64::from(r.group)));
-        *object.max(group).unwrap_or(&0).max(&self.floor)
+        *object.max(group).unwrap_or(&Timestamp::ZERO).max(&self.floor)
     }
 }
 
@@ -513,7 +519,7 @@
     /// Until `until`.
     pub now: f64,
     /// By the same clock as all times that the module is given.
-    pub until: Time,
+    pub until: Timestamp,
     /// From then on, whatever is heard.
     pub after: f64,
 }
--- a/crates/decide/tests/module.rs
+++ b/crates/decide/tests/module.rs
@@ -1,23 +1,23 @@
 //! The decision module through its interface: the mechanism, the rules and what comes back.
 
+use hollymux_decide::time::MICROSECOND;
 use hollymux_decide::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-const MS: Time = 1_000;
-const SEC: Time = 1_000_000;
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
-const START: Time = 1_000 * SEC;
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 fn class() -> Class {
     Class {
-        aim: 500 * MS,
+        aim: Duration::from_millis(500),
         aim_stretch: 1.6,
-        deadline: 5 * SEC,
+        deadline: Duration::from_secs(5),
         effect: Effect::Safe,
         scope: Scope::All,
-        window: 3 * SEC,
+        window: Duration::from_secs(3),
         ..Class::default()
     }
 }
@@ -34,19 +34,19 @@
         notes: Notes::All,
         weights: Weights::Size,
         flow_kb_per_s: 1_000.0,
-        purge_done: 6 * SEC,
-        purge_slack: 500 * MS,
+        purge_done: Duration::from_secs(6),
+        purge_slack: Duration::from_millis(500),
         cold_from: 0.2,
-        cold_for: 10 * SEC,
+        cold_for: Duration::from_secs(10),
         fall_multiple: 3.0,
-        fall_after: SEC,
+        fall_after: Duration::from_secs(1),
         parent_cold_from: 0.1,
-        parent_cold_for: 20 * SEC,
+        parent_cold_for: Duration::from_secs(20),
         parent_fall_multiple: 2.0,
         max_attempts: 4,
         cancel: true,
         retry_after: true,
-        max_retry_after: 400 * MS,
+        max_retry_after: Duration::from_millis(400),
         ..Settings::default()
     }
 }
@@ -59,7 +59,7 @@
         kind,
         weight: 8.0,
         state: HostState::Ready,
-        started: 0,
+        started: Timestamp::ZERO,
         in_place_of: None,
     }
 }
@@ -75,7 +75,7 @@
 
 struct Bed {
     c: Control,
-    now: Time,
+    now: Timestamp,
     next: RequestId,
 }
 
@@ -110,7 +110,7 @@
             part,
             group: 7,
             size_kb: Some(100.0),
-            deadline: self.now + 4 * SEC,
+            deadline: self.now + Duration::from_secs(4),
             repeat: false,
             write: false,
         };
@@ -120,7 +120,7 @@
         sent(&self.ask_of(object, 0, 0)).expect("an attempt")
     }
     fn end(&mut self, s: &Sent, attempt: u16, status: Status, note: Option<Note>) -> Vec<Action> {
-        self.end_after(s, attempt, status, note, 100 * MS)
+        self.end_after(s, attempt, status, note, Duration::from_millis(100))
     }
 
     fn end_after(
@@ -129,7 +129,7 @@
         attempt: u16,
         status: Status,
         note: Option<Note>,
-        latency: Time,
+        latency: Duration,
     ) -> Vec<Action> {
         self.event(Event::Outcome(Outcome {
             request: s.id,
@@ -242,12 +242,12 @@
                 assert_eq!(s.fill.keep, 1, "and take the lowest rank");
             }
         }
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
     }
     assert!(hosts.len() >= 3, "{hosts:?}");
     for i in 0..3_000 {
         bed.serve(9_000 + i);
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
     }
     assert!((0..20).all(|_| bed.serve(42).host == home));
 }
@@ -259,22 +259,22 @@
     // Three of four requests in a round: a large share of nothing.
     for i in 0..3 {
         bed.serve(42);
-        bed.now += 300 * MS;
+        bed.now += Duration::from_millis(300);
         bed.serve(600 + i);
     }
-    bed.now += 2 * SEC;
+    bed.now += Duration::from_secs(2);
     assert!((0..20).all(|_| bed.serve(42).host == home));
     // A steady load, then a stall, then its backlog, mostly of one object.
     let mut bed = Bed::new(settings());
     for i in 0..600 {
         bed.serve(5_000 + i);
-        bed.now += 10 * MS;
+        bed.now += Duration::from_millis(10);
     }
-    bed.now += 5 * SEC;
+    bed.now += Duration::from_secs(5);
     for _ in 0..30 {
         bed.serve(42);
     }
-    bed.now += SEC;
+    bed.now += Duration::from_secs(1);
     assert!((0..20).all(|_| bed.serve(42).host == home));
 }
 
@@ -283,22 +283,25 @@
     let mut bed = Bed::new(settings());
     assert_eq!(bed.ask(42).fill.max_age, None);
     let purge = |object, group, since| Event::Purged(Purge { since, object, group });
-    bed.event(purge(Some(42), 1, 300 * MS));
+    bed.event(purge(Some(42), 1, Duration::from_millis(300)));
     let age = bed.ask(42).fill.max_age.unwrap();
-    assert!((1..300 * MS).contains(&age));
+    assert!((MICROSECOND..Duration::from_millis(300)).contains(&age));
     assert_eq!(bed.ask(43).fill.max_age, None);
-    bed.event(purge(None, 7, 0));
-    assert_eq!(bed.ask(43).fill.max_age, Some(1), "a zero bound would mean none");
-    bed.now += SEC;
+    bed.event(purge(None, 7, Duration::ZERO));
+    assert_eq!(bed.ask(43).fill.max_age, Some(MICROSECOND), "a zero bound would mean none");
+    bed.now += Duration::from_secs(1);
     let s = bed.ask(43);
     let age = s.fill.max_age.unwrap();
-    assert!(age < SEC && age > 900 * MS, "the bound grows with the time since the purge");
+    assert!(
+        age < Duration::from_secs(1) && age > Duration::from_millis(900),
+        "the bound grows with the time since the purge"
+    );
     // A later attempt of a request that was out when the purge came is bound too.
     let before = bed.ask(77);
-    bed.event(purge(Some(77), 1, 0));
+    bed.event(purge(Some(77), 1, Duration::ZERO));
     let acts = bed.end(&before, 0, Status::Full, Some(Note::NoFillPlace));
-    assert_eq!(sent(&acts).unwrap().fill.max_age, Some(1));
-    bed.now += 8 * SEC;
+    assert_eq!(sent(&acts).unwrap().fill.max_age, Some(MICROSECOND));
+    bed.now += Duration::from_secs(8);
     assert_eq!(bed.ask(43).fill.max_age, None);
 }
 
@@ -306,7 +309,7 @@
 fn memory_of_purges_is_bounded_and_forgets_nothing() {
     let mut bed = Bed::new(settings());
     for object in 0..50_000 {
-        bed.event(Event::Purged(Purge { since: 0, object: Some(object + 1), group: 0 }));
+        bed.event(Event::Purged(Purge { since: Duration::ZERO, object: Some(object + 1), group: 0 }));
     }
     for object in [1, 20_000, 50_000] {
         assert!(bed.ask(object).fill.max_age.is_some());
@@ -337,13 +340,13 @@
             if s.host == id || s.fill.source == Some(HostId(id)) {
                 times.push(bed.now);
             }
-            bed.now += 2 * MS;
+            bed.now += Duration::from_millis(2);
         }
         assert!(times.len() > 5, "a cold host gets its part: {}", times.len());
         for t in &times {
-            let n = times.iter().filter(|x| **x >= *t && **x < t + SEC).count() as f64;
-            let age = (t - started) as f64 / over as f64;
-            let share = from + (1.0 - from) * (age + SEC as f64 / over as f64).min(1.0);
+            let n = times.iter().filter(|x| **x >= *t && **x < *t + Duration::from_secs(1)).count() as f64;
+            let age = t.duration_since(started).as_micros() as f64 / over.as_micros() as f64;
+            let share = from + (1.0 - from) * (age + 1e6 / over.as_micros() as f64).min(1.0);
             assert!(n * 0.1 <= multiple * share * 8.0 / among, "{n} at {age}");
         }
     }
@@ -360,7 +363,7 @@
         assert_ne!(sent(&acts).unwrap().host, 2, "the next in order stands in");
     }
     assert_ne!(bed.serve(mine[3]).host, 2);
-    bed.now += SEC;
+    bed.now += Duration::from_secs(1);
     let trial = bed.ask(mine[4]);
     assert_eq!(trial.host, 2);
     assert_ne!(bed.ask(mine[5]).host, 2, "one trial at a time");
@@ -396,19 +399,24 @@
 /// connections that are reset under fills tell that now and then. One that refuses them tells so at once.
 #[test]
 fn a_fill_that_broke_off_is_no_parents_end() {
-    for (told_after, cold) in [(5 * MS, true), (150 * MS, false), (350 * MS, false)] {
-        let settings = Settings { notes: Notes::All, connect_timeout: 400 * MS, ..settings() };
+    for (told_after, cold) in [
+        (Duration::from_millis(5), true),
+        (Duration::from_millis(150), false),
+        (Duration::from_millis(350), false),
+    ] {
+        let settings =
+            Settings { notes: Notes::All, connect_timeout: Duration::from_millis(400), ..settings() };
         let mut bed = Bed::new(settings);
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
         for object in mine.iter().take(2) {
-            bed.now += 20 * MS;
+            bed.now += Duration::from_millis(20);
             let s = bed.ask(*object);
             let acts = bed.end_after(&s, 0, Status::Full, Some(Note::SourceUnreachable), told_after);
             bed.end(&sent(&acts).unwrap(), 1, Status::Ok, Some(Note::Filled));
         }
         // It is back, if it was away: a request that names it is filled.
-        bed.now += 700 * MS;
+        bed.now += Duration::from_millis(700);
         let named = mine.iter().any(|object| {
             let s = bed.ask(*object);
             bed.end(&s, 0, Status::Ok, Some(Note::Filled));
@@ -416,7 +424,7 @@
         });
         assert!(named);
         let demands = bed.c.cold_demands(bed.now);
-        assert_eq!(demands.iter().any(|d| d.host == HostId(22)), cold, "{told_after}: {demands:?}");
+        assert_eq!(demands.iter().any(|d| d.host == HostId(22)), cold, "{told_after:?}: {demands:?}");
     }
 }
 
@@ -433,7 +441,7 @@
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
         for object in mine.iter().cycle().take(requests) {
-            bed.now += 20 * MS;
+            bed.now += Duration::from_millis(20);
             let mut s = bed.ask(*object);
             assert_eq!(s.fill.source, Some(HostId(22)));
             for n in 0..errors {
@@ -449,7 +457,7 @@
             }
         }
         let after = mine.iter().cycle().take(200).map(|object| {
-            bed.now += 2 * MS;
+            bed.now += Duration::from_millis(2);
             let s = bed.ask(*object);
             bed.end(&s, 0, Status::Ok, None);
             s.fill.source.unwrap().0
@@ -468,7 +476,7 @@
 fn refuse(bed: &mut Bed, objects: &[u64], parent: u64) -> bool {
     let mut asked = false;
     for object in objects {
-        bed.now += 10 * MS;
+        bed.now += Duration::from_millis(10);
         let s = bed.ask(*object);
         let named = s.fill.source == Some(HostId(parent));
         let acts = bed.end(&s, 0, if named { Status::Full } else { Status::Ok }, None);
@@ -485,14 +493,19 @@
 /// names it looked like a sign of its life. A probe settles it, and a probe alone leads it back, cold.
 #[test]
 fn a_parent_that_refuses_is_asked_itself_and_comes_back_by_its_own_word() {
-    let probes = |probes| Settings { probes, notes: Notes::None, connect_timeout: 400 * MS, ..settings() };
+    let probes = |probes| Settings {
+        probes,
+        notes: Notes::None,
+        connect_timeout: Duration::from_millis(400),
+        ..settings()
+    };
     let mut bed = Bed::new(probes(true));
     let homes = bed.homes();
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
     let parent = HostId(22);
     let names = |bed: &mut Bed| {
         let all = mine.iter().filter(|object| {
-            bed.now += 2 * MS;
+            bed.now += Duration::from_millis(2);
             let s = bed.ask(**object);
             bed.end(&s, 0, Status::Ok, None);
             s.fill.source == Some(parent)
@@ -512,11 +525,11 @@
     assert!(names(&mut bed) > mine.len() * 9 / 10);
     assert!(!refuse(&mut bed, &mine[..6], 22));
     // It does not: no hit leads it back, and it is asked again when that is due.
-    bed.now += 10 * SEC;
+    bed.now += Duration::from_secs(10);
     assert!(refuse(&mut bed, &mine[..6], 22));
     bed.event(Event::Probed { host: parent, status: Status::Timeout });
     assert_eq!(names(&mut bed), 0);
-    bed.now += 600 * MS;
+    bed.now += Duration::from_millis(600);
     let acts = bed.ask_of(1, 0, 0);
     assert!(acts.contains(&Action::Probe { host: parent }), "{acts:?}");
     assert_eq!(names(&mut bed), 0);
@@ -535,10 +548,10 @@
         let mut bed = Bed::new(Settings { notes: Notes::None, ..settings() });
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
-        bed.now += 5 * SEC;
+        bed.now += Duration::from_secs(5);
         let started = bed.now;
         mine.iter().cycle().take(40).for_each(|o| {
-            bed.now += 10 * MS;
+            bed.now += Duration::from_millis(10);
             bed.serve(*o);
         });
         let gone = HostEntry { state: HostState::Gone, ..line(1, 0, 0) };
@@ -558,9 +571,9 @@
     let homes = bed.homes();
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
     for pair in mine.chunks_exact(2).cycle().take(20) {
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
         let (broken, other) = (bed.ask(pair[0]), bed.ask(pair[1]));
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
         bed.end(&other, 0, Status::Ok, None);
         let acts = bed.end(&broken, 0, Status::Reset, None);
         assert_eq!(sent(&acts).map(|s| s.host), Some(1));
@@ -576,7 +589,7 @@
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
     let mut asked = Vec::new();
     for (n, object) in mine.iter().cycle().take(1_000).enumerate() {
-        bed.now += 10 * MS;
+        bed.now += Duration::from_millis(10);
         let mut s = bed.ask(*object);
         asked.push(s.host == 1);
         if s.host == 1 && n < 500 && n % 5 != 0 {
@@ -610,7 +623,7 @@
         bed.hosts(ListKind::Delta, (1..=4).map(cold).collect());
         let mut hosts = BTreeMap::new();
         for object in 1_000..1_200 {
-            bed.now += 5 * MS;
+            bed.now += Duration::from_millis(5);
             if let Some(s) = sent(&bed.ask_of(object, 0, 0)) {
                 let at = if s.host < 10 { "cache" } else { "parent" };
                 assert!(s.host < 10 || s.fill.source == Some(HostId(31)), "{s:?}");
@@ -664,10 +677,10 @@
     assert!(sent(&again).is_none_or(|a| a.host == s.host));
     let mut bed = with(Effect::Keyed, Scope::All);
     let s = bed.ask(42);
-    bed.now += 2 * SEC;
+    bed.now += Duration::from_secs(2);
     assert!(sent(&bed.end(&s, 0, Status::Error, None)).is_some());
     let s = bed.ask(43);
-    bed.now += 3 * SEC;
+    bed.now += Duration::from_secs(3);
     let late = bed.end(&s, 0, Status::Error, None);
     assert!(sent(&late).is_none() && finals(&late) == 1);
     // Writes go to the origin and are never kept.
@@ -680,7 +693,8 @@
     let mut bed = Bed::new(Settings { max_attempts: 1, ..settings() });
     let s = bed.ask(42);
     let acts = bed.end(&s, 0, Status::Full, Some(Note::NoFillPlace));
-    let advised = |a: &Action| matches!(a, Action::Refuse { retry_after: 200_000..=400_000, .. });
+    let told = Duration::from_millis(200)..=Duration::from_millis(400);
+    let advised = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if told.contains(retry_after));
     assert!(acts.iter().any(advised), "{acts:?}");
     // Nothing to send to at all.
     let mut bed = Bed::new(settings());
@@ -766,7 +780,7 @@
     c.handle(START, Event::HostsFailed, &mut acts);
     let [Action::Timer { token, .. }] = acts[..] else { panic!("{acts:?}") };
     acts.clear();
-    c.handle(START + SEC, Event::Timer { token }, &mut acts);
+    c.handle(START + Duration::from_secs(1), Event::Timer { token }, &mut acts);
     assert_eq!(acts, [Action::Subscribe]);
 }
 
@@ -805,14 +819,14 @@
         let mut shut: BTreeSet<u64> = BTreeSet::new();
         // Per request: attempts out, how many were sent, whether one may have run, whether it has ended.
         let mut open: BTreeMap<RequestId, (BTreeMap<u16, u64>, u16, bool, bool)> = BTreeMap::new();
-        let mut timers: Vec<(Time, u64)> = Vec::new();
-        let mut deadlines: BTreeMap<RequestId, Time> = BTreeMap::new();
+        let mut timers: Vec<(Timestamp, u64)> = Vec::new();
+        let mut deadlines: BTreeMap<RequestId, Timestamp> = BTreeMap::new();
         let last = (9u8, 0u64);
         for (kind, x) in steps.into_iter().chain([last]) {
-            let now = beds[0].now + x % (80 * MS);
+            let now = beds[0].now + Duration::from_micros(x % 80_000);
             let mut events = Vec::new();
             timers.sort();
-            let until = if kind == 9 { now + 60 * SEC } else { now };
+            let until = if kind == 9 { now + Duration::from_secs(60) } else { now };
             // Timers that fall due come first, at their time.
             let due: Vec<_> = timers.iter().copied().filter(|t| t.0 <= until).collect();
             timers.retain(|t| t.0 > until);
@@ -824,7 +838,7 @@
                 (0 | 1, _) => {
                     let id = beds[0].next + 1;
                     beds.iter_mut().for_each(|b| b.next = id);
-                    let deadline = now + 500 * MS + x % (3 * SEC);
+                    let deadline = now + Duration::from_millis(500) + Duration::from_micros(x % 3_000_000);
                     open.insert(id, Default::default());
                     deadlines.insert(id, deadline);
                     events.push((now, Event::Request(Request {
@@ -836,18 +850,20 @@
                     let status = STATUSES[(x >> 8) as usize % STATUSES.len()];
                     let ended = done || status == Status::Ok;
                     events.push((now, Event::Outcome(Outcome {
-                        request, attempt, host: HostId(host), latency: x % SEC, status, ended, note: None, work: None,
+                        request, attempt, host: HostId(host), latency: Duration::from_micros(x % 1_000_000),
+                        status, ended, note: None, work: None,
                     })));
                 }
                 (4, _) => {
                     let mut e = fleet().swap_remove(x as usize % 10);
                     e.state = [HostState::Ready, HostState::Draining, HostState::Gone][(x >> 8) as usize % 3];
-                    e.started = if x % 2 == 0 { now } else { 0 };
+                    e.started = if x % 2 == 0 { now } else { Timestamp::ZERO };
                     events.push((now, Event::Hosts { kind: ListKind::Delta, entries: vec![e] }));
                 }
                 (5, _) => {
                     let object = (x % 3 > 0).then_some(x % 20 + 1);
-                    events.push((now, Event::Purged(Purge { since: x % SEC, object, group: 3 })));
+                    let since = Duration::from_micros(x % 1_000_000);
+                    events.push((now, Event::Purged(Purge { since, object, group: 3 })));
                 }
                 _ => {}
             }
@@ -901,7 +917,7 @@
                     }
                 }
                 for (id, r) in &open {
-                    prop_assert!(r.3 || beds[0].now <= deadlines[id] + 100 * MS, "left without an answer");
+                    prop_assert!(r.3 || beds[0].now <= deadlines[id] + Duration::from_millis(100), "left without an answer");
                 }
             }
         }
@@ -922,7 +938,7 @@
         } else {
             bed.end(&s, 0, Status::Ok, Some(Note::Hit));
         }
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
     }
     assert_eq!(bed.homes(), homes);
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 2).map(|h| *h.0).collect();
@@ -938,13 +954,13 @@
 fn a_location_that_falls_silent_is_passed_by() {
     let mut bed = Bed::new(Settings { direct: true, ..settings() });
     bed.homes();
-    bed.now += 3 * SEC;
+    bed.now += Duration::from_secs(3);
     let mut timers = Vec::new();
     let mut past = 0;
     for i in 0..200 {
         let mut acts = bed.ask_of(2_000 + i, 0, 0);
         timers.sort();
-        while timers.first().is_some_and(|t: &(Time, u64)| t.0 <= bed.now) {
+        while timers.first().is_some_and(|t: &(Timestamp, u64)| t.0 <= bed.now) {
             acts.extend(bed.event(Event::Timer { token: timers.remove(0).1 }));
         }
         for a in acts {
@@ -956,7 +972,7 @@
                         request,
                         attempt,
                         host: HostId(0),
-                        latency: 0,
+                        latency: Duration::ZERO,
                         status: Status::Cancelled,
                         ended: false,
                         note: None,
@@ -969,7 +985,7 @@
                 _ => {}
             }
         }
-        bed.now += 20 * MS;
+        bed.now += Duration::from_millis(20);
     }
     assert!(past > 20, "{past} went past the silent caches");
 }
@@ -981,12 +997,12 @@
     let s = bed.ask(42);
     let acts = bed.end(&s, 0, Status::Full, Some(Note::OriginFailed));
     assert!(sent(&acts).is_none() && finals(&acts) == 1);
-    let classes = vec![Class { fresh: 8 * SEC, grace: 10 * SEC, ..class() }];
+    let classes = vec![Class { fresh: Duration::from_secs(8), grace: Duration::from_secs(10), ..class() }];
     let mut bed = Bed::new(Settings { classes, ..settings() });
     let s = bed.ask(42);
     assert!(s.fill.renew && s.fill.max_age.is_none());
     let again = sent(&bed.end(&s, 0, Status::Full, Some(Note::OriginFailed))).unwrap();
-    assert_eq!(again.fill.max_age, Some(18 * SEC));
+    assert_eq!(again.fill.max_age, Some(Duration::from_secs(18)));
     let acts = bed.end(&again, 1, Status::Full, Some(Note::OriginFailed));
     assert!(sent(&acts).is_none() && finals(&acts) == 1);
 }
--- a/crates/decide/tests/relief.rs
+++ b/crates/decide/tests/relief.rs
@@ -1,6 +1,7 @@
 //! What is behind the parents is asked for less when it can't keep up: no bench, fixed seeds.
 
 use hollymux_decide::*;
+use std::time::Duration;
 
 const PARENTS: std::ops::Range<u64> = 21..25;
 const ORIGIN: u64 = 31;
@@ -9,16 +10,19 @@
 
 fn settings() -> Settings {
     let class = |effect, write, fresh| Class {
-        aim: 500 * MS,
-        deadline: 2 * SEC,
+        aim: Duration::from_millis(500),
+        deadline: Duration::from_secs(2),
         effect,
         write,
         fresh,
-        grace: 30 * SEC,
+        grace: Duration::from_secs(30),
         ..Class::default()
     };
     Settings {
-        classes: vec![class(Effect::Safe, false, 8 * SEC), class(Effect::Unsafe, true, 0)],
+        classes: vec![
+            class(Effect::Safe, false, Duration::from_secs(8)),
+            class(Effect::Unsafe, true, Duration::ZERO),
+        ],
         parent_kind: Some(1),
         origin_kind: Some(2),
         direct: true,
@@ -26,15 +30,15 @@
         max_attempts: 6,
         cancel: true,
         retry_after: true,
-        max_retry_after: 1_000 * MS,
-        connect_timeout: 400 * MS,
+        max_retry_after: Duration::from_millis(1_000),
+        connect_timeout: Duration::from_millis(400),
         ..Settings::default()
     }
 }
 
 struct Bed {
     control: Control,
-    now: Time,
+    now: Timestamp,
     next: RequestId,
 }
 
@@ -43,7 +47,11 @@
 
 impl Bed {
     fn new() -> Bed {
-        let mut bed = Bed { control: Control::new(settings(), 7).unwrap(), now: 1_000 * SEC, next: 0 };
+        let mut bed = Bed {
+            control: Control::new(settings(), 7).unwrap(),
+            now: Timestamp::from_micros(1_000_000_000),
+            next: 0,
+        };
         let line = |id, kind, zone| HostEntry { id: HostId(id), kind, zone, ..HostEntry::default() };
         let caches = (1..=4).map(|i| line(i, 0, 0));
         let all = caches.chain(PARENTS.map(|i| line(i, 1, 1))).chain([line(ORIGIN, 2, 1)]);
@@ -59,14 +67,14 @@
 
     /// The next object's request, 100 ms after the last one.
     fn ask(&mut self, class: u16) -> Sent {
-        self.now += 100 * MS;
+        self.now += Duration::from_millis(100);
         self.next += 1;
-        let (id, object, deadline) = (self.next, u64::from(self.next), self.now + 2 * SEC);
+        let (id, object, deadline) = (self.next, u64::from(self.next), self.now + Duration::from_secs(2));
         let acts = self.event(Event::Request(Request { id, class, object, deadline, ..Request::default() }));
         attempt(&acts, 0).expect("an attempt")
     }
 
-    fn end(&mut self, s: &Sent, status: Status, latency: Time) -> Vec<Action> {
+    fn end(&mut self, s: &Sent, status: Status, latency: Duration) -> Vec<Action> {
         self.event(Event::Outcome(Outcome {
             request: s.0,
             attempt: s.1,
@@ -85,12 +93,12 @@
         for _ in 0..requests {
             let s = self.ask(DOCS);
             shallow += usize::from(s.3.shallow);
-            self.end(&s, Status::Ok, 50 * MS);
+            self.end(&s, Status::Ok, Duration::from_millis(50));
         }
         shallow
     }
 
-    fn write(&mut self, latency: Time) {
+    fn write(&mut self, latency: Duration) {
         let s = self.ask(FILING);
         assert_eq!((s.3.source, s.3.shallow), (Some(HostId(ORIGIN)), false), "a write is never spared");
         self.end(&s, Status::Ok, latency);
@@ -110,14 +118,14 @@
 fn a_write_that_was_late_alone_spares_nobody() {
     let mut bed = Bed::new();
     let (slow, quick) = (bed.ask(FILING), bed.ask(FILING));
-    bed.now += 50 * MS;
-    bed.end(&quick, Status::Ok, 50 * MS);
-    bed.now += 400 * MS;
-    bed.end(&slow, Status::Ok, 550 * MS);
+    bed.now += Duration::from_millis(50);
+    bed.end(&quick, Status::Ok, Duration::from_millis(50));
+    bed.now += Duration::from_millis(400);
+    bed.end(&slow, Status::Ok, Duration::from_millis(550));
     assert_eq!(bed.shallow(100), 0, "one box was slow");
     let late: Vec<Sent> = (0..3).map(|_| bed.ask(FILING)).collect();
-    bed.now += 400 * MS;
-    late.iter().for_each(|s| drop(bed.end(s, Status::Ok, 500 * MS)));
+    bed.now += Duration::from_millis(400);
+    late.iter().for_each(|s| drop(bed.end(s, Status::Ok, Duration::from_millis(500))));
     assert!(bed.shallow(20) > 5, "all were late");
 }
 
@@ -126,15 +134,15 @@
 fn late_writes_have_parents_give_only_what_they_hold_and_time_brings_it_back() {
     let mut bed = Bed::new();
     assert_eq!(bed.shallow(100), 0, "nothing was late");
-    (0..10).for_each(|_| bed.write(300 * MS));
+    (0..10).for_each(|_| bed.write(Duration::from_millis(300)));
     assert_eq!(bed.shallow(100), 0, "writes in time say nothing");
-    bed.write(400 * MS);
+    bed.write(Duration::from_millis(400));
     let few = bed.shallow(20);
     assert!((4..=18).contains(&few), "{few} of 20 after one late write");
-    (0..6).for_each(|_| bed.write(900 * MS));
+    (0..6).for_each(|_| bed.write(Duration::from_millis(900)));
     let most = bed.shallow(20);
     assert!(most >= 17, "{most} of 20 after six more");
-    bed.now += 30 * SEC;
+    bed.now += Duration::from_secs(30);
     assert_eq!(bed.shallow(100), 0, "long over");
 }
 
@@ -147,9 +155,9 @@
         let out: Vec<Sent> = (0..late).map(|_| bed.ask(DOCS)).filter(|s| !s.3.shallow).collect();
         // The caches go on serving what they hold.
         bed.shallow(12);
-        bed.now += SEC;
+        bed.now += Duration::from_secs(1);
         for s in &out {
-            bed.end(s, Status::Timeout, 2 * SEC);
+            bed.end(s, Status::Timeout, Duration::from_secs(2));
         }
         let shallow = bed.shallow(20);
         assert!((least..=most).contains(&shallow), "{shallow} of 20 after {late} late ones");
@@ -163,9 +171,9 @@
     bed.shallow(40);
     let out: Vec<Sent> = (0..12).map(|_| bed.ask(DOCS)).collect();
     bed.shallow(12);
-    bed.write(100 * MS);
-    bed.now += SEC;
-    out.iter().for_each(|s| drop(bed.end(s, Status::Timeout, 2 * SEC)));
+    bed.write(Duration::from_millis(100));
+    bed.now += Duration::from_secs(1);
+    out.iter().for_each(|s| drop(bed.end(s, Status::Timeout, Duration::from_secs(2))));
     assert_eq!(bed.shallow(20), 0);
 }
 
@@ -179,7 +187,11 @@
             let s = bed.ask(DOCS);
             let named = s.3.source.map(|s| s.0).filter(|s| PARENTS.contains(s));
             let refused = named.is_some_and(|n| only.is_none_or(|o| o == n)) && !s.3.shallow;
-            let (status, took) = if refused { (Status::Full, 30 * MS) } else { (Status::Ok, 50 * MS) };
+            let (status, took) = if refused {
+                (Status::Full, Duration::from_millis(30))
+            } else {
+                (Status::Ok, Duration::from_millis(50))
+            };
             bed.end(&s, status, took);
         }
         bed.shallow(20)
@@ -194,20 +206,20 @@
 #[test]
 fn what_nobody_holds_is_refused_at_once_with_a_wait() {
     let mut bed = Bed::new();
-    (0..8).for_each(|_| bed.write(900 * MS));
+    (0..8).for_each(|_| bed.write(Duration::from_millis(900)));
     let spared = (0..20).map(|_| bed.ask(DOCS)).find(|s| s.3.shallow).expect("one is spared");
-    assert_eq!((spared.3.max_age, spared.3.renew), (Some(38 * SEC), false));
-    let (mut acts, mut asked) = (bed.end(&spared, Status::Miss, 20 * MS), 1);
+    assert_eq!((spared.3.max_age, spared.3.renew), (Some(Duration::from_secs(38)), false));
+    let (mut acts, mut asked) = (bed.end(&spared, Status::Miss, Duration::from_millis(20)), 1);
     while let Some(next) = attempt(&acts, asked) {
         assert!(next.3.shallow || next.3.source.is_none(), "{next:?}");
         asked += 1;
-        acts = bed.end(&next, Status::Miss, 20 * MS);
+        acts = bed.end(&next, Status::Miss, Duration::from_millis(20));
     }
     let wait = acts.iter().find_map(|a| match a {
         Action::Refuse { request, retry_after } if *request == spared.0 => Some(*retry_after),
         _ => None,
     });
-    assert!(wait.is_some_and(|w| w >= 500 * MS), "{acts:?}");
+    assert!(wait.is_some_and(|w| w >= Duration::from_millis(500)), "{acts:?}");
     assert!(asked <= 2, "{asked} attempts for what nobody holds");
 }
 
@@ -215,16 +227,16 @@
 #[test]
 fn further_attempts_give_way_first() {
     let mut bed = Bed::new();
-    bed.write(900 * MS);
+    bed.write(Duration::from_millis(900));
     let mut again = 0;
     for _ in 0..20 {
         let s = bed.ask(DOCS);
-        let acts = bed.end(&s, Status::Error, 20 * MS);
+        let acts = bed.end(&s, Status::Error, Duration::from_millis(20));
         if let Some(second) = attempt(&acts, 1) {
             again += 1;
             assert!(second.3.shallow || second.3.source.is_none(), "{second:?}");
         }
-        bed.now -= 100 * MS;
+        bed.now = bed.now - Duration::from_millis(100);
     }
     assert!(again > 5, "{again} second attempts");
 }
--- a/crates/decide/tests/scale.rs
+++ b/crates/decide/tests/scale.rs
@@ -2,10 +2,9 @@
 
 use hollymux_decide::*;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-const MS: Time = 1_000;
-const SEC: Time = 1_000_000;
-const START: Time = 1_000 * SEC;
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
 const CACHES: std::ops::RangeInclusive<u64> = 1..=7;
@@ -13,9 +12,9 @@
 
 fn settings(here: u32, all: u32) -> Settings {
     let class = Class {
-        aim: 500 * MS,
+        aim: Duration::from_millis(500),
         aim_stretch: 1.6,
-        deadline: 5 * SEC,
+        deadline: Duration::from_secs(5),
         effect: Effect::Safe,
         scope: Scope::All,
         ..Class::default()
@@ -31,19 +30,19 @@
         notes: Notes::All,
         weights: Weights::Size,
         flow_kb_per_s: 1_000.0,
-        purge_done: 6 * SEC,
+        purge_done: Duration::from_secs(6),
         cold_from: 0.22,
-        cold_for: 18 * SEC,
+        cold_for: Duration::from_secs(18),
         fall_multiple: 4.0,
-        fall_after: SEC,
+        fall_after: Duration::from_secs(1),
         parent_cold_from: 0.07,
-        parent_cold_for: 20 * SEC,
+        parent_cold_for: Duration::from_secs(20),
         parent_fall_multiple: 2.0,
         max_attempts: 6,
         cancel: true,
         retry_after: true,
-        max_retry_after: 400 * MS,
-        connect_timeout: 400 * MS,
+        max_retry_after: Duration::from_millis(400),
+        connect_timeout: Duration::from_millis(400),
         ..Settings::default()
     }
 }
@@ -61,7 +60,7 @@
 
 struct Bed {
     control: Control,
-    now: Time,
+    now: Timestamp,
     next: RequestId,
 }
 
@@ -94,12 +93,12 @@
             id: self.next,
             object,
             size_kb: Some(200.0),
-            deadline: self.now + 5 * SEC,
+            deadline: self.now + Duration::from_secs(5),
             ..Request::default()
         }))
     }
 
-    fn end(&mut self, s: &Sent, status: Status, note: Option<Note>, latency: Time) -> Vec<Action> {
+    fn end(&mut self, s: &Sent, status: Status, note: Option<Note>, latency: Duration) -> Vec<Action> {
         self.event(Event::Outcome(Outcome {
             request: s.id,
             attempt: s.attempt,
@@ -114,7 +113,7 @@
 
     fn serve(&mut self, object: u64, note: Note) -> Option<Sent> {
         let s = sent(&self.ask(object), 0)?;
-        self.end(&s, Status::Ok, Some(note), 250 * MS);
+        self.end(&s, Status::Ok, Some(note), Duration::from_millis(250));
         Some(s)
     }
 }
@@ -137,23 +136,23 @@
 #[derive(Default)]
 struct Seen {
     asked: usize,
-    sent: Vec<(Time, Sent)>,
+    sent: Vec<(Timestamp, Sent)>,
     cancelled: usize,
 }
 
 /// Plays one dispatcher: a request every 140 ms; `fate` says after how long an attempt is answered; those that
 /// are not time out.
-fn play(bed: &mut Bed, span: Time, mut fate: impl FnMut(usize, &Sent) -> Option<Time>) -> Seen {
+fn play(bed: &mut Bed, span: Duration, mut fate: impl FnMut(usize, &Sent) -> Option<Duration>) -> Seen {
     let mut seen = Seen::default();
-    let mut due: Vec<(Time, u64)> = Vec::new();
-    let mut open: Vec<(Time, Time, Sent)> = Vec::new();
+    let mut due: Vec<(Timestamp, u64)> = Vec::new();
+    let mut open: Vec<(Timestamp, Timestamp, Sent)> = Vec::new();
     let mut tries: BTreeMap<RequestId, u16> = BTreeMap::new();
     let end = bed.now + span;
     while bed.now < end {
-        bed.now += 10 * MS;
+        bed.now += Duration::from_millis(10);
         let now = bed.now;
         let mut acts = Vec::new();
-        if now % (140 * MS) < 10 * MS {
+        if now.as_micros() % 140_000 < 10_000 {
             acts = bed.ask(seen.asked as u64);
             seen.asked += 1;
         }
@@ -163,26 +162,26 @@
         let (done, later): (Vec<_>, Vec<_>) = open.into_iter().partition(|o| o.0 <= now);
         open = later;
         for (_, began, s) in done {
-            let ok = now < began + 5 * SEC;
+            let ok = now < began + Duration::from_secs(5);
             let status = if ok { Status::Ok } else { Status::Timeout };
-            acts.extend(bed.end(&s, status, ok.then_some(Note::Hit), now - began));
+            acts.extend(bed.end(&s, status, ok.then_some(Note::Hit), now.duration_since(began)));
         }
         while !acts.is_empty() {
             due.extend(timers(&acts, now));
             for mut s in attempts(&acts) {
                 s.attempt = *tries.entry(s.id).and_modify(|n| *n += 1).or_insert(0);
-                let answer = now + fate(seen.sent.len(), &s).unwrap_or(5 * SEC);
+                let answer = now + fate(seen.sent.len(), &s).unwrap_or(Duration::from_secs(5));
                 seen.sent.push((now, s.clone()));
                 open.push((answer, now, s));
             }
             let mut more = Vec::new();
             for a in &acts {
                 let Action::Cancel { request, attempt } = a else { continue };
-                let called = |o: &(Time, Time, Sent)| o.2.id == *request && o.2.attempt == *attempt;
+                let called = |o: &(Timestamp, Timestamp, Sent)| o.2.id == *request && o.2.attempt == *attempt;
                 if let Some(i) = open.iter().position(called) {
                     let (_, began, s) = open.swap_remove(i);
                     seen.cancelled += 1;
-                    more.extend(bed.end(&s, Status::Cancelled, None, now - began));
+                    more.extend(bed.end(&s, Status::Cancelled, None, now.duration_since(began)));
                 }
             }
             acts = more;
@@ -191,9 +190,9 @@
     seen
 }
 
-fn timers(actions: &[Action], at: Time) -> Vec<(Time, u64)> {
+fn timers(actions: &[Action], at: Timestamp) -> Vec<(Timestamp, u64)> {
     let timer = |a: &Action| match a {
-        Action::Timer { after, token } if token & 0xffff != 0xffff => Some((at + after, *token)),
+        Action::Timer { after, token } if token & 0xffff != 0xffff => Some((at + *after, *token)),
         _ => None,
     };
     actions.iter().filter_map(timer).collect()
@@ -210,16 +209,24 @@
 }
 
 /// Many instances against one cold host, all misses, six requests a second each. Returns when it was asked.
-fn asked_when_cold(beds: &mut [Bed], id: u64, start: HostEntry, span: Time, dice: &mut Dice) -> Vec<Time> {
+fn asked_when_cold(
+    beds: &mut [Bed],
+    id: u64,
+    start: HostEntry,
+    span: Duration,
+    dice: &mut Dice,
+) -> Vec<Timestamp> {
     let mut asked = Vec::new();
     let began = beds[0].now;
-    let mut at: Vec<Time> = beds.iter().map(|_| began + dice.roll(170 * MS)).collect();
+    let mut at: Vec<Timestamp> =
+        beds.iter().map(|_| began + Duration::from_micros(dice.roll(170_000))).collect();
     for bed in beds.iter_mut() {
         bed.event(Event::Hosts { kind: ListKind::Delta, entries: vec![start.clone()] });
     }
-    for now in (began..began + span).step_by(2_000) {
+    for step in 0..span.as_micros().div_ceil(2_000) as u32 {
+        let now = began + step * Duration::from_millis(2);
         for (bed, at) in beds.iter_mut().zip(&mut at).filter(|(_, at)| **at <= now) {
-            *at = now + 2 * dice.roll(170 * MS);
+            *at = now + 2 * Duration::from_micros(dice.roll(170_000));
             bed.now = now;
             let object = dice.roll(1 << 40);
             let Some(s) = bed.serve(object, Note::Filled) else { continue };
@@ -250,15 +257,18 @@
                 }
             }
             let start = HostEntry { started: START, ..line(id, zone, kind, weight) };
-            let asked = asked_when_cold(&mut beds, id, start, 12 * SEC, &mut dice);
-            let able = |t: Time| weight * (from + (1.0 - from) * (t - START) as f64 / SEC as f64 / over);
+            let asked = asked_when_cold(&mut beds, id, start, Duration::from_secs(12), &mut dice);
+            let able = |t: Timestamp| {
+                weight * (from + (1.0 - from) * t.duration_since(START).as_micros() as f64 / 1e6 / over)
+            };
             let mut worst: f64 = 0.0;
             for (i, t) in asked.iter().enumerate() {
-                let work = asked[..=i].iter().filter(|x| **x + SEC > *t).count() as f64 * 0.2;
+                let work =
+                    asked[..=i].iter().filter(|x| **x + Duration::from_secs(1) > *t).count() as f64 * 0.2;
                 worst = worst.max(work / able(*t));
             }
             assert!(worst < multiple, "{worst} times what host {id} could do, seed {seed}");
-            let could: f64 = (0..12).map(|i| able(START + i * SEC)).sum();
+            let could: f64 = (0..12).map(|i| able(START + Duration::from_secs(i))).sum();
             let did = asked.len() as f64 * 0.2;
             assert!(did > 0.15 * could, "host {id} did {did} of {could}, seed {seed}");
         }
@@ -272,7 +282,7 @@
     let mut refused = 0;
     for i in 0..200 {
         refused += usize::from(bed.serve(i, Note::Hit).is_none());
-        bed.now += 150 * MS;
+        bed.now += Duration::from_millis(150);
     }
     assert_eq!(refused, 0, "an idle location refuses nothing");
     // Each of fourteen is held to have as many in hand as this one: three at seven caches fill them.
@@ -282,7 +292,7 @@
             Some(s) => held.push(s),
             None => refused += 1,
         }
-        bed.now += 300 * MS;
+        bed.now += Duration::from_millis(300);
     }
     assert!(refused > 20 && held.len() < 40, "{refused} refused, {} in hand", held.len());
 }
@@ -291,17 +301,19 @@
 /// trusted for long when it answers nothing at all.
 #[test]
 fn health_follows_the_answers_to_be_expected() {
-    let slow = |n: usize| Some(if n.is_multiple_of(12) { 900 * MS } else { 250 * MS });
+    let slow = |n: usize| {
+        Some(if n.is_multiple_of(12) { Duration::from_millis(900) } else { Duration::from_millis(250) })
+    };
     let mut bed = Bed::new(settings(14, 300), 5);
-    let live = play(&mut bed, 40 * SEC, |n, _| slow(n));
+    let live = play(&mut bed, Duration::from_secs(40), |n, _| slow(n));
     let used = live.sent.iter().filter(|s| s.1.host == 3).count();
     assert!(live.cancelled * 20 < live.asked && used > 20, "{} moved, {used} at cache 3", live.cancelled);
     let mut bed = Bed::new(settings(14, 300), 5);
-    play(&mut bed, 10 * SEC, |n, _| slow(n));
+    play(&mut bed, Duration::from_secs(10), |n, _| slow(n));
     let fell = bed.now;
-    let silent = play(&mut bed, 20 * SEC, |n, s| slow(n).filter(|_| s.host != 3));
-    let late = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 > fell + 8 * SEC).count();
-    let early = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 <= fell + 8 * SEC).count();
+    let silent = play(&mut bed, Duration::from_secs(20), |n, s| slow(n).filter(|_| s.host != 3));
+    let late = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 > fell + Duration::from_secs(8)).count();
+    let early = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 <= fell + Duration::from_secs(8)).count();
     assert!(
         silent.cancelled > 0 && early <= 8 && late <= 6,
         "{early} sent to a silent cache at first, {late} later"
@@ -322,7 +334,7 @@
         } else {
             noise.entry(object).or_default().insert(s.host);
         }
-        bed.now += 200 * MS;
+        bed.now += Duration::from_millis(200);
     }
     assert!(hosts.len() >= 3, "the hot object is served by {hosts:?}");
     assert!(noise.values().all(|h| h.len() == 1), "{noise:?}");
@@ -334,7 +346,9 @@
 fn lost_answers_are_asked_for_again_where_they_were_asked_for() {
     for second_copies in [false, true] {
         let mut bed = Bed::new(Settings { second_copies, ..settings(14, 300) }, 5);
-        let seen = play(&mut bed, 60 * SEC, |n, _| Some(250 * MS).filter(|_| n % 4 != 0));
+        let seen = play(&mut bed, Duration::from_secs(60), |n, _| {
+            Some(Duration::from_millis(250)).filter(|_| n % 4 != 0)
+        });
         let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
         let (mut again, mut elsewhere) = (0, 0);
         for (_, s) in &seen.sent {
@@ -354,9 +368,12 @@
 #[test]
 fn slow_fills_are_not_begun_anew_where_hits_are_not_told() {
     let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
-    let seen = play(&mut bed, 60 * SEC, |n, _| Some(if n % 6 == 0 { 2_500 * MS } else { 250 * MS }));
+    let seen = play(&mut bed, Duration::from_secs(60), |n, _| {
+        Some(if n % 6 == 0 { Duration::from_millis(2_500) } else { Duration::from_millis(250) })
+    });
     let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
-    let same = |s: &&(Time, Sent)| *homes.entry(s.1.id).or_insert(s.1.host) == s.1.host && s.1.attempt > 0;
+    let same =
+        |s: &&(Timestamp, Sent)| *homes.entry(s.1.id).or_insert(s.1.host) == s.1.host && s.1.attempt > 0;
     let again = seen.sent.iter().filter(same).count();
     assert!(again < seen.asked / 50, "{again} of {} fills begun anew", seen.asked);
 }
@@ -367,17 +384,17 @@
 fn a_parent_whose_fills_stay_away_is_out_though_hits_name_it() {
     let share = |all: bool| {
         let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
-        let before = play(&mut bed, 30 * SEC, |_, _| Some(250 * MS));
+        let before = play(&mut bed, Duration::from_secs(30), |_, _| Some(Duration::from_millis(250)));
         let mut uses: BTreeMap<u64, usize> = BTreeMap::new();
         before.sent.iter().filter_map(|s| s.1.source).for_each(|p| *uses.entry(p).or_default() += 1);
         let (parent, _) = uses.into_iter().max_by_key(|u| u.1).unwrap();
         let sick = |s: &Sent| all || s.source == Some(parent);
         let fell = bed.now;
-        let seen = play(&mut bed, 120 * SEC, |n, s| {
-            Some(250 * MS).filter(|_| n % 2 == 0 || !sick(s) || all && n % 8 != 1)
+        let seen = play(&mut bed, Duration::from_secs(120), |n, s| {
+            Some(Duration::from_millis(250)).filter(|_| n % 2 == 0 || !sick(s) || all && n % 8 != 1)
         });
         let filled = seen.sent.iter().filter(|s| s.1.source.is_some());
-        let late: Vec<_> = filled.filter(|s| s.0 > fell + 60 * SEC).collect();
+        let late: Vec<_> = filled.filter(|s| s.0 > fell + Duration::from_secs(60)).collect();
         (late.iter().filter(|s| s.1.source == Some(parent)).count() * 100, late.len())
     };
     let (one, of) = share(false);
@@ -391,7 +408,7 @@
 /// were only silent come back as they were.
 #[test]
 fn a_hub_that_restarts_is_held_to_be_cold_as_a_whole_and_one_that_was_cut_off_is_not() {
-    for (told_after, cold) in [(5 * MS, true), (400 * MS, false)] {
+    for (told_after, cold) in [(Duration::from_millis(5), true), (Duration::from_millis(400), false)] {
         let mut bed = Bed::new(settings(14, 300), 5);
         for i in 0..200 {
             bed.serve(i, Note::Hit);
@@ -399,14 +416,14 @@
         // Refused fills, two of each parent: the first names it, the second takes it out.
         let mut failed: BTreeMap<u64, usize> = BTreeMap::new();
         for i in 1_000..3_000 {
-            bed.now += 20 * MS;
+            bed.now += Duration::from_millis(20);
             let s = sent(&bed.ask(i), 0).unwrap();
             match s.source {
                 Some(p @ 21..=22) if failed.get(&p).is_none_or(|n| *n < 2) => {
                     *failed.entry(p).or_default() += 1;
                     bed.end(&s, Status::Full, Some(Note::SourceUnreachable), told_after);
                 }
-                _ => drop(bed.end(&s, Status::Ok, Some(Note::Hit), 250 * MS)),
+                _ => drop(bed.end(&s, Status::Ok, Some(Note::Hit), Duration::from_millis(250))),
             }
             if failed.values().sum::<usize>() == 4 || cold && failed.len() == 2 {
                 break;
@@ -416,9 +433,9 @@
         let mut used: BTreeMap<u64, usize> = BTreeMap::new();
         // Fills of a twentieth of a second: three hundred as busy as this one leave the other hub's parents room.
         for i in 5_000..5_060 {
-            bed.now += 200 * MS;
+            bed.now += Duration::from_millis(200);
             let Some(s) = sent(&bed.ask(i), 0) else { continue };
-            bed.end(&s, Status::Ok, Some(Note::Filled), 50 * MS);
+            bed.end(&s, Status::Ok, Some(Note::Filled), Duration::from_millis(50));
             s.source.into_iter().for_each(|p| *used.entry(p).or_default() += 1);
         }
         let hub = |r: std::ops::RangeInclusive<u64>| r.filter_map(|p| used.get(&p)).sum::<usize>();
@@ -436,7 +453,7 @@
         let entries = vec![line(11, 1, 0, 4.0), line(12, 1, 0, 4.0)];
         bed.event(Event::Hosts { kind: ListKind::Delta, entries });
         let s = sent(&bed.ask(42), 0).unwrap();
-        bed.end(&s, Status::Full, Some(Note::SourceRefused), 60 * MS)
+        bed.end(&s, Status::Full, Some(Note::SourceRefused), Duration::from_millis(60))
     };
     let acts = refuse(Siblings::Location);
     assert!(sent(&acts, 1).is_none() && acts.iter().any(|a| matches!(a, Action::Refuse { .. })));
@@ -455,7 +472,7 @@
         }
         bed.event(Event::Hosts { kind: ListKind::Delta, entries });
         bed.serve(i, Note::Filled);
-        bed.now += 10 * MS;
+        bed.now += Duration::from_millis(10);
     }
     let remembered = format!("{:?}", bed.control).matches("entry: HostEntry").count();
     assert!(remembered < 2_500, "{remembered} hosts remembered");
@@ -471,8 +488,11 @@
     let unfilled = |dispatchers| {
         let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(2, dispatchers) }, 5);
         let slow = |n: usize, s: &Sent| n < 200 && n.is_multiple_of(2) && s.source.is_some();
-        let seen = play(&mut bed, 60 * SEC, |n, s| Some(if slow(n, s) { 2 * SEC } else { 100 * MS }));
-        let share = |of: &[(Time, Sent)]| of.iter().filter(|s| s.1.source.is_none()).count() * 100 / of.len();
+        let seen = play(&mut bed, Duration::from_secs(60), |n, s| {
+            Some(if slow(n, s) { Duration::from_secs(2) } else { Duration::from_millis(100) })
+        });
+        let share =
+            |of: &[(Timestamp, Sent)]| of.iter().filter(|s| s.1.source.is_none()).count() * 100 / of.len();
         (share(&seen.sent[50..200]), share(&seen.sent[300..]))
     };
     let (jam, after) = unfilled(300);
@@ -486,10 +506,11 @@
 fn fills_are_counted_by_their_age_whether_they_are_told_or_not() {
     for notes in [Notes::None, Notes::Hit, Notes::All] {
         let mut bed = Bed::new(Settings { notes, ..settings(14, 300) }, 5);
-        let r = Request { id: 1, object: 1, deadline: bed.now + 5 * SEC, ..Request::default() };
+        let r =
+            Request { id: 1, object: 1, deadline: bed.now + Duration::from_secs(5), ..Request::default() };
         let acts = bed.event(Event::Request(r));
         assert!(sent(&acts, 0).unwrap().source.is_some());
-        let by_age = timers(&acts, 0).into_iter().filter(|t| t.1 & 0xffff == 0x8000).count();
+        let by_age = timers(&acts, Timestamp::ZERO).into_iter().filter(|t| t.1 & 0xffff == 0x8000).count();
         assert_eq!(by_age, 1, "{notes:?}");
     }
 }
@@ -500,22 +521,27 @@
     let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
     let mut held = Vec::new();
     for id in 1..=60 {
-        let r = Request { id, object: u64::from(id), deadline: bed.now + 5 * SEC, ..Request::default() };
+        let r = Request {
+            id,
+            object: u64::from(id),
+            deadline: bed.now + Duration::from_secs(5),
+            ..Request::default()
+        };
         let acts = bed.event(Event::Request(r));
         let s = sent(&acts, 0).unwrap();
-        let fills = |t: &(Time, u64)| t.1 & 0xffff == 0x8000;
-        held.extend(timers(&acts, 0).into_iter().find(fills).map(|t| t.0));
-        bed.now += 2 * SEC;
+        let fills = |t: &(Timestamp, u64)| t.1 & 0xffff == 0x8000;
+        held.extend(timers(&acts, Timestamp::ZERO).into_iter().find(fills).map(|t| t.0));
+        bed.now += Duration::from_secs(2);
         bed.event(Event::Outcome(Outcome {
             request: s.id,
             attempt: 0,
             host: HostId(s.host),
-            latency: 2 * SEC,
+            latency: Duration::from_secs(2),
             status: Status::Ok,
             ended: true,
             note: None,
             work: Some(0.25),
         }));
     }
-    assert_eq!(held.last(), Some(&(250 * MS)));
+    assert_eq!(held.last(), Some(&Timestamp::from_micros(250_000)));
 }
--- a/crates/decide/tests/service.rs
+++ b/crates/decide/tests/service.rs
@@ -2,30 +2,36 @@
 
 use hollymux_decide::*;
 use proptest::prelude::*;
+use std::time::Duration;
 
 const ORIGIN: u16 = 2;
-const START: Time = 1_000 * SEC;
+const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 fn settings() -> Settings {
-    let class = |effect| Class { aim: 500 * MS, deadline: 5 * SEC, effect, ..Class::default() };
+    let class = |effect| Class {
+        aim: Duration::from_millis(500),
+        deadline: Duration::from_secs(5),
+        effect,
+        ..Class::default()
+    };
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
         dispatchers: 2,
         dispatchers_by_zone: vec![2, 0],
         origin_kind: Some(ORIGIN),
         weights: Weights::Size,
-        purge_done: 6 * SEC,
+        purge_done: Duration::from_secs(6),
         cold_from: 0.2,
-        cold_for: 10 * SEC,
+        cold_for: Duration::from_secs(10),
         fall_multiple: 3.0,
-        fall_after: SEC,
+        fall_after: Duration::from_secs(1),
         max_attempts: 6,
         cancel: true,
         ..Settings::default()
     }
 }
 
-fn hosts(started: Time) -> Event {
+fn hosts(started: Timestamp) -> Event {
     let line = |id, kind| HostEntry {
         id: HostId(id),
         cell: 0,
@@ -37,18 +43,18 @@
         in_place_of: None,
     };
     let mut entries: Vec<_> = (1..=6).map(|id| line(id, 0)).collect();
-    entries.push(HostEntry { started: 0, ..line(9, ORIGIN) });
+    entries.push(HostEntry { started: Timestamp::ZERO, ..line(9, ORIGIN) });
     Event::Hosts { kind: ListKind::Full, entries }
 }
 
-fn module(started: Time) -> Control {
+fn module(started: Timestamp) -> Control {
     let mut c = Control::new(settings(), 7).unwrap();
     c.handle(START, hosts(started), &mut Vec::new());
     c
 }
 
-fn request(id: RequestId, class: u16, object: u64, now: Time) -> Event {
-    let deadline = now + 5 * SEC;
+fn request(id: RequestId, class: u16, object: u64, now: Timestamp) -> Event {
+    let deadline = now + Duration::from_secs(5);
     Event::Request(Request { id, class, object, group: 1, deadline, ..Request::default() })
 }
 
@@ -61,7 +67,7 @@
 }
 
 fn outcome(request: RequestId, attempt: u16, host: HostId, status: Status) -> Event {
-    let latency = 10 * MS;
+    let latency = Duration::from_millis(10);
     Event::Outcome(Outcome { request, attempt, host, latency, status, ended: false, note: None, work: None })
 }
 
@@ -75,7 +81,7 @@
             c.retune(s, &[Some(0), Some(1)]).unwrap();
         }
         acts.clear();
-        c.handle(START + u64::from(n), outcome(id, n, host, Status::Moot), &mut acts);
+        c.handle(START + Duration::from_micros(u64::from(n)), outcome(id, n, host, Status::Moot), &mut acts);
         n += 1;
     }
     n
@@ -85,10 +91,10 @@
 #[test]
 fn the_lower_number_of_attempts_binds() {
     let allowed = |n| Some(Settings { max_attempts: n, ..settings() });
-    assert_eq!(attempts(&mut module(0), 1, None), 6);
-    assert_eq!(attempts(&mut module(0), 1, allowed(2)), 2);
-    assert_eq!(attempts(&mut module(0), 1, allowed(9)), 6);
-    let mut c = module(0);
+    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, None), 6);
+    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, allowed(2)), 2);
+    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, allowed(9)), 6);
+    let mut c = module(Timestamp::ZERO);
     c.retune(allowed(3).unwrap(), &[Some(0), Some(1)]).unwrap();
     assert_eq!(attempts(&mut c, 1, None), 3, "of a request that comes afterwards");
     assert!(c.retune(Settings { dispatchers: 0, ..settings() }, &[]).is_err());
@@ -98,31 +104,31 @@
 /// Guards against a successor that sends to a dead host, serves what was purged, or holds cold hosts to be warm.
 #[test]
 fn a_successor_avoids_and_bounds_what_its_predecessor_did() {
-    let mut old = module(0);
+    let mut old = module(Timestamp::ZERO);
     let mut acts = Vec::new();
     // Host by host: every connection to 1 is refused.
     for id in 1..200 {
         acts.clear();
-        let now = START + u64::from(id) * 10 * MS;
+        let now = START + id * Duration::from_millis(10);
         old.handle(now, request(id, 0, u64::from(id), now), &mut acts);
         let (host, _) = attempt(&acts).unwrap();
         let status = if host == HostId(1) { Status::ConnectFailed } else { Status::Ok };
         old.handle(now, outcome(id, 0, host, status), &mut acts);
         old.handle(now, Event::Withdrawn { request: id }, &mut acts);
     }
-    let now = START + 2 * SEC;
-    old.handle(now, Event::Purged(Purge { since: 0, object: Some(77), group: 0 }), &mut acts);
+    let now = START + Duration::from_secs(2);
+    old.handle(now, Event::Purged(Purge { since: Duration::ZERO, object: Some(77), group: 0 }), &mut acts);
     assert_eq!(old.rotation(), Rotation { listed: 7, avoided: 1 });
-    let mut new = module(0);
+    let mut new = module(Timestamp::ZERO);
     assert_eq!(new.rotation().avoided, 0);
     new.recall(now, &old.remember());
     assert_eq!(new.rotation(), old.rotation());
     assert_eq!(new.remember(), old.remember());
     acts.clear();
-    new.handle(now + 5 * MS, request(1, 0, 77, now + 5 * MS), &mut acts);
+    new.handle(now + Duration::from_millis(5), request(1, 0, 77, now + Duration::from_millis(5)), &mut acts);
     let (host, fill) = attempt(&acts).unwrap();
     assert_ne!(host, HostId(1));
-    assert_eq!(fill.max_age, Some(4 * MS), "no copy from before the purge");
+    assert_eq!(fill.max_age, Some(Duration::from_millis(4)), "no copy from before the purge");
 }
 
 /// Guards against cold hosts that bear two processes at one place as if they were one.
@@ -131,7 +137,7 @@
     let sent = |c: &mut Control| {
         let mut acts = Vec::new();
         for id in 1..=2_000u32 {
-            let now = START + u64::from(id) * MS / 2;
+            let now = START + Duration::from_micros(u64::from(id) * 500);
             c.handle(now, request(id, 0, u64::from(id), now), &mut acts);
         }
         acts.iter().filter(|a| matches!(a, Action::Attempt { host, .. } if host.0 < 9)).count()
@@ -149,7 +155,7 @@
 
 fn any_memory() -> impl Strategy<Value = Memory> {
     let f = || prop_oneof![Just(f64::NAN), Just(f64::INFINITY), Just(-1.0), any::<f64>()];
-    let t = || prop_oneof![Just(0), Just(u64::MAX), any::<u64>()];
+    let t = || prop_oneof![Just(0), Just(u64::MAX), any::<u64>()].prop_map(Timestamp::from_micros);
     let host = (0u64..12, t(), f(), t(), f(), t(), any::<bool>(), (f(), t())).prop_map(
         |(id, cold, blame, last_ok, tardy, out, died, load)| HostMemory {
             id,
@@ -158,7 +164,7 @@
             last_ok,
             answers: blame,
             out: died.then_some(out),
-            backoff: out,
+            backoff: Duration::from_micros(out.as_micros()),
             died,
             tardy,
             load,
@@ -188,10 +194,10 @@
     /// request goes somewhere or is ended, and nothing panics.
     #[test]
     fn any_memory_can_be_gone_on_with(memory in any_memory()) {
-        let mut c = module(0);
+        let mut c = module(Timestamp::ZERO);
         c.recall(START, &memory);
         for id in 1..60u32 {
-            let now = START + u64::from(id) * 100 * MS;
+            let now = START + id * Duration::from_millis(100);
             let mut acts = Vec::new();
             c.handle(now, request(id, (id % 2) as u16, u64::from(id % 7), now), &mut acts);
             if let Some((host, _)) = attempt(&acts) {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,3 +7,10 @@
 pub mod view;
 
 pub use envelope::{Unread, DATAGRAM_MOST};
+
+/// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
+pub type Time = u64;
+/// A millisecond as a [`Time`].
+pub const MS: Time = 1_000;
+/// A second as a [`Time`].
+pub const SEC: Time = 1_000_000;
--- a/crates/fleet/src/limits/book.rs
+++ b/crates/fleet/src/limits/book.rs
@@ -6,7 +6,7 @@
 
 use super::message::GIFTS_MOST;
 use super::{Holder, Terms, WHOLE};
-use hollymux_decide::Time;
+use crate::Time;
 use std::collections::BTreeMap;
 
 /// Lots that are held, and given, of one limit at most; what is beyond is refused, and stays void until it ends.
@@ -176,7 +176,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use hollymux_decide::{MS, SEC};
+    use crate::{MS, SEC};
     use std::net::SocketAddr;
 
     fn holder(n: u8) -> Holder {
--- a/crates/fleet/src/limits/message.rs
+++ b/crates/fleet/src/limits/message.rs
@@ -3,7 +3,7 @@
 
 use super::book::Gift;
 use crate::envelope::{self, Unread};
-use hollymux_decide::Time;
+use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/limits/mod.rs
+++ b/crates/fleet/src/limits/mod.rs
@@ -15,8 +15,9 @@
 
 use crate::envelope::{fleet_hash, DATAGRAM_MOST};
 use crate::view::{Rank, View};
+use crate::{Time, MS};
 use book::Book;
-use hollymux_decide::{ColdDemand, HostId, Part, Sharers, Time, MS};
+use hollymux_decide::{ColdDemand, HostId, Part, Sharers, Timestamp};
 use message::{Head, Item, ITEMS_MOST};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -388,15 +389,15 @@
         let part = |parts: u32| f64::from(parts) / f64::from(WHOLE);
         let home = self.home(sharers);
         let Some(l) = self.limits.get(&limit).filter(|_| !self.stopped) else {
-            return Part { now: part(home), until: Time::MAX, after: part(home) };
+            return Part { now: part(home), until: Timestamp::MAX, after: part(home) };
         };
         let terms = &self.setup.terms;
         let has = part(l.book.has(now, home, terms));
         // When the first lot ends, all of them count as ended: the next word says more.
         let after = part(home.saturating_sub(l.book.lent(now, terms)));
-        l.book.ends(now).map_or(Part { now: has, until: Time::MAX, after: has }, |until| Part {
+        l.book.ends(now).map_or(Part { now: has, until: Timestamp::MAX, after: has }, |until| Part {
             now: has,
-            until,
+            until: Timestamp::from_micros(until),
             after,
         })
     }
--- a/crates/fleet/src/view/mod.rs
+++ b/crates/fleet/src/view/mod.rs
@@ -13,7 +13,8 @@
 pub use record::{Phase, Rank, Record, NAME_MOST};
 
 use crate::envelope::fleet_hash;
-use hollymux_decide::{Settings, Time, MS, SEC};
+use crate::{Time, MS, SEC};
+use hollymux_decide::Settings;
 use message::{Head, News};
 use probe::{Probe, Relay, Suspicion};
 use rand_core::{RngCore, SeedableRng};
--- a/crates/fleet/src/view/probe.rs
+++ b/crates/fleet/src/view/probe.rs
@@ -3,7 +3,7 @@
 use super::message::Body;
 use super::record::{Phase, Rank};
 use super::{Times, View};
-use hollymux_decide::{Time, SEC};
+use crate::{Time, SEC};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/spread.rs
@@ -5,7 +5,7 @@
 use super::record::{Digests, Rank, Record};
 use super::{View, OUT_MOST};
 use crate::envelope::DATAGRAM_MOST;
-use hollymux_decide::{Time, MS, SEC};
+use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
 
 /// Routers that are told news in a turn.
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -2,8 +2,9 @@
 //! what all of them together used within a window is never more than the whole. Every router uses at once all that it
 //! may, which is the worst that it could do.
 
-use hollymux_decide::{ColdDemand, HostId, Sharers, Time, MS, SEC};
+use hollymux_decide::{ColdDemand, HostId, Sharers};
 use hollymux_fleet::limits::{Limits, Member, Setup, Terms};
+use hollymux_fleet::{Time, MS, SEC};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -209,7 +210,8 @@
             limits.tick(now);
         }
         let part = limits.part(now, LIMIT, Sharers::All);
-        let free = (if now < part.until { part.now } else { part.after }).min(router.wants) - used;
+        let free =
+            (if now < part.until.as_micros() { part.now } else { part.after }).min(router.wants) - used;
         // Whole requests only.
         let free = (free / self.unit + 1e-6).floor() * self.unit;
         if free > 0.0 {
--- a/crates/fleet/tests/limits_model.rs
+++ b/crates/fleet/tests/limits_model.rs
@@ -8,8 +8,9 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_decide::{ColdDemand, HostId, Sharers, Time, MS, SEC};
+use hollymux_decide::{ColdDemand, HostId, Sharers};
 use hollymux_fleet::limits::{Limits, Member, Setup, Standing, Terms};
+use hollymux_fleet::{Time, MS, SEC};
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
@@ -139,7 +140,7 @@
         let (now, used) = (self.clock(i), self.used_by(i));
         let Some(limits) = self.routers[i].as_ref().filter(|_| !self.still[i]) else { return };
         let part = limits.part(now, LIMIT, Sharers::All);
-        let free = if now < part.until { part.now } else { part.after } - used;
+        let free = if now < part.until.as_micros() { part.now } else { part.after } - used;
         if free > 0.0 {
             self.used.push((i, self.now, free));
         }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -8,8 +8,8 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_decide::{Time, SEC};
 use hollymux_fleet::view::{Rank, Record, Setup, Times, View};
+use hollymux_fleet::{Time, SEC};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/cache.rs
+++ b/crates/lab/src/cache.rs
@@ -1,6 +1,6 @@
 //! What a box or a hub keeps: copies in ranks, and within a rank by when they were used last.
 
-use hollymux_decide::Time;
+use crate::Time;
 use std::collections::{BTreeMap, HashMap};
 
 /// An object's part.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet's views in virtual time: routers that are started, killed, paused and restarted, and a fault on each
 //! directed link between them. The same seed gives the same run, to the byte.
 
+use crate::{Time, MS, SEC};
 use hollymux_decide::ColdDemand;
-use hollymux_decide::{Time, MS, SEC};
 use hollymux_fleet::limits::{self, Limits, Terms};
 use hollymux_fleet::view::{Change, Phase, Rank, Setup, Times, View};
 use rand::{Rng, SeedableRng};
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -18,9 +18,15 @@
 pub mod world;
 
 use day::{Day, What};
-use hollymux_decide::Time;
 use world::secs;
 
+/// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
+pub type Time = u64;
+/// A millisecond as a [`Time`].
+pub const MS: Time = 1_000;
+/// A second as a [`Time`].
+pub const SEC: Time = 1_000_000;
+
 /// How long news of members takes now, so long after the day's start.
 fn news_lag(day: &Day, since: Time) -> Time {
     let late =
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -4,7 +4,7 @@
 use crate::cache::Key;
 use crate::day::{Class, Day, What};
 use crate::world::secs;
-use hollymux_decide::{Time, MS};
+use crate::{Time, MS};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -2,7 +2,7 @@
 //! and what it costs. All in virtual time; only the cost is the machine's.
 
 use crate::fleet::{Fleet, Link};
-use hollymux_decide::{Time, SEC};
+use crate::{Time, SEC};
 use hollymux_fleet::view::Rank;
 use rayon::prelude::*;
 use serde::Serialize;
--- a/crates/lab/src/pipe.rs
+++ b/crates/lab/src/pipe.rs
@@ -1,6 +1,6 @@
 //! A link that transfers share evenly, each at its full pace at most.
 
-use hollymux_decide::Time;
+use crate::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
--- a/crates/lab/src/together.rs
+++ b/crates/lab/src/together.rs
@@ -2,7 +2,7 @@
 
 use crate::day::{Day, Fault, What};
 use crate::fleet::Link;
-use hollymux_decide::MS;
+use crate::MS;
 use serde::Serialize;
 
 /// A fault is over for the view this long after its end: whoever was lost has been found again by then. And so long it
--- a/crates/lab/src/virtually.rs
+++ b/crates/lab/src/virtually.rs
@@ -8,11 +8,13 @@
 use crate::report::Counted;
 use crate::together::{judge, links, places, quiet_from, Watch};
 use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
+use crate::{Time, MS, SEC};
 use hollymux_core::chain::Pool;
 use hollymux_core::{
     AttemptId, Client, Command, Ended, Input, Lost, Member, Order, Reply, Router, Said, Told, Wake,
 };
-use hollymux_decide::{HostId, Sharers, Time, MS, SEC};
+use hollymux_decide::time::whole_micros;
+use hollymux_decide::{HostId, Sharers, Timestamp};
 use hollymux_fleet::limits::Terms;
 use hollymux_fleet::view::{Change, Rank};
 use hollymux_node::config::Config;
@@ -248,7 +250,11 @@
         // Kind, used, wanted, and how many who share it do not know yet that it is cold.
         let mut sums: BTreeMap<HostId, (usize, f64, f64, i64)> = BTreeMap::new();
         for (seat, router) in self.seats.iter().zip(&self.routers) {
-            for d in router.cold_demands(self.now).into_iter().filter(|d| d.sharers != Sharers::Elsewhere) {
+            for d in router
+                .cold_demands(Timestamp::from_micros(self.now))
+                .into_iter()
+                .filter(|d| d.sharers != Sharers::Elsewhere)
+            {
                 let all = d.sharers == Sharers::All;
                 let runs = |s: &&Seat| {
                     (all || s.office == seat.office) && !matches!(self.stands[s.number], Process::Dead)
@@ -335,7 +341,7 @@
                 let s = &self.configs[seat.number].settings;
                 let here = s.dispatchers_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
                 fleet.configure(seat.number, s.dispatchers, here);
-                let window = s.fall_after;
+                let window = whole_micros(s.fall_after);
                 fleet.lease = self.day.limits.then(|| Terms { window, ..Terms::default() });
                 fleet.start(seat.number);
             }
@@ -355,7 +361,7 @@
         if self.day.limits && fleet.due().is_some_and(|due| due - BEGIN + START <= self.now) {
             let runs = |r: &usize| matches!(self.stands[*r], Process::Runs);
             for r in (0..self.routers.len()).filter(runs) {
-                fleet.demand(r, self.routers[r].cold_demands(self.now));
+                fleet.demand(r, self.routers[r].cold_demands(Timestamp::from_micros(self.now)));
             }
         }
         fleet.run((self.now - START + BEGIN).saturating_sub(fleet.now));
@@ -374,8 +380,8 @@
             if let Some(limits) = fleet.limits(r).filter(|_| matches!(self.stands[r], Process::Runs)) {
                 // The cores' clock is ahead of the views'.
                 let (homes, mut parts) = limits.use_at(fleet.now);
-                for part in parts.values_mut().filter(|p| p.until != Time::MAX) {
-                    part.until = part.until - BEGIN + START;
+                for part in parts.values_mut().filter(|p| p.until != Timestamp::MAX) {
+                    part.until = Timestamp::from_micros(part.until.as_micros() - BEGIN + START);
                 }
                 self.routers[r].lease(homes, parts);
             }
@@ -468,7 +474,7 @@
         let mut inbox = VecDeque::from([input]);
         let mut commands = Vec::new();
         while let Some(input) = inbox.pop_front() {
-            self.routers[router].handle(self.now, input, &mut commands);
+            self.routers[router].handle(Timestamp::from_micros(self.now), input, &mut commands);
             for command in std::mem::take(&mut commands) {
                 self.carry_out(router, command, &mut inbox);
             }
@@ -502,7 +508,7 @@
                 };
                 self.clients.answered(self.now, client.tag, got);
             }
-            Command::Wake(at, wake) => self.at(at, Event::Core(router, wake)),
+            Command::Wake(at, wake) => self.at(at.as_micros(), Event::Core(router, wake)),
             Command::Probe(host, addr) => {
                 let server = server_at(addr);
                 let (after, well) = match self.world.servers[server].stand {
@@ -598,7 +604,7 @@
             group: order.ask.group,
             bytes: self.clients.objects.bytes(class, key),
             rid: order.ask.rid.1,
-            accept: f.max_age,
+            accept: f.max_age.map(whole_micros),
             keep: f.keep,
             source: known,
             join: f.join,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -7,7 +7,7 @@
 use crate::cache::{Cache, Key};
 use crate::day::{Day, What};
 use crate::pipe::Pipe;
-use hollymux_decide::{Time, MS, SEC};
+use crate::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -10,19 +10,19 @@
 /// Requests that may be open on one connection.
 const OPEN_MOST: usize = 32;
 /// A connection with nothing open is closed after this long; the platform's clients close theirs after 4 s.
-const IDLE: Time = 8_000 * MS;
+const IDLE: Duration = Duration::from_secs(8);
 /// So long a connection may take until its first message is whole, and each further one once it has begun.
-const WHOLE: Time = 1_500 * MS;
+const WHOLE: Duration = Duration::from_millis(1_500);
 /// When room is wanted, the connection whose message has been awaited longest is the first to go, then the one
 /// idle longest; each has this long first. What crosses such a close is sent again on a new connection.
-const GRACE: Time = 50 * MS;
+const GRACE: Duration = Duration::from_millis(50);
 /// A connection is let go when nothing was on it for this long: whoever asks for the next thing as soon as he has the
 /// last would meet the close each time.
-const REST: Time = 4 * MS;
+const REST: Duration = Duration::from_millis(4);
 /// A client that was told of a close has so long to take what is on its way and to close as well.
-const LEAVE: Time = 1_000 * MS;
+const LEAVE: Duration = Duration::from_secs(1);
 /// Who withdraws a request sooner than this after it was taken never wanted it.
-const HASTE: Time = 100 * MS;
+const HASTE: Duration = Duration::from_millis(100);
 /// So many requests withdrawn in haste or beyond those that may be open, with no answer between, end the
 /// connection: clients of the platform withdraw now and then as well.
 const WASTE_MOST: u32 = 48;
@@ -41,19 +41,19 @@
     decoder: Decoder,
     out: Chain,
     /// Tags whose answer is owed, and since when.
-    owed: BTreeMap<u64, Time>,
+    owed: BTreeMap<u64, Timestamp>,
     tags: Tags,
-    used: Time,
+    used: Timestamp,
     /// Since when a message is waited for: the first one, or the rest of one that has begun.
-    awaited: Option<Time>,
+    awaited: Option<Timestamp>,
     /// Requests that a client of the platform would not have sent.
     waste: u32,
     /// Since when its first message is waited for.
-    first: Option<Time>,
+    first: Option<Timestamp>,
     /// A request was refused since the router empties: its client knows that he is to stay away.
     sent_away: bool,
     /// Since when it is being closed: no more is written on it, and what comes is not read.
-    closing: Option<Time>,
+    closing: Option<Timestamp>,
 }
 
 impl ClientConn {
@@ -229,7 +229,7 @@
                         conn.waste += u32::from(open);
                         let ended = self.router.turn_away(self.now, &ask);
                         ended.into_iter().for_each(|e| self.carry_out(e));
-                        let wait = self.router.settings().max_retry_after / MS;
+                        let wait = self.router.settings().max_retry_after.as_millis() as u64;
                         self.say(conn, tag, Reply::Refused(wait))
                     } else {
                         conn.owed.insert(tag, self.now);
@@ -260,7 +260,7 @@
     /// A request with no more time than this process has.
     fn in_time(&self, mut ask: Ask) -> Ask {
         if let Some(by) = self.lifecycle.ends_by(self.longest()) {
-            ask.budget = ask.budget.min(by.saturating_sub(self.now) / MS).max(1);
+            ask.budget = ask.budget.min(by.saturating_duration_since(self.now).as_millis() as u64).max(1);
         }
         ask
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,13 +2,14 @@
 
 use crate::renewal;
 use hollymux_core::{Setup, Told};
-use hollymux_decide::{settings_from, Pairs, Settings, SettingsError, Time};
+use hollymux_decide::{settings_from, Pairs, Settings, SettingsError};
 use hollymux_wire::events::Names;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
+use std::time::Duration;
 
 /// What is wrong with a configuration, in one line.
 #[derive(Debug, thiserror::Error)]
@@ -76,7 +77,7 @@
     /// Requests that one connection to a shelf carries at a time.
     pub streams: usize,
     /// Connections idle for this long are closed by the other side.
-    pub idle: Time,
+    pub idle: Duration,
     /// The file as it was read.
     pub file: Value,
 }
@@ -114,6 +115,9 @@
     }
 }
 
+/// Connections that nobody says anything of are closed by the other side after this.
+const IDLE_CLOSE: Duration = Duration::from_secs(30);
+
 impl Config {
     /// What the core is started with.
     pub fn setup(&self) -> Setup {
@@ -170,7 +174,8 @@
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| ConfigError(format!("seed: {:?} is not a hex number", file.seed)))?;
         let streams = p.read("limits.streamsPerConn").map_err(|e| wrong(&e))?.unwrap_or(32);
-        let idle = p.read("limits.idleClose").map_err(|e| wrong(&e))?.unwrap_or(30_000_000);
+        let idle =
+            p.read("limits.idleClose").map_err(|e| wrong(&e))?.map_or(IDLE_CLOSE, Duration::from_micros);
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/crates/node/src/dns.rs
+++ b/crates/node/src/dns.rs
@@ -9,14 +9,14 @@
 use std::net::IpAddr;
 
 /// A query that is not answered is sent again after this long, so many times in all.
-const ASK_AGAIN: Time = 150 * MS;
+const ASK_AGAIN: Duration = Duration::from_millis(150);
 const ASKS: u32 = 3;
 /// Ports that are tried where any will do.
 const BINDS: u32 = 32;
 /// Queries of a follower that wait for an answer.
 const ASKED_MOST: usize = 4_096;
 /// A connection without a query for this long is closed.
-const IDLE: Time = 4_000 * MS;
+const IDLE: Duration = Duration::from_secs(4);
 /// Answers may wait on a connection up to this; a client that doesn't read them is closed.
 const OUT_MOST: usize = 256 * 1024;
 
@@ -24,7 +24,7 @@
     pub(super) stream: Stream,
     framer: Framer,
     out: Chain,
-    used: Time,
+    used: Timestamp,
 }
 
 struct Asked {
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -6,19 +6,19 @@
 
 /// A comment arrives every second; silence for this long means that the connection is dead. Each call adds a part of its
 /// own, drawn at random, as does each wait: what falls silent for all routers at once is not called by all at once.
-const SILENCE: Time = 2_200 * MS;
-const SPREAD: Time = 600 * MS;
+const SILENCE: Duration = Duration::from_millis(2_200);
+const SPREAD: Duration = Duration::from_millis(600);
 /// The first wait before the feed is called again; it doubles up to the longest, and half to all of it is waited.
-const AGAIN: Time = 20 * MS;
-const AGAIN_MOST: Time = 500 * MS;
+const AGAIN: Duration = Duration::from_millis(20);
+const AGAIN_MOST: Duration = Duration::from_millis(500);
 
 pub(super) struct Feed {
     pub(super) stream: Stream,
     reader: Reader,
     out: Chain,
-    heard: Time,
+    heard: Timestamp,
     /// The silence that is borne.
-    patience: Time,
+    patience: Duration,
 }
 
 impl Driver {
@@ -33,7 +33,7 @@
         let opened = opened.and_then(|()| dial(self.config.feed)).and_then(|socket| {
             let mut stream = Stream::new(socket, self.now);
             stream.waiting = true;
-            let patience = SILENCE + self.rng.next_u64() % SPREAD;
+            let patience = SILENCE + Duration::from_micros(self.rng.next_u64() % whole_micros(SPREAD));
             self.place(Role::Feed(Feed { stream, reader: Reader::default(), out, heard: self.now, patience }))
         });
         match opened {
@@ -47,14 +47,15 @@
         if let Some(key) = self.feed_key {
             self.close(key);
         }
-        self.feed_wait = 0;
+        self.feed_wait = Duration::ZERO;
         self.open_feed();
     }
 
     pub(super) fn feed_closed(&mut self) {
         self.feed_key = None;
         self.feed_wait = (self.feed_wait * 2).clamp(AGAIN, AGAIN_MOST);
-        let wait = self.feed_wait / 2 + self.rng.next_u64() % (self.feed_wait / 2);
+        let half = whole_micros(self.feed_wait) / 2;
+        let wait = Duration::from_micros(half + self.rng.next_u64() % half);
         self.wheel.set(self.now + wait, Timer::Feed);
     }
 
@@ -72,7 +73,7 @@
         feed.heard = self.now;
         let mut events = Vec::new();
         let read = feed.reader.feed(bytes, &mut events);
-        if !events.is_empty() || self.feed_told == 0 {
+        if !events.is_empty() || self.feed_told == Timestamp::ZERO {
             self.feed_told = self.now;
         }
         for event in events {
@@ -88,7 +89,7 @@
         }
         match read {
             Ok(()) => {
-                self.feed_wait = 0;
+                self.feed_wait = Duration::ZERO;
                 self.begin(false);
                 Fate::Keep
             }
