--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -4,6 +4,7 @@
 use super::*;
 use crate::operator::Section;
 use crate::shelfs::UNSENT;
+use hollymux_decide::time::MICROSECOND;
 use hollymux_decide::HostId;
 use hollymux_fleet::limits::{self, Limits, Standing, Terms, WHOLE};
 use hollymux_fleet::view::{Change, Phase as Doing, Rank, Record, Seen, Setup, Times, View};
@@ -13,6 +14,9 @@
 /// Datagrams that are read, and sent, in one turn of the loop: clients come before the rest.
 const TURN: usize = 64;
 
+/// The view and the limits count time in microseconds.
+const MICROS_PER_MILLI: u64 = 1_000;
+
 /// The view with its socket.
 pub(super) struct Fleet {
     section: Section,
@@ -20,7 +24,7 @@
     /// The socket's place; none while another process has it, or while it can't be had.
     socket: Option<Key>,
     /// The timer that is set; those set for later are passed over.
-    planned: Time,
+    planned: Timestamp,
     /// What the core was told last: routers in all, and in this office.
     told: (u32, u32),
     /// Datagrams that the socket did not take.
@@ -32,16 +36,16 @@
 
 impl Fleet {
     /// The view of a router with this section, which has not heard of anybody.
-    pub(super) fn new(section: &Section, config: &Config, now: Time) -> Fleet {
+    pub(super) fn new(section: &Section, config: &Config, now: Timestamp) -> Fleet {
         let zone = config.names.zones.get(usize::from(config.settings.zone));
-        let ms = |v: u64| v * MS;
+        let ms = |v: u64| v * MICROS_PER_MILLI;
         let setup = Setup {
             fleet: section.name.clone(),
             name: config.name.clone(),
             zone: zone.cloned().unwrap_or_default(),
             addr: section.advertised(),
             seeds: section.seeds.clone(),
-            start: now,
+            start: now.as_micros(),
             times: Times {
                 probe: ms(section.probe_ms),
                 answer: ms(section.answer_ms),
@@ -50,17 +54,26 @@
                 suspect_most: ms(section.suspect_most_ms),
                 retry: ms(section.retry_ms),
             },
-            seed: config.seed ^ now,
+            seed: config.seed ^ now.as_micros(),
         };
-        let view = View::new(setup, now);
+        let view = View::new(setup, now.as_micros());
         let section = section.clone();
-        Fleet { section, view, socket: None, planned: 0, told: (0, 0), unsent: 0, limits: None, open: false }
+        Fleet {
+            section,
+            view,
+            socket: None,
+            planned: Timestamp::ZERO,
+            told: (0, 0),
+            unsent: 0,
+            limits: None,
+            open: false,
+        }
     }
 
     /// The limits of a life that begins now, if they are on lease: it has no part of any.
-    fn begin_limits(&mut self, config: &Config, now: Time) {
+    fn begin_limits(&mut self, config: &Config, now: Timestamp) {
         let Some(leases) = &self.section.limits else { return };
-        let ms = |v: u64| v * MS;
+        let ms = |v: u64| v * MICROS_PER_MILLI;
         let s = &config.settings;
         let here = s.dispatchers_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
         let terms = Terms {
@@ -68,26 +81,26 @@
             onward: ms(leases.onward_ms),
             turn: ms(leases.turn_ms),
             // What is decided now may be written so much later.
-            window: s.fall_after + UNSENT,
+            window: whole_micros(s.fall_after + UNSENT),
             ..Terms::default()
         };
         let setup = limits::Setup {
             fleet: self.section.name.clone(),
             addr: self.section.advertised(),
             // Processes that have one address one after another differ in one of them.
-            life: now.rotate_left(20) ^ u64::from(std::process::id()) | 1,
+            life: now.as_micros().rotate_left(20) ^ u64::from(std::process::id()) | 1,
             configured: (s.dispatchers, here),
             terms,
         };
-        self.limits = Some(Limits::new(setup, now));
+        self.limits = Some(Limits::new(setup, now.as_micros()));
         self.tell_limits(now);
     }
 
     /// Tells the limits who may be at work.
-    fn tell_limits(&mut self, now: Time) {
+    fn tell_limits(&mut self, now: Timestamp) {
         let Some(limits) = &mut self.limits else { return };
         let (members, beyond) = limits::members(&self.view);
-        limits.members(now, members, beyond);
+        limits.members(now.as_micros(), members, beyond);
     }
 }
 
@@ -103,7 +116,7 @@
                 info!("other routers are heard on {addr}");
                 if let Some(fleet) = &mut self.fleet {
                     fleet.socket = Some(key);
-                    fleet.view.begin(self.now);
+                    fleet.view.begin(self.now.as_micros());
                     fleet.begin_limits(&self.config, self.now);
                 }
                 self.fleet_turn();
@@ -123,11 +136,11 @@
                 Ok(n) if Limits::is_for(&bytes[..n]) => {
                     if let Some(limits) = &mut fleet.limits {
                         let demands = demands.get_or_insert_with(|| self.router.cold_demands(self.now));
-                        limits.demand(self.now, demands);
-                        limits.datagram(self.now, &bytes[..n]);
+                        limits.demand(self.now.as_micros(), demands);
+                        limits.datagram(self.now.as_micros(), &bytes[..n]);
                     }
                 }
-                Ok(n) => fleet.view.datagram(self.now, &bytes[..n]),
+                Ok(n) => fleet.view.datagram(self.now.as_micros(), &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 // A datagram that could not be delivered somewhere is told here; it ends nothing.
                 Err(_) => {}
@@ -141,15 +154,15 @@
     /// The view's timer is due.
     pub(super) fn fleet_turn(&mut self) {
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.socket.is_some()) else { return };
-        if self.now >= fleet.view.due() {
-            fleet.view.tick(self.now);
+        if self.now.as_micros() >= fleet.view.due() {
+            fleet.view.tick(self.now.as_micros());
         }
-        if let Some(limits) = fleet.limits.as_mut().filter(|l| self.now >= l.due()) {
-            limits.demand(self.now, &self.router.cold_demands(self.now));
-            limits.tick(self.now);
+        if let Some(limits) = fleet.limits.as_mut().filter(|l| self.now.as_micros() >= l.due()) {
+            limits.demand(self.now.as_micros(), &self.router.cold_demands(self.now));
+            limits.tick(self.now.as_micros());
         }
         if self.now >= fleet.planned {
-            fleet.planned = 0;
+            fleet.planned = Timestamp::ZERO;
         }
         self.fleet_after(None);
     }
@@ -192,10 +205,10 @@
             fleet.told = told;
             self.router.count_routers(told.0, told.1);
         }
-        let due = fleet.limits.as_ref().map_or(Time::MAX, Limits::due).min(fleet.view.due());
-        let due = if more { self.now } else { due };
-        if fleet.planned == 0 || due < fleet.planned {
-            fleet.planned = due.max(self.now + 1);
+        let due = fleet.limits.as_ref().map_or(u64::MAX, Limits::due).min(fleet.view.due());
+        let due = if more { self.now } else { Timestamp::from_micros(due) };
+        if fleet.planned == Timestamp::ZERO || due < fleet.planned {
+            fleet.planned = due.max(self.now + MICROSECOND);
             self.wheel.set(fleet.planned, Timer::Fleet);
         }
         self.fleet = Some(fleet);
@@ -219,7 +232,7 @@
                 false => info!("limits: this router has no share of its own any more"),
             }
         }
-        let (homes, parts) = limits.use_at(self.now);
+        let (homes, parts) = limits.use_at(self.now.as_micros());
         self.router.lease(homes, parts);
     }
 
@@ -235,7 +248,7 @@
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.socket.is_some()) else { return };
         let joining = fleet.view.own().1.phase == Doing::Joining && doing == Doing::Ready;
         if !joining {
-            fleet.view.phase(self.now, doing);
+            fleet.view.phase(self.now.as_micros(), doing);
             self.fleet_after(None);
         }
     }
@@ -243,8 +256,8 @@
     /// This router ends, and says so.
     pub(super) fn fleet_leave(&mut self) {
         if let Some(fleet) = self.fleet.as_mut().filter(|f| f.socket.is_some()) {
-            fleet.view.leave(self.now);
-            fleet.limits.iter_mut().for_each(|l| l.stop(self.now));
+            fleet.view.leave(self.now.as_micros());
+            fleet.limits.iter_mut().for_each(|l| l.stop(self.now.as_micros()));
             self.fleet_after(None);
         }
     }
@@ -256,7 +269,7 @@
         let record = fleet.view.own().1;
         let identity = (record.start, record.incarnation);
         if let Some(limits) = &mut fleet.limits {
-            limits.stop(self.now);
+            limits.stop(self.now.as_micros());
             self.router.lease((0.0, 0.0), Default::default());
         }
         self.close(key);
@@ -266,7 +279,7 @@
     /// Goes on under the identity of the process that had the address: nobody sees it go or come.
     pub(super) fn fleet_inherit(&mut self, start: u64, incarnation: u32) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.view.succeed(self.now, start, incarnation);
+            fleet.view.succeed(self.now.as_micros(), start, incarnation);
         }
         self.open_fleet();
     }
@@ -281,7 +294,7 @@
             json!({"address": addr.to_string(), "name": r.name, "office": r.zone, "state": r.rank.name(),
                    "doing": r.phase.name(), "start": r.start, "incarnation": r.incarnation})
         };
-        let seconds = |t: Time| t as f64 / 1e6;
+        let seconds = |micros: u64| micros as f64 / 1e6;
         let other = |s: Seen| {
             let mut line = shown(s.addr, &s.record);
             line["for_s"] = json!(seconds(s.age));
@@ -322,7 +335,7 @@
                    "broker": s.broker.map_or("this router".to_string(), |b| b.to_string())})
         };
         let terms = limits.terms();
-        let seconds = |t: Time| t as f64 / 1e6;
+        let seconds = |micros: u64| micros as f64 / 1e6;
         let c = limits.counts;
         Some(json!({
             "share_in_use": open,
@@ -425,7 +438,10 @@
             info!("fleet: a start of this address was known that is not before this one; now start {start}");
         }
         Change::Stalled(long) => {
-            warn!("fleet: this process stood still for {} ms; what it held is asked for anew", long / MS);
+            warn!(
+                "fleet: this process stood still for {} ms; what it held is asked for anew",
+                long / MICROS_PER_MILLI
+            );
         }
         Change::Deaf(true) => warn!("fleet: nobody answers this router: what it says of others is old"),
         Change::Deaf(false) => info!("fleet: others answer again"),
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -20,11 +20,11 @@
 /// wait for the control feed and the last answer are well within.
 const ANSWER: Duration = Duration::from_millis(1_500);
 /// So long the old process may take for its last word; after that both take connections until it ends.
-const YOURS: Time = 1_000 * MS;
+const YOURS: Duration = Duration::from_secs(1);
 /// The control feed has told all that it had when nothing more has come for this long.
-const QUIET: Time = 100 * MS;
+const QUIET: Duration = Duration::from_millis(100);
 /// A new process that has not taken over after this long is held to be lost.
-const LATE: Time = 15_000 * MS;
+const LATE: Duration = Duration::from_secs(15);
 /// What may wait to be written to the new process beyond its legacy: it can't be reading any more.
 const OUT_MOST: usize = 32 << 20;
 
@@ -114,13 +114,13 @@
     gives: bool,
     /// `Hello` was heard.
     greeted: bool,
-    since: Time,
+    since: Timestamp,
     /// `Take` was said.
     took: bool,
 }
 
 impl Peer {
-    fn new(socket: UnixStream, reader: Reader, now: Time) -> Peer {
+    fn new(socket: UnixStream, reader: Reader, now: Timestamp) -> Peer {
         Peer {
             stream: Stream::new(socket, now),
             reader,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -25,7 +25,8 @@
 use hollymux_core::legacy::Legacy;
 use hollymux_core::lifecycle::{Event, Lifecycle, Phase, FAREWELL, LINGER};
 use hollymux_core::{AttemptId, Command, Ended, Input, Router, Told, Wake};
-use hollymux_decide::{HostId, Time, MS};
+use hollymux_decide::time::whole_micros;
+use hollymux_decide::{HostId, Timestamp};
 use hollymux_record::{Head, Recorder, Sink};
 use hollymux_wire::dns::Name;
 use operations::DoorConn;
@@ -49,11 +50,11 @@
 use wheel::Wheel;
 
 /// What is open at the end has as long as the longest deadline, and this.
-const FINISH: Time = 300 * MS;
+const FINISH: Duration = Duration::from_millis(300);
 /// How often the driver looks after idle and stuck connections.
-const ROUND: Time = 250 * MS;
+const ROUND: Duration = Duration::from_millis(250);
 /// A listener that could not be served is asked again after this long.
-const PAUSE: Time = 20 * MS;
+const PAUSE: Duration = Duration::from_millis(20);
 /// Clients that may wait to be taken; what overflows it is asked to come again after a second.
 const BACKLOG: i32 = 4_096;
 /// Descriptors for all that is neither a client's connection nor a shelf's: standard streams, epoll, signals,
@@ -61,13 +62,13 @@
 const RESERVED: usize = 16 + operations::DOOR_MOST;
 /// Who waits for the control feed at the start waits so long at most: a list that comes late is no reason not to
 /// answer.
-const BEGIN: Time = 2_000 * MS;
+const BEGIN: Duration = Duration::from_secs(2);
 /// Reads of one connection in a row.
 const READS: usize = 16;
 /// What one wait tells of at the most: every descriptor of a small router. What it leaves out comes with the next one.
 const EVENTS: usize = 1_024;
 /// A connection with output waiting that takes none for this long is closed.
-const STUCK: Time = 8_000 * MS;
+const STUCK: Duration = Duration::from_secs(8);
 
 /// A connection's place in the driver and its turn there: old news of a place finds another turn.
 type Key = u64;
@@ -122,7 +123,7 @@
 pub struct Driver {
     poll: OwnedFd,
     clock: Clock,
-    now: Time,
+    now: Timestamp,
     config: Config,
     /// The file that the configuration came from; SIGHUP has it read again.
     path: PathBuf,
@@ -147,7 +148,7 @@
     resolver: Resolver,
     feed_at: u64,
     feed_key: Option<Key>,
-    feed_wait: Time,
+    feed_wait: Duration,
     lifecycle: Lifecycle,
     /// The operators' listener.
     door: Option<Key>,
@@ -162,7 +163,7 @@
     /// Limits are shared with one of them.
     shared: bool,
     /// When the control feed told something last.
-    feed_told: Time,
+    feed_told: Timestamp,
     over: bool,
     /// For what routers are not to do in step.
     rng: rand_pcg::Pcg64Mcg,
@@ -202,7 +203,7 @@
             operator,
             feed_at: config.known.0,
             feed_key: None,
-            feed_wait: 0,
+            feed_wait: Duration::ZERO,
             lifecycle: Lifecycle::default(),
             door: None,
             meeting: None,
@@ -211,7 +212,7 @@
             legacy: None,
             fleet: None,
             shared: false,
-            feed_told: 0,
+            feed_told: Timestamp::ZERO,
             over: false,
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(config.seed ^ 0x6665_6564),
             scratch: vec![0; BUFFER],
@@ -271,10 +272,10 @@
         loop {
             self.now = self.clock.now();
             let ends = self.may_end();
-            let wait = if ends { 0 } else { self.wheel.wait(self.now).unwrap_or(ROUND) };
+            let wait = if ends { Duration::ZERO } else { self.wheel.wait(self.now).unwrap_or(ROUND) };
             let wait = Timespec {
-                tv_sec: i64::try_from(wait / 1_000_000).unwrap_or(1),
-                tv_nsec: (wait % 1_000_000 * 1_000) as _,
+                tv_sec: i64::try_from(wait.as_secs()).unwrap_or(1),
+                tv_nsec: wait.subsec_nanos() as _,
             };
             events.clear();
             match epoll::wait(&self.poll, rustix::buffer::spare_capacity(&mut events), Some(&wait)) {
@@ -360,8 +361,8 @@
     }
 
     /// The longest deadline of a class.
-    fn longest(&self) -> Time {
-        self.router.settings().classes.iter().map(|c| c.deadline).max().unwrap_or(0)
+    fn longest(&self) -> Duration {
+        self.router.settings().classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
     /// Tells the lifecycle of an event and does what follows from it; false if it can't be followed.
@@ -463,7 +464,7 @@
             Command::Tried(t) => {
                 let (request, number) = (t.attempt.request, t.attempt.number);
                 let (shelf, source) = (&*t.host, t.source.as_deref());
-                let (status, took_us) = (t.status, t.took);
+                let (status, took_us) = (t.status, whole_micros(t.took));
                 debug!(request, attempt = number, shelf, source, ?status, took_us, "attempt ended");
             }
             Command::Ended(ended) => self.ended(&ended),
@@ -475,8 +476,8 @@
     fn tell(&mut self, told: Told) {
         if let Some(recorder) = &mut self.recorder {
             match &told {
-                Told::Members { lines, .. } => recorder.members(self.now, lines),
-                Told::Purge { object, group, .. } => recorder.purge(self.now, *object, *group),
+                Told::Members { lines, .. } => recorder.members(self.now.as_micros(), lines),
+                Told::Purge { object, group, .. } => recorder.purge(self.now.as_micros(), *object, *group),
             }
         }
         self.inbox.push_back(Input::Told(told));
@@ -494,7 +495,7 @@
             class,
             result = ?e.result,
             reason = ?e.why,
-            took_us = e.took,
+            took_us = whole_micros(e.took),
             bytes = e.bytes,
             attempts = e.attempts,
             shelf = e.host.as_deref(),
--- a/crates/node/src/operations.rs
+++ b/crates/node/src/operations.rs
@@ -8,13 +8,13 @@
 /// Connections at the door at a time; the oldest that has not finished its call gives way to a new one.
 pub(super) const DOOR_MOST: usize = 8;
 /// So long a caller has for his call, and then for taking the answer.
-const CALL: Time = 5_000 * MS;
+const CALL: Duration = Duration::from_secs(5);
 
 pub(super) struct DoorConn {
     pub(super) stream: Stream,
     reader: Reader,
     out: Chain,
-    since: Time,
+    since: Timestamp,
     answered: bool,
 }
 
@@ -50,7 +50,7 @@
                 Role::DoorConn(c) => Some((c.since, key)),
                 _ => None,
             };
-            let held: Vec<(Time, Key)> = self.roles().filter_map(conns).collect();
+            let held: Vec<(Timestamp, Key)> = self.roles().filter_map(conns).collect();
             if held.len() >= DOOR_MOST {
                 held.iter().min().into_iter().for_each(|(_, key)| self.close(*key));
             }
--- a/crates/node/src/shelfs.rs
+++ b/crates/node/src/shelfs.rs
@@ -13,9 +13,9 @@
 
 /// What was not begun to be written this long after it was decided is not sent, or less where the graces for drains
 /// and purges are shorter: what goes out once such a grace is over must have been decided after it was told.
-pub(super) const UNSENT: Time = 200 * MS;
+pub(super) const UNSENT: Duration = Duration::from_millis(200);
 /// So much of a grace is left for the way there.
-const SPARE: Time = 50 * MS;
+const SPARE: Duration = Duration::from_millis(50);
 /// Connections to one host.
 const LINE_MOST: usize = 32;
 /// Ids given up or answered lately on a connection: the same id is not asked there again, a late answer or a
@@ -31,7 +31,7 @@
 pub(super) struct Line {
     keys: Vec<Key>,
     /// The least time that a connection took to come up.
-    quickest: Option<Time>,
+    quickest: Option<Duration>,
 }
 
 /// A message on its way out.
@@ -40,7 +40,7 @@
     /// The attempt that it carries, if it is one.
     errand: Option<Errand>,
     begun: bool,
-    decided: Time,
+    decided: Timestamp,
 }
 
 /// The attempt that a message carries, and what forbids to begin it.
@@ -52,7 +52,7 @@
     /// Nor with a source that takes no work any more.
     source: Option<HostId>,
     /// Nor after this.
-    by: Option<Time>,
+    by: Option<Timestamp>,
 }
 
 impl Message {
@@ -73,7 +73,7 @@
     class: u16,
     /// The tag of the copy that was asked about.
     held: Option<Vec<u8>>,
-    since: Time,
+    since: Timestamp,
     /// Written whole.
     whole: bool,
 }
@@ -90,13 +90,13 @@
     addr: SocketAddr,
     decoder: Decoder,
     /// When it was begun.
-    since: Time,
+    since: Timestamp,
     up: bool,
     queue: VecDeque<Message>,
     /// What is open on it, by the id on the wire.
     open: HashMap<Vec<u8>, Sent>,
     spent: VecDeque<Vec<u8>>,
-    used: Time,
+    used: Timestamp,
     /// Takes nothing new.
     leaving: bool,
     /// The host could not be connected to.
@@ -104,7 +104,7 @@
 }
 
 impl ShelfConn {
-    fn queue(&mut self, bytes: Chain, errand: Option<Errand>, decided: Time) {
+    fn queue(&mut self, bytes: Chain, errand: Option<Errand>, decided: Timestamp) {
         self.queue.push_back(Message { bytes, errand, begun: false, decided });
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Whether it has been coming up for longer than that.
-    fn late(&self, now: Time, after: Time) -> bool {
+    fn late(&self, now: Timestamp, after: Duration) -> bool {
         !self.up && now > self.since + after
     }
 }
@@ -164,10 +164,10 @@
     }
 
     /// How long a message may wait to be begun.
-    fn patience(&self) -> Time {
+    fn patience(&self) -> Duration {
         let s = self.router.settings();
-        let graces = [s.drain_grace, s.purge_slack].into_iter().filter(|g| *g > 0);
-        graces.map(|g| g.saturating_sub(SPARE).max(SPARE / 5)).fold(UNSENT, Time::min)
+        let graces = [s.drain_grace, s.purge_slack].into_iter().filter(|g| !g.is_zero());
+        graces.map(|g| g.saturating_sub(SPARE).max(SPARE / 5)).fold(UNSENT, Duration::min)
     }
 
     /// Closes the connection to a shelf that has rested longest: another host needs its descriptor more.
@@ -188,7 +188,7 @@
 
     pub(super) fn probe(&mut self, host: HostId, addr: SocketAddr) {
         let now = self.now;
-        let tag = format!("p{now:x}").into_bytes();
+        let tag = format!("p{:x}", now.as_micros()).into_bytes();
         let probe = shelf::probe(&self.pool, &tag).ok();
         let key = self.connection(host, addr, &tag).ok();
         match (probe, key.and_then(|k| self.role(k))) {
@@ -408,7 +408,7 @@
     }
 
     pub(super) fn shelf_round(&mut self, conn: &mut ShelfConn) -> Fate {
-        let idle = (self.config.idle as f64 * IDLE_PART) as Time;
+        let idle = Duration::from_micros((whole_micros(self.config.idle) as f64 * IDLE_PART) as u64);
         let unused = conn.open.is_empty() && conn.queue.is_empty();
         let stuck = conn.up && conn.stream.stuck(self.now, STUCK);
         let beyond = self.shared && self.shelf_conns > self.shelfs_most();
--- a/crates/node/src/shelfs/dialing.rs
+++ b/crates/node/src/shelfs/dialing.rs
@@ -5,14 +5,14 @@
 
 /// A connection is late once it has taken so many times what the quickest one to its host took, within these bounds. The
 /// upper one also holds where none has come up yet.
-const LATE: Time = 4;
-const LATE_LEAST: Time = 20 * MS;
-const LATE_MOST: Time = 100 * MS;
+const LATE: u32 = 4;
+const LATE_LEAST: Duration = Duration::from_millis(20);
+const LATE_MOST: Duration = Duration::from_millis(100);
 /// With so many late connections to a host a further one is begun only when the newest is late as well: there it is the
 /// host, or the way to it.
 const LATE_DIALS: usize = 3;
 /// One that is not up after this long never will be.
-pub(super) const NEVER: Time = 2_500 * MS;
+pub(super) const NEVER: Duration = Duration::from_millis(2_500);
 
 impl Driver {
     /// A connection that can carry one more: one that is prompt, else the one with the least open.
@@ -69,7 +69,7 @@
         keys.iter().filter_map(load).min_by_key(|l| l.0)
     }
 
-    fn late_after(&self, host: HostId) -> Time {
+    fn late_after(&self, host: HostId) -> Duration {
         let quickest = self.shelfs.get(&host).and_then(|l| l.quickest);
         quickest.map_or(LATE_MOST, |t| (t * LATE).clamp(LATE_LEAST, LATE_MOST))
     }
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn came_up(&mut self, conn: &mut ShelfConn) {
-        let took = self.now.saturating_sub(conn.since);
+        let took = self.now.saturating_duration_since(conn.since);
         conn.used = self.now;
         let line = self.shelfs.entry(conn.host).or_default();
         line.quickest = Some(line.quickest.map_or(took, |q| q.min(took)));
@@ -140,7 +140,9 @@
             }
         }
         if let Some(first) = kept.front() {
-            let next = (now + self.late_after(conn.host)).min(first.decided + patience).max(now + MS);
+            let next = (now + self.late_after(conn.host))
+                .min(first.decided + patience)
+                .max(now + Duration::from_millis(1));
             self.wheel.set(next, Timer::Dial(key));
         }
         conn.queue = kept;
--- a/crates/node/src/shelfs/tests.rs
+++ b/crates/node/src/shelfs/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use hollymux_core::{Ask, Target};
-use hollymux_decide::{Fill, SEC};
+use hollymux_decide::Fill;
 use rustix::net::sockopt;
 use std::io::Read;
 use std::net::TcpStream;
@@ -54,7 +54,7 @@
     driver.send(Order {
         attempt: ATTEMPT,
         target,
-        timeout: SEC,
+        timeout: Duration::from_secs(1),
         class: 0,
         ask: Rc::new(ask),
         client,
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/sockets.rs
@@ -2,7 +2,8 @@
 
 use crate::BACKLOG;
 use hollymux_core::chain::Chain;
-use hollymux_decide::Time;
+use hollymux_decide::time::whole_micros;
+use hollymux_decide::Timestamp;
 use rustix::net::{connect, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,8 +22,8 @@
         Clock { unix, since: Instant::now() }
     }
 
-    pub(super) fn now(&self) -> Time {
-        u64::try_from((self.unix + self.since.elapsed()).as_micros()).unwrap_or(u64::MAX)
+    pub(super) fn now(&self) -> Timestamp {
+        Timestamp::from_micros(whole_micros(self.unix + self.since.elapsed()))
     }
 }
 
@@ -32,16 +33,16 @@
     /// Waits for the socket to take more.
     pub(super) waiting: bool,
     /// When the socket took something last.
-    pub(super) moved: Time,
+    pub(super) moved: Timestamp,
 }
 
 impl<S: Read + Write> Stream<S> {
-    pub(super) fn new(socket: S, now: Time) -> Stream<S> {
+    pub(super) fn new(socket: S, now: Timestamp) -> Stream<S> {
         Stream { socket, waiting: false, moved: now }
     }
 
     /// Whether it has waited for the other side to take something for that long.
-    pub(super) fn stuck(&self, now: Time, long: Time) -> bool {
+    pub(super) fn stuck(&self, now: Timestamp, long: Duration) -> bool {
         self.waiting && now > self.moved + long
     }
 
@@ -58,7 +59,7 @@
     }
 
     /// Writes as much of a chain as the socket takes; whether that was all.
-    pub(super) fn write(&mut self, chain: &mut Chain, now: Time) -> io::Result<bool> {
+    pub(super) fn write(&mut self, chain: &mut Chain, now: Timestamp) -> io::Result<bool> {
         if !self.waiting {
             self.moved = now;
         }
--- a/crates/node/src/wheel.rs
+++ b/crates/node/src/wheel.rs
@@ -1,9 +1,10 @@
 //! Timers as coarse ticks on a wheel.
 
-use hollymux_decide::Time;
+use hollymux_decide::Timestamp;
+use std::time::Duration;
 
-/// The length of a tick.
-const TICK: Time = 2_000;
+/// The length of a tick in microseconds.
+const TICK: u64 = 2_000;
 /// Slots of the wheel; what is due later stays in its slot for further turns.
 const SLOTS: u64 = 4_096;
 
@@ -18,21 +19,21 @@
 
 impl<T> Wheel<T> {
     /// An empty wheel at that time.
-    pub fn new(now: Time) -> Wheel<T> {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), next: now / TICK, armed: 0 }
+    pub fn new(now: Timestamp) -> Wheel<T> {
+        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), next: now.as_micros() / TICK, armed: 0 }
     }
 
     /// Sets a timer; it is due at the end of the tick that its time lies in.
-    pub fn set(&mut self, at: Time, what: T) {
-        let tick = at.div_ceil(TICK).max(self.next);
+    pub fn set(&mut self, at: Timestamp, what: T) {
+        let tick = at.as_micros().div_ceil(TICK).max(self.next);
         self.slots[(tick % SLOTS) as usize].push((tick, what));
         self.armed += 1;
     }
 
     /// Takes all timers that are due.
-    pub fn due(&mut self, now: Time) -> Vec<T> {
+    pub fn due(&mut self, now: Timestamp) -> Vec<T> {
         let mut due = Vec::new();
-        let last = now / TICK;
+        let last = now.as_micros() / TICK;
         // After a long stall one whole turn passes every slot.
         self.next = self.next.max(last.saturating_sub(SLOTS - 1).min(last));
         while self.next <= last {
@@ -52,9 +53,9 @@
     }
 
     /// How long from now until a timer may be due; none if there is none.
-    pub fn wait(&self, now: Time) -> Option<Time> {
+    pub fn wait(&self, now: Timestamp) -> Option<Duration> {
         let ahead = (0..SLOTS).find(|i| !self.slots[((self.next + i) % SLOTS) as usize].is_empty())?;
         debug_assert!(self.armed > 0, "a timer that was not counted");
-        Some(((self.next + ahead) * TICK).saturating_sub(now))
+        Some(Timestamp::from_micros((self.next + ahead) * TICK).saturating_duration_since(now))
     }
 }
--- a/crates/planner/tests/plans.rs
+++ b/crates/planner/tests/plans.rs
@@ -1,7 +1,8 @@
 //! Plans for loads made by hand: what must hold of them, and what is refused.
 
 use hollymux_decide::{
-    Action, Class, Control, Event, HostEntry, HostId, HostState, ListKind, Request, Settings, Weights,
+    Action, Class, Control, Event, HostEntry, HostId, HostState, ListKind, Request, Settings, Timestamp,
+    Weights,
 };
 use hollymux_planner::place::{identity, order, seed};
 use hollymux_planner::trace::{Ask, Key, Trace};
@@ -9,6 +10,7 @@
 use hollymux_record::{ClassHead, Recording};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use std::time::Duration;
 
 fn class(name: &str, aim_ms: u64, write: bool) -> ClassHead {
     ClassHead {
@@ -82,8 +84,8 @@
 fn placement_is_the_modules_own() {
     // The planner draws orders by itself: a request that the module places must go to the same box and hub.
     let c = Class {
-        aim: 400_000,
-        deadline: 2_500_000,
+        aim: Duration::from_millis(400),
+        deadline: Duration::from_millis(2_500),
         effect: hollymux_decide::Effect::Safe,
         ..Class::default()
     };
@@ -105,7 +107,7 @@
         kind,
         weight,
         state: HostState::Ready,
-        started: 0,
+        started: Timestamp::ZERO,
         in_place_of: None,
     };
     let mut entries: Vec<HostEntry> = names.iter().zip(sizes).map(|(n, w)| line(n, 0, w)).collect();
@@ -116,11 +118,21 @@
     for object in 0..200u64 {
         let mut control = Control::new(settings.clone(), 1).unwrap();
         let mut actions = Vec::new();
-        control.handle(1, Event::Hosts { kind: ListKind::Full, entries: entries.clone() }, &mut actions);
+        control.handle(
+            Timestamp::from_micros(1),
+            Event::Hosts { kind: ListKind::Full, entries: entries.clone() },
+            &mut actions,
+        );
         let part = (object % 5) as u32;
-        let r = Request { id: 1, object, part, deadline: 2_500_000, ..Request::default() };
+        let r = Request {
+            id: 1,
+            object,
+            part,
+            deadline: Timestamp::from_micros(2_500_000),
+            ..Request::default()
+        };
         actions.clear();
-        control.handle(2, Event::Request(r), &mut actions);
+        control.handle(Timestamp::from_micros(2), Event::Request(r), &mut actions);
         let sent = actions.iter().find_map(|a| match a {
             Action::Attempt { host, fill, .. } => Some((host.0, fill.source.map(|s| s.0))),
             _ => None,
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -10,9 +10,13 @@
 pub use write::{Recorder, Sink};
 
 use hollymux_core::{Closed, Ended, Member, Why};
-use hollymux_decide::{Effect, HostState, Settings, Status, Time};
+use hollymux_decide::time::whole_micros;
+use hollymux_decide::{Effect, HostState, Settings, Status};
 use serde::{Deserialize, Serialize};
 
+/// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
+pub type Time = u64;
+
 /// The first bytes of a file.
 pub const MAGIC: [u8; 8] = *b"hmxload\0";
 /// The version of the format that is written, and the only one that is read.
@@ -83,15 +87,15 @@
     pub fn new(router: &str, zones: &[String], kinds: &[String], classes: &[String], s: &Settings) -> Head {
         let class = |(name, c): (&String, &hollymux_decide::Class)| ClassHead {
             name: name.clone(),
-            aim: c.aim,
+            aim: whole_micros(c.aim),
             aim_stretch: c.aim_stretch,
-            deadline: c.deadline,
+            deadline: whole_micros(c.deadline),
             worth: c.worth,
             late_worth: c.late_worth,
             write: c.write,
             repeats: c.effect == Effect::Safe,
-            fresh: c.fresh,
-            grace: c.grace,
+            fresh: whole_micros(c.fresh),
+            grace: whole_micros(c.grace),
             stale_worth: c.stale_worth,
         };
         Head {
@@ -218,16 +222,16 @@
             Why::Host(Status::Cancelled) => Reason::GivenUp,
         };
         Request {
-            arrived: e.arrived,
+            arrived: e.arrived.as_micros(),
             class: e.wanted.class,
             object: e.wanted.object,
             part: e.wanted.part,
             group: e.wanted.group,
-            budget: e.budget,
+            budget: whole_micros(e.budget),
             end,
             reason,
             bytes: e.bytes,
-            took: e.took,
+            took: whole_micros(e.took),
             attempts: e.attempts,
             host,
             source,
@@ -263,7 +267,15 @@
             HostState::Gone => 2,
         };
         let e = &m.entry;
-        MemberLine { at, name, zone: e.zone, kind: e.kind, weight: e.weight, started: e.started, state }
+        MemberLine {
+            at,
+            name,
+            zone: e.zone,
+            kind: e.kind,
+            weight: e.weight,
+            started: e.started.as_micros(),
+            state,
+        }
     }
 }
 
--- a/crates/record/src/write.rs
+++ b/crates/record/src/write.rs
@@ -1,11 +1,11 @@
 //! Writing: entries go through a bounded queue to a thread that packs them and puts them into files, which are
 //! bounded too. Serving never waits: what the queue doesn't take is dropped and counted, and the file says so.
 
+use crate::Time;
 use crate::{
     Block, Entry, Head, MemberLine, PurgeLine, Request, BLOCK_MOST, ENTRIES_MOST, MAGIC, MARK, VERSION,
 };
 use hollymux_core::{Ended, Member};
-use hollymux_decide::Time;
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::{self, Write};
--- a/crates/record/tests/record.rs
+++ b/crates/record/tests/record.rs
@@ -1,13 +1,18 @@
 //! Recordings: what is written is read again, and damage costs what it touches and no more.
 
 use hollymux_core::{Closed, Ended, Member, Wanted, Why};
-use hollymux_decide::{Effect, HostEntry, HostId, HostState, Settings};
+use hollymux_decide::{Effect, HostEntry, HostId, HostState, Settings, Timestamp};
 use hollymux_record::*;
 use proptest::prelude::*;
 use std::path::PathBuf;
+use std::time::Duration;
 
 fn head(router: &str) -> Head {
-    let class = hollymux_decide::Class { aim: 250_000, effect: Effect::Safe, ..Default::default() };
+    let class = hollymux_decide::Class {
+        aim: Duration::from_millis(250),
+        effect: Effect::Safe,
+        ..Default::default()
+    };
     let s =
         Settings { classes: vec![class], parent_kind: Some(1), flow_kb_per_s: 20.0, ..Default::default() };
     Head::new(router, &["cairo".into()], &["box".into(), "hub".into()], &["docs".into()], &s)
@@ -17,9 +22,9 @@
     Ended {
         request: n as u32,
         wanted: Wanted { class: 0, object: n * 7, part: n as u32 % 5, group: 3, rid: Some(n) },
-        arrived: 1_000_000 + n * 1_000,
-        budget: 2_500_000,
-        took: 40_000 + n,
+        arrived: Timestamp::from_micros(1_000_000 + n * 1_000),
+        budget: Duration::from_millis(2_500),
+        took: Duration::from_micros(40_000 + n),
         result: if n.is_multiple_of(9) { Closed::Refused } else { Closed::Served },
         why: if n.is_multiple_of(9) { Why::NoHost } else { Why::Asked },
         bytes: n * 3,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,9 @@
 //! The simulator's binary frames, to and from the types of the interface.
 
+use hollymux_decide::time::MICROSECOND;
 use hollymux_decide::*;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const HEADER: usize = 16;
 const EVENT: usize = 48;
@@ -33,7 +35,7 @@
 /// A decoded batch.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    pub now: Time,
+    pub now: Timestamp,
     pub inputs: Vec<Input>,
 }
 
@@ -146,7 +148,7 @@
         for (index, b) in records.chunks_exact(EVENT).enumerate() {
             inputs.extend(self.record(&Rec { b, index }, tail)?);
         }
-        Ok(Batch { now: head.u64(0), inputs })
+        Ok(Batch { now: Timestamp::from_micros(head.u64(0)), inputs })
     }
 
     fn record(&mut self, r: &Rec, tail: &[u8]) -> Result<Option<Input>, WireError> {
@@ -194,7 +196,7 @@
                     part: r.whole(11, "piece")?,
                     class: r.u16(15),
                     object: r.u64(17),
-                    deadline: r.u64(29),
+                    deadline: Timestamp::from_micros(r.u64(29)),
                     group: r.whole(37, "labelNo")?,
                     repeat: r.u8(41) & 2 != 0,
                     write: r.u8(41) & 4 != 0,
@@ -204,7 +206,7 @@
             100 => Event::Outcome(Outcome {
                 request: r.u32(3),
                 host: r.host(11),
-                latency: Time::from(r.u32(17)),
+                latency: Duration::from_micros(u64::from(r.u32(17))),
                 attempt: r.u16(21),
                 status: r.status(23)?,
                 ended: r.u8(24) != 0,
@@ -229,7 +231,7 @@
             10 => {
                 let object = r.u64(9);
                 Event::Purged(Purge {
-                    since: Time::from(r.u32(3)),
+                    since: Duration::from_micros(u64::from(r.u32(3))),
                     group: u32::from(r.u16(7)),
                     object: (object != 0).then_some(object),
                 })
@@ -256,7 +258,7 @@
             2 => HostState::Draining,
             v => return Err(r.bad("state", u64::from(v))),
         },
-        started: r.u64(13),
+        started: Timestamp::from_micros(r.u64(13)),
         zone: u16::from(r.u8(21)),
         kind: r.u16(22),
         in_place_of: None,
@@ -270,8 +272,8 @@
     tail: Vec<u8>,
 }
 
-fn span(t: Time) -> [u8; 4] {
-    u32::try_from(t).unwrap_or(u32::MAX).to_le_bytes()
+fn span(t: Duration) -> [u8; 4] {
+    u32::try_from(t.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
 fn host6(h: HostId) -> [u8; 6] {
@@ -308,7 +310,7 @@
                     &span(*timeout),
                     &host6(fill.source.unwrap_or(*host)),
                     &[fill.keep],
-                    &span(fill.max_age.map_or(0, |a| a.max(1))),
+                    &span(fill.max_age.map_or(Duration::ZERO, |a| a.max(MICROSECOND))),
                     &[u8::from(fill.join) | u8::from(fill.renew) << 3 | u8::from(fill.shallow) << 1],
                 ],
             ),
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -4,6 +4,7 @@
 mod wire;
 
 use hollymux_decide::*;
+use std::time::Duration;
 use wire::{Decoder, Encoder, Input, WireError};
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -32,7 +33,7 @@
 
 fn only(records: &[Vec<u8>], tail: &[u8]) -> Vec<Input> {
     let decoded = Decoder::default().batch(&batch(records, tail)).unwrap();
-    assert_eq!(decoded.now, 8_412_250);
+    assert_eq!(decoded.now, Timestamp::from_micros(8_412_250));
     decoded.inputs
 }
 
@@ -57,7 +58,7 @@
     assert_eq!(r.id, 0x5d3a_91c4);
     assert_eq!((r.size_kb, r.part, r.class, r.group), (Some(640.0), 3, 0, 11));
     assert_eq!(r.object, 0x91f0_3b7c_55d2_0a64);
-    assert_eq!(r.deadline, 0x8405da);
+    assert_eq!(r.deadline, Timestamp::from_micros(0x8405da));
     assert!(!r.repeat && !r.write);
     let flagged = hex.replace("00003041 01", "00003041 06");
     let Event::Request(r) = event(&flagged) else { panic!() };
@@ -81,7 +82,7 @@
         let hex = format!("64 0300 c4913a5d b8240000 0a124a07 8b13 44480000 0200 {code:02x} 01 02");
         let Event::Outcome(o) = event(&hex) else { panic!() };
         assert_eq!((o.status, o.ended, o.note), (status, true, Some(Note::Filled)));
-        assert_eq!((o.latency, o.attempt), (18_500, 2));
+        assert_eq!((o.latency, o.attempt), (Duration::from_micros(18_500), 2));
         assert_eq!(o.host, HostId(0x138b_074a_120a));
     }
 }
@@ -94,7 +95,7 @@
     assert_eq!(event("50 0300 05"), Event::Withdrawn { request: 5 });
     let purge = event("0a 0300 084c0100 0b00 010ad2557c000000");
     let object = Some(0x7c_55d2_0a01);
-    let since = 85_000;
+    let since = Duration::from_micros(85_000);
     assert_eq!(purge, Event::Purged(Purge { since, object, group: 11 }));
     let Event::Purged(p) = event("0a 0300 084c0100 0b00") else { panic!() };
     assert_eq!(p.object, None);
@@ -128,8 +129,11 @@
         })
         .collect();
     assert_eq!(lines[0].id, HostId(0x138b_074a_120a));
-    assert_eq!((lines[0].weight, lines[0].state, lines[0].started), (1.0, HostState::Ready, 0));
-    assert_eq!((lines[1].weight, lines[1].state, lines[1].started), (1.5, HostState::Draining, 0x5d1420));
+    assert_eq!((lines[0].weight, lines[0].state, lines[0].started), (1.0, HostState::Ready, Timestamp::ZERO));
+    assert_eq!(
+        (lines[1].weight, lines[1].state, lines[1].started),
+        (1.5, HostState::Draining, Timestamp::from_micros(0x5d1420))
+    );
     assert_eq!((lines[1].cell, lines[1].zone, lines[1].kind), (1, 1, 2));
 }
 
@@ -142,19 +146,19 @@
         &Action::Attempt {
             request: 0x5d3a_91c4,
             host,
-            timeout: 900_000,
+            timeout: Duration::from_millis(900),
             fill: Fill {
                 source: Some(HostId(0x13b4_f211_900a)),
                 keep: 2,
-                max_age: Some(1_500_000),
+                max_age: Some(Duration::from_millis(1_500)),
                 join: true,
                 renew: true,
                 shallow: false,
             },
         },
     );
-    e.action(3, &Action::timer(500_000, 77));
-    e.action(3, &Action::refuse(0x0e6f_2b19, 250_000));
+    e.action(3, &Action::timer(Duration::from_millis(500), 77));
+    e.action(3, &Action::refuse(0x0e6f_2b19, Duration::from_millis(250)));
     e.action(3, &Action::Fail { request: 0x0e6f_2b19 });
     e.action(3, &Action::cancel(0x5d3a_91c4, 1));
     e.action(3, &Action::Log("two servers known".into()));
@@ -173,7 +177,7 @@
     assert_eq!(e.finish(), want);
     // No fill names the cache itself; the encoder starts empty again.
     let fill = Fill { source: None, keep: 0, max_age: None, join: false, renew: false, shallow: true };
-    e.action(0, &Action::Attempt { request: 1, host, timeout: 1, fill });
+    e.action(0, &Action::Attempt { request: 1, host, timeout: Duration::from_micros(1), fill });
     let b = e.finish();
     assert_eq!(b.len(), 40);
     // The source gives only what it holds.
@@ -224,8 +228,11 @@
     assert_eq!(s.dispatchers_by_zone, [0, 1, 2]);
     assert_eq!(s.weights, Weights::Size);
     let c = &s.classes[0];
-    assert_eq!((c.effect, c.scope, c.aim, c.write), (Effect::Keyed, Scope::Zone, 500, true));
-    assert_eq!((c.fresh, c.stale_worth), (0, 1.0));
+    assert_eq!(
+        (c.effect, c.scope, c.aim, c.write),
+        (Effect::Keyed, Scope::Zone, Duration::from_micros(500), true)
+    );
+    assert_eq!((c.fresh, c.stale_worth), (Duration::ZERO, 1.0));
     assert_eq!(wire::settings("").unwrap(), Settings::default());
     assert!(wire::frame_len(&[0; 16]).is_err());
 }
--- a/crates/wire/src/events.rs
+++ b/crates/wire/src/events.rs
@@ -1,7 +1,7 @@
 //! The control feed's events as JSON.
 
 use hollymux_core::{host_id, Member, Told};
-use hollymux_decide::{HostEntry, HostState};
+use hollymux_decide::{HostEntry, HostState, Timestamp};
 use serde::Deserialize;
 
 /// What is wrong with an event, in one line.
@@ -59,6 +59,11 @@
     purge: Option<PurgeLine>,
 }
 
+/// The feed tells times in milliseconds.
+fn unix_millis(millis: u64) -> Timestamp {
+    Timestamp::from_micros(millis.saturating_mul(1_000))
+}
+
 impl Names {
     /// A place in a list of names; an unknown name is like none of them.
     fn place(list: &[String], name: &str) -> u16 {
@@ -92,7 +97,7 @@
             (None, None) => return Err(bad("a purge of nothing")),
             (_, group) => group.unwrap_or(0),
         };
-        Ok((line.n, Some(Told::Purge { object, group, at: p.at.saturating_mul(1_000) })))
+        Ok((line.n, Some(Told::Purge { object, group, at: unix_millis(p.at) })))
     }
 
     fn member(&self, t: Target) -> Result<Member, String> {
@@ -109,7 +114,7 @@
             kind: Self::place(&self.kinds, &t.model),
             weight: t.capacity_hint,
             state,
-            started: t.boot_ms.saturating_mul(1_000),
+            started: unix_millis(t.boot_ms),
             in_place_of: None,
         };
         Ok(Member { entry, addr: t.endpoint.parse().ok(), uid: t.uid })
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -120,6 +120,7 @@
 mod tests {
     use super::*;
     use hollymux_core::legacy::Line;
+    use hollymux_decide::Timestamp;
     use proptest::prelude::*;
 
     fn all() -> Vec<Message> {
@@ -131,15 +132,19 @@
             cell: 2,
             weight: 4.0,
             draining: true,
-            started: 7,
+            started: Timestamp::from_micros(7),
+        };
+        let legacy = Legacy {
+            members: vec![line],
+            filings: vec![(1, Timestamp::from_micros(2), Some(3))],
+            ..Legacy::default()
         };
-        let legacy = Legacy { members: vec![line], filings: vec![(1, 2, Some(3))], ..Legacy::default() };
         vec![
             Message::Hello("127.0.0.1:5050".into()),
             Message::Legacy(Some(Box::new(legacy))),
             Message::Take,
             Message::Yours,
-            Message::Filings(vec![(4, 5, None)]),
+            Message::Filings(vec![(4, Timestamp::from_micros(5), None)]),
             Message::No,
         ]
     }
--- a/crates/wire/src/routing.rs
+++ b/crates/wire/src/routing.rs
@@ -10,8 +10,9 @@
 use crate::shelf::fill_fields;
 use hollymux_core::classes::Classes;
 use hollymux_core::{FillHint, Hint, Target, Wanted};
-use hollymux_decide::{Effect, Time};
+use hollymux_decide::Effect;
 use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
 
 /// The label below the zone under which the boxes stand.
 const BOX: &[u8] = b"box";
@@ -159,6 +160,11 @@
     }
 }
 
+/// A span told in milliseconds; none if it is no number, or more than can be told in microseconds.
+fn millis(text: &str) -> Option<Duration> {
+    text.parse::<u64>().ok()?.checked_mul(1_000).map(Duration::from_micros)
+}
+
 /// What an answer that was followed tells of a box: its name and address, and the fill; none if it can't be used.
 pub fn hint(pointed: dns::Pointed) -> Option<Hint> {
     let uid = String::from_utf8(pointed.target.first()?.clone()).ok()?;
@@ -167,7 +173,7 @@
         match name {
             "parent" => fill.source = Some(value.to_string()),
             "shelf" => fill.keep = value.parse().ok().filter(|k| *k <= 3)?,
-            "accept" => fill.max_age = Some(value.parse::<Time>().ok()?.checked_mul(1_000)?),
+            "accept" => fill.max_age = Some(millis(value)?),
             "hints" => {
                 let told = |hint| value.split('+').any(|h| h == hint);
                 fill.join = told("coalesce");
--- a/crates/wire/src/shelf.rs
+++ b/crates/wire/src/shelf.rs
@@ -74,7 +74,7 @@
     let hints: Vec<&str> = hints.iter().filter(|h| h.0).map(|h| h.1).collect();
     let parent = target.source.as_ref().map(|s| ("parent", s.to_string()));
     let shelf = (f.keep > 0).then(|| ("shelf", f.keep.to_string()));
-    let accept = f.max_age.map(|a| ("accept", (a / 1_000).max(1).to_string()));
+    let accept = f.max_age.map(|a| ("accept", a.as_millis().max(1).to_string()));
     let hints = (!hints.is_empty()).then(|| ("hints", hints.join("+")));
     [parent, shelf, accept, hints].into_iter().flatten().collect()
 }
@@ -94,7 +94,7 @@
     put("profile", &ask.class);
     put("thing", &ask.object.0);
     put("nth", ask.part.to_string().as_bytes());
-    put("max", (order.timeout / 1_000).max(1).to_string().as_bytes());
+    put("max", order.timeout.as_millis().max(1).to_string().as_bytes());
     for (name, value) in fill_fields(&order.target) {
         put(name, value.as_bytes());
     }
