--- a/crates/core/tests/characterization/adapter.rs
+++ b/crates/core/tests/characterization/adapter.rs
@@ -4,9 +4,13 @@
 use super::neutral::*;
 use hollymux_core::chain::{Chain, Pool};
 use hollymux_core::*;
-use hollymux_decide::{settings_from, HostEntry, HostId, HostState, Note, Pairs, Settings, Status};
+use hollymux_decide::time::whole_micros;
+use hollymux_decide::{
+    settings_from, HostEntry, HostId, HostState, Note, Pairs, Settings, Status, Timestamp,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 const BUFFERS: usize = 4_000;
 const MEMORY_MB: u64 = 64;
@@ -45,6 +49,7 @@
 
     /// Tells the core one thing; gives what it wants done.
     pub fn step(&mut self, now: u64, stimulus: Stimulus) -> Vec<Effect> {
+        let now = Timestamp::from_micros(now);
         let mut commands = Vec::new();
         let mut effects = Vec::new();
         match stimulus {
@@ -92,7 +97,9 @@
             Stimulus::Found { request, found } => Input::Found(request, core_found(found)),
             Stimulus::Wake { handle } => Input::Wake(self.wakes[handle]),
             Stimulus::Hosts { all, lines } => Input::Told(self.members(all, lines)),
-            Stimulus::Purge { object, group, at } => Input::Told(Told::Purge { object, group, at }),
+            Stimulus::Purge { object, group, at } => {
+                Input::Told(Told::Purge { object, group, at: Timestamp::from_micros(at) })
+            }
             Stimulus::End => Input::End,
             Stimulus::Lookup { .. } | Stimulus::Settings(_) | Stimulus::HandOver { .. } => {
                 unreachable!("these are calls, not inputs")
@@ -143,7 +150,7 @@
 
     fn lookup(
         &mut self,
-        now: u64,
+        now: Timestamp,
         class: &str,
         (object, part, group, id): (u64, u32, u32, Option<u64>),
         commands: &mut Vec<Command>,
@@ -166,7 +173,7 @@
     }
 
     /// Another core goes on in this one's place; `last` is asked of this one after it was handed over.
-    fn hand_over(&mut self, now: u64, last: Option<(Caller, Asked)>) -> Vec<Effect> {
+    fn hand_over(&mut self, now: Timestamp, last: Option<(Caller, Asked)>) -> Vec<Effect> {
         let mut legacy = self.router.legacy();
         legacy.zones = ZONES.map(str::to_string).to_vec();
         legacy.kinds = KINDS.map(str::to_string).to_vec();
@@ -202,7 +209,7 @@
             target.source.as_deref().unwrap_or("-"),
             fill.source.map_or("-", |source| self.name(source)),
             fill.keep,
-            optional(fill.max_age),
+            micros(fill.max_age),
             fill.join,
             fill.renew,
             fill.shallow
@@ -241,12 +248,12 @@
             "{} {} timeout={} class={} id={} client={}/{} by={}",
             attempt_words(order.attempt),
             self.target_words(&order.target),
-            order.timeout,
+            whole_micros(order.timeout),
             order.class,
             order.ask.rid.1,
             order.client.conn,
             order.client.tag,
-            optional(order.by)
+            optional(order.by.map(Timestamp::as_micros))
         );
         let kind = if order.attempt.number > 0 { "send again" } else { "send" };
         let sent =
@@ -254,7 +261,8 @@
         Effect::new(kind, line).reacting(sent)
     }
 
-    fn wake(&mut self, at: u64, wake: Wake) -> Effect {
+    fn wake(&mut self, at: Timestamp, wake: Wake) -> Effect {
+        let at = at.as_micros();
         let what = match wake {
             Wake::Mind(Mind::Module, token) => format!("module token={token}"),
             Wake::Mind(Mind::Follow, token) => format!("follower token={token}"),
@@ -355,7 +363,7 @@
         kind: line.kind,
         weight: line.weight,
         state,
-        started: line.started,
+        started: Timestamp::from_micros(line.started),
         in_place_of: None,
     };
     Member { entry, uid: line.uid, addr: line.port.map(address) }
@@ -365,6 +373,10 @@
     value.map_or_else(|| "-".to_string(), |value| value.to_string())
 }
 
+fn micros(span: Option<Duration>) -> String {
+    optional(span.map(whole_micros))
+}
+
 fn attempt_words(attempt: AttemptId) -> String {
     format!("request={} attempt={}", attempt.request, attempt.number)
 }
@@ -413,7 +425,7 @@
         tried.host,
         tried.source.as_deref().unwrap_or("-"),
         status_word(tried.status),
-        tried.took
+        whole_micros(tried.took)
     );
     Effect::new("tried", line)
 }
@@ -440,9 +452,9 @@
         "request={} {} arrived={} budget={} took={} why={why} bytes={} attempts={} host={} source={}",
         ended.request,
         wanted_words(&ended.wanted),
-        ended.arrived,
-        ended.budget,
-        ended.took,
+        ended.arrived.as_micros(),
+        whole_micros(ended.budget),
+        whole_micros(ended.took),
         ended.bytes,
         ended.attempts,
         ended.host.as_deref().unwrap_or("-"),
@@ -455,9 +467,16 @@
     let member = |line: &legacy::Line| {
         let address = optional(line.addr);
         let place = format!("{}/{}/{}", line.zone, line.kind, line.cell);
-        format!("{} {address} {place} {} {} {}", line.uid, line.weight, line.draining, line.started)
+        format!(
+            "{} {address} {place} {} {} {}",
+            line.uid,
+            line.weight,
+            line.draining,
+            line.started.as_micros()
+        )
     };
-    let once = |filing: &legacy::Filing| format!("{} {} {}", filing.0, filing.1, optional(filing.2));
+    let once =
+        |filing: &legacy::Filing| format!("{} {} {}", filing.0, filing.1.as_micros(), optional(filing.2));
     let members: Vec<String> = legacy.members.iter().map(member).collect();
     let known: Vec<String> = legacy.filings.iter().map(once).collect();
     let later: Vec<String> = later.iter().map(once).collect();
