--- a/crates/hollymux/tests/handover_bytes.rs
+++ b/crates/hollymux/tests/handover_bytes.rs
@@ -220,12 +220,15 @@
 
 impl Bed {
     fn new() -> Bed {
+        // A port of the system's choice that is free again by now.
+        Bed::at(TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap())
+    }
+
+    fn at(addr: SocketAddr) -> Bed {
         let feed = Feed::start();
         let data = Does::Data(b"some bytes".to_vec());
         let endpoints = [data.clone(), data.clone(), data].map(Shelf::start);
         feed.members(true, &listed(&endpoints));
-        // A port of the system's choice that is free again by now.
-        let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let folder = file("nothing", "").parent().unwrap().to_path_buf();
         Bed { feed, endpoints, addr, folder }
     }
@@ -306,8 +309,8 @@
     }
 }
 
-/// Has a program serve, and takes over from it: all frames that it sends meanwhile, with a drain, two purges, and
-/// requests that may not be repeated from before, during and after.
+/// Has a program serve, and takes over from it: all frames that it sends meanwhile, with a drain, two purges, a
+/// cold endpoint, and requests that may not be repeated from before, during and after.
 fn captured() -> Vec<(u8, Vec<u8>)> {
     let bed = Bed::new();
     let node = bed.start();
@@ -321,6 +324,11 @@
     let mut client = Client::connect(bed.addr);
     assert_eq!(client.get(1, "docs", 0xd1, 9), "1 good ver=d1 some bytes");
     assert_eq!(client.get(2, "cert-filing", 0xf1, 9), "2 good ver=d1 some bytes");
+    // One that has started late is cold.
+    let cold = Shelf::start(Does::Data(b"some bytes".to_vec()));
+    let late = started("s-c", cold.addr, "std", "ready", unix_ms());
+    bed.feed.members(false, &[late]);
+    wait_for_metric(&node, "registry_entries", 4);
     let mut socket = until("a meeting", || UnixStream::connect(bed.meeting()).ok());
     socket.set_read_timeout(Some(LONG)).unwrap();
     let mut given = None;
@@ -398,8 +406,12 @@
 }
 
 /// A program that has taken over from the fixture, and the call that it did so by.
-fn successor(bed: &Bed) -> (Node, UnixStream) {
-    let listener = TcpListener::bind(bed.addr).unwrap();
+fn successor(feed_is_silent: bool) -> (Bed, Node, UnixStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let bed = Bed::at(listener.local_addr().unwrap());
+    if feed_is_silent {
+        bed.feed.fail(1, usize::MAX);
+    }
     // As a serving program's is; the two processes share that state of the socket.
     listener.set_nonblocking(true).unwrap();
     let meeting = UnixListener::bind(bed.meeting()).unwrap();
@@ -407,15 +419,14 @@
     let node = bed.start();
     let socket = old.join().unwrap();
     wait_until_ready(&node);
-    (node, socket)
+    (bed, node, socket)
 }
 
 /// Guards against a version that can't read what an earlier one hands over. The feed is behind: it lists s-a as ready,
 /// which the fixture says to be draining.
 #[test]
 fn a_program_takes_over_from_the_frames_of_an_earlier_one() {
-    let bed = Bed::new();
-    let (node, _old) = successor(&bed);
+    let (bed, node, _old) = successor(false);
     wait_for_metric(&node, "registry_entries", 3);
     let mut client = Client::connect(bed.addr);
     for tag in 1..40 {
@@ -433,10 +444,8 @@
 /// Guards against members and an identity in the fleet that are not read: the feed says nothing.
 #[test]
 fn members_and_the_identity_in_the_fleet_are_read_from_the_frames() {
-    let bed = Bed::new();
-    bed.feed.fail(1, usize::MAX);
-    let (node, _old) = successor(&bed);
-    assert_eq!(metric(&node, "registry_entries"), Some(3));
+    let (_bed, node, _old) = successor(true);
+    assert_eq!(metric(&node, "registry_entries"), Some(4));
     assert_eq!(metric(&node, "out_of_rotation"), Some(1));
     let (status, text) = call(door(&node), "GET /status/fleet");
     assert_eq!(status, 200);
