--- a/crates/hollymux/tests/handover_bytes.rs
+++ b/crates/hollymux/tests/handover_bytes.rs
@@ -220,8 +220,10 @@
 
 impl Bed {
     fn new() -> Bed {
-        // A port of the system's choice that is free again by now.
-        Bed::at(TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap())
+        // A port that is free again by now, at a loopback address of this process: no other test takes it meanwhile.
+        let [.., high, low] = std::process::id().to_be_bytes();
+        let own = Ipv4Addr::new(127, 77, high, low.max(1));
+        Bed::at(TcpListener::bind((own, 0)).unwrap().local_addr().unwrap())
     }
 
     fn at(addr: SocketAddr) -> Bed {
