--- a/crates/record/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -9,9 +9,9 @@
 pub use read::{load, read, Loss, ReadError, Recording, Row};
 pub use write::{Recorder, Sink};
 
-use hollymux_core::{Closed, Ended, Member, Why};
-use hollymux_decide::time::whole_micros;
-use hollymux_decide::{Effect, HostState, Settings, Status};
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::{AttemptStatus, EndpointState, Idempotency, Settings};
+use hollymux_router::{ListedEndpoint, RequestResult, RequestSummary, ResultReason};
 use serde::{Deserialize, Serialize};
 
 /// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
@@ -85,18 +85,18 @@
 impl Head {
     /// The head of a router's recording.
     pub fn new(router: &str, zones: &[String], kinds: &[String], classes: &[String], s: &Settings) -> Head {
-        let class = |(name, c): (&String, &hollymux_decide::Class)| ClassHead {
+        let class = |(name, c): (&String, &hollymux_decision::RequestClass)| ClassHead {
             name: name.clone(),
-            aim: whole_micros(c.aim),
-            aim_stretch: c.aim_stretch,
+            aim: whole_micros(c.latency_objective),
+            aim_stretch: c.latency_objective_stretch,
             deadline: whole_micros(c.deadline),
-            worth: c.worth,
-            late_worth: c.late_worth,
+            worth: c.priority_weight,
+            late_worth: c.late_weight,
             write: c.write,
-            repeats: c.effect == Effect::Safe,
+            repeats: c.idempotency == Idempotency::Idempotent,
             fresh: whole_micros(c.fresh),
             grace: whole_micros(c.grace),
-            stale_worth: c.stale_worth,
+            stale_worth: c.stale_weight,
         };
         Head {
             router: router.to_string(),
@@ -107,7 +107,7 @@
             library_kind: s.origin_kind,
             zones: zones.to_vec(),
             flow_bytes_per_s: s.flow_kb_per_s * 1_000.0,
-            routers: s.dispatchers,
+            routers: s.router_count,
             began: 0,
         }
     }
@@ -196,30 +196,32 @@
 
 impl Request {
     /// A closed request, with the names of its box and source as given.
-    pub fn new(e: &Ended, host: Option<u32>, source: Option<u32>) -> Request {
+    pub fn new(e: &RequestSummary, host: Option<u32>, source: Option<u32>) -> Request {
         let end = match e.result {
-            Closed::Served => End::Served,
-            Closed::Unchanged => End::Unchanged,
-            Closed::Refused => End::Refused,
-            Closed::Failed => End::Failed,
-            Closed::Withdrawn => End::Withdrawn,
-            Closed::Named => End::Named,
+            RequestResult::Served => End::Served,
+            RequestResult::NotModified => End::Unchanged,
+            RequestResult::Rejected => End::Refused,
+            RequestResult::Failed => End::Failed,
+            RequestResult::Cancelled => End::Withdrawn,
+            RequestResult::Named => End::Named,
         };
         let reason = match e.why {
-            Why::Asked => Reason::None,
-            Why::NoRoom => Reason::NoRoom,
-            Why::Unusable => Reason::Unusable,
-            Why::MayHaveRun => Reason::MayHaveRun,
-            Why::NoHost => Reason::NoHost,
-            Why::Crowded => Reason::Crowded,
-            Why::Host(Status::Miss) => Reason::Missed,
-            Why::Host(Status::Full) => Reason::Full,
-            Why::Host(Status::Moot) => Reason::Unsent,
-            Why::Host(Status::ConnectFailed | Status::Unreached) => Reason::Unreached,
-            Why::Host(Status::Error | Status::Ok) => Reason::Error,
-            Why::Host(Status::Timeout) => Reason::Silent,
-            Why::Host(Status::Reset) => Reason::Broken,
-            Why::Host(Status::Cancelled) => Reason::GivenUp,
+            ResultReason::Completed => Reason::None,
+            ResultReason::TableFull => Reason::NoRoom,
+            ResultReason::InvalidRequest => Reason::Unusable,
+            ResultReason::MayHaveRun => Reason::MayHaveRun,
+            ResultReason::NoEndpoint => Reason::NoHost,
+            ResultReason::Overloaded => Reason::Crowded,
+            ResultReason::Attempt(AttemptStatus::Miss) => Reason::Missed,
+            ResultReason::Attempt(AttemptStatus::Full) => Reason::Full,
+            ResultReason::Attempt(AttemptStatus::Moot) => Reason::Unsent,
+            ResultReason::Attempt(AttemptStatus::ConnectFailed | AttemptStatus::Unreached) => {
+                Reason::Unreached
+            }
+            ResultReason::Attempt(AttemptStatus::Error | AttemptStatus::Ok) => Reason::Error,
+            ResultReason::Attempt(AttemptStatus::Timeout) => Reason::Silent,
+            ResultReason::Attempt(AttemptStatus::Reset) => Reason::Broken,
+            ResultReason::Attempt(AttemptStatus::Cancelled) => Reason::GivenUp,
         };
         Request {
             arrived: e.arrived.as_micros(),
@@ -260,11 +262,11 @@
 
 impl MemberLine {
     /// A line, with the name as given.
-    pub fn new(at: Time, m: &Member, name: u32) -> MemberLine {
+    pub fn new(at: Time, m: &ListedEndpoint, name: u32) -> MemberLine {
         let state = match m.entry.state {
-            HostState::Ready => 0,
-            HostState::Draining => 1,
-            HostState::Gone => 2,
+            EndpointState::Ready => 0,
+            EndpointState::Draining => 1,
+            EndpointState::Gone => 2,
         };
         let e = &m.entry;
         MemberLine {
--- a/crates/record/src/write.rs
+++ b/crates/capture/src/write.rs
@@ -5,7 +5,7 @@
 use crate::{
     Block, Entry, Head, MemberLine, PurgeLine, Request, BLOCK_MOST, ENTRIES_MOST, MAGIC, MARK, VERSION,
 };
-use hollymux_core::{Ended, Member};
+use hollymux_router::{ListedEndpoint, RequestSummary};
 use std::collections::HashMap;
 use std::fs::File;
 use std::io::{self, Write};
@@ -174,14 +174,14 @@
     }
 
     /// Records a closed request.
-    pub fn request(&mut self, ended: &Ended) {
-        let host = ended.host.as_deref().and_then(|n| self.name(n));
+    pub fn request(&mut self, ended: &RequestSummary) {
+        let host = ended.endpoint.as_deref().and_then(|n| self.name(n));
         let source = ended.source.as_deref().and_then(|n| self.name(n));
         self.entry(Entry::Request(Request::new(ended, host, source)));
     }
 
     /// Records members as they were told.
-    pub fn members(&mut self, now: Time, lines: &[Member]) {
+    pub fn members(&mut self, now: Time, lines: &[ListedEndpoint]) {
         for m in lines {
             match self.name(&m.uid) {
                 Some(name) => self.entry(Entry::Member(MemberLine::new(now, m, name))),
--- a/crates/record/tests/record.rs
+++ b/crates/capture/tests/record.rs
@@ -1,16 +1,16 @@
 //! Recordings: what is written is read again, and damage costs what it touches and no more.
 
-use hollymux_core::{Closed, Ended, Member, Wanted, Why};
-use hollymux_decide::{Effect, HostEntry, HostId, HostState, Settings, Timestamp};
-use hollymux_record::*;
+use hollymux_capture::*;
+use hollymux_decision::{EndpointEntry, EndpointId, EndpointState, Idempotency, Settings, Timestamp};
+use hollymux_router::{ListedEndpoint, RequestResult, RequestSummary, RequestedObject, ResultReason};
 use proptest::prelude::*;
 use std::path::PathBuf;
 use std::time::Duration;
 
 fn head(router: &str) -> Head {
-    let class = hollymux_decide::Class {
-        aim: Duration::from_millis(250),
-        effect: Effect::Safe,
+    let class = hollymux_decision::RequestClass {
+        latency_objective: Duration::from_millis(250),
+        idempotency: Idempotency::Idempotent,
         ..Default::default()
     };
     let s =
@@ -18,25 +18,30 @@
     Head::new(router, &["cairo".into()], &["box".into(), "hub".into()], &["docs".into()], &s)
 }
 
-fn ended(n: u64, host: &str) -> Ended {
-    Ended {
+fn ended(n: u64, host: &str) -> RequestSummary {
+    RequestSummary {
         request: n as u32,
-        wanted: Wanted { class: 0, object: n * 7, part: n as u32 % 5, group: 3, rid: Some(n) },
+        wanted: RequestedObject { class: 0, object: n * 7, part: n as u32 % 5, group: 3, rid: Some(n) },
         arrived: Timestamp::from_micros(1_000_000 + n * 1_000),
         budget: Duration::from_millis(2_500),
         took: Duration::from_micros(40_000 + n),
-        result: if n.is_multiple_of(9) { Closed::Refused } else { Closed::Served },
-        why: if n.is_multiple_of(9) { Why::NoHost } else { Why::Asked },
+        result: if n.is_multiple_of(9) { RequestResult::Rejected } else { RequestResult::Served },
+        why: if n.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
         bytes: n * 3,
         attempts: 1,
-        host: Some(host.into()),
+        endpoint: Some(host.into()),
         source: n.is_multiple_of(2).then(|| "s-hub".into()),
     }
 }
 
-fn member(uid: &str) -> Member {
-    let entry = HostEntry { id: HostId(9), state: HostState::Draining, weight: 8.0, ..Default::default() };
-    Member { entry, uid: uid.to_string(), addr: None }
+fn member(uid: &str) -> ListedEndpoint {
+    let entry = EndpointEntry {
+        id: EndpointId(9),
+        state: EndpointState::Draining,
+        weight: 8.0,
+        ..Default::default()
+    };
+    ListedEndpoint { entry, uid: uid.to_string(), addr: None }
 }
 
 /// A folder with a recording of so many requests, in files of so many bytes.
--- a/crates/fleet/src/limits/book.rs
+++ b/crates/cluster/src/limits/ledger.rs
@@ -5,7 +5,7 @@
 //! clock. What is lost on the way is void until then; what comes twice is the same lot.
 
 use super::message::GIFTS_MOST;
-use super::{Holder, Terms, WHOLE};
+use super::{LeaseHolder, LeaseTimings, WHOLE};
 use crate::Time;
 use std::collections::BTreeMap;
 
@@ -24,8 +24,8 @@
 
 /// Parts that another router has, for a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Lent {
-    to: Holder,
+struct LentQuota {
+    to: LeaseHolder,
     parts: u32,
     /// Until then the taker may use it, by whichever clock; a window later it is here again.
     until: Time,
@@ -33,7 +33,7 @@
 
 /// What is told to a taker: the lot, what it holds from now on, and for how long from when he asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub(crate) struct Gift {
+pub(crate) struct LeaseTransfer {
     pub(crate) lot: u64,
     pub(crate) parts: u32,
     pub(crate) long: Time,
@@ -41,16 +41,16 @@
 
 /// The account of one limit at one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Book {
-    held: BTreeMap<(Holder, u64), Held>,
-    lent: BTreeMap<u64, Lent>,
+pub(crate) struct LeaseLedger {
+    held: BTreeMap<(LeaseHolder, u64), Held>,
+    lent: BTreeMap<u64, LentQuota>,
     /// What a lot held beyond what it was renewed with: as good as lent until it ends.
     fading: Vec<(u32, Time)>,
 }
 
-impl Book {
+impl LeaseLedger {
     /// Forgets what has ended.
-    pub(crate) fn expire(&mut self, now: Time, terms: &Terms) {
+    pub(crate) fn expire(&mut self, now: Time, terms: &LeaseTimings) {
         self.held.retain(|_, h| h.ends > now);
         self.lent.retain(|_, l| l.until + terms.tail() > now);
         self.fading.retain(|f| f.1 + terms.tail() > now);
@@ -67,7 +67,7 @@
     }
 
     /// Parts that others may use, or have used within the window before that time.
-    pub(crate) fn lent(&self, at: Time, terms: &Terms) -> u32 {
+    pub(crate) fn lent(&self, at: Time, terms: &LeaseTimings) -> u32 {
         self.out().filter(|l| l.1 + terms.tail() > at).fold(0, |sum, l| sum.saturating_add(l.0))
     }
 
@@ -77,13 +77,13 @@
     }
 
     /// Parts that one other router may use now.
-    pub(crate) fn lent_to(&self, to: &Holder, now: Time) -> u32 {
+    pub(crate) fn lent_to(&self, to: &LeaseHolder, now: Time) -> u32 {
         let live = self.lent.values().filter(|l| l.to == *to && l.until > now);
         live.fold(0, |sum, l| sum.saturating_add(l.parts))
     }
 
     /// Parts that may be used here at that time.
-    pub(crate) fn has(&self, at: Time, home: u32, terms: &Terms) -> u32 {
+    pub(crate) fn has(&self, at: Time, home: u32, terms: &LeaseTimings) -> u32 {
         home.saturating_add(self.held(at)).saturating_sub(self.lent(at, terms))
     }
 
@@ -93,13 +93,13 @@
     }
 
     /// When the next lot that was given is back.
-    pub(crate) fn back(&self, now: Time, terms: &Terms) -> Option<Time> {
+    pub(crate) fn back(&self, now: Time, terms: &LeaseTimings) -> Option<Time> {
         self.out().map(|l| l.1 + terms.tail()).filter(|b| *b > now).min()
     }
 
     /// Takes a lot. `ends` is counted from when its giver was asked, by the own clock, so it is over here before it is
     /// over there. The same lot again is longer, never more.
-    pub(crate) fn take(&mut self, now: Time, from: Holder, gift: &Gift, ends: Time) {
+    pub(crate) fn take(&mut self, now: Time, from: LeaseHolder, gift: &LeaseTransfer, ends: Time) {
         let room = self.held.len() < LOTS_MOST || self.held.contains_key(&(from, gift.lot));
         if ends <= now || gift.parts == 0 || gift.parts > WHOLE || !room {
             return;
@@ -114,14 +114,14 @@
     pub(crate) fn give(
         &mut self,
         now: Time,
-        to: Holder,
+        to: LeaseHolder,
         target: u32,
         long: Time,
         home: u32,
         used: u32,
-        terms: &Terms,
+        terms: &LeaseTimings,
         next: &mut u64,
-    ) -> Vec<Gift> {
+    ) -> Vec<LeaseTransfer> {
         self.expire(now, terms);
         let until = now + terms.held_back(long);
         let mut gifts = Vec::new();
@@ -146,8 +146,8 @@
             if parts < old.parts {
                 self.fading.push((old.parts - parts, old.until));
             }
-            self.lent.insert(lot, Lent { to, parts, until: until.max(old.until) });
-            gifts.push(Gift { lot, parts, long });
+            self.lent.insert(lot, LentQuota { to, parts, until: until.max(old.until) });
+            gifts.push(LeaseTransfer { lot, parts, long });
             total += parts;
         }
         let unused = self.has(now, home, terms).saturating_sub(used);
@@ -156,8 +156,8 @@
         let worth_it = parts >= LEAST.max(target / 16) && gifts.len() < GIFTS_MOST;
         if worth_it && self.lent.len() + self.fading.len() < LOTS_MOST {
             *next += 1;
-            self.lent.insert(*next, Lent { to, parts, until });
-            gifts.push(Gift { lot: *next, parts, long });
+            self.lent.insert(*next, LentQuota { to, parts, until });
+            gifts.push(LeaseTransfer { lot: *next, parts, long });
         }
         gifts
     }
@@ -179,15 +179,15 @@
     use crate::{MS, SEC};
     use std::net::SocketAddr;
 
-    fn holder(n: u8) -> Holder {
-        Holder(SocketAddr::from(([10, 0, 0, n], 7_946)), u64::from(n))
+    fn holder(n: u8) -> LeaseHolder {
+        LeaseHolder(SocketAddr::from(([10, 0, 0, n], 7_946)), u64::from(n))
     }
 
     /// Guards against a lease that ends later by the taker's slow clock than by the giver's fast one.
     #[test]
     fn a_part_is_back_a_window_after_the_slowest_clock_has_ended_it() {
-        let terms = Terms::default();
-        let (mut giver, mut taker) = (Book::default(), Book::default());
+        let terms = LeaseTimings::default();
+        let (mut giver, mut taker) = (LeaseLedger::default(), LeaseLedger::default());
         let gifts = giver.give(0, holder(2), WHOLE / 2, terms.lease, WHOLE, 0, &terms, &mut 0);
         assert_eq!(gifts.len(), 1);
         taker.take(0, holder(1), &gifts[0], terms.lease);
@@ -202,9 +202,9 @@
     /// Guards against a broker that passes on for longer what it has for a while.
     #[test]
     fn what_is_passed_on_ends_before_what_was_passed() {
-        let terms = Terms::default();
-        let mut broker = Book::default();
-        broker.take(0, holder(1), &Gift { lot: 1, parts: WHOLE / 2, long: SEC }, SEC);
+        let terms = LeaseTimings::default();
+        let mut broker = LeaseLedger::default();
+        broker.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE / 2, long: SEC }, SEC);
         assert!(broker.give(0, holder(3), WHOLE, SEC, 0, 0, &terms, &mut 0).is_empty());
         let gifts = broker.give(0, holder(3), WHOLE, 900 * MS, 0, 0, &terms, &mut 0);
         assert_eq!(gifts.iter().map(|g| g.parts).sum::<u32>(), WHOLE / 2);
@@ -216,8 +216,8 @@
     /// Guards against a lot that is counted twice, or that grows or lives on by an older word.
     #[test]
     fn a_lot_that_comes_twice_or_late_is_the_same_lot_or_none() {
-        let mut book = Book::default();
-        let gift = |parts| Gift { lot: 9, parts, long: SEC };
+        let mut book = LeaseLedger::default();
+        let gift = |parts| LeaseTransfer { lot: 9, parts, long: SEC };
         book.take(0, holder(1), &gift(1_000), SEC);
         book.take(10, holder(1), &gift(1_000), SEC);
         assert_eq!(book.held(20), 1_000);
@@ -231,12 +231,12 @@
     /// Guards against tables that grow with what others send.
     #[test]
     fn lots_are_bounded() {
-        let mut book = Book::default();
+        let mut book = LeaseLedger::default();
         for lot in 0..10_000 {
-            book.take(0, holder(1), &Gift { lot, parts: 1, long: SEC }, SEC);
+            book.take(0, holder(1), &LeaseTransfer { lot, parts: 1, long: SEC }, SEC);
         }
         assert_eq!(book.held(1), LOTS_MOST as u32);
-        book.take(0, holder(1), &Gift { lot: 1, parts: WHOLE + 1, long: SEC }, SEC);
+        book.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE + 1, long: SEC }, SEC);
         assert_eq!(book.held(1), LOTS_MOST as u32);
     }
 }
--- a/crates/fleet/src/limits/message.rs
+++ b/crates/cluster/src/limits/message.rs
@@ -1,7 +1,7 @@
 //! Words on limits between two routers: a version, a head, what is wanted and given of each limit, a checksum. Lengths
 //! are bounded before anything is read; a datagram that is not understood whole is none.
 
-use super::book::Gift;
+use super::ledger::LeaseTransfer;
 use crate::envelope::{self, Unread};
 use crate::Time;
 use serde::{Deserialize, Serialize};
@@ -37,17 +37,17 @@
 
 /// One limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Item {
+pub(crate) struct LimitEntry {
     pub(crate) limit: u64,
     /// Parts that the sender would have from the receiver in all.
     pub(crate) want: u32,
     /// What one request takes of it: less is of no use to the sender.
     pub(crate) unit: u32,
-    pub(crate) gifts: Vec<Gift>,
+    pub(crate) gifts: Vec<LeaseTransfer>,
 }
 
 /// Writes a word.
-pub(crate) fn write(head: &Head, items: &[Item]) -> Vec<u8> {
+pub(crate) fn write(head: &Head, items: &[LimitEntry]) -> Vec<u8> {
     debug_assert!(items.len() <= ITEMS_MOST && items.iter().all(|i| i.gifts.len() <= GIFTS_MOST));
     envelope::seal(VERSION, |bytes| {
         bytes.extend(postcard::to_stdvec(&(head, items)).unwrap_or_default());
@@ -55,10 +55,10 @@
 }
 
 /// Reads a word of this fleet.
-pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<Item>), Unread> {
+pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<LimitEntry>), Unread> {
     let text = envelope::open(VERSION, bytes)?;
     let ((head, items), rest) =
-        postcard::take_from_bytes::<(Head, Vec<Item>)>(text).map_err(|_| Unread::Fields)?;
+        postcard::take_from_bytes::<(Head, Vec<LimitEntry>)>(text).map_err(|_| Unread::Fields)?;
     let bounded = items.len() <= ITEMS_MOST && items.iter().all(|i| i.gifts.len() <= GIFTS_MOST);
     if !rest.is_empty() || !bounded {
         return Err(Unread::Fields);
--- a/crates/fleet/src/limits/mod.rs
+++ b/crates/cluster/src/limits/mod.rs
@@ -10,15 +10,15 @@
 //! Who has too much and who too little meet at a *broker*, by rendezvous hash over those who can be reached. A broker has
 //! no authority: two of them are two markets, and what each has was counted out elsewhere.
 
-mod book;
+mod ledger;
 mod message;
 
 use crate::envelope::{fleet_hash, DATAGRAM_MOST};
-use crate::view::{Rank, View};
+use crate::view::{Membership, Rank};
 use crate::{Time, MS};
-use book::Book;
-use hollymux_decide::{ColdDemand, HostId, Part, Sharers, Timestamp};
-use message::{Head, Item, ITEMS_MOST};
+use hollymux_decision::{EndpointId, QuotaScope, QuotaShare, Timestamp, WarmUpDemand};
+use ledger::LeaseLedger;
+use message::{Head, LimitEntry, ITEMS_MOST};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -40,11 +40,11 @@
 
 /// A router in one of its lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Holder(pub SocketAddr, pub u64);
+pub struct LeaseHolder(pub SocketAddr, pub u64);
 
 /// Times that the bounds follow from. Every one has its reason in `docs/fleet-limits.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTimings {
     /// A lot is given for so long, from when its taker asked.
     pub lease: Time,
     /// What a broker gives on is given for so long.
@@ -57,13 +57,13 @@
     pub drift: Time,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { lease: 2_500 * MS, onward: 1_200 * MS, turn: 400 * MS, window: 1_500 * MS, drift: 10 }
+impl Default for LeaseTimings {
+    fn default() -> LeaseTimings {
+        LeaseTimings { lease: 2_500 * MS, onward: 1_200 * MS, turn: 400 * MS, window: 1_500 * MS, drift: 10 }
     }
 }
 
-impl Terms {
+impl LeaseTimings {
     /// How long a giver holds back what it gave for so long. By true time the taker's end comes `long / (1 - drift)`
     /// after it asked at the latest, and the giver, which was asked later, counts at most `1 + drift` times as much.
     pub fn held_back(&self, long: Time) -> Time {
@@ -93,7 +93,7 @@
 }
 
 /// Everybody else who may be at work by a view, and how many it had no room for.
-pub fn members(view: &View) -> (Vec<Member>, u32) {
+pub fn members(view: &Membership) -> (Vec<Member>, u32) {
     let zone = &view.own().1.zone;
     let deaf = view.deaf();
     let others = view.others().filter(|s| s.record.rank != Rank::Left);
@@ -130,13 +130,13 @@
 /// A limit that is in use here.
 #[derive(Clone, Debug)]
 struct Limit {
-    sharers: Sharers,
+    sharers: QuotaScope,
     used: u32,
     /// Wanted at most lately, as of when; it fades.
     wanted: (u32, Time),
     /// What one request takes: less is of no use.
     unit: u32,
-    book: Book,
+    book: LeaseLedger,
     /// It is asked for here at present.
     asked: bool,
     /// All of the home is at the broker.
@@ -161,11 +161,11 @@
 
 /// What a limit stands at, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct LeaseStatus {
     /// The limit, and who shares it.
     pub limit: u64,
     /// See `limit`.
-    pub sharers: Sharers,
+    pub sharers: QuotaScope,
     /// Parts that may be used here now.
     pub has: u32,
     /// The own even share, what is held from others, and what others have or had within a window.
@@ -217,7 +217,7 @@
     /// Routers that are configured, in all and in the own office: nobody divides by fewer.
     pub configured: (u32, u32),
     /// Times.
-    pub terms: Terms,
+    pub terms: LeaseTimings,
 }
 
 /// One router's parts of the fleet's limits.
@@ -318,17 +318,17 @@
     }
 
     /// What is asked for here now, in place of what was before.
-    pub fn demand(&mut self, now: Time, demands: &[ColdDemand]) {
+    pub fn demand(&mut self, now: Time, demands: &[WarmUpDemand]) {
         self.pass(now);
         self.limits.values_mut().for_each(|l| (l.asked, l.used) = (false, 0));
         let parts = |f: f64| (f.clamp(0.0, 1.0) * f64::from(WHOLE)).ceil() as u32;
         for d in demands.iter().take(LIMITS_MOST) {
-            let l = self.limits.entry(d.host.0).or_insert_with(|| Limit {
+            let l = self.limits.entry(d.endpoint.0).or_insert_with(|| Limit {
                 sharers: d.sharers,
                 used: 0,
                 wanted: (0, now),
                 unit: 1,
-                book: Book::default(),
+                book: LeaseLedger::default(),
                 asked: true,
                 pooled: false,
             });
@@ -385,20 +385,18 @@
     }
 
     /// What may be used of a limit here; the own even share if nothing was asked for yet.
-    pub fn part(&self, now: Time, limit: u64, sharers: Sharers) -> Part {
+    pub fn part(&self, now: Time, limit: u64, sharers: QuotaScope) -> QuotaShare {
         let part = |parts: u32| f64::from(parts) / f64::from(WHOLE);
         let home = self.home(sharers);
         let Some(l) = self.limits.get(&limit).filter(|_| !self.stopped) else {
-            return Part { now: part(home), until: Timestamp::MAX, after: part(home) };
+            return QuotaShare { now: part(home), until: Timestamp::MAX, after: part(home) };
         };
         let terms = &self.setup.terms;
         let has = part(l.book.has(now, home, terms));
         // When the first lot ends, all of them count as ended: the next word says more.
         let after = part(home.saturating_sub(l.book.lent(now, terms)));
-        l.book.ends(now).map_or(Part { now: has, until: Timestamp::MAX, after: has }, |until| Part {
-            now: has,
-            until: Timestamp::from_micros(until),
-            after,
+        l.book.ends(now).map_or(QuotaShare { now: has, until: Timestamp::MAX, after: has }, |until| {
+            QuotaShare { now: has, until: Timestamp::from_micros(until), after }
         })
     }
 
@@ -408,7 +406,7 @@
     }
 
     /// Times.
-    pub fn terms(&self) -> &Terms {
+    pub fn terms(&self) -> &LeaseTimings {
         &self.setup.terms
     }
 
@@ -419,9 +417,9 @@
     }
 
     /// Limits that are asked for, or of which something is held or lent.
-    pub fn standings(&self) -> Vec<Standing> {
+    pub fn standings(&self) -> Vec<LeaseStatus> {
         let terms = &self.setup.terms;
-        let one = |(id, l): (&u64, &Limit)| Standing {
+        let one = |(id, l): (&u64, &Limit)| LeaseStatus {
             limit: *id,
             sharers: l.sharers,
             has: l.book.has(self.now, self.home(l.sharers), terms),
@@ -439,9 +437,9 @@
 
     /// What the decision module is told: the own share of a limit that all share, and of one of the office, as parts of
     /// the whole; and what is said of each limit that is in use.
-    pub fn use_at(&self, now: Time) -> ((f64, f64), BTreeMap<HostId, Part>) {
+    pub fn use_at(&self, now: Time) -> ((f64, f64), BTreeMap<EndpointId, QuotaShare>) {
         let share = |among: u32| if self.open { 1.0 / f64::from(among) } else { 0.0 };
-        let parts = self.limits.iter().map(|(id, l)| (HostId(*id), self.part(now, *id, l.sharers)));
+        let parts = self.limits.iter().map(|(id, l)| (EndpointId(*id), self.part(now, *id, l.sharers)));
         ((share(self.among.0), share(self.among.1)), parts.collect())
     }
 
@@ -467,12 +465,12 @@
     }
 
     /// Parts of a limit that are this router's own.
-    fn home(&self, sharers: Sharers) -> u32 {
+    fn home(&self, sharers: QuotaScope) -> u32 {
         match sharers {
             _ if !self.open => 0,
-            Sharers::All => WHOLE / self.among.0,
-            Sharers::Zone => WHOLE / self.among.1,
-            Sharers::Elsewhere => 0,
+            QuotaScope::All => WHOLE / self.among.0,
+            QuotaScope::Zone => WHOLE / self.among.1,
+            QuotaScope::Elsewhere => 0,
         }
     }
 
@@ -513,7 +511,7 @@
 
     // ---- words ----
 
-    fn say(&mut self, to: SocketAddr, items: Vec<Item>, answer: bool) {
+    fn say(&mut self, to: SocketAddr, items: Vec<LimitEntry>, answer: bool) {
         let Some(peer) = self.peers.get(&to) else { return };
         let head = Head {
             fleet: self.fleet,
@@ -536,7 +534,7 @@
         }
     }
 
-    fn on_word(&mut self, head: &Head, items: &[Item]) {
+    fn on_word(&mut self, head: &Head, items: &[LimitEntry]) {
         let me = self.setup.life;
         let now = self.now;
         let Some(peer) = self.peers.get_mut(&head.from) else { return self.counts.stale += 1 };
@@ -552,7 +550,7 @@
         peer.uses = head.open;
         peer.counts = head.counts;
         peer.knew |= head.knew;
-        let from = Holder(head.from, head.start);
+        let from = LeaseHolder(head.from, head.start);
         for item in items {
             if head.to == me {
                 self.take(from, item, head.echo);
@@ -571,10 +569,10 @@
     }
 
     /// Takes what is given, for so long from when this router's word was sent that it answers.
-    fn take(&mut self, from: Holder, item: &Item, asked: Time) {
+    fn take(&mut self, from: LeaseHolder, item: &LimitEntry, asked: Time) {
         let now = self.now;
         // What nobody asks for here would only lie about.
-        let Some(l) = self.limits.get_mut(&item.limit).filter(|l| l.sharers != Sharers::Elsewhere) else {
+        let Some(l) = self.limits.get_mut(&item.limit).filter(|l| l.sharers != QuotaScope::Elsewhere) else {
             return;
         };
         for gift in &item.gifts {
@@ -591,9 +589,9 @@
     // ---- who gets what ----
 
     /// Where too much and too little of a limit meet, if not here.
-    fn broker(&self, limit: u64, sharers: Sharers) -> Option<SocketAddr> {
+    fn broker(&self, limit: u64, sharers: QuotaScope) -> Option<SocketAddr> {
         let draw = |a: &SocketAddr| (xxh3_64_with_seed(a.to_string().as_bytes(), limit), *a);
-        let fits = |p: &Peer| p.reachable && (sharers != Sharers::Zone || p.here);
+        let fits = |p: &Peer| p.reachable && (sharers != QuotaScope::Zone || p.here);
         let others = self.peers.iter().filter(|(_, p)| fits(p)).map(|(a, _)| *a);
         let best = others.chain([self.setup.addr]).max_by_key(draw)?;
         Some(best).filter(|b| *b != self.setup.addr)
@@ -601,11 +599,11 @@
 
     /// Tells each broker what is wanted, and gives it what is not.
     fn deal(&mut self) {
-        let mut words: BTreeMap<SocketAddr, Vec<Item>> = BTreeMap::new();
+        let mut words: BTreeMap<SocketAddr, Vec<LimitEntry>> = BTreeMap::new();
         let ids: Vec<u64> = self
             .limits
             .iter()
-            .filter(|(_, l)| l.asked && l.sharers != Sharers::Elsewhere)
+            .filter(|(_, l)| l.asked && l.sharers != QuotaScope::Elsewhere)
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
@@ -625,7 +623,7 @@
             let (mut spare, unit) = (home - keep, l.unit);
             // What is lent stays lent as long as it is not needed; more is lent when it is worth the words.
             let Some(peer) = self.peers.get(&broker) else { continue };
-            let to = Holder(broker, peer.life);
+            let to = LeaseHolder(broker, peer.life);
             let lent = l.book.lent_to(&to, self.now);
             if spare > lent && spare - lent < home / 16 {
                 spare = lent;
@@ -636,7 +634,7 @@
                 gifts = l.book.give(self.now, to, spare, terms.lease, home, l.used, &terms, &mut self.lot);
                 self.counts.given += gifts.len() as u64;
             }
-            words.entry(broker).or_default().push(Item { limit: id, want, unit, gifts });
+            words.entry(broker).or_default().push(LimitEntry { limit: id, want, unit, gifts });
         }
         for (to, items) in words {
             for some in items.chunks(ITEMS_MOST) {
@@ -646,7 +644,7 @@
     }
 
     /// What one who asks gets of a limit, if it is asked for here as well.
-    fn serve(&mut self, to: Holder, item: &Item) -> Option<Item> {
+    fn serve(&mut self, to: LeaseHolder, item: &LimitEntry) -> Option<LimitEntry> {
         let (now, terms) = (self.now, self.setup.terms);
         let sharers = self.limits.get(&item.limit)?.sharers;
         let home = self.home(sharers);
@@ -654,8 +652,8 @@
         let mut asks: Vec<Ask> = Vec::new();
         for (addr, p) in &self.peers {
             let Some((want, unit, since)) = p.wants.get(&item.limit).copied() else { continue };
-            let fresh = now < since + WANTED * terms.turn && (sharers != Sharers::Zone || p.here);
-            let has = l.book.lent_to(&Holder(*addr, p.life), now);
+            let fresh = now < since + WANTED * terms.turn && (sharers != QuotaScope::Zone || p.here);
+            let has = l.book.lent_to(&LeaseHolder(*addr, p.life), now);
             if fresh && want > 0 || has > 0 {
                 let draw = xxh3_64_with_seed(addr.to_string().as_bytes(), item.limit);
                 asks.push(Ask { of: *addr, want: if fresh { want } else { 0 }, unit, has, draw });
@@ -671,7 +669,7 @@
         let used = l.used;
         let gifts = l.book.give(now, to, target, terms.onward, home, used, &terms, &mut self.lot);
         self.counts.given += gifts.len() as u64;
-        Some(Item { limit: item.limit, want: 0, unit: l.unit, gifts })
+        Some(LimitEntry { limit: item.limit, want: 0, unit: l.unit, gifts })
     }
 }
 
--- a/crates/fleet/src/view/mod.rs
+++ b/crates/cluster/src/view/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::envelope::fleet_hash;
 use crate::{Time, MS, SEC};
-use hollymux_decide::Settings;
+use hollymux_decision::Settings;
 use message::{Head, News};
 use probe::{Probe, Relay, Suspicion};
 use rand_core::{RngCore, SeedableRng};
@@ -156,7 +156,7 @@
 
 /// One router's view of the fleet.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct Membership {
     setup: Setup,
     fleet: u64,
     rng: Pcg64Mcg,
@@ -200,9 +200,9 @@
     pub counts: Counts,
 }
 
-impl View {
+impl Membership {
     /// A view that knows nobody. What it wants to send first is there at once.
-    pub fn new(setup: Setup, now: Time) -> View {
+    pub fn new(setup: Setup, now: Time) -> Membership {
         let record = Record {
             start: setup.start,
             incarnation: 0,
@@ -213,7 +213,7 @@
         };
         let mut digests = Digests::default();
         digests.turn(setup.addr, &record);
-        let mut view = View {
+        let mut view = Membership {
             fleet: fleet_hash(&setup.fleet),
             rng: Pcg64Mcg::seed_from_u64(setup.seed),
             now,
@@ -265,7 +265,7 @@
         self.judge();
     }
 
-    /// Time has passed; to be called when [`View::due`] says so.
+    /// Time has passed; to be called when [`Membership::due`] says so.
     pub fn tick(&mut self, now: Time) {
         self.pass(now);
         self.expire();
@@ -327,7 +327,7 @@
 
     // ---- what comes out ----
 
-    /// When [`View::tick`] is to be called.
+    /// When [`Membership::tick`] is to be called.
     pub fn due(&self) -> Time {
         let asked = self.probe.iter().filter(|p| !p.asked && !p.answered).map(|p| p.sent + self.patience());
         let ends = self.suspicions().map(|(_, s)| s.ends(&self.setup.times));
@@ -393,7 +393,7 @@
             self.members.len() * (entry + std::mem::size_of::<Member>()) + self.news.len() * (entry + 4);
         let waits: usize = self.out.iter().map(|(_, bytes)| bytes.capacity()).sum();
         let changes = self.changes.capacity() * std::mem::size_of::<Change>();
-        std::mem::size_of::<View>()
+        std::mem::size_of::<Membership>()
             + members
             + tables * 3 / 2
             + self.turn.capacity() * entry
@@ -432,8 +432,8 @@
 
     /// The same under a router's settings: of all, and of its own office.
     pub fn shared_by(&self, settings: &Settings) -> (u32, u32) {
-        let all = settings.dispatchers;
-        let here = settings.dispatchers_by_zone.get(usize::from(settings.zone)).copied().unwrap_or(0);
+        let all = settings.router_count;
+        let here = settings.router_count_by_zone.get(usize::from(settings.zone)).copied().unwrap_or(0);
         (self.sharing(None, all, all), self.sharing(Some(&self.record.zone), here, all))
     }
 
--- a/crates/fleet/src/view/probe.rs
+++ b/crates/cluster/src/view/probe.rs
@@ -2,7 +2,7 @@
 
 use super::message::Body;
 use super::record::{Phase, Rank};
-use super::{Times, View};
+use super::{Membership, Times};
 use crate::{Time, SEC};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     }
 }
 
-impl View {
+impl Membership {
     /// How long an answer may take.
     pub(super) fn patience(&self) -> Time {
         self.setup.times.answer * Time::from(self.health + 1)
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/cluster/src/view/spread.rs
@@ -3,7 +3,7 @@
 
 use super::message::{self, Body, Head, News};
 use super::record::{Digests, Rank, Record};
-use super::{View, OUT_MOST};
+use super::{Membership, OUT_MOST};
 use crate::envelope::DATAGRAM_MOST;
 use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 /// Comparisons that this router begins itself: no more often than this.
 const REPAIR: Time = 400 * MS;
 
-impl View {
+impl Membership {
     /// Sends a datagram with as much news as fits, what concerns the receiver first.
     pub(super) fn send(&mut self, to: SocketAddr, body: Body) {
         let news = self.pick(to);
--- a/crates/fleet/tests/limits.rs
+++ b/crates/cluster/tests/limits.rs
@@ -2,9 +2,9 @@
 //! what all of them together used within a window is never more than the whole. Every router uses at once all that it
 //! may, which is the worst that it could do.
 
-use hollymux_decide::{ColdDemand, HostId, Sharers};
-use hollymux_fleet::limits::{Limits, Member, Setup, Terms};
-use hollymux_fleet::{Time, MS, SEC};
+use hollymux_cluster::limits::{LeaseTimings, Limits, Member, Setup};
+use hollymux_cluster::{Time, MS, SEC};
+use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -35,7 +35,7 @@
 struct World {
     now: Time,
     rng: Pcg64Mcg,
-    terms: Terms,
+    terms: LeaseTimings,
     configured: u32,
     /// What one request takes.
     unit: f64,
@@ -73,7 +73,7 @@
         World {
             now: 0,
             rng,
-            terms: Terms::default(),
+            terms: LeaseTimings::default(),
             configured,
             unit: 0.01,
             routers,
@@ -195,9 +195,9 @@
         limits.members(now, others.map(|k| Member { addr: addr(*k), here: true, reachable: true }), 0);
         limits.demand(
             now,
-            &[ColdDemand {
-                host: HostId(LIMIT),
-                sharers: Sharers::All,
+            &[WarmUpDemand {
+                endpoint: EndpointId(LIMIT),
+                sharers: QuotaScope::All,
                 used,
                 wanted: router.wants,
                 unit: self.unit,
@@ -209,7 +209,7 @@
         if now >= limits.due() {
             limits.tick(now);
         }
-        let part = limits.part(now, LIMIT, Sharers::All);
+        let part = limits.part(now, LIMIT, QuotaScope::All);
         let free =
             (if now < part.until.as_micros() { part.now } else { part.after }).min(router.wants) - used;
         // Whole requests only.
--- a/crates/fleet/tests/limits_model.rs
+++ b/crates/cluster/tests/limits_model.rs
@@ -8,9 +8,9 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_decide::{ColdDemand, HostId, Sharers};
-use hollymux_fleet::limits::{Limits, Member, Setup, Standing, Terms};
-use hollymux_fleet::{Time, MS, SEC};
+use hollymux_cluster::limits::{LeaseStatus, LeaseTimings, Limits, Member, Setup};
+use hollymux_cluster::{Time, MS, SEC};
+use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
 use stateright::{Checker, Model, Property};
 
 const ROUTERS: usize = 3;
@@ -71,7 +71,7 @@
             addr: addr(i),
             life: self.life,
             configured: (ROUTERS as u32, ROUTERS as u32),
-            terms: Terms::default(),
+            terms: LeaseTimings::default(),
         };
         let now = self.clock(i);
         let mut limits = Limits::new(setup, now);
@@ -83,7 +83,7 @@
 
     /// What a router used within a window of its own clock, which runs as fast or slow as it does.
     fn used_by(&self, i: usize) -> f64 {
-        let window = Terms::default().tail() as i64 * 1_000 / (1_000 + FAST[i]);
+        let window = LeaseTimings::default().tail() as i64 * 1_000 / (1_000 + FAST[i]);
         let since = self.now.saturating_sub(window as Time);
         self.used.iter().filter(|u| u.0 == i && u.1 > since).map(|u| u.2).sum()
     }
@@ -94,7 +94,13 @@
         let Some(limits) = self.routers[i].as_mut().filter(|_| !self.still[i]) else { return };
         limits.demand(
             now,
-            &[ColdDemand { host: HostId(LIMIT), sharers: Sharers::All, used, wanted, unit: 0.01 }],
+            &[WarmUpDemand {
+                endpoint: EndpointId(LIMIT),
+                sharers: QuotaScope::All,
+                used,
+                wanted,
+                unit: 0.01,
+            }],
         );
         act(limits, now);
         while let Some((to, bytes)) = limits.outgoing() {
@@ -114,12 +120,12 @@
                 self.ask(i, |l, now| l.tick(now));
             }
         }
-        let since = self.now.saturating_sub(2 * Terms::default().window);
+        let since = self.now.saturating_sub(2 * LeaseTimings::default().window);
         self.used.retain(|u| u.1 > since);
     }
 
     /// True time until the first of those moments, which each router tells by its own clock.
-    fn until(&self, moment: impl Fn(&Standing) -> Option<Time>) -> Option<Time> {
+    fn until(&self, moment: impl Fn(&LeaseStatus) -> Option<Time>) -> Option<Time> {
         let one = |i: usize| {
             let at = self.routers[i].as_ref()?.standings().iter().filter_map(&moment).min()?;
             let left = at.checked_sub(self.clock(i))? as i64 * 1_000;
@@ -139,12 +145,12 @@
     fn consume(&mut self, i: usize) {
         let (now, used) = (self.clock(i), self.used_by(i));
         let Some(limits) = self.routers[i].as_ref().filter(|_| !self.still[i]) else { return };
-        let part = limits.part(now, LIMIT, Sharers::All);
+        let part = limits.part(now, LIMIT, QuotaScope::All);
         let free = if now < part.until.as_micros() { part.now } else { part.after } - used;
         if free > 0.0 {
             self.used.push((i, self.now, free));
         }
-        let since = self.now.saturating_sub(Terms::default().window);
+        let since = self.now.saturating_sub(LeaseTimings::default().window);
         let all: f64 = self.used.iter().filter(|u| u.1 > since).map(|u| u.2).sum();
         self.too_much |= all > 1.0 + 1e-6;
     }
@@ -196,7 +202,7 @@
             s.load(at);
             // Until lots are as they stay.
             s.run(60 * SEC);
-            let part = s.routers[at].as_ref().map(|l| l.part(s.clock(at), LIMIT, Sharers::All).now);
+            let part = s.routers[at].as_ref().map(|l| l.part(s.clock(at), LIMIT, QuotaScope::All).now);
             assert!(part.is_some_and(|p| p > 0.6), "{part:?}");
             s
         };
--- a/crates/fleet/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -8,8 +8,8 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_fleet::view::{Rank, Record, Setup, Times, View};
-use hollymux_fleet::{Time, SEC};
+use hollymux_cluster::view::{Membership, Rank, Record, Setup, Times};
+use hollymux_cluster::{Time, SEC};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
 /// In a fair run all that are up agree within this.
 const FAIR: Time = 60 * SEC;
 
-fn view(i: usize, now: Time, start: u64) -> View {
+fn view(i: usize, now: Time, start: u64) -> Membership {
     let setup = Setup {
         fleet: "model".into(),
         name: format!("n{i}"),
@@ -30,12 +30,12 @@
         times: Times::default(),
         seed: i as u64,
     };
-    View::new(setup, now)
+    Membership::new(setup, now)
 }
 
 #[derive(Clone, Debug)]
 struct State {
-    views: Vec<Option<View>>,
+    views: Vec<Option<Membership>>,
     clocks: Vec<Time>,
     flight: Vec<(usize, usize, Vec<u8>)>,
     cut: Option<usize>,
@@ -81,7 +81,7 @@
     }
 
     fn step(&mut self, i: usize) {
-        let due = self.views[i].as_ref().map_or(0, View::due);
+        let due = self.views[i].as_ref().map_or(0, Membership::due);
         self.clocks[i] = self.clocks[i].max(due);
         let now = self.clocks[i];
         if let Some(view) = &mut self.views[i] {
@@ -139,7 +139,7 @@
             view(by).and_then(|v| v.record(addr(of))).is_some_and(|r| r.rank <= Rank::Suspect)
         };
         let all = up.iter().all(|by| up.iter().all(|of| of == by || alive(*by, *of)));
-        all && up.windows(2).all(|w| view(w[0]).map(View::digest) == view(w[1]).map(View::digest))
+        all && up.windows(2).all(|w| view(w[0]).map(Membership::digest) == view(w[1]).map(Membership::digest))
     }
 
     /// Whether each that is up counts all that he ever knew.
--- a/crates/decide/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -6,44 +6,44 @@
 pub(crate) use crate::time::{Timestamp, MICROSECOND};
 pub(crate) use std::time::Duration;
 
-/// A purge counts for this much longer than hosts say that they need to drop purged copies.
+/// A purge counts for this much longer than endpoints say that they need to drop purged copies.
 const PURGE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Identifies a request while it is open; never seen twice by one dispatcher.
+/// Identifies a request while it is open; never seen twice by one router.
 pub type RequestId = u32;
 
-/// An opaque host identity, the same at every dispatcher. It may be hashed and tells nothing.
+/// An opaque endpoint identity, the same at every router. It may be hashed and tells nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HostId(pub u64);
+pub struct EndpointId(pub u64);
 
 /// How far a class may be repeated once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeat and refuse at will.
-    Safe,
-    /// Repeats are dropped by the hosts of one scope, for a limited time.
-    Keyed,
+    Idempotent,
+    /// Repeats are dropped by the endpoints of one scope, for a limited time.
+    WithKey,
     /// Never again once it may have run.
-    Unsafe,
+    NotIdempotent,
 }
 
-/// Which hosts drop the repeats of a keyed request together.
+/// Which endpoints drop the repeats of a keyed request together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// Any host.
+pub enum DeduplicationScope {
+    /// Any endpoint.
     All,
-    /// Hosts of the same zone.
+    /// Endpoints of the same zone.
     Zone,
-    /// Hosts of the same cell.
+    /// Endpoints of the same cell.
     Cell,
 }
 
 /// Which other caches may be named as the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Siblings {
+pub enum SiblingCaches {
     /// None.
     None,
-    /// Caches of the dispatcher's own location.
+    /// Caches of the router's own location.
     Location,
     /// Caches of any location.
     Any,
@@ -51,7 +51,7 @@
 
 /// Which notes come with outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notes {
+pub enum CacheStatusReporting {
     /// None: a hit can't be told from a fill.
     None,
     /// Hits, fills and stale copies are told apart; failures carry no cause.
@@ -60,7 +60,7 @@
     All,
 }
 
-/// How changes of the host list arrive.
+/// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// Unasked.
@@ -71,10 +71,10 @@
 
 /// What the list's weights say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum ListedWeights {
     /// Nothing.
     None,
-    /// A host's size, exactly or roughly, the same in every list.
+    /// An endpoint's size, exactly or roughly, the same in every list.
     Size,
     /// A size that changes with load from one list to the next.
     Live,
@@ -82,21 +82,21 @@
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Full worth is earned within this time...
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// ...plus this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// The client's whole patience.
     pub deadline: Duration,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// How far it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: who drops repeats...
-    pub scope: Scope,
+    pub scope: DeduplicationScope,
     /// ...and for how long after the first send that may have run.
     pub window: Duration,
     /// Answers are streamed.
@@ -108,91 +108,91 @@
     /// How much older a copy may be if asked for.
     pub grace: Duration,
     /// Share of the worth that a stale copy earns.
-    pub stale_worth: f64,
+    pub stale_weight: f64,
 }
 
-impl Default for Class {
+impl Default for RequestClass {
     fn default() -> Self {
-        Class {
-            aim: Duration::ZERO,
-            aim_stretch: 0.0,
+        RequestClass {
+            latency_objective: Duration::ZERO,
+            latency_objective_stretch: 0.0,
             deadline: Duration::ZERO,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Unsafe,
-            scope: Scope::Cell,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::NotIdempotent,
+            scope: DeduplicationScope::Cell,
             window: Duration::ZERO,
             stream: false,
             write: false,
             fresh: Duration::ZERO,
             grace: Duration::ZERO,
-            stale_worth: 1.0,
+            stale_weight: 1.0,
         }
     }
 }
 
-/// What a dispatcher is told at its start.
+/// What a router is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes, by index.
-    pub classes: Vec<Class>,
-    /// The zone of this dispatcher.
+    pub classes: Vec<RequestClass>,
+    /// The zone of this router.
     pub zone: u16,
     /// Dispatchers in all.
-    pub dispatchers: u32,
+    pub router_count: u32,
     /// Dispatchers by zone; may be empty if not told.
-    pub dispatchers_by_zone: Vec<u32>,
-    /// Kind of host that is a parent, if there are parents.
+    pub router_count_by_zone: Vec<u32>,
+    /// Kind of endpoint that is a parent, if there are parents.
     pub parent_kind: Option<u16>,
-    /// Kind of host that is the origin.
+    /// Kind of endpoint that is the origin.
     pub origin_kind: Option<u16>,
     /// Requests may go straight to a parent or the origin.
-    pub direct: bool,
+    pub bypass_edge_cache: bool,
     /// A request may join a fill under way.
-    pub joins: bool,
+    pub coalesce_fills: bool,
     /// Which caches may supply a fill.
-    pub siblings: Siblings,
+    pub sibling_caches: SiblingCaches,
     /// Which notes outcomes carry.
-    pub notes: Notes,
+    pub cache_status_reporting: CacheStatusReporting,
     /// KB per second of one transfer to a client at most; 0: not told.
     pub flow_kb_per_s: f64,
     /// What the weights of the list say.
-    pub weights: Weights,
-    /// How the host list arrives.
+    pub weights: ListedWeights,
+    /// How the endpoint list arrives.
     pub discovery: Discovery,
     /// With [`Discovery::Ask`]: silence beyond this counts as having been told.
-    pub ask_within: Duration,
+    pub list_silence_timeout: Duration,
     /// From this long after a purge was told, no older copy may answer.
     pub purge_slack: Duration,
-    /// After this long hosts have dropped purged copies themselves.
+    /// After this long endpoints have dropped purged copies themselves.
     pub purge_done: Duration,
-    /// Sends to a draining or gone host must have ceased after this long.
+    /// Sends to a draining or gone endpoint must have ceased after this long.
     pub drain_grace: Duration,
     /// A final answer counts until this long after the client's deadline.
     pub answer_slack: Duration,
     /// A cache starts at this share of its capacity or more...
-    pub cold_from: f64,
+    pub warm_up_floor: f64,
     /// ...and is warm after this long at the latest.
-    pub cold_for: Duration,
+    pub warm_up_period: Duration,
     /// It falls over at this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...borne for this long (caches and parents).
-    pub fall_after: Duration,
+    pub overload_window: Duration,
     /// A parent starts at this share of its link or more...
-    pub parent_cold_from: f64,
+    pub parent_warm_up_floor: f64,
     /// ...and is warm after this long at the latest.
-    pub parent_cold_for: Duration,
+    pub parent_warm_up_period: Duration,
     /// A cold parent falls over at this multiple.
-    pub parent_fall_multiple: f64,
+    pub parent_overload_multiple: f64,
     /// The origin stops for a while at this multiple of what it can do; 0: it never does.
-    pub origin_fall_multiple: f64,
+    pub origin_overload_multiple: f64,
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Hosts may be probed.
+    /// Endpoints may be probed.
     pub probes: bool,
     /// Clients are told when to come back.
     pub retry_after: bool,
@@ -207,32 +207,32 @@
         Settings {
             classes: Vec::new(),
             zone: 0,
-            dispatchers: 1,
-            dispatchers_by_zone: Vec::new(),
+            router_count: 1,
+            router_count_by_zone: Vec::new(),
             parent_kind: None,
             origin_kind: None,
-            direct: false,
-            joins: false,
-            siblings: Siblings::None,
-            notes: Notes::None,
+            bypass_edge_cache: false,
+            coalesce_fills: false,
+            sibling_caches: SiblingCaches::None,
+            cache_status_reporting: CacheStatusReporting::None,
             flow_kb_per_s: 0.0,
-            weights: Weights::None,
+            weights: ListedWeights::None,
             discovery: Discovery::Push,
-            ask_within: Duration::ZERO,
+            list_silence_timeout: Duration::ZERO,
             purge_slack: Duration::ZERO,
             purge_done: Duration::ZERO,
             drain_grace: Duration::ZERO,
             answer_slack: Duration::ZERO,
-            cold_from: 1.0,
-            cold_for: Duration::ZERO,
-            fall_multiple: 0.0,
-            fall_after: Duration::ZERO,
-            parent_cold_from: 1.0,
-            parent_cold_for: Duration::ZERO,
-            parent_fall_multiple: 0.0,
-            origin_fall_multiple: 0.0,
+            warm_up_floor: 1.0,
+            warm_up_period: Duration::ZERO,
+            overload_multiple: 0.0,
+            overload_window: Duration::ZERO,
+            parent_warm_up_floor: 1.0,
+            parent_warm_up_period: Duration::ZERO,
+            parent_overload_multiple: 0.0,
+            origin_overload_multiple: 0.0,
             max_attempts: 1,
-            second_copies: false,
+            hedging_allowed: false,
             cancel: false,
             probes: false,
             retry_after: false,
@@ -243,7 +243,7 @@
 }
 
 impl Settings {
-    /// Whether a dispatcher could work under these settings at all; names the first field that rules it out.
+    /// Whether a router could work under these settings at all; names the first field that rules it out.
     pub fn check(&self) -> Result<(), SettingsError> {
         let test = |ok: bool, field: &str, why| {
             let field = field.to_string();
@@ -252,19 +252,19 @@
         let number = |v: f64| v.is_finite() && v >= 0.0;
         let (some, share) = ("must be at least 1", "a share lies between 0 and 1");
         let zero = "must be a number of 0 or more";
-        test(self.dispatchers > 0, "dispatchers", some)?;
+        test(self.router_count > 0, "dispatchers", some)?;
         test(self.max_attempts > 0, "max_attempts", some)?;
-        test((0.0..=1.0).contains(&self.cold_from), "cold_from", share)?;
-        let from = self.parent_cold_from;
+        test((0.0..=1.0).contains(&self.warm_up_floor), "cold_from", share)?;
+        let from = self.parent_warm_up_floor;
         test((0.0..=1.0).contains(&from), "parent_cold_from", share)?;
-        test(number(self.fall_multiple), "fall_multiple", zero)?;
-        let multiple = self.parent_fall_multiple;
+        test(number(self.overload_multiple), "fall_multiple", zero)?;
+        let multiple = self.parent_overload_multiple;
         test(number(multiple), "parent_fall_multiple", zero)?;
         test(number(self.flow_kb_per_s), "flow_kb_per_s", zero)?;
         for (i, c) in self.classes.iter().enumerate() {
-            test(number(c.worth), &format!("classes[{i}].worth"), zero)?;
+            test(number(c.priority_weight), &format!("classes[{i}].worth"), zero)?;
             let field = format!("classes[{i}].aim_stretch");
-            test(number(c.aim_stretch), &field, zero)?;
+            test(number(c.latency_objective_stretch), &field, zero)?;
         }
         Ok(())
     }
@@ -272,11 +272,11 @@
 
 impl Settings {
     /// The class of a request whose class number is one of them.
-    pub fn class(&self, r: &Request) -> &Class {
+    pub fn class(&self, r: &Request) -> &RequestClass {
         &self.classes[usize::from(r.class)]
     }
 
-    /// How long a purge counts: until hosts have dropped purged copies themselves, and a little more.
+    /// How long a purge counts: until endpoints have dropped purged copies themselves, and a little more.
     pub fn purge_life(&self) -> Duration {
         self.purge_done + PURGE_MARGIN
     }
@@ -287,14 +287,14 @@
         Some(kb / self.flow_kb_per_s)
     }
 
-    /// How many dispatchers share a host: those of its zone if only they use it and it is told, else all.
+    /// How many routers share an endpoint: those of its zone if only they use it and it is told, else all.
     pub(crate) fn sharing(&self, zone_only: bool, zone: u16) -> u32 {
-        let here = self.dispatchers_by_zone.get(usize::from(zone)).copied();
-        here.filter(|n| *n > 0 && zone_only).unwrap_or(self.dispatchers)
+        let here = self.router_count_by_zone.get(usize::from(zone)).copied();
+        here.filter(|n| *n > 0 && zone_only).unwrap_or(self.router_count)
     }
 }
 
-/// Settings that no dispatcher could work under.
+/// Settings that no router could work under.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// A field holds a value outside of what it can mean.
@@ -307,9 +307,9 @@
     },
 }
 
-/// Whether a host takes work.
+/// Whether an endpoint takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HostState {
+pub enum EndpointState {
     /// Takes work.
     #[default]
     Ready,
@@ -319,25 +319,25 @@
     Gone,
 }
 
-/// One line of the host list.
+/// One line of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HostEntry {
+pub struct EndpointEntry {
     /// Its identity.
-    pub id: HostId,
+    pub id: EndpointId,
     /// Its cell.
     pub cell: u16,
     /// Its zone.
     pub zone: u16,
     /// Its kind.
     pub kind: u16,
-    /// Its weight, comparable across hosts.
+    /// Its weight, comparable across endpoints.
     pub weight: f64,
     /// Whether it takes work.
-    pub state: HostState,
+    pub state: EndpointState,
     /// When it last started; [`Timestamp::ZERO`]: long past.
     pub started: Timestamp,
-    /// The host whose address it took: what was sent there since it started reached this one.
-    pub in_place_of: Option<HostId>,
+    /// The endpoint whose address it took: what was sent there since it started reached this one.
+    pub in_place_of: Option<EndpointId>,
 }
 
 /// Which part of the truth a list holds.
@@ -345,9 +345,9 @@
 pub enum ListKind {
     /// Changed lines only.
     Delta,
-    /// Everything; a host not in it has gone.
+    /// Everything; an endpoint not in it has gone.
     Full,
-    /// Everything as this dispatcher last had it, perhaps stale.
+    /// Everything as this router last had it, perhaps stale.
     Cached,
 }
 
@@ -376,12 +376,12 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// Served.
     Ok,
     /// No copy that will do, and none was filled; did not run.
     Miss,
-    /// The host returned an error; may have run.
+    /// The endpoint returned an error; may have run.
     Error,
     /// Turned away unseen, or its source refused or was not reached; did not run.
     Full,
@@ -399,17 +399,17 @@
     Moot,
 }
 
-impl Status {
+impl AttemptStatus {
     /// Whether this outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
-        use Status::{ConnectFailed, Full, Miss, Moot, Unreached};
+        use AttemptStatus::{ConnectFailed, Full, Miss, Moot, Unreached};
         matches!(self, Miss | Full | ConnectFailed | Unreached | Moot)
     }
 }
 
 /// What an outcome says of its fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// Found where it was asked for.
     Hit,
     /// Filled from the source's copy.
@@ -434,26 +434,26 @@
 
 /// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
     /// The attempt's number, from 0 in the order of sending.
     pub attempt: u16,
-    /// The host it went to.
-    pub host: HostId,
+    /// The endpoint it went to.
+    pub endpoint: EndpointId,
     /// Time since it was sent.
     pub latency: Duration,
     /// How it ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// The request is finished, by this or an earlier outcome.
     pub ended: bool,
     /// What is told of the fill.
-    pub note: Option<Note>,
+    pub note: Option<CacheStatus>,
     /// Its own sending time in seconds, where what came back shows it.
     pub work: Option<f64>,
 }
 
-/// A purge that this dispatcher hears of.
+/// A purge that this router hears of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
     /// How long ago it happened.
@@ -464,18 +464,18 @@
     pub group: u32,
 }
 
-/// What a dispatcher is told while it runs.
+/// What a router is told while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Lines of the host list.
-    Hosts {
+    /// Lines of the endpoint list.
+    EndpointList {
         /// Which part of the truth they are.
         kind: ListKind,
         /// The lines.
-        entries: Vec<HostEntry>,
+        entries: Vec<EndpointEntry>,
     },
-    /// A call for the host list failed; the old one holds.
-    HostsFailed,
+    /// A call for the endpoint list failed; the old one holds.
+    EndpointListFailed,
     /// A client asks.
     Request(Request),
     /// A streamed answer has begun; the client owns the attempt.
@@ -486,13 +486,13 @@
         attempt: u16,
     },
     /// An attempt ended.
-    Outcome(Outcome),
+    AttemptOutcome(AttemptOutcome),
     /// The client has left; nothing more is owed.
     Withdrawn {
         /// The request.
         request: RequestId,
     },
-    /// A timer set by this dispatcher is due.
+    /// A timer set by this router is due.
     Timer {
         /// Its token.
         token: u64,
@@ -501,43 +501,43 @@
     Purged(Purge),
     /// A probe came back.
     Probed {
-        /// The host probed.
-        host: HostId,
+        /// The endpoint probed.
+        endpoint: EndpointId,
         /// How the probe ended.
-        status: Status,
+        status: AttemptStatus,
     },
 }
 
 /// How an attempt is to be filled and kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fill {
+pub struct CacheFill {
     /// Where a miss is filled from; `None`: no fill.
-    pub source: Option<HostId>,
+    pub source: Option<EndpointId>,
     /// Rank at which the copy is kept, 1 to 3, lowest dropped first; 0: passed through.
-    pub keep: u8,
+    pub retention: u8,
     /// The oldest copy that will do; `None`: fresh ones.
     pub max_age: Option<Duration>,
     /// Join a fill under way.
-    pub join: bool,
+    pub coalesce: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub stale_while_revalidate: bool,
     /// The source gives only what it holds, and fetches nothing.
-    pub shallow: bool,
+    pub only_if_cached: bool,
 }
 
-/// What a dispatcher wants done.
+/// What a router wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt; numbered from 0 per request in the order of sending.
     Attempt {
         /// The request.
         request: RequestId,
-        /// The host to ask.
-        host: HostId,
+        /// The endpoint to ask.
+        endpoint: EndpointId,
         /// Its time-out.
         timeout: Duration,
         /// Fill and keep.
-        fill: Fill,
+        fill: CacheFill,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -565,14 +565,14 @@
         /// With this token.
         token: u64,
     },
-    /// Ask for changes of the host list from now on.
+    /// Ask for changes of the endpoint list from now on.
     Subscribe,
-    /// Ask for the whole host list once.
+    /// Ask for the whole endpoint list once.
     FetchHosts,
-    /// Probe a host.
+    /// Probe an endpoint.
     Probe {
-        /// The host.
-        host: HostId,
+        /// The endpoint.
+        endpoint: EndpointId,
     },
     /// A line for the operator.
     Log(String),
--- a/crates/decide/src/policy/attempts.rs
+++ b/crates/decision/src/policy/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: what is sent, how, and whether once more.
 
-use crate::control::{Control, FILLING, LEARN, RETRY_SAVE};
 use crate::interface::*;
+use crate::module::{DecisionModule, FILLING, LEARN, RETRY_SAVE};
 use crate::state::{Open, Plan, Try};
 use rand_core::RngCore;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -13,7 +13,7 @@
 pub(crate) const DEADLINE: u64 = 0xffff;
 pub(crate) const MAY_FILL: u64 = 0x8000;
 
-impl Control {
+impl DecisionModule {
     pub(crate) fn on_request(&mut self, now: Timestamp, r: Request, acts: &mut Vec<Action>) {
         let (id, class) = (r.id, usize::from(r.class));
         if class >= self.settings.classes.len() {
@@ -45,7 +45,7 @@
 
     /// Sends the next attempt of a request, or ends it.
     pub(crate) fn advance(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
-        let ended = |o: &&Open| o.done || o.stream || (o.out() > 0 && !self.settings.second_copies);
+        let ended = |o: &&Open| o.done || o.stream || (o.out() > 0 && !self.settings.hedging_allowed);
         let Some(o) = self.open.get(&id).filter(|o| !ended(o)) else { return };
         let (again, out) = (!o.tries.is_empty(), o.out() > 0);
         let spent = o.tries.len() >= o.most as usize || now >= o.r.deadline;
@@ -67,24 +67,39 @@
         let spared = self.spared(now, o);
         let stale = ((o.stale || spared) && !c.fresh.is_zero()).then_some(c.fresh + c.grace);
         let bounds = [stale, self.purge_bound(now, &o.r)];
-        let Plan(host, source, keep, trial) = p;
+        let Plan(endpoint, source, retention, trial) = p;
         let (work, sends) = (self.mean(&o.r), self.work(&o.r));
         let timeout = o.r.deadline.saturating_duration_since(now).max(MICROSECOND);
         let max_age = bounds.into_iter().flatten().min();
-        let shallow = spared && source.is_some_and(|s| self.is_parent(s));
-        let renew = !c.fresh.is_zero() && !spared;
-        let fill = Fill { source, keep, max_age, join: self.settings.joins, renew, shallow };
-        acts.push(Action::Attempt { request: id, host, timeout, fill });
+        let only_if_cached = spared && source.is_some_and(|s| self.is_parent(s));
+        let stale_while_revalidate = !c.fresh.is_zero() && !spared;
+        let fill = CacheFill {
+            source,
+            retention,
+            max_age,
+            coalesce: self.settings.coalesce_fills,
+            stale_while_revalidate,
+            only_if_cached,
+        };
+        acts.push(Action::Attempt { request: id, endpoint, timeout, fill });
         let look = divide_to_micros(self.overdue_after(&o.r), if trial { 2 } else { 1 });
         let token = u64::from(id) << 16 | o.tries.len() as u64;
         acts.push(Action::timer(look, token));
         if source.is_some_and(|s| self.is_parent(s)) {
             acts.push(Action::timer(span_from_secs(sends * FILLING), token | MAY_FILL));
         }
-        let source = source.filter(|s| *s != host);
-        self.fleet.began(now, self.settings.fall_after, (host, source), token, work);
+        let source = source.filter(|s| *s != endpoint);
+        self.fleet.began(now, self.settings.overload_window, (endpoint, source), token, work);
         if let Some(o) = self.open.get_mut(&id) {
-            o.tries.push(Try { host, source, sent: now, out: true, held: true, shallow, ..Try::default() });
+            o.tries.push(Try {
+                endpoint,
+                source,
+                sent: now,
+                out: true,
+                held: true,
+                only_if_cached,
+                ..Try::default()
+            });
         }
     }
 }
--- a/crates/decide/src/policy/choice.rs
+++ b/crates/decision/src/policy/choice.rs
@@ -1,42 +1,42 @@
-//! Which host a request goes to.
+//! Which endpoint a request goes to.
 
-use crate::control::Control;
 use crate::interface::*;
+use crate::module::DecisionModule;
 use crate::policy::fills::FILL_ROOM;
-use crate::state::{Host, Open, Plan, Role};
+use crate::state::{Endpoint, Open, Plan, Role};
 
 /// A request leaves its drawn cache for a stand-in emptier than this part of that; it costs a fill.
 const SPILL: f64 = 0.2;
 
-impl Control {
-    /// Whether the rule on effects lets this request go to this host now.
-    fn lawful(&self, now: Timestamp, o: &Open, h: &Host) -> bool {
+impl DecisionModule {
+    /// Whether the rule on effects lets this request go to this endpoint now.
+    fn lawful(&self, now: Timestamp, o: &Open, h: &Endpoint) -> bool {
         let c = self.settings.class(&o.r);
-        let ran = o.ran.filter(|_| c.effect != Effect::Safe);
+        let ran = o.ran.filter(|_| c.idempotency != Idempotency::Idempotent);
         let Some((at, first)) = ran else { return true };
-        let first = self.fleet.hosts.get(&first).map(|f| &f.entry);
+        let first = self.fleet.endpoints.get(&first).map(|f| &f.entry);
         let scope = match c.scope {
-            Scope::All => true,
-            Scope::Zone => first.is_some_and(|f| f.zone == h.entry.zone),
-            Scope::Cell => first.is_some_and(|f| f.cell == h.entry.cell),
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.is_some_and(|f| f.zone == h.entry.zone),
+            DeduplicationScope::Cell => first.is_some_and(|f| f.cell == h.entry.cell),
         };
         // A tenth of the window is left for the way there.
-        c.effect == Effect::Keyed && scope && now + divide_to_micros(c.window, 10) < at + c.window
+        c.idempotency == Idempotency::WithKey && scope && now + divide_to_micros(c.window, 10) < at + c.window
     }
 
     pub(crate) fn plan(&self, now: Timestamp, o: &Open) -> Option<Plan> {
         let mut order = self.order(o.key, Role::Own);
         order.retain(|h| self.lawful(now, o, h));
         let work = self.mean(&o.r);
-        let safe = self.settings.class(&o.r).effect == Effect::Safe;
-        let up: Vec<&Host> = order.iter().copied().filter(|h| h.up()).collect();
-        let plan = |h: &Host, i: usize, trial: bool| {
+        let safe = self.settings.class(&o.r).idempotency == Idempotency::Idempotent;
+        let up: Vec<&Endpoint> = order.iter().copied().filter(|h| h.up()).collect();
+        let plan = |h: &Endpoint, i: usize, trial: bool| {
             let home = up.first().copied().filter(|_| i > 0);
             let source = self.source(now, o, h, home);
-            let (host, keep) = (h.entry.id, self.rank(o, i));
-            Some(Plan(host, source, keep, trial))
+            let (endpoint, retention) = (h.entry.id, self.rank(o, i));
+            Some(Plan(endpoint, source, retention, trial))
         };
-        // A host that is out, due for its trial and ahead of home: the request leads it back in.
+        // An endpoint that is out, due for its trial and ahead of home: the request leads it back in.
         let ahead = order.iter().take_while(|h| !h.up());
         let mut due = ahead.filter(|h| h.trial_due(now) && self.admits(now, h, work));
         if let Some(h) = due.next().filter(|_| o.tries.is_empty() && safe) {
@@ -46,10 +46,10 @@
         let span = ((2usize << level.min(20)) - 1).min(up.len()).max(1);
         let drawn = (o.draw % span as u64) as usize;
         let again =
-            o.tries.last().filter(|_| o.lost).and_then(|t| up.iter().position(|h| h.entry.id == t.host));
+            o.tries.last().filter(|_| o.lost).and_then(|t| up.iter().position(|h| h.entry.id == t.endpoint));
         let first = again.unwrap_or(drawn * usize::from(o.tries.is_empty()));
         let busy = o.tries.iter().filter(|t| t.out && !o.lost);
-        let out: Vec<HostId> = busy.map(|t| t.host).collect();
+        let out: Vec<EndpointId> = busy.map(|t| t.endpoint).collect();
         // The drawn cache, then the rest of the order as stand-ins; last, one that was tried before.
         let ring: Vec<usize> = (first..up.len()).chain(0..first).collect();
         let fits = |i: usize| !out.contains(&up[i].entry.id) && self.admits(now, up[i], work);
@@ -62,7 +62,7 @@
         let any = ring.iter().find(|i| fresh(**i));
         let spent = !up.is_empty() && safe && any.is_none();
         // No cache is in, or cold ones may get no more: past them, if allowed, to parents that have room.
-        if self.settings.direct && (up.is_empty() || spent) {
+        if self.settings.bypass_edge_cache && (up.is_empty() || spent) {
             let mut past: Vec<_> = self.order(o.key, Role::Parent).into_iter().filter(|h| h.up()).collect();
             let origin = self.order(o.key, Role::Origin);
             let spare = self.spared(now, o);
@@ -83,7 +83,7 @@
             Some(&i) => return plan(up[i], i, false),
             None => {}
         }
-        let free = |h: &&&Host| !out.contains(&h.entry.id) && self.admits(now, h, work);
+        let free = |h: &&&Endpoint| !out.contains(&h.entry.id) && self.admits(now, h, work);
         order.iter().find(free).and_then(|h| plan(h, 0, false))
     }
 
--- a/crates/decide/src/policy/fills.rs
+++ b/crates/decision/src/policy/fills.rs
@@ -1,31 +1,38 @@
 //! Where a miss is filled from.
 
-use crate::control::Control;
 use crate::interface::*;
-use crate::state::{Host, Open, Role, FILL_MEMORY};
+use crate::module::DecisionModule;
+use crate::state::{Endpoint, Open, Role};
 
 /// A fill goes to parents that are emptier than this part of what its aim leaves: it has a way to go yet, and
-/// all dispatchers learn late what all of them sent.
+/// all routers learn late what all of them sent.
 pub(crate) const FILL_ROOM: f64 = 0.7;
 
-impl Control {
+impl DecisionModule {
     /// Where a miss is filled from: home for a widened object's extra copies, else the home parent, else
     /// what stands in for it.
-    pub(crate) fn source(&self, now: Timestamp, o: &Open, at: &Host, home: Option<&Host>) -> Option<HostId> {
+    pub(crate) fn source(
+        &self,
+        now: Timestamp,
+        o: &Open,
+        at: &Endpoint,
+        home: Option<&Endpoint>,
+    ) -> Option<EndpointId> {
         let work = self.mean(&o.r);
-        let ok = |h: &&Host| {
+        let ok = |h: &&Endpoint| {
             h.entry.id != at.entry.id && !o.bad.contains(&h.entry.id) && self.admits(now, h, work)
         };
         let origin = self.order(o.key, Role::Origin);
         if o.write && !origin.is_empty() {
             return origin.first().map(|h| h.entry.id);
         }
-        let wide = self.settings.siblings != Siblings::None && self.counts.levels.contains_key(&o.key);
+        let wide =
+            self.settings.sibling_caches != SiblingCaches::None && self.counts.levels.contains_key(&o.key);
         let near = home.filter(|h| wide && ok(h));
         let parents = self.order(o.key, Role::Parent);
-        let leads = |h: &&&Host| h.up() || (h.trial_due(now) && o.tries.is_empty());
+        let leads = |h: &&&Endpoint| h.up() || (h.trial_due(now) && o.tries.is_empty());
         // A sibling elsewhere may have it: the home of the object at its location.
-        let any = self.settings.siblings == Siblings::Any && !o.write;
+        let any = self.settings.sibling_caches == SiblingCaches::Any && !o.write;
         let elsewhere = || if any { self.order(o.key, Role::Elsewhere) } else { Vec::new() };
         let far = || elsewhere().into_iter().find(|h| h.up() && ok(h));
         let parent = parents.iter().filter(leads).copied().find(|h| ok(h));
@@ -42,14 +49,4 @@
         let last = origin.into_iter().chain(parents.iter().copied()).find(|h| ok(h) && !spared);
         first.or(last).map(|h| h.entry.id)
     }
-
-    /// The attempt has been out for as long as its like take to be sent: it is a fill, or waits like one.
-    pub(crate) fn on_filling(&mut self, now: Timestamp, id: RequestId, n: usize) {
-        let t = self.open.get_mut(&id).and_then(|o| o.tries.get_mut(n)).filter(|t| t.out);
-        let Some(t) = t else { return };
-        if let Some(h) = t.source.and_then(|s| self.fleet.hosts.get_mut(&s)) {
-            t.filling = true;
-            h.hold(now, FILL_MEMORY, true);
-        }
-    }
 }
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/decision/src/policy/mod.rs
@@ -4,7 +4,7 @@
 //! Ordinary path, after Plaxton and Rajaraman, "Fast Fault-Tolerant Concurrent Access to Shared
 //! Objects": each part of an object has one hashed order of the location's caches, cut into blocks of
 //! 1, 2, 4, ...; a request goes to a cache drawn at random from blocks 0 to the object's level, and the
-//! level rises with the object's share of this dispatcher's own requests. Parents are ordered by the
+//! level rises with the object's share of this router's own requests. Parents are ordered by the
 //! same hash, over all of them. What departs from that says so; `docs/design.md` has the list.
 //!
 //! Each uses those before it: order, widening; cold, health, doubt, relief; fills, choice; refusals,
--- a/crates/decide/src/policy/refusals.rs
+++ b/crates/decision/src/policy/refusals.rs
@@ -1,18 +1,18 @@
-//! The final answer where there is none from a host.
+//! The final answer where there is none from an endpoint.
 
-use crate::control::Control;
 use crate::interface::*;
+use crate::module::DecisionModule;
 use rand_core::RngCore;
 
-impl Control {
+impl DecisionModule {
     /// The final answer, at once: a refusal with advice where that is allowed, else a failure.
     pub(crate) fn give_up(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
         let c = self.settings.class(&o.r);
-        let harmless = match c.effect {
-            Effect::Safe => true,
-            Effect::Keyed => o.ran.is_none() || c.scope == Scope::All,
-            Effect::Unsafe => o.ran.is_none(),
+        let harmless = match c.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => o.ran.is_none() || c.scope == DeduplicationScope::All,
+            Idempotency::NotIdempotent => o.ran.is_none(),
         };
         if harmless && now < o.r.deadline {
             let half = whole_micros(self.settings.max_retry_after) / 2;
--- a/crates/decide/src/policy/widening.rs
+++ b/crates/decision/src/policy/widening.rs
@@ -1,7 +1,7 @@
 //! Widening: when an object's level rises and falls, and with it the blocks of caches that serve it.
 
-use crate::control::{Control, TABLE};
 use crate::interface::*;
+use crate::module::{DecisionModule, TABLE};
 use crate::state::Role;
 
 /// Requests are counted per object in rounds of this length (DESIGN), or until so many were counted: at a
@@ -17,7 +17,7 @@
 /// What was asked for within one to two of these spans is kept at the middle rank, else the lowest.
 const SEEN: Duration = Duration::from_secs(20);
 
-impl Control {
+impl DecisionModule {
     /// Counts a request, closing the round first where it is over.
     pub(crate) fn count(&mut self, now: Timestamp, key: u64) {
         let (round, rate) = (self.counts.start(now), self.counts.rate);
--- a/crates/decide/src/parts.rs
+++ b/crates/decision/src/quota.rs
@@ -1,19 +1,19 @@
-//! Who shares a host's capacity, and which part of a cold one's budget is this dispatcher's: plain arithmetic over
+//! Who shares an endpoint's capacity, and which part of a cold one's budget is this router's: plain arithmetic over
 //! what is counted, set or agreed with others.
 
-use crate::control::Control;
-use crate::interface::{HostId, Timestamp};
-use crate::state::{Host, Role};
+use crate::interface::{EndpointId, Timestamp};
+use crate::module::DecisionModule;
+use crate::state::{Endpoint, Role};
 
-/// Of what a cold host is known to bear, all dispatchers together use this part...
+/// Of what a cold endpoint is known to bear, all routers together use this part...
 const COLD_PART: f64 = 0.6;
 /// ...and at most this times its present capacity: beyond it answers are only late.
 pub(crate) const COLD_USE: f64 = 1.2;
 
-/// Who shares a host's cold budget.
+/// Who shares an endpoint's cold budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Sharers {
-    /// All dispatchers.
+pub enum QuotaScope {
+    /// All routers.
     All,
     /// Those of the own zone.
     Zone,
@@ -21,24 +21,24 @@
     Elsewhere,
 }
 
-impl Sharers {
+impl QuotaScope {
     /// What operators call it.
     pub fn name(self) -> &'static str {
         match self {
-            Sharers::All => "all",
-            Sharers::Zone => "this office",
-            Sharers::Elsewhere => "others",
+            QuotaScope::All => "all",
+            QuotaScope::Zone => "this office",
+            QuotaScope::Elsewhere => "others",
         }
     }
 }
 
-/// What a cold host is asked for here.
+/// What a cold endpoint is asked for here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdDemand {
-    /// The host.
-    pub host: HostId,
+pub struct WarmUpDemand {
+    /// The endpoint.
+    pub endpoint: EndpointId,
     /// Who shares its budget.
-    pub sharers: Sharers,
+    pub sharers: QuotaScope,
     /// Used within the last window, as a part of the whole budget.
     pub used: f64,
     /// The same with what was kept from it.
@@ -47,37 +47,37 @@
     pub unit: f64,
 }
 
-/// What all dispatchers together may send to a cold host within a window of so many seconds, in seconds of sending, by
+/// What all routers together may send to a cold endpoint within a window of so many seconds, in seconds of sending, by
 /// what it can do at the least and the multiple at which it falls over.
 pub(crate) fn cold_budget(able: f64, multiple: f64, window: f64) -> f64 {
     COLD_USE.min(COLD_PART * multiple) * able * window
 }
 
-impl Control {
-    pub(crate) fn sharers(&self, h: &Host) -> Sharers {
+impl DecisionModule {
+    pub(crate) fn sharers(&self, h: &Endpoint) -> QuotaScope {
         match h.role {
-            Role::Elsewhere => Sharers::Elsewhere,
-            // Where the zones' numbers are not told, all share every host.
-            Role::Own if !self.settings.dispatchers_by_zone.is_empty() => Sharers::Zone,
-            _ => Sharers::All,
+            Role::Elsewhere => QuotaScope::Elsewhere,
+            // Where the zones' numbers are not told, all share every endpoint.
+            Role::Own if !self.settings.router_count_by_zone.is_empty() => QuotaScope::Zone,
+            _ => QuotaScope::All,
         }
     }
 
-    /// What a host's cold budget is divided by to give what this dispatcher may use; infinite: nothing.
-    pub(crate) fn divisor(&self, now: Timestamp, h: &Host) -> f64 {
+    /// What an endpoint's cold budget is divided by to give what this router may use; infinite: nothing.
+    pub(crate) fn divisor(&self, now: Timestamp, h: &Endpoint) -> f64 {
         let Some(leased) = &self.fleet.leased else { return f64::from(self.sharing(h)) };
         let part = match (leased.parts.get(&h.entry.id), self.sharers(h)) {
             (Some(p), _) if now < p.until => p.now,
             (Some(p), _) => p.after,
-            (None, Sharers::All) => leased.homes.0,
-            (None, Sharers::Zone) => leased.homes.1,
-            (None, Sharers::Elsewhere) => 0.0,
+            (None, QuotaScope::All) => leased.homes.0,
+            (None, QuotaScope::Zone) => leased.homes.1,
+            (None, QuotaScope::Elsewhere) => 0.0,
         };
         1.0 / part
     }
 
-    /// How many dispatchers share a host.
-    pub(crate) fn sharing(&self, h: &Host) -> u32 {
+    /// How many routers share an endpoint.
+    pub(crate) fn sharing(&self, h: &Endpoint) -> u32 {
         let named = match self.fleet.counted {
             Some((all, here)) => {
                 if h.role == Role::Own {
--- a/crates/decide/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -6,7 +6,7 @@
 /// A setting that can't be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("setting {key}: can't read {value:?}")]
-pub struct SettingError {
+pub struct SettingParseError {
     /// The path.
     pub key: String,
     /// What stands there.
@@ -14,21 +14,21 @@
 }
 
 /// Settings as path and value, a list of objects with its length under `.count`.
-pub struct Pairs(BTreeMap<String, String>);
+pub struct SettingsMap(BTreeMap<String, String>);
 
-impl Pairs {
+impl SettingsMap {
     /// Settings by path.
-    pub fn new(map: BTreeMap<String, String>) -> Pairs {
-        Pairs(map)
+    pub fn new(map: BTreeMap<String, String>) -> SettingsMap {
+        SettingsMap(map)
     }
     /// One value, or none where it is absent or empty.
-    pub fn read<T: std::str::FromStr>(&self, key: &str) -> Result<Option<T>, SettingError> {
+    pub fn read<T: std::str::FromStr>(&self, key: &str) -> Result<Option<T>, SettingParseError> {
         match self.0.get(key).filter(|v| !v.is_empty()) {
             None => Ok(None),
             Some(v) => v.parse().map(Some).map_err(|_| self.bad(key)),
         }
     }
-    fn num(&self, key: &str, into: &mut f64) -> Result<(), SettingError> {
+    fn num(&self, key: &str, into: &mut f64) -> Result<(), SettingParseError> {
         if let Some(v) = self.read::<f64>(key)? {
             *into = if v.is_finite() {
                 v
@@ -38,22 +38,22 @@
         }
         Ok(())
     }
-    fn put<T: std::str::FromStr>(&self, key: &str, into: &mut T) -> Result<(), SettingError> {
+    fn put<T: std::str::FromStr>(&self, key: &str, into: &mut T) -> Result<(), SettingParseError> {
         if let Some(v) = self.read(key)? {
             *into = v;
         }
         Ok(())
     }
-    fn span(&self, key: &str, into: &mut Duration) -> Result<(), SettingError> {
+    fn span(&self, key: &str, into: &mut Duration) -> Result<(), SettingParseError> {
         if let Some(micros) = self.read(key)? {
             *into = Duration::from_micros(micros);
         }
         Ok(())
     }
-    fn spans(&self, key: &str) -> Result<Vec<Duration>, SettingError> {
+    fn spans(&self, key: &str) -> Result<Vec<Duration>, SettingParseError> {
         Ok(self.list(key)?.into_iter().map(Duration::from_micros).collect())
     }
-    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], into: &mut T) -> Result<(), SettingError> {
+    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], into: &mut T) -> Result<(), SettingParseError> {
         if let Some(v) = self.0.get(key) {
             let hit = words.iter().find(|(w, _)| w == v);
             *into = hit.map(|(_, t)| *t).ok_or_else(|| self.bad(key))?;
@@ -61,24 +61,24 @@
         Ok(())
     }
     /// A comma-separated list; empty if absent.
-    pub fn list<T: std::str::FromStr>(&self, key: &str) -> Result<Vec<T>, SettingError> {
+    pub fn list<T: std::str::FromStr>(&self, key: &str) -> Result<Vec<T>, SettingParseError> {
         match self.0.get(key).filter(|v| !v.is_empty()) {
             None => Ok(Vec::new()),
             Some(v) => v.split(',').map(|p| p.trim().parse().map_err(|_| self.bad(key))).collect(),
         }
     }
-    fn bad(&self, key: &str) -> SettingError {
-        SettingError { key: key.to_string(), value: self.0.get(key).cloned().unwrap_or_default() }
+    fn bad(&self, key: &str) -> SettingParseError {
+        SettingParseError { key: key.to_string(), value: self.0.get(key).cloned().unwrap_or_default() }
     }
 }
 
 /// Reads the settings; unknown keys are skipped, absent ones keep their defaults.
-pub fn settings_from(p: &Pairs) -> Result<Settings, SettingError> {
+pub fn parse_settings(p: &SettingsMap) -> Result<Settings, SettingParseError> {
     let mut s = Settings::default();
     p.put("az", &mut s.zone)?;
-    p.put("groupSize", &mut s.dispatchers)?;
-    s.dispatchers_by_zone = p.list("familyInfo.countByZone")?;
-    let kind = |key: &str| -> Result<Option<u16>, SettingError> {
+    p.put("groupSize", &mut s.router_count)?;
+    s.router_count_by_zone = p.list("familyInfo.countByZone")?;
+    let kind = |key: &str| -> Result<Option<u16>, SettingParseError> {
         match p.read::<i64>(key)? {
             None | Some(-1) => Ok(None),
             Some(v) => u16::try_from(v).map(Some).map_err(|_| p.bad(key)),
@@ -86,37 +86,42 @@
     };
     s.parent_kind = kind("familyInfo.shieldKind")?;
     s.origin_kind = kind("familyInfo.storeKind")?;
-    p.put("familyInfo.bypassAllowed", &mut s.direct)?;
-    p.put("familyInfo.sharesFills", &mut s.joins)?;
+    p.put("familyInfo.bypassAllowed", &mut s.bypass_edge_cache)?;
+    p.put("familyInfo.sharesFills", &mut s.coalesce_fills)?;
     p.num("familyInfo.flowKbPerS", &mut s.flow_kb_per_s)?;
-    p.num("familyInfo.originFallMultiple", &mut s.origin_fall_multiple)?;
+    p.num("familyInfo.originFallMultiple", &mut s.origin_overload_multiple)?;
     p.span("familyInfo.purgeSlack", &mut s.purge_slack)?;
     p.span("familyInfo.clearedWithin", &mut s.purge_done)?;
-    p.num("familyInfo.parentFloor", &mut s.parent_cold_from)?;
-    p.span("familyInfo.upperCold", &mut s.parent_cold_for)?;
-    p.num("familyInfo.parentFallMultiple", &mut s.parent_fall_multiple)?;
-    let siblings = [("none", Siblings::None), ("location", Siblings::Location), ("any", Siblings::Any)];
-    p.word("familyInfo.neighbours", &siblings, &mut s.siblings)?;
-    let notes = [("none", Notes::None), ("hit", Notes::Hit), ("all", Notes::All)];
-    p.word("familyInfo.tells", &notes, &mut s.notes)?;
+    p.num("familyInfo.parentFloor", &mut s.parent_warm_up_floor)?;
+    p.span("familyInfo.upperCold", &mut s.parent_warm_up_period)?;
+    p.num("familyInfo.parentFallMultiple", &mut s.parent_overload_multiple)?;
+    let sibling_caches =
+        [("none", SiblingCaches::None), ("location", SiblingCaches::Location), ("any", SiblingCaches::Any)];
+    p.word("familyInfo.neighbours", &sibling_caches, &mut s.sibling_caches)?;
+    let notes = [
+        ("none", CacheStatusReporting::None),
+        ("hit", CacheStatusReporting::Hit),
+        ("all", CacheStatusReporting::All),
+    ];
+    p.word("familyInfo.tells", &notes, &mut s.cache_status_reporting)?;
     let weights = [
-        ("none", Weights::None),
-        ("nominal", Weights::Size),
-        ("rough", Weights::Size),
-        ("live", Weights::Live),
+        ("none", ListedWeights::None),
+        ("nominal", ListedWeights::Size),
+        ("rough", ListedWeights::Size),
+        ("live", ListedWeights::Live),
     ];
     p.word("weightSource", &weights, &mut s.weights)?;
     let discovery = [("push", Discovery::Push), ("ask", Discovery::Ask)];
     p.word("discovery", &discovery, &mut s.discovery)?;
-    p.span("rules.mustAskIn", &mut s.ask_within)?;
+    p.span("rules.mustAskIn", &mut s.list_silence_timeout)?;
     p.span("rules.drainGrace", &mut s.drain_grace)?;
     p.span("rules.graceToAnswer", &mut s.answer_slack)?;
-    p.num("rules.coldFrom", &mut s.cold_from)?;
-    p.span("rules.warmAfter", &mut s.cold_for)?;
-    p.num("rules.overloadFactor", &mut s.fall_multiple)?;
-    p.span("rules.tipAfter", &mut s.fall_after)?;
+    p.num("rules.coldFrom", &mut s.warm_up_floor)?;
+    p.span("rules.warmAfter", &mut s.warm_up_period)?;
+    p.num("rules.overloadFactor", &mut s.overload_multiple)?;
+    p.span("rules.tipAfter", &mut s.overload_window)?;
     p.put("limits.sendCap", &mut s.max_attempts)?;
-    p.put("limits.secondCopies", &mut s.second_copies)?;
+    p.put("limits.secondCopies", &mut s.hedging_allowed)?;
     p.put("limits.cancel", &mut s.cancel)?;
     p.put("limits.probes", &mut s.probes)?;
     p.put("limits.retryAfter", &mut s.retry_after)?;
@@ -128,23 +133,31 @@
     let grace = p.spans("familyInfo.usableAfter")?;
     let stale: Vec<f64> = p.list("familyInfo.staleEarns")?;
     for i in 0..usize::from(count) {
-        let mut c = Class::default();
+        let mut c = RequestClass::default();
         let key = |k: &str| format!("classes.{i}.{k}");
-        p.span(&key("onTime"), &mut c.aim)?;
-        p.num(&key("aimStretch"), &mut c.aim_stretch)?;
+        p.span(&key("onTime"), &mut c.latency_objective)?;
+        p.num(&key("aimStretch"), &mut c.latency_objective_stretch)?;
         p.span(&key("hardLimit"), &mut c.deadline)?;
-        p.num(&key("worth"), &mut c.worth)?;
-        p.num(&key("lateShare"), &mut c.late_worth)?;
-        let effects = [("retryable", Effect::Safe), ("dedup", Effect::Keyed), ("fragile", Effect::Unsafe)];
-        p.word(&key("effect"), &effects, &mut c.effect)?;
-        let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
+        p.num(&key("worth"), &mut c.priority_weight)?;
+        p.num(&key("lateShare"), &mut c.late_weight)?;
+        let effects = [
+            ("retryable", Idempotency::Idempotent),
+            ("dedup", Idempotency::WithKey),
+            ("fragile", Idempotency::NotIdempotent),
+        ];
+        p.word(&key("effect"), &effects, &mut c.idempotency)?;
+        let scopes = [
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
+        ];
         p.word(&key("dedupScope"), &scopes, &mut c.scope)?;
         p.span(&key("keyTtl"), &mut c.window)?;
         p.put(&key("stream"), &mut c.stream)?;
         c.write = writes.get(i).copied().unwrap_or(false);
         c.fresh = fresh.get(i).copied().unwrap_or_default();
         c.grace = grace.get(i).copied().unwrap_or_default();
-        c.stale_worth = stale.get(i).copied().unwrap_or(1.0);
+        c.stale_weight = stale.get(i).copied().unwrap_or(1.0);
         s.classes.push(c);
     }
     Ok(s)
--- a/crates/decide/src/memory.rs
+++ b/crates/decision/src/snapshot.rs
@@ -1,9 +1,9 @@
 //! What a module knows that another one at its place would have to learn anew: plain data, handed to the process that
 //! replaces this one. What is open stays here and is no part of it.
 
-use crate::control::{Control, FLEET, TABLE};
-use crate::interface::{HostId, HostState, Timestamp};
-use crate::state::{Host, Learnt, Purges};
+use crate::interface::{EndpointId, EndpointState, Timestamp};
+use crate::module::{DecisionModule, FLEET, TABLE};
+use crate::state::{Endpoint, Learnt, PurgeHistory};
 use crate::time::serde_micros;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -14,11 +14,11 @@
 
 /// What was learnt.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
-    /// Of hosts.
-    pub hosts: Vec<HostMemory>,
+pub struct DecisionSnapshot {
+    /// Of endpoints.
+    pub endpoints: Vec<EndpointSnapshot>,
     /// Of classes, by number.
-    pub classes: Vec<ClassMemory>,
+    pub classes: Vec<ClassSnapshot>,
     /// The levels of objects, and since when.
     pub levels: Vec<(u64, u32, Timestamp)>,
     /// Requests a second.
@@ -37,9 +37,9 @@
     pub lost: f64,
 }
 
-/// What is known of a host.
+/// What is known of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HostMemory {
+pub struct EndpointSnapshot {
     /// Its identity.
     pub id: u64,
     /// Since when it may be cold.
@@ -67,7 +67,7 @@
 
 /// What is known of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ClassMemory {
+pub struct ClassSnapshot {
     /// Mean work, and from how many samples.
     pub work: (f64, f64),
     /// Mean sending time of the bytes.
@@ -85,11 +85,11 @@
     }
 }
 
-impl Control {
+impl DecisionModule {
     /// What another module could go on with.
-    pub fn remember(&self) -> Memory {
-        let hosts = self.fleet.hosts.iter().filter(|(_, h)| h.entry.state != HostState::Gone);
-        let host = |(id, h): (&HostId, &Host)| HostMemory {
+    pub fn snapshot(&self) -> DecisionSnapshot {
+        let endpoints = self.fleet.endpoints.iter().filter(|(_, h)| h.entry.state != EndpointState::Gone);
+        let endpoint = |(id, h): (&EndpointId, &Endpoint)| EndpointSnapshot {
             id: id.0,
             cold_since: h.cold_since,
             blame: [h.strikes, h.faults, h.owing],
@@ -102,10 +102,10 @@
             load: (h.load, h.load_at),
             ledger: h.ledger.iter().map(|l| (l.0, l.2)).collect(),
         };
-        let class = |l: &Learnt| ClassMemory { work: (l.work, l.samples), sent: l.sent, slow: l.slow };
+        let class = |l: &Learnt| ClassSnapshot { work: (l.work, l.samples), sent: l.sent, slow: l.slow };
         let (purges, floor) = self.purges.list();
-        Memory {
-            hosts: hosts.map(host).collect(),
+        DecisionSnapshot {
+            endpoints: endpoints.map(endpoint).collect(),
             classes: self.learnt.iter().map(class).collect(),
             levels: self.counts.levels.iter().map(|(k, (l, t))| (*k, *l, *t)).collect(),
             rate: self.counts.rate,
@@ -118,11 +118,11 @@
         }
     }
 
-    /// Goes on with what another one knew, after the list of hosts was told. Classes are this module's own, by number;
+    /// Goes on with what another one knew, after the list of endpoints was told. Classes are this module's own, by number;
     /// what is no number or lies in the future is not taken.
-    pub fn recall(&mut self, now: Timestamp, m: &Memory) {
-        for known in m.hosts.iter().take(FLEET) {
-            let Some(h) = self.fleet.hosts.get_mut(&HostId(known.id)) else { continue };
+    pub fn restore(&mut self, now: Timestamp, m: &DecisionSnapshot) {
+        for known in m.endpoints.iter().take(FLEET) {
+            let Some(h) = self.fleet.endpoints.get_mut(&EndpointId(known.id)) else { continue };
             h.cold_since = h.cold_since.max(known.cold_since.map(|t| t.min(now)));
             [h.strikes, h.faults, h.owing] = known.blame;
             h.strikes = number(h.strikes, 1e6);
@@ -135,7 +135,7 @@
             // No outcome of this module is told under that mark.
             h.ledger.extend(lately.map(|l| (l.0, u64::MAX, number(l.1, 1e6))));
             if h.cold_since.is_some() || h.died {
-                self.chilled.insert(HostId(known.id));
+                self.chilled.insert(EndpointId(known.id));
             }
         }
         for (l, known) in self.learnt.iter_mut().zip(&m.classes) {
@@ -152,20 +152,20 @@
             here.extend(there.iter().take(TABLE));
         }
         self.counts.seen_since = m.seen_since.min(now);
-        self.purges.recall(now, &m.purges, m.floor, TABLE);
+        self.purges.restore(now, &m.purges, m.floor, TABLE);
         self.retries = number(m.retries, self.retries);
         self.lost = number(m.lost, 0.9);
     }
 }
 
-impl Purges {
+impl PurgeHistory {
     /// All that is known: whether of a group, of what, and when; and when every object counts as purged.
     pub fn list(&self) -> (Vec<(bool, u64, Timestamp)>, Timestamp) {
         (self.at.iter().map(|((group, what), at)| (*group, *what, *at)).collect(), self.floor)
     }
 
     /// Takes what another list held.
-    pub fn recall(
+    pub fn restore(
         &mut self,
         now: Timestamp,
         known: &[(bool, u64, Timestamp)],
--- a/crates/decide/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -7,11 +7,11 @@
 /// Work that cold budgets did not admit is forgotten over about this long.
 const KEPT: Duration = Duration::from_millis(1_500);
 
-/// Over about this long a host's answers are counted, to tell how many its silence lacks...
+/// Over about this long an endpoint's answers are counted, to tell how many its silence lacks...
 pub(crate) const USUAL: Duration = Duration::from_secs(10);
 /// ...and this much of an overdue attempt's evidence holds where none were to be expected.
 const RARE: f64 = 0.4;
-/// An attempt is moved from a host whose silence is worth this much: not for each large object.
+/// An attempt is moved from an endpoint whose silence is worth this much: not for each large object.
 pub(crate) const SURE: f64 = 0.7;
 /// An attempt is moved only where the request has more time left than this.
 pub(crate) const WORTH_MOVING: Duration = Duration::from_millis(50);
@@ -28,7 +28,7 @@
     (-ratio(long, KEPT)).exp()
 }
 
-/// What a host is to this dispatcher.
+/// What an endpoint is to this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Role {
     #[default]
@@ -39,7 +39,7 @@
 }
 
 impl Role {
-    fn of(s: &Settings, e: &HostEntry) -> Role {
+    fn of(s: &Settings, e: &EndpointEntry) -> Role {
         match Some(e.kind) {
             k if k == s.parent_kind => Role::Parent,
             k if k == s.origin_kind => Role::Origin,
@@ -49,10 +49,10 @@
     }
 }
 
-/// What is known of a host.
+/// What is known of an endpoint.
 #[derive(Debug, Default)]
-pub(crate) struct Host {
-    pub(crate) entry: HostEntry,
+pub(crate) struct Endpoint {
+    pub(crate) entry: EndpointEntry,
     pub(crate) role: Role,
     /// Since when it may be cold: its start as listed, or its return as seen here.
     pub(crate) cold_since: Option<Timestamp>,
@@ -89,7 +89,7 @@
     unmet: Cell<(Timestamp, f64)>,
 }
 
-impl Host {
+impl Endpoint {
     /// Own attempts in hand, averaged over that long or so.
     pub(crate) fn load(&self, now: Timestamp, over: Duration) -> f64 {
         let past = (-ratio(now.saturating_duration_since(self.load_at), over)).exp();
@@ -127,8 +127,8 @@
         self.out.is_none()
     }
 
-    /// What silence since then is worth as evidence: little at a host that this dispatcher rarely hears of.
-    /// Several overdue attempts in a row still take such a host out.
+    /// What silence since then is worth as evidence: little at an endpoint that this router rarely hears of.
+    /// Several overdue attempts in a row still take such an endpoint out.
     pub(crate) fn silence(&self, now: Timestamp, since: Timestamp) -> f64 {
         let expected = self.answers / secs(USUAL) * secs(now.saturating_duration_since(since));
         1.0 - (1.0 - RARE) * (-expected).exp()
@@ -143,9 +143,10 @@
         self.died && self.probed
     }
 
-    /// Whether a probe settles what this host is, under these settings.
+    /// Whether a probe settles what this endpoint is, under these settings.
     pub(crate) fn assign_probed(&mut self, s: &Settings) {
-        self.probed = s.probes && s.notes == Notes::None && self.role == Role::Parent;
+        self.probed =
+            s.probes && s.cache_status_reporting == CacheStatusReporting::None && self.role == Role::Parent;
     }
 }
 
@@ -170,8 +171,8 @@
     pub(crate) at: Timestamp,
     /// When the origin itself last answered in time.
     pub(crate) well: Timestamp,
-    /// The last attempt that was refused: its host and its source.
-    pub(crate) refused: Option<(HostId, HostId)>,
+    /// The last attempt that was refused: its endpoint and its source.
+    pub(crate) refused: Option<(EndpointId, EndpointId)>,
 }
 
 impl Default for Relief {
@@ -180,7 +181,7 @@
     }
 }
 
-/// What is held against a host: that it is slow or fails, that nothing of it is heard, or that its process is gone.
+/// What is held against an endpoint: that it is slow or fails, that nothing of it is heard, or that its process is gone.
 /// Only the last has it come back cold: a machine that was cut off goes on where it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Sign {
@@ -203,20 +204,20 @@
 /// An attempt.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Try {
-    pub(crate) host: HostId,
-    pub(crate) source: Option<HostId>,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) source: Option<EndpointId>,
     pub(crate) sent: Timestamp,
     pub(crate) out: bool,
     /// It was overdue for long.
     pub(crate) looked: bool,
     /// It counts as a fill in hand at its source.
     pub(crate) filling: bool,
-    /// It counts as in hand at its host.
+    /// It counts as in hand at its endpoint.
     pub(crate) held: bool,
     /// It ended with an error.
     pub(crate) failed: bool,
     /// Its source was to give only what it holds.
-    pub(crate) shallow: bool,
+    pub(crate) only_if_cached: bool,
 }
 
 /// A request that is not accounted for yet.
@@ -235,12 +236,12 @@
     pub(crate) stale: bool,
     /// A parent had no room for its fill.
     pub(crate) refused: bool,
-    /// Its last attempt's answer is held to be lost: it is sent to the same host again.
+    /// Its last attempt's answer is held to be lost: it is sent to the same endpoint again.
     pub(crate) lost: bool,
     pub(crate) tries: Vec<Try>,
     /// First attempt that may have run: when and where.
-    pub(crate) ran: Option<(Timestamp, HostId)>,
-    pub(crate) bad: BTreeSet<HostId>,
+    pub(crate) ran: Option<(Timestamp, EndpointId)>,
+    pub(crate) bad: BTreeSet<EndpointId>,
 }
 
 impl Open {
@@ -256,7 +257,7 @@
     /// What it was learnt from; and whether from sizes that were told.
     pub(crate) samples: f64,
     pub(crate) told: bool,
-    /// Mean sending time of the bytes that came. What may be sent to cold hosts goes by `work` all the same: that
+    /// Mean sending time of the bytes that came. What may be sent to cold endpoints goes by `work` all the same: that
     /// holds the waits as well, so it errs on their side, while few answers miss most of a class's large objects.
     pub(crate) sent: Option<f64>,
     pub(crate) slow: f64,
@@ -264,18 +265,18 @@
 
 impl Learnt {
     /// Before anything is seen a class's work is held to be what its aim leaves room for.
-    pub(crate) fn new(class: &Class) -> Learnt {
-        Learnt { work: secs(class.aim), samples: 0.0, told: false, sent: None, slow: 1.5 }
+    pub(crate) fn new(class: &RequestClass) -> Learnt {
+        Learnt { work: secs(class.latency_objective), samples: 0.0, told: false, sent: None, slow: 1.5 }
     }
 
     /// The same under a class whose aim is another: where sizes are not told, latencies are measured by it.
-    pub(crate) fn under(&self, old: &Class, new: &Class) -> Learnt {
-        let scale = secs(old.aim).max(0.001) / secs(new.aim).max(0.001);
+    pub(crate) fn under(&self, old: &RequestClass, new: &RequestClass) -> Learnt {
+        let scale = secs(old.latency_objective).max(0.001) / secs(new.latency_objective).max(0.001);
         Learnt { slow: (self.slow * scale).clamp(0.2, 20.0), ..self.clone() }
     }
 
-    /// What a request of the class is held to cost a cold host: where sizes are not told no less than its bytes. The mean
-    /// that holds the waits is the smaller one where the crowd at a host is taken for larger than it is, as not all that is
+    /// What a request of the class is held to cost a cold endpoint: where sizes are not told no less than its bytes. The mean
+    /// that holds the waits is the smaller one where the crowd at an endpoint is taken for larger than it is, as not all that is
     /// in hand there is sent.
     pub(crate) fn mean(&self) -> f64 {
         self.work.max(self.sent.filter(|_| !self.told).unwrap_or(0.0))
@@ -307,8 +308,8 @@
     }
 }
 
-/// Host, source of a fill, rank of the copy, and whether it is a host's trial.
-pub(crate) struct Plan(pub(crate) HostId, pub(crate) Option<HostId>, pub(crate) u8, pub(crate) bool);
+/// Endpoint, source of a fill, rank of the copy, and whether it is an endpoint's trial.
+pub(crate) struct Plan(pub(crate) EndpointId, pub(crate) Option<EndpointId>, pub(crate) u8, pub(crate) bool);
 
 /// Requests per object: this round's, the levels they led to, and what was asked for lately.
 #[derive(Debug, Default)]
@@ -348,11 +349,11 @@
     }
 }
 
-/// The hosts of the list, and which of them take work.
+/// The endpoints of the list, and which of them take work.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    pub(crate) hosts: BTreeMap<HostId, Host>,
-    ready: BTreeMap<Role, Vec<HostId>>,
+    pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
+    ready: BTreeMap<Role, Vec<EndpointId>>,
     /// Dispatchers that use them beyond those that the settings name.
     pub(crate) further: u32,
     /// Dispatchers that may be at work, in all and in the own zone, where that is known better than by the settings.
@@ -362,20 +363,28 @@
 }
 
 impl Fleet {
-    /// Takes lines of the list; tells which hosts are new, have started anew or are back.
-    pub(crate) fn apply(&mut self, s: &Settings, kind: ListKind, entries: Vec<HostEntry>) -> Vec<HostId> {
+    /// Takes lines of the list; tells which endpoints are new, have started anew or are back.
+    pub(crate) fn apply(
+        &mut self,
+        s: &Settings,
+        kind: ListKind,
+        entries: Vec<EndpointEntry>,
+    ) -> Vec<EndpointId> {
         let mut started = Vec::new();
         if kind != ListKind::Delta {
-            let named: BTreeSet<HostId> = entries.iter().map(|e| e.id).collect();
-            for (_, h) in self.hosts.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                h.entry.state = HostState::Gone;
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
+            for (_, h) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                h.entry.state = EndpointState::Gone;
             }
         }
         for e in entries {
             let role = Role::of(s, &e);
-            let new = !self.hosts.contains_key(&e.id);
-            let h = self.hosts.entry(e.id).or_insert_with(|| Host { entry: e.clone(), ..Host::default() });
-            let back = h.entry.state == HostState::Gone && e.state == HostState::Ready;
+            let new = !self.endpoints.contains_key(&e.id);
+            let h = self
+                .endpoints
+                .entry(e.id)
+                .or_insert_with(|| Endpoint { entry: e.clone(), ..Endpoint::default() });
+            let back = h.entry.state == EndpointState::Gone && e.state == EndpointState::Ready;
             if new || back || e.started > h.entry.started {
                 started.push(e.id);
             }
@@ -383,8 +392,8 @@
             (h.entry, h.role) = (e, role);
             h.assign_probed(s);
             // Until its start was told it got what was meant for the one before it, and that counts.
-            let before = before.and_then(|b| self.hosts.get(&b)).map(|b| b.ledger.clone());
-            if let (Some(ledger), Some(h)) = (before, self.hosts.get_mut(&id)) {
+            let before = before.and_then(|b| self.endpoints.get(&b)).map(|b| b.ledger.clone());
+            if let (Some(ledger), Some(h)) = (before, self.endpoints.get_mut(&id)) {
                 h.ledger.extend(ledger.into_iter().filter(|l| l.0 >= since));
             }
         }
@@ -392,45 +401,45 @@
         started
     }
 
-    /// An attempt is sent: it is in hand at its host, and counts as work asked of both within the window.
+    /// An attempt is sent: it is in hand at its endpoint, and counts as work asked of both within the window.
     pub(crate) fn began(
         &mut self,
         now: Timestamp,
         window: Duration,
-        (host, source): (HostId, Option<HostId>),
+        (endpoint, source): (EndpointId, Option<EndpointId>),
         token: u64,
         work: f64,
     ) {
         let old = now.saturating_sub(window);
-        for id in [Some(host), source].into_iter().flatten() {
-            let Some(h) = self.hosts.get_mut(&id) else { continue };
+        for id in [Some(endpoint), source].into_iter().flatten() {
+            let Some(h) = self.endpoints.get_mut(&id) else { continue };
             h.ledger.retain(|l| l.0 > old);
             h.ledger.push_back((now, token, work));
             h.trial |= h.out.is_some();
-            if h.entry.id == host {
+            if h.entry.id == endpoint {
                 h.hold(now, MEMORY, true);
             }
         }
     }
 
     /// An attempt has ended: it is no longer in hand, and a trial is over.
-    pub(crate) fn ended(&mut self, now: Timestamp, t: &Try, out: &Outcome) {
-        if let Some(h) = self.hosts.get_mut(&t.host) {
+    pub(crate) fn ended(&mut self, now: Timestamp, t: &Try, out: &AttemptOutcome) {
+        if let Some(h) = self.endpoints.get_mut(&t.endpoint) {
             if t.held {
                 h.hold(now, MEMORY, false);
             }
             h.trial = false;
         }
-        if let Some(h) = t.source.and_then(|s| self.hosts.get_mut(&s)) {
+        if let Some(h) = t.source.and_then(|s| self.endpoints.get_mut(&s)) {
             h.trial = false;
             if t.filling {
                 h.hold(now, FILL_MEMORY, false);
             }
-            if !t.filling && matches!(out.note, Some(Note::Filled | Note::FilledByOrigin)) {
+            if !t.filling && matches!(out.note, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin)) {
                 // Only its outcome tells that an attempt was a fill.
                 h.spend(now, FILL_MEMORY, out.latency);
             }
-            if out.note == Some(Note::Hit) {
+            if out.note == Some(CacheStatus::Hit) {
                 // A hit asked nothing of its source: the budget gets it back.
                 let token = u64::from(out.request) << 16 | u64::from(out.attempt);
                 h.ledger.retain(|l| l.1 != token);
@@ -438,14 +447,14 @@
         }
     }
 
-    /// Whether a host has answered anybody since then.
-    pub(crate) fn answered(&self, id: HostId, since: Timestamp) -> bool {
-        self.hosts.get(&id).is_some_and(|h| h.last_ok > since)
+    /// Whether an endpoint has answered anybody since then.
+    pub(crate) fn answered(&self, id: EndpointId, since: Timestamp) -> bool {
+        self.endpoints.get(&id).is_some_and(|h| h.last_ok > since)
     }
 
-    /// What the hosts are under other settings.
+    /// What the endpoints are under other settings.
     pub(crate) fn assign(&mut self, s: &Settings) {
-        for h in self.hosts.values_mut() {
+        for h in self.endpoints.values_mut() {
             h.role = Role::of(s, &h.entry);
             h.assign_probed(s);
         }
@@ -454,32 +463,32 @@
 
     fn sort(&mut self) {
         self.ready.clear();
-        for (id, h) in self.hosts.iter().filter(|(_, h)| h.entry.state == HostState::Ready) {
+        for (id, h) in self.endpoints.iter().filter(|(_, h)| h.entry.state == EndpointState::Ready) {
             self.ready.entry(h.role).or_default().push(*id);
         }
     }
 
-    /// Drops hosts that are gone once there are more than so many: successors would pile up for ever.
+    /// Drops endpoints that are gone once there are more than so many: successors would pile up for ever.
     pub(crate) fn forget(&mut self, most: usize) {
-        if self.hosts.len() > most {
-            self.hosts.retain(|_, h| h.entry.state != HostState::Gone || h.inflight > 0);
+        if self.endpoints.len() > most {
+            self.endpoints.retain(|_, h| h.entry.state != EndpointState::Gone || h.inflight > 0);
         }
     }
 
-    /// The hosts of a role that take work.
-    pub(crate) fn alike(&self, role: Role) -> impl Iterator<Item = &Host> {
-        self.ready.get(&role).into_iter().flatten().filter_map(|id| self.hosts.get(id))
+    /// The endpoints of a role that take work.
+    pub(crate) fn alike(&self, role: Role) -> impl Iterator<Item = &Endpoint> {
+        self.ready.get(&role).into_iter().flatten().filter_map(|id| self.endpoints.get(id))
     }
 }
 
 /// When what was purged last.
 #[derive(Debug, Default)]
-pub struct Purges {
+pub struct PurgeHistory {
     pub(crate) at: BTreeMap<(bool, u64), Timestamp>,
     pub(crate) floor: Timestamp,
 }
 
-impl Purges {
+impl PurgeHistory {
     /// Takes a purge. Beyond so many the latest time of those dropped stands for every object: nothing is forgotten.
     pub fn add(&mut self, now: Timestamp, p: &Purge, most: usize) {
         let at = now.saturating_sub(p.since);
@@ -513,9 +522,9 @@
     }
 }
 
-/// What may be used of a host's cold budget here, as a part of the whole: `now` until then, `after` from then on.
+/// What may be used of an endpoint's cold budget here, as a part of the whole: `now` until then, `after` from then on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct QuotaShare {
     /// Until `until`.
     pub now: f64,
     /// By the same clock as all times that the module is given.
@@ -524,10 +533,10 @@
     pub after: f64,
 }
 
-/// Parts of cold budgets: of all those that nothing else is said of, and of hosts.
+/// Parts of cold budgets: of all those that nothing else is said of, and of endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leased {
-    /// Of a host that all share, and of one that the own zone shares.
+    /// Of an endpoint that all share, and of one that the own zone shares.
     pub(crate) homes: (f64, f64),
-    pub(crate) parts: BTreeMap<HostId, Part>,
+    pub(crate) parts: BTreeMap<EndpointId, QuotaShare>,
 }
--- a/crates/decide/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -1,5 +1,5 @@
 //! Points in time and the arithmetic of spans. Everything is kept in whole microseconds: that is what the wire
-//! formats, the recordings and the handover carry, and two dispatchers that round differently decide differently.
+//! formats, the recordings and the handover carry, and two routers that round differently decide differently.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
--- a/crates/decide/tests/module.rs
+++ b/crates/decision/tests/module.rs
@@ -1,7 +1,7 @@
 //! The decision module through its interface: the mechanism, the rules and what comes back.
 
-use hollymux_decide::time::MICROSECOND;
-use hollymux_decide::*;
+use hollymux_decision::time::MICROSECOND;
+use hollymux_decision::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,39 +10,39 @@
 const ORIGIN: u16 = 2;
 const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-fn class() -> Class {
-    Class {
-        aim: Duration::from_millis(500),
-        aim_stretch: 1.6,
+fn class() -> RequestClass {
+    RequestClass {
+        latency_objective: Duration::from_millis(500),
+        latency_objective_stretch: 1.6,
         deadline: Duration::from_secs(5),
-        effect: Effect::Safe,
-        scope: Scope::All,
+        idempotency: Idempotency::Idempotent,
+        scope: DeduplicationScope::All,
         window: Duration::from_secs(3),
-        ..Class::default()
+        ..RequestClass::default()
     }
 }
 
 fn settings() -> Settings {
     Settings {
         classes: vec![class()],
-        dispatchers: 2,
-        dispatchers_by_zone: vec![1, 1],
+        router_count: 2,
+        router_count_by_zone: vec![1, 1],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        joins: true,
-        siblings: Siblings::Location,
-        notes: Notes::All,
-        weights: Weights::Size,
+        coalesce_fills: true,
+        sibling_caches: SiblingCaches::Location,
+        cache_status_reporting: CacheStatusReporting::All,
+        weights: ListedWeights::Size,
         flow_kb_per_s: 1_000.0,
         purge_done: Duration::from_secs(6),
         purge_slack: Duration::from_millis(500),
-        cold_from: 0.2,
-        cold_for: Duration::from_secs(10),
-        fall_multiple: 3.0,
-        fall_after: Duration::from_secs(1),
-        parent_cold_from: 0.1,
-        parent_cold_for: Duration::from_secs(20),
-        parent_fall_multiple: 2.0,
+        warm_up_floor: 0.2,
+        warm_up_period: Duration::from_secs(10),
+        overload_multiple: 3.0,
+        overload_window: Duration::from_secs(1),
+        parent_warm_up_floor: 0.1,
+        parent_warm_up_period: Duration::from_secs(20),
+        parent_overload_multiple: 2.0,
         max_attempts: 4,
         cancel: true,
         retry_after: true,
@@ -51,21 +51,21 @@
     }
 }
 
-fn line(id: u64, zone: u16, kind: u16) -> HostEntry {
-    HostEntry {
-        id: HostId(id),
+fn line(id: u64, zone: u16, kind: u16) -> EndpointEntry {
+    EndpointEntry {
+        id: EndpointId(id),
         cell: 0,
         zone,
         kind,
         weight: 8.0,
-        state: HostState::Ready,
+        state: EndpointState::Ready,
         started: Timestamp::ZERO,
         in_place_of: None,
     }
 }
 
 /// Four caches here (1 to 4), two elsewhere, three parents (21 to 23), an origin (31).
-fn fleet() -> Vec<HostEntry> {
+fn fleet() -> Vec<EndpointEntry> {
     let mut all: Vec<_> = (1..=4).map(|i| line(i, 0, 0)).collect();
     all.extend((11..=12).map(|i| line(i, 1, 0)));
     all.extend((21..=23).map(|i| line(i, 2, PARENT)));
@@ -74,7 +74,7 @@
 }
 
 struct Bed {
-    c: Control,
+    c: DecisionModule,
     now: Timestamp,
     next: RequestId,
 }
@@ -82,15 +82,15 @@
 #[derive(Clone, Debug)]
 struct Sent {
     id: RequestId,
-    host: u64,
-    fill: Fill,
+    endpoint: u64,
+    fill: CacheFill,
 }
 
 impl Bed {
     fn new(s: Settings) -> Bed {
-        let c = Control::new(s, 5).unwrap();
+        let c = DecisionModule::new(s, 5).unwrap();
         let mut bed = Bed { c, now: START, next: 1 };
-        bed.hosts(ListKind::Cached, fleet());
+        bed.endpoints(ListKind::Cached, fleet());
         bed
     }
     fn event(&mut self, e: Event) -> Vec<Action> {
@@ -98,8 +98,8 @@
         self.c.handle(self.now, e, &mut acts);
         acts
     }
-    fn hosts(&mut self, kind: ListKind, entries: Vec<HostEntry>) {
-        self.event(Event::Hosts { kind, entries });
+    fn endpoints(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
+        self.event(Event::EndpointList { kind, entries });
     }
     fn ask_of(&mut self, object: u64, part: u32, class: u16) -> Vec<Action> {
         self.next += 1;
@@ -119,7 +119,13 @@
     fn ask(&mut self, object: u64) -> Sent {
         sent(&self.ask_of(object, 0, 0)).expect("an attempt")
     }
-    fn end(&mut self, s: &Sent, attempt: u16, status: Status, note: Option<Note>) -> Vec<Action> {
+    fn end(
+        &mut self,
+        s: &Sent,
+        attempt: u16,
+        status: AttemptStatus,
+        note: Option<CacheStatus>,
+    ) -> Vec<Action> {
         self.end_after(s, attempt, status, note, Duration::from_millis(100))
     }
 
@@ -127,17 +133,17 @@
         &mut self,
         s: &Sent,
         attempt: u16,
-        status: Status,
-        note: Option<Note>,
+        status: AttemptStatus,
+        note: Option<CacheStatus>,
         latency: Duration,
     ) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
+        self.event(Event::AttemptOutcome(AttemptOutcome {
             request: s.id,
             attempt,
-            host: HostId(s.host),
+            endpoint: EndpointId(s.endpoint),
             latency,
             status,
-            ended: status == Status::Ok,
+            ended: status == AttemptStatus::Ok,
             note,
             work: None,
         }))
@@ -145,7 +151,7 @@
     /// Asks and is served.
     fn serve(&mut self, object: u64) -> Sent {
         let s = self.ask(object);
-        self.end(&s, 0, Status::Ok, Some(Note::Hit));
+        self.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
         s
     }
     /// Home cache and home parent of every object of a sample.
@@ -153,7 +159,7 @@
         let mut homes = BTreeMap::new();
         for object in 1_000..1_200 {
             let s = self.serve(object);
-            homes.insert(object, (s.host, s.fill.source.unwrap().0));
+            homes.insert(object, (s.endpoint, s.fill.source.unwrap().0));
         }
         homes
     }
@@ -161,8 +167,8 @@
 
 fn sent(acts: &[Action]) -> Option<Sent> {
     acts.iter().find_map(|a| match a {
-        Action::Attempt { request, host, fill, .. } => {
-            Some(Sent { id: *request, host: host.0, fill: fill.clone() })
+        Action::Attempt { request, endpoint, fill, .. } => {
+            Some(Sent { id: *request, endpoint: endpoint.0, fill: fill.clone() })
         }
         _ => None,
     })
@@ -176,13 +182,13 @@
 #[test]
 fn a_cold_object_has_one_home_and_its_parts_are_spread() {
     let mut bed = Bed::new(settings());
-    let homes: BTreeSet<u64> = (0..9).map(|_| bed.serve(42).host).collect();
+    let homes: BTreeSet<u64> = (0..9).map(|_| bed.serve(42).endpoint).collect();
     assert_eq!(homes.len(), 1);
     let mut parts = BTreeSet::new();
     for part in 0..40 {
         let s = sent(&bed.ask_of(42, part, 0)).unwrap();
-        bed.end(&s, 0, Status::Ok, Some(Note::Hit));
-        parts.insert(s.host);
+        bed.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
+        parts.insert(s.endpoint);
     }
     assert_eq!(parts, BTreeSet::from([1, 2, 3, 4]));
 }
@@ -191,8 +197,8 @@
 fn parents_agree_across_locations_and_seeds() {
     let mut here = Bed::new(settings());
     let mut there = Bed::new(Settings { zone: 1, ..settings() });
-    there.c = Control::new(Settings { zone: 1, ..settings() }, 99).unwrap();
-    there.hosts(ListKind::Full, fleet());
+    there.c = DecisionModule::new(Settings { zone: 1, ..settings() }, 99).unwrap();
+    there.endpoints(ListKind::Full, fleet());
     let (a, b) = (here.homes(), there.homes());
     assert!(a.iter().all(|(k, v)| b[k].1 == v.1));
     assert_eq!(a.values().map(|v| v.1).collect::<BTreeSet<_>>(), BTreeSet::from([21, 22, 23]));
@@ -202,11 +208,11 @@
 #[test]
 fn skipped_hosts_leave_the_others_in_place() {
     for (id, zone, kind, is_cache) in [(2, 0, 0, true), (22, 2, PARENT, false)] {
-        for state in [HostState::Draining, HostState::Gone] {
+        for state in [EndpointState::Draining, EndpointState::Gone] {
             let mut bed = Bed::new(settings());
             let before = bed.homes();
-            let entry = HostEntry { state, ..line(id, zone, kind) };
-            bed.hosts(ListKind::Delta, vec![entry]);
+            let entry = EndpointEntry { state, ..line(id, zone, kind) };
+            bed.endpoints(ListKind::Delta, vec![entry]);
             let after = bed.homes();
             for (k, (cache, parent)) in &before {
                 let (c, p) = after[k];
@@ -223,39 +229,39 @@
 fn a_full_list_drops_what_it_does_not_name() {
     let mut bed = Bed::new(settings());
     let mut all = fleet();
-    all.retain(|e| e.id != HostId(3));
-    bed.hosts(ListKind::Full, all);
+    all.retain(|e| e.id != EndpointId(3));
+    bed.endpoints(ListKind::Full, all);
     assert!(bed.homes().values().all(|h| h.0 != 3));
 }
 
 #[test]
 fn a_hot_object_widens_fills_from_home_and_narrows_again() {
     let mut bed = Bed::new(settings());
-    let home = bed.serve(42).host;
-    let mut hosts = BTreeSet::new();
+    let home = bed.serve(42).endpoint;
+    let mut endpoints = BTreeSet::new();
     for i in 0..400 {
         let s = bed.serve(if i % 2 == 0 { 42 } else { 5_000 + i });
         if i % 2 == 0 {
-            hosts.insert(s.host);
-            if s.host != home {
-                assert_eq!(s.fill.source, Some(HostId(home)), "extra copies come from home");
-                assert_eq!(s.fill.keep, 1, "and take the lowest rank");
+            endpoints.insert(s.endpoint);
+            if s.endpoint != home {
+                assert_eq!(s.fill.source, Some(EndpointId(home)), "extra copies come from home");
+                assert_eq!(s.fill.retention, 1, "and take the lowest rank");
             }
         }
         bed.now += Duration::from_millis(20);
     }
-    assert!(hosts.len() >= 3, "{hosts:?}");
+    assert!(endpoints.len() >= 3, "{endpoints:?}");
     for i in 0..3_000 {
         bed.serve(9_000 + i);
         bed.now += Duration::from_millis(20);
     }
-    assert!((0..20).all(|_| bed.serve(42).host == home));
+    assert!((0..20).all(|_| bed.serve(42).endpoint == home));
 }
 
 #[test]
 fn small_samples_and_a_stalls_backlog_do_not_widen() {
     let mut bed = Bed::new(settings());
-    let home = bed.serve(42).host;
+    let home = bed.serve(42).endpoint;
     // Three of four requests in a round: a large share of nothing.
     for i in 0..3 {
         bed.serve(42);
@@ -263,7 +269,7 @@
         bed.serve(600 + i);
     }
     bed.now += Duration::from_secs(2);
-    assert!((0..20).all(|_| bed.serve(42).host == home));
+    assert!((0..20).all(|_| bed.serve(42).endpoint == home));
     // A steady load, then a stall, then its backlog, mostly of one object.
     let mut bed = Bed::new(settings());
     for i in 0..600 {
@@ -275,7 +281,7 @@
         bed.serve(42);
     }
     bed.now += Duration::from_secs(1);
-    assert!((0..20).all(|_| bed.serve(42).host == home));
+    assert!((0..20).all(|_| bed.serve(42).endpoint == home));
 }
 
 #[test]
@@ -299,7 +305,7 @@
     // A later attempt of a request that was out when the purge came is bound too.
     let before = bed.ask(77);
     bed.event(purge(Some(77), 1, Duration::ZERO));
-    let acts = bed.end(&before, 0, Status::Full, Some(Note::NoFillPlace));
+    let acts = bed.end(&before, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
     assert_eq!(sent(&acts).unwrap().fill.max_age, Some(MICROSECOND));
     bed.now += Duration::from_secs(8);
     assert_eq!(bed.ask(43).fill.max_age, None);
@@ -321,23 +327,23 @@
     for (id, zone, kind) in [(2, 0, 0), (22, 2, PARENT)] {
         let s = settings();
         let (from, over, multiple, among) = if kind == PARENT {
-            (s.parent_cold_from, s.parent_cold_for, s.parent_fall_multiple, 2.0)
+            (s.parent_warm_up_floor, s.parent_warm_up_period, s.parent_overload_multiple, 2.0)
         } else {
-            (s.cold_from, s.cold_for, s.fall_multiple, 1.0)
+            (s.warm_up_floor, s.warm_up_period, s.overload_multiple, 1.0)
         };
         let mut bed = Bed::new(s);
         for i in 0..200 {
             bed.serve(i); // the class's mean work, 0.1 s, is learnt
         }
         let started = bed.now;
-        let entry = HostEntry { started, ..line(id, zone, kind) };
-        bed.hosts(ListKind::Delta, vec![entry]);
+        let entry = EndpointEntry { started, ..line(id, zone, kind) };
+        bed.endpoints(ListKind::Delta, vec![entry]);
         let mut times = Vec::new();
         for i in 0..3_000 {
             // Misses all of them: what is asked of the parent stays asked.
             let s = bed.ask(10_000 + i);
-            bed.end(&s, 0, Status::Ok, Some(Note::Filled));
-            if s.host == id || s.fill.source == Some(HostId(id)) {
+            bed.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Filled));
+            if s.endpoint == id || s.fill.source == Some(EndpointId(id)) {
                 times.push(bed.now);
             }
             bed.now += Duration::from_millis(2);
@@ -359,34 +365,34 @@
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 2).map(|h| *h.0).collect();
     for object in &mine[..2] {
         let s = bed.ask(*object);
-        let acts = bed.end(&s, 0, Status::ConnectFailed, None);
-        assert_ne!(sent(&acts).unwrap().host, 2, "the next in order stands in");
+        let acts = bed.end(&s, 0, AttemptStatus::ConnectFailed, None);
+        assert_ne!(sent(&acts).unwrap().endpoint, 2, "the next in order stands in");
     }
-    assert_ne!(bed.serve(mine[3]).host, 2);
+    assert_ne!(bed.serve(mine[3]).endpoint, 2);
     bed.now += Duration::from_secs(1);
     let trial = bed.ask(mine[4]);
-    assert_eq!(trial.host, 2);
-    assert_ne!(bed.ask(mine[5]).host, 2, "one trial at a time");
-    bed.end(&trial, 0, Status::Ok, Some(Note::Filled));
-    assert_eq!(bed.ask(mine[6]).host, 2);
+    assert_eq!(trial.endpoint, 2);
+    assert_ne!(bed.ask(mine[5]).endpoint, 2, "one trial at a time");
+    bed.end(&trial, 0, AttemptStatus::Ok, Some(CacheStatus::Filled));
+    assert_eq!(bed.ask(mine[6]).endpoint, 2);
     // Seen dead, so held to be cold: a burst is not all sent there.
-    let burst = (0..60).filter(|_| sent(&bed.ask_of(mine[6], 0, 0)).is_some_and(|s| s.host == 2));
+    let burst = (0..60).filter(|_| sent(&bed.ask_of(mine[6], 0, 0)).is_some_and(|s| s.endpoint == 2));
     assert!(burst.count() < 30);
 }
 
 #[test]
 fn a_failed_parent_is_told_apart_from_the_caches_in_front_of_it() {
-    for note in [Some(Note::SourceUnreachable), None] {
-        let notes = if note.is_some() { Notes::All } else { Notes::Hit };
-        let mut bed = Bed::new(Settings { notes, ..settings() });
+    for note in [Some(CacheStatus::SourceUnreachable), None] {
+        let notes = if note.is_some() { CacheStatusReporting::All } else { CacheStatusReporting::Hit };
+        let mut bed = Bed::new(Settings { cache_status_reporting: notes, ..settings() });
         let homes = bed.homes();
         for (object, _) in homes.iter().filter(|h| h.1 .1 == 22).take(8) {
             let s = bed.ask(*object);
-            if s.fill.source == Some(HostId(22)) {
-                let acts = bed.end(&s, 0, Status::Full, note);
+            if s.fill.source == Some(EndpointId(22)) {
+                let acts = bed.end(&s, 0, AttemptStatus::Full, note);
                 let again = sent(&acts).unwrap();
-                assert_ne!(again.fill.source, Some(HostId(22)));
-                bed.end(&again, 1, Status::Ok, Some(Note::Filled));
+                assert_ne!(again.fill.source, Some(EndpointId(22)));
+                bed.end(&again, 1, AttemptStatus::Ok, Some(CacheStatus::Filled));
             }
         }
         let after = bed.homes();
@@ -404,32 +410,36 @@
         (Duration::from_millis(150), false),
         (Duration::from_millis(350), false),
     ] {
-        let settings =
-            Settings { notes: Notes::All, connect_timeout: Duration::from_millis(400), ..settings() };
+        let settings = Settings {
+            cache_status_reporting: CacheStatusReporting::All,
+            connect_timeout: Duration::from_millis(400),
+            ..settings()
+        };
         let mut bed = Bed::new(settings);
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
         for object in mine.iter().take(2) {
             bed.now += Duration::from_millis(20);
             let s = bed.ask(*object);
-            let acts = bed.end_after(&s, 0, Status::Full, Some(Note::SourceUnreachable), told_after);
-            bed.end(&sent(&acts).unwrap(), 1, Status::Ok, Some(Note::Filled));
+            let acts =
+                bed.end_after(&s, 0, AttemptStatus::Full, Some(CacheStatus::SourceUnreachable), told_after);
+            bed.end(&sent(&acts).unwrap(), 1, AttemptStatus::Ok, Some(CacheStatus::Filled));
         }
         // It is back, if it was away: a request that names it is filled.
         bed.now += Duration::from_millis(700);
         let named = mine.iter().any(|object| {
             let s = bed.ask(*object);
-            bed.end(&s, 0, Status::Ok, Some(Note::Filled));
-            s.fill.source == Some(HostId(22))
+            bed.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Filled));
+            s.fill.source == Some(EndpointId(22))
         });
         assert!(named);
-        let demands = bed.c.cold_demands(bed.now);
-        assert_eq!(demands.iter().any(|d| d.host == HostId(22)), cold, "{told_after:?}: {demands:?}");
+        let demands = bed.c.warm_up_demands(bed.now);
+        assert_eq!(demands.iter().any(|d| d.endpoint == EndpointId(22)), cold, "{told_after:?}: {demands:?}");
     }
 }
 
 /// Guards against a parent that is held to be cold after one error, with its fills sent where the objects are not,
-/// and against clients that take hosts out by asking for what nobody can use; errors of a request that another
+/// and against clients that take endpoints out by asking for what nobody can use; errors of a request that another
 /// parent then serves are still a death.
 #[test]
 fn errors_are_a_death_only_where_another_parent_serves() {
@@ -437,15 +447,15 @@
     for (errors, requests, served, dead) in
         [(1, 1, true, false), (2, 1, true, true), (3, 40, false, false), (1, 40, true, false)]
     {
-        let mut bed = Bed::new(Settings { notes: Notes::None, ..settings() });
+        let mut bed = Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings() });
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
         for object in mine.iter().cycle().take(requests) {
             bed.now += Duration::from_millis(20);
             let mut s = bed.ask(*object);
-            assert_eq!(s.fill.source, Some(HostId(22)));
+            assert_eq!(s.fill.source, Some(EndpointId(22)));
             for n in 0..errors {
-                let acts = bed.end(&s, n, Status::Error, None);
+                let acts = bed.end(&s, n, AttemptStatus::Error, None);
                 let Some(again) = sent(&acts) else {
                     assert!(acts.iter().any(|a| matches!(a, Action::Refuse { .. })), "{acts:?}");
                     break;
@@ -453,13 +463,13 @@
                 s = again;
             }
             if served {
-                bed.end(&s, errors, Status::Ok, None);
+                bed.end(&s, errors, AttemptStatus::Ok, None);
             }
         }
         let after = mine.iter().cycle().take(200).map(|object| {
             bed.now += Duration::from_millis(2);
             let s = bed.ask(*object);
-            bed.end(&s, 0, Status::Ok, None);
+            bed.end(&s, 0, AttemptStatus::Ok, None);
             s.fill.source.unwrap().0
         });
         let away = after.filter(|s| *s != 22).count();
@@ -478,11 +488,11 @@
     for object in objects {
         bed.now += Duration::from_millis(10);
         let s = bed.ask(*object);
-        let named = s.fill.source == Some(HostId(parent));
-        let acts = bed.end(&s, 0, if named { Status::Full } else { Status::Ok }, None);
-        asked |= acts.contains(&Action::Probe { host: HostId(parent) });
+        let named = s.fill.source == Some(EndpointId(parent));
+        let acts = bed.end(&s, 0, if named { AttemptStatus::Full } else { AttemptStatus::Ok }, None);
+        asked |= acts.contains(&Action::Probe { endpoint: EndpointId(parent) });
         if let Some(again) = sent(&acts) {
-            bed.end(&again, 1, Status::Ok, None);
+            bed.end(&again, 1, AttemptStatus::Ok, None);
         }
         bed.serve(*object);
     }
@@ -495,19 +505,19 @@
 fn a_parent_that_refuses_is_asked_itself_and_comes_back_by_its_own_word() {
     let probes = |probes| Settings {
         probes,
-        notes: Notes::None,
+        cache_status_reporting: CacheStatusReporting::None,
         connect_timeout: Duration::from_millis(400),
         ..settings()
     };
     let mut bed = Bed::new(probes(true));
     let homes = bed.homes();
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .1 == 22).map(|h| *h.0).collect();
-    let parent = HostId(22);
+    let parent = EndpointId(22);
     let names = |bed: &mut Bed| {
         let all = mine.iter().filter(|object| {
             bed.now += Duration::from_millis(2);
             let s = bed.ask(**object);
-            bed.end(&s, 0, Status::Ok, None);
+            bed.end(&s, 0, AttemptStatus::Ok, None);
             s.fill.source == Some(parent)
         });
         all.count()
@@ -521,19 +531,19 @@
     }
     // Many do. It answers: nothing is held against it, and it is not asked again at once.
     assert!(refuse(&mut bed, &mine[..6], 22));
-    bed.event(Event::Probed { host: parent, status: Status::Error });
+    bed.event(Event::Probed { endpoint: parent, status: AttemptStatus::Error });
     assert!(names(&mut bed) > mine.len() * 9 / 10);
     assert!(!refuse(&mut bed, &mine[..6], 22));
     // It does not: no hit leads it back, and it is asked again when that is due.
     bed.now += Duration::from_secs(10);
     assert!(refuse(&mut bed, &mine[..6], 22));
-    bed.event(Event::Probed { host: parent, status: Status::Timeout });
+    bed.event(Event::Probed { endpoint: parent, status: AttemptStatus::Timeout });
     assert_eq!(names(&mut bed), 0);
     bed.now += Duration::from_millis(600);
     let acts = bed.ask_of(1, 0, 0);
-    assert!(acts.contains(&Action::Probe { host: parent }), "{acts:?}");
+    assert!(acts.contains(&Action::Probe { endpoint: parent }), "{acts:?}");
     assert_eq!(names(&mut bed), 0);
-    bed.event(Event::Probed { host: parent, status: Status::Ok });
+    bed.event(Event::Probed { endpoint: parent, status: AttemptStatus::Ok });
     let back = names(&mut bed);
     assert!(0 < back && back * 5 < mine.len(), "named {back} times: it is cold, and its budget is small");
     // Without probes nobody is asked.
@@ -545,7 +555,7 @@
 #[test]
 fn what_was_sent_to_an_address_counts_against_whoever_took_it() {
     let sent_after = |in_place_of| {
-        let mut bed = Bed::new(Settings { notes: Notes::None, ..settings() });
+        let mut bed = Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings() });
         let homes = bed.homes();
         let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
         bed.now += Duration::from_secs(5);
@@ -554,29 +564,29 @@
             bed.now += Duration::from_millis(10);
             bed.serve(*o);
         });
-        let gone = HostEntry { state: HostState::Gone, ..line(1, 0, 0) };
-        let new = HostEntry { started, in_place_of, ..line(5, 0, 0) };
-        bed.hosts(ListKind::Delta, vec![gone, new]);
-        (1_000..1_200).filter(|o| bed.serve(*o).host == 5).count()
+        let gone = EndpointEntry { state: EndpointState::Gone, ..line(1, 0, 0) };
+        let new = EndpointEntry { started, in_place_of, ..line(5, 0, 0) };
+        bed.endpoints(ListKind::Delta, vec![gone, new]);
+        (1_000..1_200).filter(|o| bed.serve(*o).endpoint == 5).count()
     };
     assert!(sent_after(None) > 0);
-    assert_eq!(sent_after(Some(HostId(1))), 0);
+    assert_eq!(sent_after(Some(EndpointId(1))), 0);
 }
 
 /// Guards against evidence against a cache, and against leaving it for one that holds nothing, where only a
 /// connection broke: it has answered others since.
 #[test]
 fn a_break_at_a_cache_that_has_answered_since_is_tried_there_again() {
-    let mut bed = Bed::new(Settings { notes: Notes::None, ..settings() });
+    let mut bed = Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings() });
     let homes = bed.homes();
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
     for pair in mine.chunks_exact(2).cycle().take(20) {
         bed.now += Duration::from_millis(20);
         let (broken, other) = (bed.ask(pair[0]), bed.ask(pair[1]));
         bed.now += Duration::from_millis(20);
-        bed.end(&other, 0, Status::Ok, None);
-        let acts = bed.end(&broken, 0, Status::Reset, None);
-        assert_eq!(sent(&acts).map(|s| s.host), Some(1));
+        bed.end(&other, 0, AttemptStatus::Ok, None);
+        let acts = bed.end(&broken, 0, AttemptStatus::Reset, None);
+        assert_eq!(sent(&acts).map(|s| s.endpoint), Some(1));
     }
 }
 
@@ -584,23 +594,23 @@
 /// it, so that it kept its place for as long as it failed. It comes back once several trials succeed.
 #[test]
 fn a_cache_that_fails_most_requests_is_out_until_trials_succeed() {
-    let mut bed = Bed::new(Settings { notes: Notes::None, ..settings() });
+    let mut bed = Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings() });
     let homes = bed.homes();
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 1).map(|h| *h.0).collect();
     let mut asked = Vec::new();
     for (n, object) in mine.iter().cycle().take(1_000).enumerate() {
         bed.now += Duration::from_millis(10);
         let mut s = bed.ask(*object);
-        asked.push(s.host == 1);
-        if s.host == 1 && n < 500 && n % 5 != 0 {
-            let acts = bed.end(&s, 0, Status::Error, None);
+        asked.push(s.endpoint == 1);
+        if s.endpoint == 1 && n < 500 && n % 5 != 0 {
+            let acts = bed.end(&s, 0, AttemptStatus::Error, None);
             let again = sent(&acts).unwrap();
-            assert_ne!(again.host, 1, "another cache is asked");
+            assert_ne!(again.endpoint, 1, "another cache is asked");
             assert_eq!(again.fill.source, s.fill.source, "by way of the same parent");
             s = again;
-            bed.end(&s, 1, Status::Ok, None);
+            bed.end(&s, 1, AttemptStatus::Ok, None);
         } else {
-            bed.end(&s, 0, Status::Ok, None);
+            bed.end(&s, 0, AttemptStatus::Ok, None);
         }
     }
     let times = |part: &[bool]| part.iter().filter(|a| **a).count();
@@ -614,24 +624,24 @@
 /// straight, as far as that is allowed, and the caches go on being warmed.
 #[test]
 fn what_cold_caches_may_not_get_is_asked_of_parents_straight() {
-    let served = |direct| {
-        let mut bed = Bed::new(Settings { direct, ..settings() });
+    let served = |bypass_edge_cache| {
+        let mut bed = Bed::new(Settings { bypass_edge_cache, ..settings() });
         for object in 0..40 {
             bed.serve(object);
         }
-        let cold = |i| HostEntry { started: START, ..line(i, 0, 0) };
-        bed.hosts(ListKind::Delta, (1..=4).map(cold).collect());
-        let mut hosts = BTreeMap::new();
+        let cold = |i| EndpointEntry { started: START, ..line(i, 0, 0) };
+        bed.endpoints(ListKind::Delta, (1..=4).map(cold).collect());
+        let mut endpoints = BTreeMap::new();
         for object in 1_000..1_200 {
             bed.now += Duration::from_millis(5);
             if let Some(s) = sent(&bed.ask_of(object, 0, 0)) {
-                let at = if s.host < 10 { "cache" } else { "parent" };
-                assert!(s.host < 10 || s.fill.source == Some(HostId(31)), "{s:?}");
-                *hosts.entry(at).or_insert(0) += 1;
-                bed.end(&s, 0, Status::Ok, Some(Note::Hit));
+                let at = if s.endpoint < 10 { "cache" } else { "parent" };
+                assert!(s.endpoint < 10 || s.fill.source == Some(EndpointId(31)), "{s:?}");
+                *endpoints.entry(at).or_insert(0) += 1;
+                bed.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
             }
         }
-        (hosts.get("cache").copied().unwrap_or(0), hosts.get("parent").copied().unwrap_or(0))
+        (endpoints.get("cache").copied().unwrap_or(0), endpoints.get("parent").copied().unwrap_or(0))
     };
     let ((caches, parents), (alone, none)) = (served(true), served(false));
     assert!(caches + parents > 180 && caches >= alone, "{caches} at caches, {parents} at parents, of 200");
@@ -640,65 +650,65 @@
 
 #[test]
 fn with_all_parents_gone_a_sibling_elsewhere_fills() {
-    let mut bed = Bed::new(Settings { siblings: Siblings::Any, ..settings() });
-    let gone = |id| HostEntry { state: HostState::Gone, ..line(id, 2, PARENT) };
-    bed.hosts(ListKind::Delta, vec![gone(21), gone(22), gone(23)]);
+    let mut bed = Bed::new(Settings { sibling_caches: SiblingCaches::Any, ..settings() });
+    let gone = |id| EndpointEntry { state: EndpointState::Gone, ..line(id, 2, PARENT) };
+    bed.endpoints(ListKind::Delta, vec![gone(21), gone(22), gone(23)]);
     let s = bed.ask(42);
     assert!([11, 12].contains(&s.fill.source.unwrap().0));
-    let acts = bed.end(&s, 0, Status::Full, Some(Note::SourceLacks));
+    let acts = bed.end(&s, 0, AttemptStatus::Full, Some(CacheStatus::SourceLacks));
     assert!(sent(&acts).unwrap().fill.source.is_some());
     let mut bed = Bed::new(settings());
-    bed.hosts(ListKind::Delta, vec![gone(21), gone(22), gone(23)]);
-    assert_eq!(bed.ask(42).fill.source, Some(HostId(31)), "else the origin does");
+    bed.endpoints(ListKind::Delta, vec![gone(21), gone(22), gone(23)]);
+    assert_eq!(bed.ask(42).fill.source, Some(EndpointId(31)), "else the origin does");
 }
 
 #[test]
 fn effects_are_not_repeated() {
-    let with = |effect, scope| {
+    let with = |idempotency, scope| {
         let mut s = settings();
-        s.classes = vec![Class { effect, scope, write: true, ..class() }];
+        s.classes = vec![RequestClass { idempotency, scope, write: true, ..class() }];
         Bed::new(s)
     };
     // Unsafe: no second attempt and no refusal once it may have run; both before.
-    let mut bed = with(Effect::Unsafe, Scope::All);
+    let mut bed = with(Idempotency::NotIdempotent, DeduplicationScope::All);
     let s = bed.ask(42);
-    let acts = bed.end(&s, 0, Status::Reset, None);
+    let acts = bed.end(&s, 0, AttemptStatus::Reset, None);
     assert!(sent(&acts).is_none());
     assert!(acts.contains(&Action::Fail { request: s.id }));
     let s = bed.ask(43);
-    assert!(sent(&bed.end(&s, 0, Status::ConnectFailed, None)).is_some());
+    assert!(sent(&bed.end(&s, 0, AttemptStatus::ConnectFailed, None)).is_some());
     // Keyed, in its own cell only, and only within the window.
-    let mut bed = with(Effect::Keyed, Scope::Cell);
+    let mut bed = with(Idempotency::WithKey, DeduplicationScope::Cell);
     let mut cells = fleet();
     cells[..4].iter_mut().zip(1..).for_each(|(e, cell)| e.cell = cell);
-    bed.hosts(ListKind::Full, cells);
+    bed.endpoints(ListKind::Full, cells);
     let s = bed.ask(42);
-    let again = bed.end(&s, 0, Status::Error, None);
-    assert!(sent(&again).is_none_or(|a| a.host == s.host));
-    let mut bed = with(Effect::Keyed, Scope::All);
+    let again = bed.end(&s, 0, AttemptStatus::Error, None);
+    assert!(sent(&again).is_none_or(|a| a.endpoint == s.endpoint));
+    let mut bed = with(Idempotency::WithKey, DeduplicationScope::All);
     let s = bed.ask(42);
     bed.now += Duration::from_secs(2);
-    assert!(sent(&bed.end(&s, 0, Status::Error, None)).is_some());
+    assert!(sent(&bed.end(&s, 0, AttemptStatus::Error, None)).is_some());
     let s = bed.ask(43);
     bed.now += Duration::from_secs(3);
-    let late = bed.end(&s, 0, Status::Error, None);
+    let late = bed.end(&s, 0, AttemptStatus::Error, None);
     assert!(sent(&late).is_none() && finals(&late) == 1);
     // Writes go to the origin and are never kept.
     let s = bed.ask(44);
-    assert_eq!((s.fill.source, s.fill.keep), (Some(HostId(31)), 0));
+    assert_eq!((s.fill.source, s.fill.retention), (Some(EndpointId(31)), 0));
 }
 
 #[test]
 fn what_is_given_up_is_answered_at_once() {
     let mut bed = Bed::new(Settings { max_attempts: 1, ..settings() });
     let s = bed.ask(42);
-    let acts = bed.end(&s, 0, Status::Full, Some(Note::NoFillPlace));
+    let acts = bed.end(&s, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
     let told = Duration::from_millis(200)..=Duration::from_millis(400);
     let advised = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if told.contains(retry_after));
     assert!(acts.iter().any(advised), "{acts:?}");
     // Nothing to send to at all.
     let mut bed = Bed::new(settings());
-    bed.hosts(ListKind::Full, vec![]);
+    bed.endpoints(ListKind::Full, vec![]);
     assert_eq!(finals(&bed.ask_of(42, 0, 0)), 1);
     assert_eq!(finals(&bed.ask_of(42, 0, 9)), 1, "nor a class that there is not");
 }
@@ -706,12 +716,12 @@
 #[test]
 fn overload_is_refused_early_and_spilled_before() {
     let mut bed = Bed::new(settings());
-    let home = bed.ask(42).host;
+    let home = bed.ask(42).endpoint;
     let (mut stood_in, mut refused) = (0, 0);
     for _ in 0..900 {
         let acts = bed.ask_of(42, 0, 0);
         match sent(&acts) {
-            Some(s) => stood_in += usize::from(s.host != home),
+            Some(s) => stood_in += usize::from(s.endpoint != home),
             None => refused += finals(&acts),
         }
     }
@@ -720,8 +730,8 @@
 
 #[test]
 fn an_overdue_attempt_at_a_silent_cache_is_moved() {
-    for second_copies in [false, true] {
-        let mut bed = Bed::new(Settings { second_copies, ..settings() });
+    for hedging_allowed in [false, true] {
+        let mut bed = Bed::new(Settings { hedging_allowed, ..settings() });
         // Its caches are heard of often: their silence says something.
         bed.homes();
         bed.homes();
@@ -734,13 +744,13 @@
         let (after, token) = look.unwrap();
         bed.now += after;
         let acts = bed.event(Event::Timer { token });
-        if second_copies {
-            assert_ne!(sent(&acts).unwrap().host, s.host);
+        if hedging_allowed {
+            assert_ne!(sent(&acts).unwrap().endpoint, s.endpoint);
         } else {
             assert!(sent(&acts).is_none(), "never two at once");
             assert!(acts.contains(&Action::cancel(s.id, 0)));
-            let acts = bed.end(&s, 0, Status::Cancelled, None);
-            assert_ne!(sent(&acts).unwrap().host, s.host);
+            let acts = bed.end(&s, 0, AttemptStatus::Cancelled, None);
+            assert_ne!(sent(&acts).unwrap().endpoint, s.endpoint);
         }
     }
 }
@@ -749,10 +759,10 @@
 fn what_is_unknown_or_late_is_passed_over() {
     let mut bed = Bed::new(settings());
     let s = bed.serve(42);
-    assert!(bed.end(&s, 0, Status::Ok, None).is_empty());
-    assert!(bed.end(&s, 7, Status::Reset, None).is_empty());
+    assert!(bed.end(&s, 0, AttemptStatus::Ok, None).is_empty());
+    assert!(bed.end(&s, 7, AttemptStatus::Reset, None).is_empty());
     let nobody = Sent { id: 9_999, ..s.clone() };
-    assert!(bed.end(&nobody, 0, Status::Ok, None).is_empty());
+    assert!(bed.end(&nobody, 0, AttemptStatus::Ok, None).is_empty());
     assert!(bed.event(Event::Withdrawn { request: 9_999 }).is_empty());
     assert!(bed.event(Event::Timer { token: 77 << 16 }).is_empty());
     assert!(bed.event(Event::Timer { token: u64::from(s.id) << 16 | 0xffff }).is_empty());
@@ -760,39 +770,39 @@
 
 #[test]
 fn impossible_settings_are_named() {
-    let bad = |s: Settings| Control::new(s, 1).unwrap_err().to_string();
-    assert!(bad(Settings { dispatchers: 0, ..settings() }).contains("dispatchers"));
+    let bad = |s: Settings| DecisionModule::new(s, 1).unwrap_err().to_string();
+    assert!(bad(Settings { router_count: 0, ..settings() }).contains("dispatchers"));
     assert!(bad(Settings { max_attempts: 0, ..settings() }).contains("max_attempts"));
-    assert!(bad(Settings { cold_from: 1.5, ..settings() }).contains("cold_from"));
+    assert!(bad(Settings { warm_up_floor: 1.5, ..settings() }).contains("cold_from"));
     assert!(bad(Settings { flow_kb_per_s: f64::NAN, ..settings() }).contains("flow_kb_per_s"));
-    let classes = vec![Class { worth: -1.0, ..class() }];
+    let classes = vec![RequestClass { priority_weight: -1.0, ..class() }];
     assert!(bad(Settings { classes, ..settings() }).contains("classes[0].worth"));
 }
 
 #[test]
 fn discovery_by_asking_subscribes_and_asks_again_after_a_failure() {
-    let mut c = Control::new(Settings { discovery: Discovery::Ask, ..settings() }, 1).unwrap();
+    let mut c = DecisionModule::new(Settings { discovery: Discovery::Ask, ..settings() }, 1).unwrap();
     let mut acts = Vec::new();
-    let hosts = Event::Hosts { kind: ListKind::Cached, entries: fleet() };
-    c.handle(START, hosts, &mut acts);
+    let endpoints = Event::EndpointList { kind: ListKind::Cached, entries: fleet() };
+    c.handle(START, endpoints, &mut acts);
     assert_eq!(acts, [Action::Subscribe]);
     acts.clear();
-    c.handle(START, Event::HostsFailed, &mut acts);
+    c.handle(START, Event::EndpointListFailed, &mut acts);
     let [Action::Timer { token, .. }] = acts[..] else { panic!("{acts:?}") };
     acts.clear();
     c.handle(START + Duration::from_secs(1), Event::Timer { token }, &mut acts);
     assert_eq!(acts, [Action::Subscribe]);
 }
 
-const STATUSES: [Status; 8] = [
-    Status::Ok,
-    Status::Miss,
-    Status::Error,
-    Status::Full,
-    Status::Timeout,
-    Status::ConnectFailed,
-    Status::Reset,
-    Status::Cancelled,
+const STATUSES: [AttemptStatus; 8] = [
+    AttemptStatus::Ok,
+    AttemptStatus::Miss,
+    AttemptStatus::Error,
+    AttemptStatus::Full,
+    AttemptStatus::Timeout,
+    AttemptStatus::ConnectFailed,
+    AttemptStatus::Reset,
+    AttemptStatus::Cancelled,
 ];
 
 proptest! {
@@ -803,18 +813,18 @@
         ..ProptestConfig::default()
     })]
 
-    /// Random lawful events: one final answer each, nothing sent after it or to a host that drains, no two
+    /// Random lawful events: one final answer each, nothing sent after it or to an endpoint that drains, no two
     /// attempts at once where that is forbidden, no repeated effect, and the same again from the same seed.
     #[test]
     fn random_days_keep_the_rules(
         steps in prop::collection::vec((0u8..6, any::<u64>()), 50..400),
-        second_copies: bool,
-        effect in prop::sample::select(vec![Effect::Safe, Effect::Keyed, Effect::Unsafe]),
-        direct: bool,
-        notes in prop::sample::select(vec![Notes::None, Notes::Hit, Notes::All]),
+        hedging_allowed: bool,
+        idempotency in prop::sample::select(vec![Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent]),
+        bypass_edge_cache: bool,
+        notes in prop::sample::select(vec![CacheStatusReporting::None, CacheStatusReporting::Hit, CacheStatusReporting::All]),
     ) {
-        let classes = vec![Class { effect, scope: Scope::Zone, ..class() }];
-        let s = Settings { second_copies, direct, notes, classes, ..settings() };
+        let classes = vec![RequestClass { idempotency, scope: DeduplicationScope::Zone, ..class() }];
+        let s = Settings { hedging_allowed, bypass_edge_cache, cache_status_reporting: notes, classes, ..settings() };
         let mut beds = [Bed::new(s.clone()), Bed::new(s)];
         let mut shut: BTreeSet<u64> = BTreeSet::new();
         // Per request: attempts out, how many were sent, whether one may have run, whether it has ended.
@@ -846,19 +856,19 @@
                         repeat: false, write: false,
                     })));
                 }
-                (2 | 3, Some((request, attempt, host, done))) => {
+                (2 | 3, Some((request, attempt, endpoint, done))) => {
                     let status = STATUSES[(x >> 8) as usize % STATUSES.len()];
-                    let ended = done || status == Status::Ok;
-                    events.push((now, Event::Outcome(Outcome {
-                        request, attempt, host: HostId(host), latency: Duration::from_micros(x % 1_000_000),
+                    let ended = done || status == AttemptStatus::Ok;
+                    events.push((now, Event::AttemptOutcome(AttemptOutcome {
+                        request, attempt, endpoint: EndpointId(endpoint), latency: Duration::from_micros(x % 1_000_000),
                         status, ended, note: None, work: None,
                     })));
                 }
                 (4, _) => {
                     let mut e = fleet().swap_remove(x as usize % 10);
-                    e.state = [HostState::Ready, HostState::Draining, HostState::Gone][(x >> 8) as usize % 3];
+                    e.state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][(x >> 8) as usize % 3];
                     e.started = if x % 2 == 0 { now } else { Timestamp::ZERO };
-                    events.push((now, Event::Hosts { kind: ListKind::Delta, entries: vec![e] }));
+                    events.push((now, Event::EndpointList { kind: ListKind::Delta, entries: vec![e] }));
                 }
                 (5, _) => {
                     let object = (x % 3 > 0).then_some(x % 20 + 1);
@@ -871,17 +881,17 @@
                 for b in beds.iter_mut() {
                     b.now = at.max(b.now);
                 }
-                if let Event::Hosts { entries, .. } = &event {
+                if let Event::EndpointList { entries, .. } = &event {
                     let e = &entries[0];
                     shut.remove(&e.id.0);
-                    if e.state != HostState::Ready {
+                    if e.state != EndpointState::Ready {
                         shut.insert(e.id.0);
                     }
                 }
-                if let Event::Outcome(o) = &event {
+                if let Event::AttemptOutcome(o) = &event {
                     let r = open.get_mut(&o.request).unwrap();
                     r.0.remove(&o.attempt);
-                    let proven = [Status::Miss, Status::Full, Status::ConnectFailed];
+                    let proven = [AttemptStatus::Miss, AttemptStatus::Full, AttemptStatus::ConnectFailed];
                     r.2 |= !proven.contains(&o.status);
                     r.3 |= o.ended;
                 }
@@ -889,21 +899,21 @@
                 prop_assert_eq!(&acts, &beds[1].event(event));
                 for a in acts {
                     match a {
-                        Action::Attempt { request, host, fill, .. } => {
+                        Action::Attempt { request, endpoint, fill, .. } => {
                             let r = open.get_mut(&request).unwrap();
                             prop_assert!(!r.3, "sent after the end");
-                            prop_assert!(!shut.contains(&host.0) && fill.source.is_none_or(|s| !shut.contains(&s.0)));
-                            prop_assert!(second_copies || r.0.is_empty(), "two at once");
-                            prop_assert!(effect != Effect::Unsafe || (!r.2 && r.0.is_empty()));
+                            prop_assert!(!shut.contains(&endpoint.0) && fill.source.is_none_or(|s| !shut.contains(&s.0)));
+                            prop_assert!(hedging_allowed || r.0.is_empty(), "two at once");
+                            prop_assert!(idempotency != Idempotency::NotIdempotent || (!r.2 && r.0.is_empty()));
                             prop_assert!(r.1 < 4, "the attempt limit");
-                            prop_assert!(direct || host.0 <= 4, "own caches only");
-                            r.0.insert(r.1, host.0);
+                            prop_assert!(bypass_edge_cache || endpoint.0 <= 4, "own caches only");
+                            r.0.insert(r.1, endpoint.0);
                             r.1 += 1;
                         }
                         Action::Refuse { request, .. } => {
                             let r = open.get_mut(&request).unwrap();
                             prop_assert!(!std::mem::replace(&mut r.3, true), "answered twice");
-                            prop_assert!(effect == Effect::Safe || (!r.2 && r.0.is_empty()));
+                            prop_assert!(idempotency == Idempotency::Idempotent || (!r.2 && r.0.is_empty()));
                         }
                         Action::Fail { request } => {
                             let r = open.get_mut(&request).unwrap();
@@ -925,7 +935,7 @@
     }
 }
 
-/// A line that breaks a quarter of all attempts takes no host out, unlike one that breaks all of them.
+/// A line that breaks a quarter of all attempts takes no endpoint out, unlike one that breaks all of them.
 #[test]
 fn broken_connections_now_and_then_take_no_host_out() {
     let mut bed = Bed::new(settings());
@@ -933,10 +943,10 @@
     for (i, object) in homes.keys().chain(homes.keys()).enumerate() {
         let s = bed.ask(*object);
         if i % 4 == 0 {
-            let again = sent(&bed.end(&s, 0, Status::Reset, None)).unwrap();
-            bed.end(&again, 1, Status::Ok, Some(Note::Hit));
+            let again = sent(&bed.end(&s, 0, AttemptStatus::Reset, None)).unwrap();
+            bed.end(&again, 1, AttemptStatus::Ok, Some(CacheStatus::Hit));
         } else {
-            bed.end(&s, 0, Status::Ok, Some(Note::Hit));
+            bed.end(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
         }
         bed.now += Duration::from_millis(20);
     }
@@ -944,15 +954,15 @@
     let mine: Vec<u64> = homes.iter().filter(|h| h.1 .0 == 2).map(|h| *h.0).collect();
     for object in &mine[..6] {
         let s = bed.ask(*object);
-        bed.end(&s, 0, Status::Reset, None);
+        bed.end(&s, 0, AttemptStatus::Reset, None);
     }
-    assert_ne!(bed.ask(mine[7]).host, 2);
+    assert_ne!(bed.ask(mine[7]).endpoint, 2);
 }
 
 /// A location whose caches all fall silent is not taken for a jam: requests go past them where they may.
 #[test]
 fn a_location_that_falls_silent_is_passed_by() {
-    let mut bed = Bed::new(Settings { direct: true, ..settings() });
+    let mut bed = Bed::new(Settings { bypass_edge_cache: true, ..settings() });
     bed.homes();
     bed.now += Duration::from_secs(3);
     let mut timers = Vec::new();
@@ -968,20 +978,20 @@
                 Action::Timer { after, token } => timers.push((bed.now + after, token)),
                 // Calling an attempt off is the only thing that ends one here.
                 Action::Cancel { request, attempt } => {
-                    let e = Outcome {
+                    let e = AttemptOutcome {
                         request,
                         attempt,
-                        host: HostId(0),
+                        endpoint: EndpointId(0),
                         latency: Duration::ZERO,
-                        status: Status::Cancelled,
+                        status: AttemptStatus::Cancelled,
                         ended: false,
                         note: None,
                         work: None,
                     };
-                    let acts = bed.event(Event::Outcome(e));
-                    past += usize::from(sent(&acts).is_some_and(|s| s.host > 20));
+                    let acts = bed.event(Event::AttemptOutcome(e));
+                    past += usize::from(sent(&acts).is_some_and(|s| s.endpoint > 20));
                 }
-                Action::Attempt { host, .. } => past += usize::from(host.0 > 20),
+                Action::Attempt { endpoint, .. } => past += usize::from(endpoint.0 > 20),
                 _ => {}
             }
         }
@@ -995,15 +1005,16 @@
 fn a_failed_origin_is_not_asked_through_every_parent() {
     let mut bed = Bed::new(settings());
     let s = bed.ask(42);
-    let acts = bed.end(&s, 0, Status::Full, Some(Note::OriginFailed));
+    let acts = bed.end(&s, 0, AttemptStatus::Full, Some(CacheStatus::OriginFailed));
     assert!(sent(&acts).is_none() && finals(&acts) == 1);
-    let classes = vec![Class { fresh: Duration::from_secs(8), grace: Duration::from_secs(10), ..class() }];
+    let classes =
+        vec![RequestClass { fresh: Duration::from_secs(8), grace: Duration::from_secs(10), ..class() }];
     let mut bed = Bed::new(Settings { classes, ..settings() });
     let s = bed.ask(42);
-    assert!(s.fill.renew && s.fill.max_age.is_none());
-    let again = sent(&bed.end(&s, 0, Status::Full, Some(Note::OriginFailed))).unwrap();
+    assert!(s.fill.stale_while_revalidate && s.fill.max_age.is_none());
+    let again = sent(&bed.end(&s, 0, AttemptStatus::Full, Some(CacheStatus::OriginFailed))).unwrap();
     assert_eq!(again.fill.max_age, Some(Duration::from_secs(18)));
-    let acts = bed.end(&again, 1, Status::Full, Some(Note::OriginFailed));
+    let acts = bed.end(&again, 1, AttemptStatus::Full, Some(CacheStatus::OriginFailed));
     assert!(sent(&acts).is_none() && finals(&acts) == 1);
 }
 
@@ -1011,21 +1022,21 @@
 /// turns act as each would alone.
 #[test]
 fn other_zone_and_kind_numbers_and_interleaving_change_no_action() {
-    let moved = |entries: Vec<HostEntry>| -> Vec<HostEntry> {
-        let other = |e: HostEntry| HostEntry { zone: 2 - e.zone, kind: e.kind + 5, ..e };
+    let moved = |entries: Vec<EndpointEntry>| -> Vec<EndpointEntry> {
+        let other = |e: EndpointEntry| EndpointEntry { zone: 2 - e.zone, kind: e.kind + 5, ..e };
         entries.into_iter().map(other).collect()
     };
     let renamed = Settings {
         zone: 2,
-        dispatchers_by_zone: vec![0, 1, 1],
+        router_count_by_zone: vec![0, 1, 1],
         parent_kind: Some(PARENT + 5),
         origin_kind: Some(ORIGIN + 5),
         ..settings()
     };
     let mut here = Bed::new(settings());
     let mut there = Bed::new(settings());
-    there.c = Control::new(renamed, 5).unwrap();
-    there.hosts(ListKind::Full, moved(fleet()));
+    there.c = DecisionModule::new(renamed, 5).unwrap();
+    there.endpoints(ListKind::Full, moved(fleet()));
     let alone: Vec<_> = {
         let mut bed = Bed::new(settings());
         (0..300).map(|i| bed.ask_of(i % 7, 0, 0)).collect()
--- a/crates/decide/tests/relief.rs
+++ b/crates/decision/tests/relief.rs
@@ -1,6 +1,6 @@
 //! What is behind the parents is asked for less when it can't keep up: no bench, fixed seeds.
 
-use hollymux_decide::*;
+use hollymux_decision::*;
 use std::time::Duration;
 
 const PARENTS: std::ops::Range<u64> = 21..25;
@@ -9,24 +9,24 @@
 const FILING: u16 = 1;
 
 fn settings() -> Settings {
-    let class = |effect, write, fresh| Class {
-        aim: Duration::from_millis(500),
+    let class = |idempotency, write, fresh| RequestClass {
+        latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        effect,
+        idempotency,
         write,
         fresh,
         grace: Duration::from_secs(30),
-        ..Class::default()
+        ..RequestClass::default()
     };
     Settings {
         classes: vec![
-            class(Effect::Safe, false, Duration::from_secs(8)),
-            class(Effect::Unsafe, true, Duration::ZERO),
+            class(Idempotency::Idempotent, false, Duration::from_secs(8)),
+            class(Idempotency::NotIdempotent, true, Duration::ZERO),
         ],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        direct: true,
-        siblings: Siblings::Any,
+        bypass_edge_cache: true,
+        sibling_caches: SiblingCaches::Any,
         max_attempts: 6,
         cancel: true,
         retry_after: true,
@@ -37,25 +37,26 @@
 }
 
 struct Bed {
-    control: Control,
+    control: DecisionModule,
     now: Timestamp,
     next: RequestId,
 }
 
-/// An attempt: its request and number, its host, and how it is filled.
-type Sent = (RequestId, u16, u64, Fill);
+/// An attempt: its request and number, its endpoint, and how it is filled.
+type Sent = (RequestId, u16, u64, CacheFill);
 
 impl Bed {
     fn new() -> Bed {
         let mut bed = Bed {
-            control: Control::new(settings(), 7).unwrap(),
+            control: DecisionModule::new(settings(), 7).unwrap(),
             now: Timestamp::from_micros(1_000_000_000),
             next: 0,
         };
-        let line = |id, kind, zone| HostEntry { id: HostId(id), kind, zone, ..HostEntry::default() };
+        let line =
+            |id, kind, zone| EndpointEntry { id: EndpointId(id), kind, zone, ..EndpointEntry::default() };
         let caches = (1..=4).map(|i| line(i, 0, 0));
         let all = caches.chain(PARENTS.map(|i| line(i, 1, 1))).chain([line(ORIGIN, 2, 1)]);
-        bed.event(Event::Hosts { kind: ListKind::Cached, entries: all.collect() });
+        bed.event(Event::EndpointList { kind: ListKind::Cached, entries: all.collect() });
         bed
     }
 
@@ -74,14 +75,14 @@
         attempt(&acts, 0).expect("an attempt")
     }
 
-    fn end(&mut self, s: &Sent, status: Status, latency: Duration) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
+    fn end(&mut self, s: &Sent, status: AttemptStatus, latency: Duration) -> Vec<Action> {
+        self.event(Event::AttemptOutcome(AttemptOutcome {
             request: s.0,
             attempt: s.1,
-            host: HostId(s.2),
+            endpoint: EndpointId(s.2),
             latency,
             status,
-            ended: status == Status::Ok,
+            ended: status == AttemptStatus::Ok,
             note: None,
             work: None,
         }))
@@ -89,25 +90,29 @@
 
     /// So many requests that are served in time; how many of them had a parent give only what it holds.
     fn shallow(&mut self, requests: usize) -> usize {
-        let mut shallow = 0;
+        let mut only_if_cached = 0;
         for _ in 0..requests {
             let s = self.ask(DOCS);
-            shallow += usize::from(s.3.shallow);
-            self.end(&s, Status::Ok, Duration::from_millis(50));
+            only_if_cached += usize::from(s.3.only_if_cached);
+            self.end(&s, AttemptStatus::Ok, Duration::from_millis(50));
         }
-        shallow
+        only_if_cached
     }
 
     fn write(&mut self, latency: Duration) {
         let s = self.ask(FILING);
-        assert_eq!((s.3.source, s.3.shallow), (Some(HostId(ORIGIN)), false), "a write is never spared");
-        self.end(&s, Status::Ok, latency);
+        assert_eq!(
+            (s.3.source, s.3.only_if_cached),
+            (Some(EndpointId(ORIGIN)), false),
+            "a write is never spared"
+        );
+        self.end(&s, AttemptStatus::Ok, latency);
     }
 }
 
 fn attempt(acts: &[Action], number: u16) -> Option<Sent> {
     acts.iter().find_map(|a| match a {
-        Action::Attempt { request, host, fill, .. } => Some((*request, number, host.0, fill.clone())),
+        Action::Attempt { request, endpoint, fill, .. } => Some((*request, number, endpoint.0, fill.clone())),
         _ => None,
     })
 }
@@ -119,13 +124,13 @@
     let mut bed = Bed::new();
     let (slow, quick) = (bed.ask(FILING), bed.ask(FILING));
     bed.now += Duration::from_millis(50);
-    bed.end(&quick, Status::Ok, Duration::from_millis(50));
+    bed.end(&quick, AttemptStatus::Ok, Duration::from_millis(50));
     bed.now += Duration::from_millis(400);
-    bed.end(&slow, Status::Ok, Duration::from_millis(550));
+    bed.end(&slow, AttemptStatus::Ok, Duration::from_millis(550));
     assert_eq!(bed.shallow(100), 0, "one box was slow");
     let late: Vec<Sent> = (0..3).map(|_| bed.ask(FILING)).collect();
     bed.now += Duration::from_millis(400);
-    late.iter().for_each(|s| drop(bed.end(s, Status::Ok, Duration::from_millis(500))));
+    late.iter().for_each(|s| drop(bed.end(s, AttemptStatus::Ok, Duration::from_millis(500))));
     assert!(bed.shallow(20) > 5, "all were late");
 }
 
@@ -152,15 +157,15 @@
     let mut bed = Bed::new();
     bed.shallow(40);
     for (late, least, most) in [(1, 0, 0), (12, 12, 20)] {
-        let out: Vec<Sent> = (0..late).map(|_| bed.ask(DOCS)).filter(|s| !s.3.shallow).collect();
+        let out: Vec<Sent> = (0..late).map(|_| bed.ask(DOCS)).filter(|s| !s.3.only_if_cached).collect();
         // The caches go on serving what they hold.
         bed.shallow(12);
         bed.now += Duration::from_secs(1);
         for s in &out {
-            bed.end(s, Status::Timeout, Duration::from_secs(2));
+            bed.end(s, AttemptStatus::Timeout, Duration::from_secs(2));
         }
-        let shallow = bed.shallow(20);
-        assert!((least..=most).contains(&shallow), "{shallow} of 20 after {late} late ones");
+        let only_if_cached = bed.shallow(20);
+        assert!((least..=most).contains(&only_if_cached), "{only_if_cached} of 20 after {late} late ones");
     }
 }
 
@@ -173,7 +178,7 @@
     bed.shallow(12);
     bed.write(Duration::from_millis(100));
     bed.now += Duration::from_secs(1);
-    out.iter().for_each(|s| drop(bed.end(s, Status::Timeout, Duration::from_secs(2))));
+    out.iter().for_each(|s| drop(bed.end(s, AttemptStatus::Timeout, Duration::from_secs(2))));
     assert_eq!(bed.shallow(20), 0);
 }
 
@@ -186,11 +191,11 @@
         for _ in 0..60 {
             let s = bed.ask(DOCS);
             let named = s.3.source.map(|s| s.0).filter(|s| PARENTS.contains(s));
-            let refused = named.is_some_and(|n| only.is_none_or(|o| o == n)) && !s.3.shallow;
+            let refused = named.is_some_and(|n| only.is_none_or(|o| o == n)) && !s.3.only_if_cached;
             let (status, took) = if refused {
-                (Status::Full, Duration::from_millis(30))
+                (AttemptStatus::Full, Duration::from_millis(30))
             } else {
-                (Status::Ok, Duration::from_millis(50))
+                (AttemptStatus::Ok, Duration::from_millis(50))
             };
             bed.end(&s, status, took);
         }
@@ -207,13 +212,13 @@
 fn what_nobody_holds_is_refused_at_once_with_a_wait() {
     let mut bed = Bed::new();
     (0..8).for_each(|_| bed.write(Duration::from_millis(900)));
-    let spared = (0..20).map(|_| bed.ask(DOCS)).find(|s| s.3.shallow).expect("one is spared");
-    assert_eq!((spared.3.max_age, spared.3.renew), (Some(Duration::from_secs(38)), false));
-    let (mut acts, mut asked) = (bed.end(&spared, Status::Miss, Duration::from_millis(20)), 1);
+    let spared = (0..20).map(|_| bed.ask(DOCS)).find(|s| s.3.only_if_cached).expect("one is spared");
+    assert_eq!((spared.3.max_age, spared.3.stale_while_revalidate), (Some(Duration::from_secs(38)), false));
+    let (mut acts, mut asked) = (bed.end(&spared, AttemptStatus::Miss, Duration::from_millis(20)), 1);
     while let Some(next) = attempt(&acts, asked) {
-        assert!(next.3.shallow || next.3.source.is_none(), "{next:?}");
+        assert!(next.3.only_if_cached || next.3.source.is_none(), "{next:?}");
         asked += 1;
-        acts = bed.end(&next, Status::Miss, Duration::from_millis(20));
+        acts = bed.end(&next, AttemptStatus::Miss, Duration::from_millis(20));
     }
     let wait = acts.iter().find_map(|a| match a {
         Action::Refuse { request, retry_after } if *request == spared.0 => Some(*retry_after),
@@ -231,10 +236,10 @@
     let mut again = 0;
     for _ in 0..20 {
         let s = bed.ask(DOCS);
-        let acts = bed.end(&s, Status::Error, Duration::from_millis(20));
+        let acts = bed.end(&s, AttemptStatus::Error, Duration::from_millis(20));
         if let Some(second) = attempt(&acts, 1) {
             again += 1;
-            assert!(second.3.shallow || second.3.source.is_none(), "{second:?}");
+            assert!(second.3.only_if_cached || second.3.source.is_none(), "{second:?}");
         }
         bed.now = bed.now - Duration::from_millis(100);
     }
