--- a/crates/decide/tests/scale.rs
+++ b/crates/decision/tests/scale.rs
@@ -1,6 +1,6 @@
-//! Many dispatchers to a host, each of which sees a few requests a second: no bench, fixed seeds.
+//! Many routers to an endpoint, each of which sees a few requests a second: no bench, fixed seeds.
 
-use hollymux_decide::*;
+use hollymux_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 const PARENTS: std::ops::RangeInclusive<u64> = 21..=28;
 
 fn settings(here: u32, all: u32) -> Settings {
-    let class = Class {
-        aim: Duration::from_millis(500),
-        aim_stretch: 1.6,
+    let class = RequestClass {
+        latency_objective: Duration::from_millis(500),
+        latency_objective_stretch: 1.6,
         deadline: Duration::from_secs(5),
-        effect: Effect::Safe,
-        scope: Scope::All,
-        ..Class::default()
+        idempotency: Idempotency::Idempotent,
+        scope: DeduplicationScope::All,
+        ..RequestClass::default()
     };
     Settings {
         classes: vec![class],
-        dispatchers: all,
-        dispatchers_by_zone: vec![here, all - here],
+        router_count: all,
+        router_count_by_zone: vec![here, all - here],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        joins: true,
-        siblings: Siblings::Location,
-        notes: Notes::All,
-        weights: Weights::Size,
+        coalesce_fills: true,
+        sibling_caches: SiblingCaches::Location,
+        cache_status_reporting: CacheStatusReporting::All,
+        weights: ListedWeights::Size,
         flow_kb_per_s: 1_000.0,
         purge_done: Duration::from_secs(6),
-        cold_from: 0.22,
-        cold_for: Duration::from_secs(18),
-        fall_multiple: 4.0,
-        fall_after: Duration::from_secs(1),
-        parent_cold_from: 0.07,
-        parent_cold_for: Duration::from_secs(20),
-        parent_fall_multiple: 2.0,
+        warm_up_floor: 0.22,
+        warm_up_period: Duration::from_secs(18),
+        overload_multiple: 4.0,
+        overload_window: Duration::from_secs(1),
+        parent_warm_up_floor: 0.07,
+        parent_warm_up_period: Duration::from_secs(20),
+        parent_overload_multiple: 2.0,
         max_attempts: 6,
         cancel: true,
         retry_after: true,
@@ -47,19 +47,19 @@
     }
 }
 
-fn line(id: u64, zone: u16, kind: u16, weight: f64) -> HostEntry {
-    HostEntry { id: HostId(id), zone, kind, weight, ..HostEntry::default() }
+fn line(id: u64, zone: u16, kind: u16, weight: f64) -> EndpointEntry {
+    EndpointEntry { id: EndpointId(id), zone, kind, weight, ..EndpointEntry::default() }
 }
 
 /// Seven caches here, eight parents at two hubs (zones 2 and 3), an origin.
-fn fleet() -> Vec<HostEntry> {
+fn fleet() -> Vec<EndpointEntry> {
     let caches = CACHES.map(|i| line(i, 0, 0, 4.0));
     let parents = PARENTS.map(|i| line(i, if i < 25 { 2 } else { 3 }, PARENT, 40.0));
     caches.chain(parents).chain([line(31, 2, ORIGIN, 100.0)]).collect()
 }
 
 struct Bed {
-    control: Control,
+    control: DecisionModule,
     now: Timestamp,
     next: RequestId,
 }
@@ -68,15 +68,15 @@
 struct Sent {
     id: RequestId,
     attempt: u16,
-    host: u64,
+    endpoint: u64,
     source: Option<u64>,
 }
 
 impl Bed {
     fn new(settings: Settings, seed: u64) -> Bed {
-        let control = Control::new(settings, seed).unwrap();
+        let control = DecisionModule::new(settings, seed).unwrap();
         let mut bed = Bed { control, now: START, next: 0 };
-        bed.event(Event::Hosts { kind: ListKind::Cached, entries: fleet() });
+        bed.event(Event::EndpointList { kind: ListKind::Cached, entries: fleet() });
         bed
     }
 
@@ -98,30 +98,36 @@
         }))
     }
 
-    fn end(&mut self, s: &Sent, status: Status, note: Option<Note>, latency: Duration) -> Vec<Action> {
-        self.event(Event::Outcome(Outcome {
+    fn end(
+        &mut self,
+        s: &Sent,
+        status: AttemptStatus,
+        note: Option<CacheStatus>,
+        latency: Duration,
+    ) -> Vec<Action> {
+        self.event(Event::AttemptOutcome(AttemptOutcome {
             request: s.id,
             attempt: s.attempt,
-            host: HostId(s.host),
+            endpoint: EndpointId(s.endpoint),
             latency,
             status,
-            ended: status == Status::Ok,
+            ended: status == AttemptStatus::Ok,
             note,
             work: None,
         }))
     }
 
-    fn serve(&mut self, object: u64, note: Note) -> Option<Sent> {
+    fn serve(&mut self, object: u64, note: CacheStatus) -> Option<Sent> {
         let s = sent(&self.ask(object), 0)?;
-        self.end(&s, Status::Ok, Some(note), Duration::from_millis(250));
+        self.end(&s, AttemptStatus::Ok, Some(note), Duration::from_millis(250));
         Some(s)
     }
 }
 
 fn attempts(actions: &[Action]) -> Vec<Sent> {
     let attempt = |a: &Action| match a {
-        Action::Attempt { request, host, fill, .. } => {
-            Some(Sent { id: *request, attempt: 0, host: host.0, source: fill.source.map(|s| s.0) })
+        Action::Attempt { request, endpoint, fill, .. } => {
+            Some(Sent { id: *request, attempt: 0, endpoint: endpoint.0, source: fill.source.map(|s| s.0) })
         }
         _ => None,
     };
@@ -132,7 +138,7 @@
     attempts(actions).pop().map(|s| Sent { attempt, ..s })
 }
 
-/// What a dispatcher at seven requests a second did: attempts in order with the time, and calls off.
+/// What a router at seven requests a second did: attempts in order with the time, and calls off.
 #[derive(Default)]
 struct Seen {
     asked: usize,
@@ -140,7 +146,7 @@
     cancelled: usize,
 }
 
-/// Plays one dispatcher: a request every 140 ms; `fate` says after how long an attempt is answered; those that
+/// Plays one router: a request every 140 ms; `fate` says after how long an attempt is answered; those that
 /// are not time out.
 fn play(bed: &mut Bed, span: Duration, mut fate: impl FnMut(usize, &Sent) -> Option<Duration>) -> Seen {
     let mut seen = Seen::default();
@@ -163,8 +169,8 @@
         open = later;
         for (_, began, s) in done {
             let ok = now < began + Duration::from_secs(5);
-            let status = if ok { Status::Ok } else { Status::Timeout };
-            acts.extend(bed.end(&s, status, ok.then_some(Note::Hit), now.duration_since(began)));
+            let status = if ok { AttemptStatus::Ok } else { AttemptStatus::Timeout };
+            acts.extend(bed.end(&s, status, ok.then_some(CacheStatus::Hit), now.duration_since(began)));
         }
         while !acts.is_empty() {
             due.extend(timers(&acts, now));
@@ -181,7 +187,7 @@
                 if let Some(i) = open.iter().position(called) {
                     let (_, began, s) = open.swap_remove(i);
                     seen.cancelled += 1;
-                    more.extend(bed.end(&s, Status::Cancelled, None, now.duration_since(began)));
+                    more.extend(bed.end(&s, AttemptStatus::Cancelled, None, now.duration_since(began)));
                 }
             }
             acts = more;
@@ -208,11 +214,11 @@
     }
 }
 
-/// Many instances against one cold host, all misses, six requests a second each. Returns when it was asked.
+/// Many instances against one cold endpoint, all misses, six requests a second each. Returns when it was asked.
 fn asked_when_cold(
     beds: &mut [Bed],
     id: u64,
-    start: HostEntry,
+    start: EndpointEntry,
     span: Duration,
     dice: &mut Dice,
 ) -> Vec<Timestamp> {
@@ -221,7 +227,7 @@
     let mut at: Vec<Timestamp> =
         beds.iter().map(|_| began + Duration::from_micros(dice.roll(170_000))).collect();
     for bed in beds.iter_mut() {
-        bed.event(Event::Hosts { kind: ListKind::Delta, entries: vec![start.clone()] });
+        bed.event(Event::EndpointList { kind: ListKind::Delta, entries: vec![start.clone()] });
     }
     for step in 0..span.as_micros().div_ceil(2_000) as u32 {
         let now = began + step * Duration::from_millis(2);
@@ -229,8 +235,8 @@
             *at = now + 2 * Duration::from_micros(dice.roll(170_000));
             bed.now = now;
             let object = dice.roll(1 << 40);
-            let Some(s) = bed.serve(object, Note::Filled) else { continue };
-            if s.host == id || s.source == Some(id) {
+            let Some(s) = bed.serve(object, CacheStatus::Filled) else { continue };
+            if s.endpoint == id || s.source == Some(id) {
                 asked.push(now);
             }
         }
@@ -238,25 +244,25 @@
     asked
 }
 
-/// All dispatchers together stay under what makes a cold host fall, over every window, and yet it is used: a
+/// All routers together stay under what makes a cold endpoint fall, over every window, and yet it is used: a
 /// cache shared by fourteen and a parent shared by three hundred, whose even shares are below one request.
 #[test]
 fn hundreds_share_a_cold_host_within_its_budget_and_use_it() {
-    for (id, zone, kind, weight, dispatchers) in [(2, 0, 0, 4.0, 14), (22, 2, PARENT, 40.0, 300)] {
+    for (id, zone, kind, weight, router_count) in [(2, 0, 0, 4.0, 14), (22, 2, PARENT, 40.0, 300)] {
         for seed in [1, 2, 3] {
             let s = settings(14, 300);
             let parent = kind == PARENT;
             let (from, over) = if parent { (0.07, 20.0) } else { (0.22, 18.0) };
-            let multiple = if parent { s.parent_fall_multiple } else { s.fall_multiple };
+            let multiple = if parent { s.parent_overload_multiple } else { s.overload_multiple };
             let mut dice = Dice(seed);
             let mut beds: Vec<Bed> =
-                (0..dispatchers).map(|i| Bed::new(s.clone(), seed * 1_000 + i)).collect();
+                (0..router_count).map(|i| Bed::new(s.clone(), seed * 1_000 + i)).collect();
             for bed in &mut beds {
                 for i in 0..60 {
-                    bed.serve(i, Note::Hit);
+                    bed.serve(i, CacheStatus::Hit);
                 }
             }
-            let start = HostEntry { started: START, ..line(id, zone, kind, weight) };
+            let start = EndpointEntry { started: START, ..line(id, zone, kind, weight) };
             let asked = asked_when_cold(&mut beds, id, start, Duration::from_secs(12), &mut dice);
             let able = |t: Timestamp| {
                 weight * (from + (1.0 - from) * t.duration_since(START).as_micros() as f64 / 1e6 / over)
@@ -281,7 +287,7 @@
     let mut bed = Bed::new(settings(14, 300), 5);
     let mut refused = 0;
     for i in 0..200 {
-        refused += usize::from(bed.serve(i, Note::Hit).is_none());
+        refused += usize::from(bed.serve(i, CacheStatus::Hit).is_none());
         bed.now += Duration::from_millis(150);
     }
     assert_eq!(refused, 0, "an idle location refuses nothing");
@@ -306,14 +312,16 @@
     };
     let mut bed = Bed::new(settings(14, 300), 5);
     let live = play(&mut bed, Duration::from_secs(40), |n, _| slow(n));
-    let used = live.sent.iter().filter(|s| s.1.host == 3).count();
+    let used = live.sent.iter().filter(|s| s.1.endpoint == 3).count();
     assert!(live.cancelled * 20 < live.asked && used > 20, "{} moved, {used} at cache 3", live.cancelled);
     let mut bed = Bed::new(settings(14, 300), 5);
     play(&mut bed, Duration::from_secs(10), |n, _| slow(n));
     let fell = bed.now;
-    let silent = play(&mut bed, Duration::from_secs(20), |n, s| slow(n).filter(|_| s.host != 3));
-    let late = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 > fell + Duration::from_secs(8)).count();
-    let early = silent.sent.iter().filter(|s| s.1.host == 3 && s.0 <= fell + Duration::from_secs(8)).count();
+    let silent = play(&mut bed, Duration::from_secs(20), |n, s| slow(n).filter(|_| s.endpoint != 3));
+    let late =
+        silent.sent.iter().filter(|s| s.1.endpoint == 3 && s.0 > fell + Duration::from_secs(8)).count();
+    let early =
+        silent.sent.iter().filter(|s| s.1.endpoint == 3 && s.0 <= fell + Duration::from_secs(8)).count();
     assert!(
         silent.cancelled > 0 && early <= 8 && late <= 6,
         "{early} sent to a silent cache at first, {late} later"
@@ -325,18 +333,18 @@
 fn levels_rise_with_a_true_share_of_few_requests_and_not_with_noise() {
     let mut bed = Bed::new(settings(14, 300), 5);
     let mut dice = Dice(9);
-    let (mut hosts, mut noise) = (BTreeSet::new(), BTreeMap::<u64, BTreeSet<u64>>::new());
+    let (mut endpoints, mut noise) = (BTreeSet::new(), BTreeMap::<u64, BTreeSet<u64>>::new());
     for i in 0..400 {
         let object = if i % 5 < 2 { 42 } else { 100 + dice.roll(40) };
-        let s = bed.serve(object, Note::Hit).unwrap();
+        let s = bed.serve(object, CacheStatus::Hit).unwrap();
         if object == 42 {
-            hosts.insert(s.host);
+            endpoints.insert(s.endpoint);
         } else {
-            noise.entry(object).or_default().insert(s.host);
+            noise.entry(object).or_default().insert(s.endpoint);
         }
         bed.now += Duration::from_millis(200);
     }
-    assert!(hosts.len() >= 3, "the hot object is served by {hosts:?}");
+    assert!(endpoints.len() >= 3, "the hot object is served by {endpoints:?}");
     assert!(noise.values().all(|h| h.len() == 1), "{noise:?}");
 }
 
@@ -344,17 +352,17 @@
 /// second copy or after cancelling; nothing is taken out, and there is no storm.
 #[test]
 fn lost_answers_are_asked_for_again_where_they_were_asked_for() {
-    for second_copies in [false, true] {
-        let mut bed = Bed::new(Settings { second_copies, ..settings(14, 300) }, 5);
+    for hedging_allowed in [false, true] {
+        let mut bed = Bed::new(Settings { hedging_allowed, ..settings(14, 300) }, 5);
         let seen = play(&mut bed, Duration::from_secs(60), |n, _| {
             Some(Duration::from_millis(250)).filter(|_| n % 4 != 0)
         });
         let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
         let (mut again, mut elsewhere) = (0, 0);
         for (_, s) in &seen.sent {
-            let home = *homes.entry(s.id).or_insert(s.host);
-            again += usize::from(s.attempt > 0 && s.host == home);
-            elsewhere += usize::from(s.attempt > 0 && s.host != home);
+            let home = *homes.entry(s.id).or_insert(s.endpoint);
+            again += usize::from(s.attempt > 0 && s.endpoint == home);
+            elsewhere += usize::from(s.attempt > 0 && s.endpoint != home);
         }
         let (asked, attempts) = (seen.asked, seen.sent.len());
         assert!(again > asked / 8, "{again} of {asked} asked for again");
@@ -367,13 +375,15 @@
 /// begun anew at the same cache, over and over.
 #[test]
 fn slow_fills_are_not_begun_anew_where_hits_are_not_told() {
-    let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
+    let mut bed =
+        Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
     let seen = play(&mut bed, Duration::from_secs(60), |n, _| {
         Some(if n % 6 == 0 { Duration::from_millis(2_500) } else { Duration::from_millis(250) })
     });
     let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
-    let same =
-        |s: &&(Timestamp, Sent)| *homes.entry(s.1.id).or_insert(s.1.host) == s.1.host && s.1.attempt > 0;
+    let same = |s: &&(Timestamp, Sent)| {
+        *homes.entry(s.1.id).or_insert(s.1.endpoint) == s.1.endpoint && s.1.attempt > 0
+    };
     let again = seen.sent.iter().filter(same).count();
     assert!(again < seen.asked / 50, "{again} of {} fills begun anew", seen.asked);
 }
@@ -383,7 +393,8 @@
 #[test]
 fn a_parent_whose_fills_stay_away_is_out_though_hits_name_it() {
     let share = |all: bool| {
-        let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
+        let mut bed =
+            Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
         let before = play(&mut bed, Duration::from_secs(30), |_, _| Some(Duration::from_millis(250)));
         let mut uses: BTreeMap<u64, usize> = BTreeMap::new();
         before.sent.iter().filter_map(|s| s.1.source).for_each(|p| *uses.entry(p).or_default() += 1);
@@ -411,7 +422,7 @@
     for (told_after, cold) in [(Duration::from_millis(5), true), (Duration::from_millis(400), false)] {
         let mut bed = Bed::new(settings(14, 300), 5);
         for i in 0..200 {
-            bed.serve(i, Note::Hit);
+            bed.serve(i, CacheStatus::Hit);
         }
         // Refused fills, two of each parent: the first names it, the second takes it out.
         let mut failed: BTreeMap<u64, usize> = BTreeMap::new();
@@ -421,9 +432,9 @@
             match s.source {
                 Some(p @ 21..=22) if failed.get(&p).is_none_or(|n| *n < 2) => {
                     *failed.entry(p).or_default() += 1;
-                    bed.end(&s, Status::Full, Some(Note::SourceUnreachable), told_after);
+                    bed.end(&s, AttemptStatus::Full, Some(CacheStatus::SourceUnreachable), told_after);
                 }
-                _ => drop(bed.end(&s, Status::Ok, Some(Note::Hit), Duration::from_millis(250))),
+                _ => drop(bed.end(&s, AttemptStatus::Ok, Some(CacheStatus::Hit), Duration::from_millis(250))),
             }
             if failed.values().sum::<usize>() == 4 || cold && failed.len() == 2 {
                 break;
@@ -435,7 +446,7 @@
         for i in 5_000..5_060 {
             bed.now += Duration::from_millis(200);
             let Some(s) = sent(&bed.ask(i), 0) else { continue };
-            bed.end(&s, Status::Ok, Some(Note::Filled), Duration::from_millis(50));
+            bed.end(&s, AttemptStatus::Ok, Some(CacheStatus::Filled), Duration::from_millis(50));
             s.source.into_iter().for_each(|p| *used.entry(p).or_default() += 1);
         }
         let hub = |r: std::ops::RangeInclusive<u64>| r.filter_map(|p| used.get(&p)).sum::<usize>();
@@ -448,36 +459,36 @@
 /// may give it, they are asked.
 #[test]
 fn a_refused_fill_is_not_passed_from_parent_to_parent() {
-    let refuse = |siblings| {
-        let mut bed = Bed::new(Settings { siblings, ..settings(14, 300) }, 5);
+    let refuse = |sibling_caches| {
+        let mut bed = Bed::new(Settings { sibling_caches, ..settings(14, 300) }, 5);
         let entries = vec![line(11, 1, 0, 4.0), line(12, 1, 0, 4.0)];
-        bed.event(Event::Hosts { kind: ListKind::Delta, entries });
+        bed.event(Event::EndpointList { kind: ListKind::Delta, entries });
         let s = sent(&bed.ask(42), 0).unwrap();
-        bed.end(&s, Status::Full, Some(Note::SourceRefused), Duration::from_millis(60))
+        bed.end(&s, AttemptStatus::Full, Some(CacheStatus::SourceRefused), Duration::from_millis(60))
     };
-    let acts = refuse(Siblings::Location);
+    let acts = refuse(SiblingCaches::Location);
     assert!(sent(&acts, 1).is_none() && acts.iter().any(|a| matches!(a, Action::Refuse { .. })));
-    assert!([11, 12].contains(&sent(&refuse(Siblings::Any), 1).unwrap().source.unwrap()));
+    assert!([11, 12].contains(&sent(&refuse(SiblingCaches::Any), 1).unwrap().source.unwrap()));
 }
 
-/// Successors for ever: what is remembered of hosts that are gone stays bounded, and old starts are not walked.
+/// Successors for ever: what is remembered of endpoints that are gone stays bounded, and old starts are not walked.
 #[test]
 fn host_list_changes_for_ever_leave_no_trace() {
     let mut bed = Bed::new(settings(14, 300), 5);
     for i in 0..6_000_u64 {
-        let new = HostEntry { started: bed.now, ..line(10_000 + i, 0, 0, 4.0) };
+        let new = EndpointEntry { started: bed.now, ..line(10_000 + i, 0, 0, 4.0) };
         let mut entries = vec![new];
         if i > 0 {
-            entries.push(HostEntry { state: HostState::Gone, ..line(9_999 + i, 0, 0, 4.0) });
+            entries.push(EndpointEntry { state: EndpointState::Gone, ..line(9_999 + i, 0, 0, 4.0) });
         }
-        bed.event(Event::Hosts { kind: ListKind::Delta, entries });
-        bed.serve(i, Note::Filled);
+        bed.event(Event::EndpointList { kind: ListKind::Delta, entries });
+        bed.serve(i, CacheStatus::Filled);
         bed.now += Duration::from_millis(10);
     }
     let remembered = format!("{:?}", bed.control).matches("entry: HostEntry").count();
     assert!(remembered < 2_500, "{remembered} hosts remembered");
-    let s = bed.serve(77, Note::Hit).unwrap();
-    assert!(CACHES.contains(&s.host) || s.host == 15_999);
+    let s = bed.serve(77, CacheStatus::Hit).unwrap();
+    assert!(CACHES.contains(&s.endpoint) || s.endpoint == 15_999);
 }
 
 /// Guards against a few hundred routers that each have only two fills in hand at a parent, which then has hundreds
@@ -485,8 +496,11 @@
 /// routers with as many in hand is no crowd.
 #[test]
 fn a_parent_that_all_have_fills_at_gets_no_more_where_hits_are_not_told() {
-    let unfilled = |dispatchers| {
-        let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(2, dispatchers) }, 5);
+    let unfilled = |router_count| {
+        let mut bed = Bed::new(
+            Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(2, router_count) },
+            5,
+        );
         let slow = |n: usize, s: &Sent| n < 200 && n.is_multiple_of(2) && s.source.is_some();
         let seen = play(&mut bed, Duration::from_secs(60), |n, s| {
             Some(if slow(n, s) { Duration::from_secs(2) } else { Duration::from_millis(100) })
@@ -504,8 +518,8 @@
 /// parent gets more than it can send.
 #[test]
 fn fills_are_counted_by_their_age_whether_they_are_told_or_not() {
-    for notes in [Notes::None, Notes::Hit, Notes::All] {
-        let mut bed = Bed::new(Settings { notes, ..settings(14, 300) }, 5);
+    for notes in [CacheStatusReporting::None, CacheStatusReporting::Hit, CacheStatusReporting::All] {
+        let mut bed = Bed::new(Settings { cache_status_reporting: notes, ..settings(14, 300) }, 5);
         let r =
             Request { id: 1, object: 1, deadline: bed.now + Duration::from_secs(5), ..Request::default() };
         let acts = bed.event(Event::Request(r));
@@ -518,7 +532,8 @@
 /// Guards against taking a jam for large objects: the bytes that came tell the sending time, whatever it took.
 #[test]
 fn a_jam_does_not_change_what_a_class_is_held_to_take() {
-    let mut bed = Bed::new(Settings { notes: Notes::None, ..settings(14, 300) }, 5);
+    let mut bed =
+        Bed::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
     let mut held = Vec::new();
     for id in 1..=60 {
         let r = Request {
@@ -532,12 +547,12 @@
         let fills = |t: &(Timestamp, u64)| t.1 & 0xffff == 0x8000;
         held.extend(timers(&acts, Timestamp::ZERO).into_iter().find(fills).map(|t| t.0));
         bed.now += Duration::from_secs(2);
-        bed.event(Event::Outcome(Outcome {
+        bed.event(Event::AttemptOutcome(AttemptOutcome {
             request: s.id,
             attempt: 0,
-            host: HostId(s.host),
+            endpoint: EndpointId(s.endpoint),
             latency: Duration::from_secs(2),
-            status: Status::Ok,
+            status: AttemptStatus::Ok,
             ended: true,
             note: None,
             work: Some(0.25),
--- a/crates/decide/tests/time.rs
+++ b/crates/decision/tests/time.rs
@@ -1,7 +1,7 @@
 //! Points in time and spans: what is truncated to whole microseconds, and what saturates.
 
-use hollymux_decide::time::{divide_to_micros, secs, span_from_secs, whole_micros};
-use hollymux_decide::Timestamp;
+use hollymux_decision::time::{divide_to_micros, secs, span_from_secs, whole_micros};
+use hollymux_decision::Timestamp;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/hollymux/src/check.rs
+++ b/crates/hollymux/src/check.rs
@@ -1,7 +1,7 @@
 //! `hollymux check`: an operator's file, fault by fault.
 
 use crate::{operator, put, Fail};
-use hollymux_node::operator::Operator;
+use hollymux_server::operator::Operator;
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
@@ -16,7 +16,7 @@
 
 pub fn run(options: &Options) -> Result<(), Fail> {
     let Some(file) = &options.file else {
-        return put(&(hollymux_settings::schema::<Operator>() + "\n"));
+        return put(&(hollymux_config_file::schema::<Operator>() + "\n"));
     };
     let read = operator(file)?;
     // What is on, with every default written out.
--- a/crates/hollymux/src/lab.rs
+++ b/crates/hollymux/src/lab.rs
@@ -1,12 +1,12 @@
 //! `hollymux lab`: a day of the laboratory.
 
 use crate::{put, Fail};
-use hollymux_lab::day::Day;
-use hollymux_lab::platform::Seat;
-use hollymux_lab::report::report;
-use hollymux_lab::virtually::Heard;
-use hollymux_lab::{measure, sockets, sweep, virtually};
-use hollymux_record::{End, Head, Reason, Recorder, Request, Sink};
+use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
+use hollymux_simulation::day::Day;
+use hollymux_simulation::platform::Seat;
+use hollymux_simulation::report::report;
+use hollymux_simulation::virtually::Heard;
+use hollymux_simulation::{measure, sockets, sweep, virtually};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -37,7 +37,7 @@
 }
 
 fn sweep_days(options: &SweepFile) -> Result<(), Fail> {
-    let file: sweep::Sweep = hollymux_settings::load(&options.file).map_err(Fail::Unusable)?;
+    let file: sweep::Sweep = hollymux_config_file::load(&options.file).map_err(Fail::Unusable)?;
     let rows = sweep::sweep(&file).map_err(Fail::ran)?;
     let json = || serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n";
     put(&if options.json { json() } else { sweep::text(&rows) })?;
@@ -104,12 +104,12 @@
 
 pub fn run(command: Command) -> Result<(), Fail> {
     let options = match command {
-        Command::Schema => return put(&(hollymux_settings::schema::<Day>() + "\n")),
+        Command::Schema => return put(&(hollymux_config_file::schema::<Day>() + "\n")),
         Command::Fleet(options) => return fleet_table(&options),
         Command::Sweep(options) => return sweep_days(&options),
         Command::Run(options) => options,
     };
-    let day: Day = hollymux_settings::load(&options.day).map_err(Fail::Unusable)?;
+    let day: Day = hollymux_config_file::load(&options.day).map_err(Fail::Unusable)?;
     let kept = options.report.as_ref();
     if let Some(dir) = kept {
         std::fs::create_dir_all(dir).map_err(Fail::ran)?;
@@ -157,7 +157,8 @@
 /// What the routers of a day on sockets recorded of why they did not serve.
 fn told_reasons(day: &Day, dir: &Path, start: u64, reasons: &mut Reasons) -> Result<(), Fail> {
     let files = std::fs::read_dir(dir).map_err(Fail::ran)?.filter_map(Result::ok).map(|e| e.path());
-    let recording = hollymux_record::load(&files.collect::<Vec<_>>()).map_err(|e| Fail::ran(e.join("; ")))?;
+    let recording =
+        hollymux_capture::load(&files.collect::<Vec<_>>()).map_err(|e| Fail::ran(e.join("; ")))?;
     // The folder may hold recordings of earlier days.
     let rows = recording.rows.iter().filter(|r| r.arrived >= start);
     rows.for_each(|r| count(day, reasons, usize::from(r.class), r.end, r.reason));
--- a/crates/hollymux/src/logs.rs
+++ b/crates/hollymux/src/logs.rs
@@ -15,7 +15,7 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// What is logged: a level (error, warn, info, debug, trace), or a filter as in `info,hollymux_node=debug`
+    /// What is logged: a level (error, warn, info, debug, trace), or a filter as in `info,hollymux_server=debug`
     #[arg(long, global = true, value_name = "FILTER", default_value = "info")]
     log: Targets,
     /// How it is written
--- a/crates/hollymux/src/main.rs
+++ b/crates/hollymux/src/main.rs
@@ -130,6 +130,6 @@
 }
 
 /// Reads an operator's file.
-fn operator(path: &Path) -> Result<hollymux_node::operator::Operator, Fail> {
-    hollymux_settings::load(path).map_err(Fail::Unusable)
+fn operator(path: &Path) -> Result<hollymux_server::operator::Operator, Fail> {
+    hollymux_config_file::load(path).map_err(Fail::Unusable)
 }
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -58,10 +58,10 @@
 
 pub fn run(options: &Options) -> Result<(), Fail> {
     let Some(fleet) = options.fleet.as_ref().filter(|_| !options.schema) else {
-        return put(&(hollymux_settings::schema::<Fleet>() + "\n"));
+        return put(&(hollymux_config_file::schema::<Fleet>() + "\n"));
     };
-    let fleet: Fleet = hollymux_settings::load(fleet).map_err(Fail::Unusable)?;
-    let recording = hollymux_record::load(&options.load).map_err(Fail::Unusable)?;
+    let fleet: Fleet = hollymux_config_file::load(fleet).map_err(Fail::Unusable)?;
+    let recording = hollymux_capture::load(&options.load).map_err(Fail::Unusable)?;
     let mut missing = Vec::new();
     if !recording.loss.none() {
         let l = recording.loss;
--- a/crates/hollymux/src/record.rs
+++ b/crates/hollymux/src/record.rs
@@ -1,7 +1,7 @@
 //! `hollymux record`: what a recording of load holds.
 
 use crate::{put, Fail};
-use hollymux_record::{load, End, Loss, Reason, Recording, Row};
+use hollymux_capture::{load, End, Loss, Reason, Recording, Row};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/hollymux/src/serve.rs
+++ b/crates/hollymux/src/serve.rs
@@ -1,9 +1,9 @@
 //! `hollymux serve`: one request router.
 
 use crate::{operator, Fail};
-use hollymux_node::config::Config;
-use hollymux_node::operator::Operator;
-use hollymux_node::Driver;
+use hollymux_server::config::Config;
+use hollymux_server::operator::Operator;
+use hollymux_server::Server;
 use std::path::PathBuf;
 use tracing::info;
 
@@ -30,7 +30,7 @@
         rustix::process::set_parent_process_death_signal(Some(signal)).map_err(Fail::ran)?;
     }
     let config = Config::load(&path).map_err(Fail::unusable)?;
-    let mut driver = Driver::new(config, path, operator).map_err(Fail::ran)?;
+    let mut driver = Server::new(config, path, operator).map_err(Fail::ran)?;
     info!("listening on {}", driver.listens_at().map_err(Fail::ran)?);
     driver.run().map_err(Fail::ran)?;
     info!("{}", driver.summary());
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use hollymux_lab::fleet::Link;
-use hollymux_lab::relay::Relay;
+use hollymux_simulation::fleet::Link;
+use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
--- a/crates/planner/src/fleet.rs
+++ b/crates/planner/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet as an operator describes it: what is known. What is not given is fitted from the recording, or not
 //! judged; the answer says which.
 
-use hollymux_settings::{Check, Faults};
+use hollymux_config_file::{Check, Faults};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/planner/src/trace.rs
+++ b/crates/planner/src/trace.rs
@@ -7,7 +7,7 @@
 //! times comes again). So what was asked for once doesn't become popular by multiplying.
 
 use crate::PlanError;
-use hollymux_record::{ClassHead, End, Recording, Row};
+use hollymux_capture::{ClassHead, End, Recording, Row};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/planner/tests/plans.rs
+++ b/crates/planner/tests/plans.rs
@@ -1,13 +1,13 @@
 //! Plans for loads made by hand: what must hold of them, and what is refused.
 
-use hollymux_decide::{
-    Action, Class, Control, Event, HostEntry, HostId, HostState, ListKind, Request, Settings, Timestamp,
-    Weights,
+use hollymux_capture::{ClassHead, Recording};
+use hollymux_decision::{
+    Action, DecisionModule, EndpointEntry, EndpointId, EndpointState, Event, ListKind, ListedWeights,
+    Request, RequestClass, Settings, Timestamp,
 };
 use hollymux_planner::place::{identity, order, seed};
 use hollymux_planner::trace::{Ask, Key, Trace};
 use hollymux_planner::{plan, Answer, Fleet, PlanError, Question};
-use hollymux_record::{ClassHead, Recording};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -66,7 +66,7 @@
            {{name: 'luxor', hub: 'h', boxes: {boxes}, link_in_flows: {link_in}, link_flows: 6, keep_bytes: 2e5}}],
           hubs: [{{name: 'h', link_flows: {hub}, keep_bytes: 1e7}}], library: {{calls_per_s: 500}}}}"
     );
-    hollymux_settings::read(&text).expect("a fleet")
+    hollymux_config_file::read(&text).expect("a fleet")
 }
 
 fn asked(t: &Trace, f: &Fleet, q: &Question) -> Answer {
@@ -83,44 +83,44 @@
 #[test]
 fn placement_is_the_modules_own() {
     // The planner draws orders by itself: a request that the module places must go to the same box and hub.
-    let c = Class {
-        aim: Duration::from_millis(400),
+    let c = RequestClass {
+        latency_objective: Duration::from_millis(400),
         deadline: Duration::from_millis(2_500),
-        effect: hollymux_decide::Effect::Safe,
-        ..Class::default()
+        idempotency: hollymux_decision::Idempotency::Idempotent,
+        ..RequestClass::default()
     };
     let settings = Settings {
         classes: vec![c],
         parent_kind: Some(1),
         origin_kind: Some(2),
-        weights: Weights::Size,
+        weights: ListedWeights::Size,
         max_attempts: 4,
         ..Settings::default()
     };
     let names = ["s-a", "s-b", "s-c", "s-d"];
     let sizes = [4.0, 8.0, 2.0, 8.0];
     let hubs = ["s-h1", "s-h2", "s-h3"];
-    let line = |uid: &str, kind, weight| HostEntry {
-        id: HostId(identity(uid)),
+    let line = |uid: &str, kind, weight| EndpointEntry {
+        id: EndpointId(identity(uid)),
         cell: 0,
         zone: if kind == 0 { 0 } else { 1 },
         kind,
         weight,
-        state: HostState::Ready,
+        state: EndpointState::Ready,
         started: Timestamp::ZERO,
         in_place_of: None,
     };
-    let mut entries: Vec<HostEntry> = names.iter().zip(sizes).map(|(n, w)| line(n, 0, w)).collect();
+    let mut entries: Vec<EndpointEntry> = names.iter().zip(sizes).map(|(n, w)| line(n, 0, w)).collect();
     entries.extend(hubs.iter().map(|n| line(n, 1, 9.0)));
     entries.push(line("s-o", 2, 9.0));
     let boxes: Vec<(u64, f64)> = names.iter().zip(sizes).map(|(n, w)| (identity(n), w)).collect();
     let parents: Vec<(u64, f64)> = hubs.iter().map(|n| (identity(n), 9.0)).collect();
     for object in 0..200u64 {
-        let mut control = Control::new(settings.clone(), 1).unwrap();
+        let mut control = DecisionModule::new(settings.clone(), 1).unwrap();
         let mut actions = Vec::new();
         control.handle(
             Timestamp::from_micros(1),
-            Event::Hosts { kind: ListKind::Full, entries: entries.clone() },
+            Event::EndpointList { kind: ListKind::Full, entries: entries.clone() },
             &mut actions,
         );
         let part = (object % 5) as u32;
@@ -134,7 +134,7 @@
         actions.clear();
         control.handle(Timestamp::from_micros(2), Event::Request(r), &mut actions);
         let sent = actions.iter().find_map(|a| match a {
-            Action::Attempt { host, fill, .. } => Some((host.0, fill.source.map(|s| s.0))),
+            Action::Attempt { endpoint, fill, .. } => Some((endpoint.0, fill.source.map(|s| s.0))),
             _ => None,
         });
         let drawn = seed(object, part);
@@ -249,7 +249,7 @@
 fn a_fleet_that_cant_be_is_refused_field_by_field() {
     let text = "{offices: [{name: 'a', hub: 'x', boxes: 0, link_in_flows: 0, cores: 0}, {name: 'a', hub: 'h', boxes: 1,
         link_in_flows: 1e999}], hubs: [{name: 'h', link_flows: -1}], clients: {tries: 99}}";
-    let faults = hollymux_settings::read::<Fleet>(text).unwrap_err();
+    let faults = hollymux_config_file::read::<Fleet>(text).unwrap_err();
     let fields: Vec<&str> = faults.iter().map(|f| f.field.as_str()).collect();
     for field in [
         "offices[0].hub",
--- a/crates/wire/src/front.rs
+++ b/crates/protocol/src/client.rs
@@ -1,8 +1,8 @@
 //! The clients' side of the platform's protocol: requests in, answers out.
 
 use crate::resp::{array, bulk, bulk_head, decimal, field, Decoder, Frame, RespError};
-use hollymux_core::chain::{Chain, Exhausted, Pool};
-use hollymux_core::{Ask, Reply};
+use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
+use hollymux_router::{ClientRequest, Reply};
 
 /// A write carries at most so many bytes.
 pub const WRITE_MOST: usize = 48_000;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub enum Call {
     /// A request under a tag, or the name of its class if its fields can't be used.
-    Do(u64, Result<Ask, Vec<u8>>),
+    Do(u64, Result<ClientRequest, Vec<u8>>),
     /// The client stops waiting.
     Undo(u64),
     /// A check.
@@ -53,7 +53,7 @@
 }
 
 /// The decoder for a client's connection.
-pub fn decoder(pool: &Pool) -> Decoder {
+pub fn decoder(pool: &BufferPool) -> Decoder {
     Decoder::new(pool, BODY_AT, WRITE_MOST)
 }
 
@@ -77,7 +77,7 @@
     std::str::from_utf8(word).ok().filter(|_| plain).and_then(|w| u64::from_str_radix(w, 16).ok())
 }
 
-fn ask(mut frame: Frame) -> Option<Ask> {
+fn ask(mut frame: Frame) -> Option<ClientRequest> {
     let fields = frame.words.get(3).cloned().unwrap_or_default();
     let number = |name| field(&fields, name).and_then(decimal);
     let rid = field(&fields, "rid")?;
@@ -89,7 +89,7 @@
     if ![&held, &key].into_iter().flatten().all(|v| usable(v)) {
         return None;
     }
-    Some(Ask {
+    Some(ClientRequest {
         rid: (rid.to_vec(), hex16(rid)?),
         object: (object.to_vec(), hex16(object)?),
         part: u32::try_from(number("piece")?).ok()?,
@@ -103,18 +103,18 @@
 }
 
 /// The bytes of an answer.
-pub fn reply(pool: &Pool, tag: u64, reply: Reply) -> Result<Chain, Exhausted> {
+pub fn reply(pool: &BufferPool, tag: u64, reply: Reply) -> Result<BufferChain, Exhausted> {
     let (word, fields, body): (&[u8], _, _) = match reply {
-        Reply::Good(digest, body) => {
+        Reply::Served(digest, body) => {
             (b"good", digest.map(|d| name(b"ver=", &d)).unwrap_or_default(), Some(body))
         }
-        Reply::Unchanged(digest) => {
+        Reply::NotModified(digest) => {
             let mut fields = b"unchanged=1,".to_vec();
             fields.extend(name(b"ver=", &digest));
             (b"good", fields, None)
         }
-        Reply::Refused(0) => (b"refused", Vec::new(), None),
-        Reply::Refused(wait) => (b"refused", format!("backoff={wait}").into_bytes(), None),
+        Reply::Rejected(0) => (b"refused", Vec::new(), None),
+        Reply::Rejected(wait) => (b"refused", format!("backoff={wait}").into_bytes(), None),
         Reply::Failed => (b"broken", Vec::new(), None),
     };
     let mut head = Vec::with_capacity(96);
@@ -122,7 +122,7 @@
     bulk(&mut head, tag.to_string().as_bytes());
     bulk(&mut head, word);
     bulk(&mut head, &fields);
-    bulk_head(&mut head, body.as_ref().map_or(0, Chain::len));
+    bulk_head(&mut head, body.as_ref().map_or(0, BufferChain::len));
     let mut out = pool.chain();
     out.extend(&head)?;
     if let Some(body) = body {
@@ -137,7 +137,7 @@
 }
 
 /// The answer to a check: whether the router may be sent work.
-pub fn fit(pool: &Pool, tag: u64, fit: bool) -> Result<Chain, Exhausted> {
+pub fn fit(pool: &BufferPool, tag: u64, fit: bool) -> Result<BufferChain, Exhausted> {
     let mut head = Vec::new();
     array(&mut head, 2);
     bulk(&mut head, tag.to_string().as_bytes());
--- a/crates/wire/src/routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -4,13 +4,13 @@
 //! `g17.p3.7f3a9c21e0b4d655.docs-pages.route.example`. A class that may not be repeated needs the `r` label
 //! with the request's id, the others have none. Boxes stand at `UID.box.ZONE`.
 
+use crate::client::hex16;
 use crate::dns::{self, Answer, Name, Rcode, Record};
-use crate::front::hex16;
+use crate::endpoint::fill_fields;
 use crate::resp::decimal;
-use crate::shelf::fill_fields;
-use hollymux_core::classes::Classes;
-use hollymux_core::{FillHint, Hint, Target, Wanted};
-use hollymux_decide::Effect;
+use hollymux_decision::Idempotency;
+use hollymux_router::classes::Classes;
+use hollymux_router::{FillHint, RequestedObject, RoutingHint, Target};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     /// A box, by its name there.
     Box(Vec<u8>),
     /// A request.
-    Wanted(Wanted),
+    RequestedObject(RequestedObject),
 }
 
 /// A number behind a letter.
@@ -65,18 +65,24 @@
     let part = lettered(part, b'p')?;
     let Some(group) = labels.next() else { return Some(Place::Between) };
     let group = lettered(group, b'g').filter(|g| *g < 256)?;
-    let once = classes.effect(class) == Effect::Unsafe;
+    let once = classes.idempotency(class) == Idempotency::NotIdempotent;
     let rid = match (labels.next(), once) {
         (None, true) => return Some(Place::Between),
         (None, false) => None,
         (Some(rid), true) => Some(hex16(rid.strip_prefix(b"r")?)?),
         (Some(_), false) => return None,
     };
-    labels.next().is_none().then_some(Place::Wanted(Wanted { class, object, part, group, rid }))
+    labels.next().is_none().then_some(Place::RequestedObject(RequestedObject {
+        class,
+        object,
+        part,
+        group,
+        rid,
+    }))
 }
 
 /// The name that asks for that.
-pub fn name_of(w: &Wanted, zone: &Name, classes: &Classes) -> Option<Name> {
+pub fn name_of(w: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
     let class = classes.name(w.class).to_ascii_lowercase().into_bytes();
     let mut name: Name = w.rid.iter().map(|r| format!("r{r:016x}").into_bytes()).collect();
     name.push(format!("g{}", w.group).into_bytes());
@@ -116,7 +122,7 @@
 }
 
 /// A box's own records.
-pub fn standing(kind: u16, zone: &Name, addr: SocketAddr) -> Answer {
+pub fn ready_address(kind: u16, zone: &Name, addr: SocketAddr) -> Answer {
     let record = address(None, addr);
     if kind == record.kind || kind == dns::ANY {
         some(vec![record], Vec::new())
@@ -166,22 +172,22 @@
 }
 
 /// What an answer that was followed tells of a box: its name and address, and the fill; none if it can't be used.
-pub fn hint(pointed: dns::Pointed) -> Option<Hint> {
+pub fn hint(pointed: dns::Pointed) -> Option<RoutingHint> {
     let uid = String::from_utf8(pointed.target.first()?.clone()).ok()?;
     let mut fill = FillHint::default();
     for (name, value) in pointed.texts.iter().filter_map(|t| t.split_once('=')) {
         match name {
             "parent" => fill.source = Some(value.to_string()),
-            "shelf" => fill.keep = value.parse().ok().filter(|k| *k <= 3)?,
+            "shelf" => fill.retention = value.parse().ok().filter(|k| *k <= 3)?,
             "accept" => fill.max_age = Some(millis(value)?),
             "hints" => {
                 let told = |hint| value.split('+').any(|h| h == hint);
-                fill.join = told("coalesce");
-                fill.renew = told("freshen");
-                fill.shallow = told("shallow");
+                fill.coalesce = told("coalesce");
+                fill.stale_while_revalidate = told("freshen");
+                fill.only_if_cached = told("shallow");
             }
             _ => {}
         }
     }
-    Some(Hint { uid, addr: SocketAddr::from((pointed.addr?, pointed.port)), fill })
+    Some(RoutingHint { uid, addr: SocketAddr::from((pointed.addr?, pointed.port)), fill })
 }
--- a/crates/wire/src/shelf.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -1,9 +1,9 @@
 //! The shelfs' side of the platform's protocol: attempts out, answers in.
 
 use crate::resp::{array, bulk, bulk_head, field, Decoder, Frame, RespError};
-use hollymux_core::chain::{Chain, Exhausted, Pool};
-use hollymux_core::{Order, Said, Target};
-use hollymux_decide::Note;
+use hollymux_decision::CacheStatus;
+use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
+use hollymux_router::{AttemptRequest, AttemptResponse, Target};
 
 /// An object holds at most so many bytes.
 pub const OBJECT_MOST: usize = 240_000;
@@ -14,26 +14,26 @@
 const TAG_MOST: usize = 64;
 
 /// The decoder for a shelf's connection.
-pub fn decoder(pool: &Pool) -> Decoder {
+pub fn decoder(pool: &BufferPool) -> Decoder {
     Decoder::new(pool, BODY_AT, OBJECT_MOST)
 }
 
 /// What an answer may say of its fill, in the order of the simulator's numbers.
-const NOTES: [(&[u8], Note); 10] = [
-    (b"TCP_HIT", Note::Hit),
-    (b"TCP_MISS", Note::Filled),
-    (b"TCP_MISS_ROOT", Note::FilledByOrigin),
-    (b"TCP_JOIN", Note::Joined),
-    (b"TCP_STALE", Note::Stale),
-    (b"PEER_DENY", Note::SourceRefused),
-    (b"PEER_DEAD", Note::SourceUnreachable),
-    (b"PEER_MISS", Note::SourceLacks),
-    (b"FILL_FULL", Note::NoFillPlace),
-    (b"ROOT_FAIL", Note::OriginFailed),
+const NOTES: [(&[u8], CacheStatus); 10] = [
+    (b"TCP_HIT", CacheStatus::Hit),
+    (b"TCP_MISS", CacheStatus::Filled),
+    (b"TCP_MISS_ROOT", CacheStatus::FilledByOrigin),
+    (b"TCP_JOIN", CacheStatus::Joined),
+    (b"TCP_STALE", CacheStatus::Stale),
+    (b"PEER_DENY", CacheStatus::SourceRefused),
+    (b"PEER_DEAD", CacheStatus::SourceUnreachable),
+    (b"PEER_MISS", CacheStatus::SourceLacks),
+    (b"FILL_FULL", CacheStatus::NoFillPlace),
+    (b"ROOT_FAIL", CacheStatus::OriginFailed),
 ];
 
 /// Reads an answer: the id, what is said of it, and what of its fill, where that is told.
-pub fn said(mut frame: Frame) -> Result<(Vec<u8>, Said, Option<Note>), RespError> {
+pub fn said(mut frame: Frame) -> Result<(Vec<u8>, AttemptResponse, Option<CacheStatus>), RespError> {
     if frame.words.len() < 2 {
         return Err(RespError::Malformed);
     }
@@ -41,14 +41,16 @@
     let plain = |t: &&[u8]| (1..=TAG_MOST).contains(&t.len()) && t.iter().all(u8::is_ascii_graphic);
     let digest = || field(fields, "digest").filter(plain).map(<[u8]>::to_vec);
     let said = match frame.words[1].as_slice() {
-        b"data" => Said::Data(digest(), frame.body),
-        b"unchanged" if frame.body.is_empty() => Said::Unchanged(digest().ok_or(RespError::Malformed)?),
-        b"absent" => Said::Absent,
-        b"full" => Said::Full,
-        b"failed" => Said::Failed,
-        b"moot" => Said::Moot,
-        b"well" => Said::Probed(true),
-        b"ill" => Said::Probed(false),
+        b"data" => AttemptResponse::Data(digest(), frame.body),
+        b"unchanged" if frame.body.is_empty() => {
+            AttemptResponse::NotModified(digest().ok_or(RespError::Malformed)?)
+        }
+        b"absent" => AttemptResponse::Absent,
+        b"full" => AttemptResponse::AtCapacity,
+        b"failed" => AttemptResponse::Failed,
+        b"moot" => AttemptResponse::AlreadyCancelled,
+        b"well" => AttemptResponse::ProbeResult(true),
+        b"ill" => AttemptResponse::ProbeResult(false),
         _ => return Err(RespError::Malformed),
     };
     let remark = field(fields, "remark");
@@ -58,29 +60,33 @@
 
 /// Whether that may be said of such a request: bytes of a copy come with its tag, only a copy that was asked about
 /// can be unchanged, and no request is answered as a probe is.
-pub fn fits(said: &Said, held: Option<&[u8]>, writes: bool) -> bool {
+pub fn fits(said: &AttemptResponse, held: Option<&[u8]>, writes: bool) -> bool {
     match said {
-        Said::Data(digest, _) => writes || digest.is_some(),
-        Said::Unchanged(digest) => held == Some(digest.as_slice()),
-        Said::Probed(_) => false,
-        Said::Absent | Said::Full | Said::Failed | Said::Moot => true,
+        AttemptResponse::Data(digest, _) => writes || digest.is_some(),
+        AttemptResponse::NotModified(digest) => held == Some(digest.as_slice()),
+        AttemptResponse::ProbeResult(_) => false,
+        AttemptResponse::Absent
+        | AttemptResponse::AtCapacity
+        | AttemptResponse::Failed
+        | AttemptResponse::AlreadyCancelled => true,
     }
 }
 
 /// The fill as fields of a request to a shelf.
 pub fn fill_fields(target: &Target) -> Vec<(&'static str, String)> {
     let f = &target.fill;
-    let hints = [(f.join, "coalesce"), (f.shallow, "shallow"), (f.renew, "freshen")];
+    let hints =
+        [(f.coalesce, "coalesce"), (f.only_if_cached, "shallow"), (f.stale_while_revalidate, "freshen")];
     let hints: Vec<&str> = hints.iter().filter(|h| h.0).map(|h| h.1).collect();
     let parent = target.source.as_ref().map(|s| ("parent", s.to_string()));
-    let shelf = (f.keep > 0).then(|| ("shelf", f.keep.to_string()));
+    let shelf = (f.retention > 0).then(|| ("shelf", f.retention.to_string()));
     let accept = f.max_age.map(|a| ("accept", a.as_millis().max(1).to_string()));
     let hints = (!hints.is_empty()).then(|| ("hints", hints.join("+")));
     [parent, shelf, accept, hints].into_iter().flatten().collect()
 }
 
 /// The bytes of an attempt.
-pub fn ask(pool: &Pool, order: &Order) -> Result<Chain, Exhausted> {
+pub fn ask(pool: &BufferPool, order: &AttemptRequest) -> Result<BufferChain, Exhausted> {
     let ask = &order.ask;
     let mut fields = Vec::with_capacity(128);
     let mut put = |name: &str, value: &[u8]| {
@@ -120,16 +126,16 @@
 }
 
 /// The bytes that call an attempt off.
-pub fn quit(pool: &Pool, rid: &[u8]) -> Result<Chain, Exhausted> {
+pub fn quit(pool: &BufferPool, rid: &[u8]) -> Result<BufferChain, Exhausted> {
     words(pool, b"QUIT", rid)
 }
 
 /// The bytes of a probe.
-pub fn probe(pool: &Pool, tag: &[u8]) -> Result<Chain, Exhausted> {
+pub fn probe(pool: &BufferPool, tag: &[u8]) -> Result<BufferChain, Exhausted> {
     words(pool, b"NOOP", tag)
 }
 
-fn words(pool: &Pool, verb: &[u8], id: &[u8]) -> Result<Chain, Exhausted> {
+fn words(pool: &BufferPool, verb: &[u8], id: &[u8]) -> Result<BufferChain, Exhausted> {
     let mut head = Vec::new();
     array(&mut head, 2);
     bulk(&mut head, verb);
--- a/crates/wire/src/control_feed.rs
+++ b/crates/protocol/src/endpoint_feed.rs
@@ -12,7 +12,7 @@
 
 #[derive(Debug, PartialEq)]
 enum Step {
-    Status,
+    AttemptStatus,
     Header,
     Plain,
     ChunkSize,
@@ -31,14 +31,14 @@
 
 /// The call that opens the feed after the event of that number.
 pub fn call(host: &str, after: u64) -> Vec<u8> {
-    let head = "Accept: text/event-stream\r\nCache-Control: no-cache";
+    let head = "Accept: text/event-stream\r\nCache-DecisionModule: no-cache";
     format!("GET /v1/events HTTP/1.1\r\nHost: {host}\r\n{head}\r\nLast-Event-ID: {after}\r\n\r\n")
         .into_bytes()
 }
 
 impl Default for Reader {
     fn default() -> Self {
-        Reader { step: Step::Status, chunked: false, line: Vec::new(), data: Vec::new() }
+        Reader { step: Step::AttemptStatus, chunked: false, line: Vec::new(), data: Vec::new() }
     }
 }
 
@@ -58,7 +58,7 @@
                     input = rest;
                     self.step = if n == now.len() { Step::ChunkEnd } else { Step::Chunk(n - now.len()) };
                 }
-                Step::Status | Step::Header | Step::ChunkSize | Step::ChunkEnd => {
+                Step::AttemptStatus | Step::Header | Step::ChunkSize | Step::ChunkEnd => {
                     input = &input[1..];
                     if b != b'\n' {
                         self.push(b)?;
@@ -83,7 +83,7 @@
 
     fn head(&mut self, line: &[u8]) -> Result<(), FeedError> {
         match self.step {
-            Step::Status => {
+            Step::AttemptStatus => {
                 let code = line.split(|b| *b == b' ').nth(1).and_then(decimal);
                 if !line.starts_with(b"HTTP/1.") || code != Some(200) {
                     return Err(FeedError("the answer is not 200"));
--- a/crates/wire/src/events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -1,7 +1,7 @@
 //! The control feed's events as JSON.
 
-use hollymux_core::{host_id, Member, Told};
-use hollymux_decide::{HostEntry, HostState, Timestamp};
+use hollymux_decision::{EndpointEntry, EndpointState, Timestamp};
+use hollymux_router::{endpoint_id, FeedEvent, ListedEndpoint};
 use serde::Deserialize;
 
 /// What is wrong with an event, in one line.
@@ -71,22 +71,25 @@
     }
 
     /// Reads one event: its number and what it tells.
-    pub fn event(&self, text: &[u8]) -> Result<(u64, Option<Told>), EventError> {
+    pub fn event(&self, text: &[u8]) -> Result<(u64, Option<FeedEvent>), EventError> {
         serde_json::from_slice(text).map_err(|e| EventError(format!("event: {e}"))).and_then(|v| self.line(v))
     }
 
     /// Reads one event that was parsed as JSON before.
-    pub fn value(&self, event: serde_json::Value) -> Result<(u64, Option<Told>), EventError> {
+    pub fn value(&self, event: serde_json::Value) -> Result<(u64, Option<FeedEvent>), EventError> {
         serde_json::from_value(event)
             .map_err(|e| EventError(format!("event: {e}")))
             .and_then(|v| self.line(v))
     }
 
-    fn line(&self, line: Line) -> Result<(u64, Option<Told>), EventError> {
+    fn line(&self, line: Line) -> Result<(u64, Option<FeedEvent>), EventError> {
         let bad = |what: &str| EventError(format!("event {}: {what}", line.n));
         if let Some(m) = line.members {
             let lines: Result<Vec<_>, _> = m.targets.into_iter().map(|t| self.member(t)).collect();
-            return Ok((line.n, Some(Told::Members { all: m.all, lines: lines.map_err(|e| bad(&e))? })));
+            return Ok((
+                line.n,
+                Some(FeedEvent::Endpoints { all: m.all, lines: lines.map_err(|e| bad(&e))? }),
+            ));
         }
         let Some(p) = line.purge else { return Ok((line.n, None)) };
         let object = match p.key {
@@ -97,18 +100,18 @@
             (None, None) => return Err(bad("a purge of nothing")),
             (_, group) => group.unwrap_or(0),
         };
-        Ok((line.n, Some(Told::Purge { object, group, at: unix_millis(p.at) })))
+        Ok((line.n, Some(FeedEvent::Purge { object, group, at: unix_millis(p.at) })))
     }
 
-    fn member(&self, t: Target) -> Result<Member, String> {
+    fn member(&self, t: Target) -> Result<ListedEndpoint, String> {
         let state = match t.state.as_str() {
-            "ready" => HostState::Ready,
-            "draining" => HostState::Draining,
-            "gone" => HostState::Gone,
+            "ready" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
+            "gone" => EndpointState::Gone,
             other => return Err(format!("unknown state {other:?}")),
         };
-        let entry = HostEntry {
-            id: host_id(&t.uid),
+        let entry = EndpointEntry {
+            id: endpoint_id(&t.uid),
             cell: t.pod_group,
             zone: Self::place(&self.zones, &t.az),
             kind: Self::place(&self.kinds, &t.model),
@@ -117,6 +120,6 @@
             started: unix_millis(t.boot_ms),
             in_place_of: None,
         };
-        Ok(Member { entry, addr: t.endpoint.parse().ok(), uid: t.uid })
+        Ok(ListedEndpoint { entry, addr: t.endpoint.parse().ok(), uid: t.uid })
     }
 }
--- a/crates/wire/src/handover.rs
+++ b/crates/protocol/src/handover.rs
@@ -1,7 +1,7 @@
 //! What a process and the one that replaces it say to each other: frames with a fixed head, so that processes of
 //! different versions can still agree on the listening socket.
 
-use hollymux_core::legacy::{Filing, Legacy};
+use hollymux_router::handover_state::{HandoverState, PendingWrite};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -18,13 +18,13 @@
     /// The new one calls, and says for which address of clients.
     Hello(String),
     /// The old one's legacy; none that can be read from another version. The listening socket comes with it.
-    Legacy(Option<Box<Legacy>>),
+    HandoverState(Option<Box<HandoverState>>),
     /// The new one is ready to take new connections.
     Take,
     /// The old one takes none any more.
     Yours,
     /// Requests that may not be repeated and came to the old one since.
-    Filings(Vec<Filing>),
+    Filings(Vec<PendingWrite>),
     /// The old one can't hand over now.
     No,
     /// The old one is not heard by other routers any more; its start's number and incarnation among them.
@@ -50,7 +50,7 @@
     pub fn bytes(&self) -> Vec<u8> {
         match self {
             Message::Hello(listen) => frame(1, listen),
-            Message::Legacy(legacy) => frame(2, legacy),
+            Message::HandoverState(legacy) => frame(2, legacy),
             Message::Take => frame(3, &()),
             Message::Yours => frame(4, &()),
             Message::Filings(filings) => frame(5, filings),
@@ -63,7 +63,7 @@
         let known = version == VERSION;
         match kind {
             1 => Ok(Message::Hello(if known { parsed(body)? } else { String::new() })),
-            2 => Ok(Message::Legacy(if known { parsed(body)? } else { None })),
+            2 => Ok(Message::HandoverState(if known { parsed(body)? } else { None })),
             3 => Ok(Message::Take),
             4 => Ok(Message::Yours),
             5 => Ok(Message::Filings(if known { parsed(body)? } else { Vec::new() })),
@@ -119,12 +119,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use hollymux_core::legacy::Line;
-    use hollymux_decide::Timestamp;
+    use hollymux_decision::Timestamp;
+    use hollymux_router::handover_state::EndpointRecord;
     use proptest::prelude::*;
 
     fn all() -> Vec<Message> {
-        let line = Line {
+        let line = EndpointRecord {
             uid: "s-a".into(),
             addr: "127.0.0.1:5".parse().ok(),
             zone: 1,
@@ -134,14 +134,14 @@
             draining: true,
             started: Timestamp::from_micros(7),
         };
-        let legacy = Legacy {
+        let legacy = HandoverState {
             members: vec![line],
             filings: vec![(1, Timestamp::from_micros(2), Some(3))],
-            ..Legacy::default()
+            ..HandoverState::default()
         };
         vec![
             Message::Hello("127.0.0.1:5050".into()),
-            Message::Legacy(Some(Box::new(legacy))),
+            Message::HandoverState(Some(Box::new(legacy))),
             Message::Take,
             Message::Yours,
             Message::Filings(vec![(4, Timestamp::from_micros(5), None)]),
@@ -192,7 +192,7 @@
                 let mut reader = Reader::default();
                 reader.feed(&bytes);
                 while let Ok(Some(message)) = reader.message() {
-                    if let Message::Legacy(Some(legacy)) = message {
+                    if let Message::HandoverState(Some(legacy)) = message {
                         let _told = legacy.told(&[], &[]);
                     }
                 }
--- a/crates/wire/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,11 @@
 //! Protocols as state machines that are fed bytes and know no socket: bytes in, the core's own types out.
 
-pub mod control_feed;
+pub mod admin;
+pub mod client;
 pub mod dns;
-pub mod events;
-pub mod front;
+pub mod dns_routing;
+pub mod endpoint;
+pub mod endpoint_feed;
+pub mod feed_events;
 pub mod handover;
-pub mod operations;
 pub mod resp;
-pub mod routing;
-pub mod shelf;
--- a/crates/wire/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,6 +1,6 @@
 //! RESP arrays of bulk strings: an incremental decoder with bounds, and an encoder.
 
-use hollymux_core::chain::{Chain, Exhausted, Pool};
+use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 
 /// A word that is not the body holds at most so many bytes.
 const WORD: usize = 1024;
@@ -33,7 +33,7 @@
     /// All words before the body.
     pub words: Vec<Vec<u8>>,
     /// The body; empty if it was empty or absent.
-    pub body: Chain,
+    pub body: BufferChain,
 }
 
 #[derive(Debug)]
@@ -47,7 +47,7 @@
 /// Reads arrays of at most `body_at` words and a body after them.
 #[derive(Debug)]
 pub struct Decoder {
-    pool: Pool,
+    pool: BufferPool,
     body_at: usize,
     body_most: usize,
     step: Step,
@@ -55,12 +55,12 @@
     left: usize,
     words: Vec<Vec<u8>>,
     at: usize,
-    body: Option<Chain>,
+    body: Option<BufferChain>,
 }
 
 impl Decoder {
     /// A decoder whose arrays have their body in that place, of that many bytes at most.
-    pub fn new(pool: &Pool, body_at: usize, body_most: usize) -> Decoder {
+    pub fn new(pool: &BufferPool, body_at: usize, body_most: usize) -> Decoder {
         let (pool, line, words) = (pool.clone(), Vec::new(), Vec::new());
         Decoder { pool, body_at, body_most, step: Step::Count, line, left: 0, words, at: 0, body: None }
     }
--- a/crates/wire/tests/handover_bytes.rs
+++ b/crates/protocol/tests/handover_bytes.rs
@@ -1,11 +1,11 @@
 //! The bytes of what is handed over: times are plain numbers of microseconds there, whatever types they have here.
 
-use hollymux_core::legacy::{Filing, Line};
-use hollymux_decide::{HostMemory, Memory, Timestamp};
+use hollymux_decision::{DecisionSnapshot, EndpointSnapshot, Timestamp};
+use hollymux_router::handover_state::{EndpointRecord, PendingWrite};
 use serde::Serialize;
 use std::time::Duration;
 
-/// [`HostMemory`] with times as plain numbers.
+/// [`EndpointSnapshot`] with times as plain numbers.
 #[derive(Serialize)]
 struct PlainHost {
     id: u64,
@@ -21,7 +21,7 @@
     ledger: Vec<(u64, f64)>,
 }
 
-/// [`Memory`] with times as plain numbers.
+/// [`DecisionSnapshot`] with times as plain numbers.
 #[derive(Serialize)]
 struct PlainMemory {
     hosts: Vec<PlainHost>,
@@ -44,7 +44,7 @@
 #[test]
 fn times_are_handed_over_as_plain_microseconds() {
     let at = Timestamp::from_micros;
-    let host = HostMemory {
+    let host = EndpointSnapshot {
         id: 3,
         cold_since: Some(at(1_000_001)),
         blame: [0.5, 0.25, 0.0],
@@ -57,8 +57,8 @@
         load: (1.5, at(9)),
         ledger: vec![(at(5), 0.2)],
     };
-    let memory = Memory {
-        hosts: vec![host],
+    let memory = DecisionSnapshot {
+        endpoints: vec![host],
         levels: vec![(8, 1, at(300))],
         rate: 4.0,
         seen: [vec![1], vec![]],
@@ -67,7 +67,7 @@
         floor: at(130),
         retries: 1.0,
         lost: 0.01,
-        ..Memory::default()
+        ..DecisionSnapshot::default()
     };
     let plain_host = PlainHost {
         id: 3,
@@ -96,11 +96,11 @@
     };
     let written = bytes(&memory);
     assert_eq!(written, bytes(&plain));
-    assert_eq!(postcard::from_bytes::<Memory>(&written).unwrap(), memory);
+    assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&written).unwrap(), memory);
 
-    let filing: Filing = (1, at(300), Some(2));
+    let filing: PendingWrite = (1, at(300), Some(2));
     assert_eq!(bytes(&filing), bytes(&(1u64, 300u64, Some(2u64))));
-    let line = Line {
+    let line = EndpointRecord {
         uid: "s-a".into(),
         addr: None,
         zone: 0,
--- a/crates/appliance/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -6,7 +6,7 @@
 //! which is told lines of the member list.
 
 use crate::{Time, MS, SEC};
-use hollymux_decide::HostState;
+use hollymux_decision::EndpointState;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -98,11 +98,11 @@
     }
 
     /// Its state as the member list has it. One that is out is the decision module's to try.
-    pub fn listed(&self) -> HostState {
+    pub fn listed(&self) -> EndpointState {
         match self.state {
-            State::Draining(_) => HostState::Draining,
-            State::Gone(_) => HostState::Gone,
-            _ => HostState::Ready,
+            State::Draining(_) => EndpointState::Draining,
+            State::Gone(_) => EndpointState::Gone,
+            _ => EndpointState::Ready,
         }
     }
 }
--- a/crates/appliance/tests/membership.rs
+++ b/crates/registry/tests/membership.rs
@@ -1,8 +1,8 @@
 //! The roster's guards: no order of signs and commands leads to a state that they forbid, and each says why.
 
-use hollymux_appliance::membership::*;
-use hollymux_appliance::{Time, MS, SEC};
-use hollymux_decide::HostState;
+use hollymux_decision::EndpointState;
+use hollymux_registry::membership::*;
+use hollymux_registry::{Time, MS, SEC};
 use proptest::prelude::*;
 
 const WARM: Time = 17 * SEC;
@@ -48,7 +48,7 @@
     assert!(no(&mut m, 11, drain("b"), false).contains("b is the last box that takes work"));
     assert!(no(&mut m, 11, drain("a"), true).contains("has been draining for"));
     yes(&mut m, 12, drain("b"), true);
-    assert_eq!(m.member("b").unwrap().listed(), HostState::Draining);
+    assert_eq!(m.member("b").unwrap().listed(), EndpointState::Draining);
     yes(&mut m, 13, Command::Undrain("a".into()), false);
     // Undrained, it is cold: nobody knows what it did meanwhile.
     assert_eq!(m.member("a").unwrap().state, State::Cold(13));
@@ -200,9 +200,9 @@
                 if let Some(was) = was.filter(|w| matches!(x.state, State::Gone(_)) && w.state != x.state) {
                     prop_assert_eq!(was.filings, 0, "filings were lost sight of");
                 }
-                prop_assert!(x.live() <= (x.listed() == HostState::Ready));
+                prop_assert!(x.live() <= (x.listed() == EndpointState::Ready));
             }
-            let standing: Vec<_> = m.members().filter(|x| x.listed() != HostState::Gone).collect();
+            let standing: Vec<_> = m.members().filter(|x| x.listed() != EndpointState::Gone).collect();
             for (i, x) in standing.iter().enumerate() {
                 prop_assert!(standing[..i].iter().all(|y| y.spec.addr != x.spec.addr), "two at one address");
             }
--- a/crates/core/src/chain.rs
+++ b/crates/router/src/buffers.rs
@@ -22,17 +22,17 @@
 
 /// Gives out buffers up to a bound and takes them back.
 #[derive(Clone, Debug)]
-pub struct Pool(Rc<RefCell<Inner>>);
+pub struct BufferPool(Rc<RefCell<Inner>>);
 
-impl Pool {
+impl BufferPool {
     /// A pool that has at most so many buffers out.
-    pub fn new(most: usize) -> Pool {
-        Pool(Rc::new(RefCell::new(Inner { free: Vec::new(), out: 0, most })))
+    pub fn new(most: usize) -> BufferPool {
+        BufferPool(Rc::new(RefCell::new(Inner { free: Vec::new(), out: 0, most })))
     }
 
     /// An empty chain that draws on this pool.
-    pub fn chain(&self) -> Chain {
-        Chain { pool: self.clone(), segments: VecDeque::new(), len: 0 }
+    pub fn chain(&self) -> BufferChain {
+        BufferChain { pool: self.clone(), segments: VecDeque::new(), len: 0 }
     }
 
     /// Whether more than this part of the buffers is in use.
@@ -81,13 +81,13 @@
 
 /// Bytes in pooled buffers, taken from the front and added at the back.
 #[derive(Debug)]
-pub struct Chain {
-    pool: Pool,
+pub struct BufferChain {
+    pool: BufferPool,
     segments: VecDeque<Segment>,
     len: usize,
 }
 
-impl Chain {
+impl BufferChain {
     /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.len
@@ -116,7 +116,7 @@
     }
 
     /// Moves all of another chain to the back.
-    pub fn append(&mut self, mut other: Chain) {
+    pub fn append(&mut self, mut other: BufferChain) {
         self.len += std::mem::take(&mut other.len);
         self.segments.append(&mut other.segments);
     }
@@ -149,7 +149,7 @@
     }
 }
 
-impl Drop for Chain {
+impl Drop for BufferChain {
     fn drop(&mut self) {
         for s in self.segments.drain(..) {
             self.pool.give(s.buffer);
--- a/crates/core/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -2,13 +2,13 @@
 //! table. One that changes gets a new slot, and requests under way keep the one that they were taken in, with its
 //! deadline and effect; a slot is used again when no request or attempt holds it.
 
-use hollymux_decide::{Class, Effect};
+use hollymux_decision::{Idempotency, RequestClass};
 use std::collections::BTreeSet;
 
 #[derive(Debug)]
 struct Slot {
     name: String,
-    effect: Effect,
+    idempotency: Idempotency,
     /// New requests of that name are taken in it.
     live: bool,
 }
@@ -19,9 +19,9 @@
 
 /// A table of classes by slot, and for each slot the one from which it takes what was learnt.
 #[derive(Debug, PartialEq)]
-pub struct Table {
+pub struct ClassTable {
     /// The classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// For each, the earlier slot of its name.
     pub from: Vec<Option<usize>>,
 }
@@ -53,13 +53,18 @@
     }
 
     /// How far the class of a slot may be repeated; what has no slot may not.
-    pub fn effect(&self, class: u16) -> Effect {
-        self.0.get(usize::from(class)).map_or(Effect::Unsafe, |s| s.effect)
+    pub fn idempotency(&self, class: u16) -> Idempotency {
+        self.0.get(usize::from(class)).map_or(Idempotency::NotIdempotent, |s| s.idempotency)
     }
 
     /// Takes classes by name in the place of those that are named now. `table` has the slots' present classes, `held`
     /// the slots that requests or attempts hold.
-    pub fn change(&mut self, named: Vec<(String, Class)>, table: &[Class], held: &BTreeSet<u16>) -> Table {
+    pub fn change(
+        &mut self,
+        named: Vec<(String, RequestClass)>,
+        table: &[RequestClass],
+        held: &BTreeSet<u16>,
+    ) -> ClassTable {
         let mut classes = table.to_vec();
         let mut from: Vec<Option<usize>> = (0..classes.len()).map(Some).collect();
         let before: Vec<Option<String>> = self.0.iter().map(|s| s.live.then(|| s.name.clone())).collect();
@@ -77,7 +82,7 @@
                 let held = u16::try_from(*i).is_ok_and(|c| held.contains(&c));
                 !self.0[*i].live && !held && before.get(*i).is_some_and(Option::is_none)
             };
-            let slot = Slot { name, effect: class.effect, live: true };
+            let slot = Slot { name, idempotency: class.idempotency, live: true };
             match (0..self.0.len()).find(free) {
                 Some(i) => (self.0[i], classes[i], from[i]) = (slot, class, old),
                 None => {
@@ -87,7 +92,7 @@
                 }
             }
         }
-        Table { classes, from }
+        ClassTable { classes, from }
     }
 }
 
@@ -97,9 +102,9 @@
     use proptest::prelude::*;
     use std::time::Duration;
 
-    fn class(deadline: u64, effect: u8) -> Class {
-        let effect = if effect == 0 { Effect::Safe } else { Effect::Unsafe };
-        Class { deadline: Duration::from_micros(deadline), effect, ..Class::default() }
+    fn class(deadline: u64, idempotency: u8) -> RequestClass {
+        let idempotency = if idempotency == 0 { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
+        RequestClass { deadline: Duration::from_micros(deadline), idempotency, ..RequestClass::default() }
     }
 
     proptest! {
@@ -112,10 +117,10 @@
             changes in proptest::collection::vec(
                 (proptest::collection::btree_map(0u8..6, (1u64..4, 0u8..2), 1..5), any::<u16>()), 1..40)) {
             let mut classes = Classes::default();
-            let mut table: Vec<Class> = Vec::new();
+            let mut table: Vec<RequestClass> = Vec::new();
             for (named, mask) in changes {
                 let held: BTreeSet<u16> = (0..table.len() as u16).filter(|i| mask >> (i % 16) & 1 == 1).collect();
-                let named: Vec<(String, Class)> =
+                let named: Vec<(String, RequestClass)> =
                     named.into_iter().map(|(n, (d, e))| (format!("c{n}"), class(d, e))).collect();
                 let old: Vec<(String, Option<u16>)> =
                     (0..6).map(|n| format!("c{n}")).map(|n| (n.clone(), classes.named(n.as_bytes()))).collect();
@@ -129,7 +134,7 @@
                     let now = classes.named(name.as_bytes());
                     let wanted = named.iter().find(|(n, _)| *n == name).map(|(_, c)| c);
                     prop_assert_eq!(now.map(|c| &new.classes[usize::from(c)]), wanted);
-                    prop_assert_eq!(now.map(|c| classes.effect(c)), wanted.map(|c| c.effect));
+                    prop_assert_eq!(now.map(|c| classes.idempotency(c)), wanted.map(|c| c.idempotency));
                     // What was learnt follows the name.
                     if let (Some(now), Some(was)) = (now, was) {
                         prop_assert_eq!(new.from[usize::from(now)], Some(usize::from(was)));
--- a/crates/core/src/members.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,14 +1,14 @@
 //! The member list's lines and what a control feed tells, as the core knows them.
 
-use hollymux_decide::{HostEntry, HostId, Timestamp};
+use hollymux_decision::{EndpointEntry, EndpointId, Timestamp};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A line of the member list.
 #[derive(Debug, Clone)]
-pub struct Member {
+pub struct ListedEndpoint {
     /// What the module sees.
-    pub entry: HostEntry,
+    pub entry: EndpointEntry,
     /// Its name on the sockets.
     pub uid: String,
     /// Where it listens; none if not told.
@@ -17,13 +17,13 @@
 
 /// An event of the control feed.
 #[derive(Debug)]
-pub enum Told {
+pub enum FeedEvent {
     /// Lines of the member list.
-    Members {
+    Endpoints {
         /// The whole list.
         all: bool,
         /// The lines.
-        lines: Vec<Member>,
+        lines: Vec<ListedEndpoint>,
     },
     /// A purge.
     Purge {
@@ -37,6 +37,6 @@
 }
 
 /// The identity of a shelf in the module: the same at every request router.
-pub fn host_id(uid: &str) -> HostId {
-    HostId(xxh3_64(uid.as_bytes()))
+pub fn endpoint_id(uid: &str) -> EndpointId {
+    EndpointId(xxh3_64(uid.as_bytes()))
 }
--- a/crates/core/src/legacy.rs
+++ b/crates/router/src/handover_state.rs
@@ -1,9 +1,9 @@
 //! What a router hands to the one that takes its place: the list of members, what rules rest on, what was learnt.
 //! Names stand where numbers could mean something else there.
 
-use crate::members::Member;
-use crate::{host_id, Told};
-use hollymux_decide::{HostEntry, HostState, Memory, Timestamp};
+use crate::endpoint_list::ListedEndpoint;
+use crate::{endpoint_id, FeedEvent};
+use hollymux_decision::{DecisionSnapshot, EndpointEntry, EndpointState, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 
 /// A member as it is handed over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct EndpointRecord {
     /// Its name on the sockets.
     pub uid: String,
     /// Where it listens.
@@ -34,11 +34,11 @@
 }
 
 /// A request that may not be repeated: its id, when it came, and where a lookup sent it.
-pub type Filing = (u64, Timestamp, Option<u64>);
+pub type PendingWrite = (u64, Timestamp, Option<u64>);
 
 /// Everything that is handed over.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct HandoverState {
     /// The names of zones and kinds, by the numbers that stand here.
     pub zones: Vec<String>,
     /// See `zones`.
@@ -46,42 +46,43 @@
     /// The names of the classes in `memory`, by number.
     pub classes: Vec<String>,
     /// The members.
-    pub members: Vec<Line>,
+    pub members: Vec<EndpointRecord>,
     /// Requests that may not be repeated.
-    pub filings: Vec<Filing>,
+    pub filings: Vec<PendingWrite>,
     /// What the decision module knows.
-    pub memory: Memory,
+    pub memory: DecisionSnapshot,
 }
 
-impl Legacy {
+impl HandoverState {
     /// The list of members under the names of the router that takes over.
-    pub fn told(&self, zones: &[String], kinds: &[String]) -> Told {
+    pub fn told(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let lines = self.lines(zones, kinds);
-        Told::Members { all: true, lines }
+        FeedEvent::Endpoints { all: true, lines }
     }
 
     /// The members that drain: whatever an older list said, they take nothing new.
-    pub fn drained(&self, zones: &[String], kinds: &[String]) -> Told {
+    pub fn drained(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let mut lines = self.lines(zones, kinds);
-        lines.retain(|l| l.entry.state == HostState::Draining);
-        Told::Members { all: false, lines }
+        lines.retain(|l| l.entry.state == EndpointState::Draining);
+        FeedEvent::Endpoints { all: false, lines }
     }
 
-    fn lines(&self, zones: &[String], kinds: &[String]) -> Vec<Member> {
+    fn lines(&self, zones: &[String], kinds: &[String]) -> Vec<ListedEndpoint> {
         let place = |old: &[String], at: u16, new: &[String]| {
             let name = old.get(usize::from(at));
             let place = name.and_then(|n| new.iter().position(|m| m == n));
             place.and_then(|p| u16::try_from(p).ok()).unwrap_or(u16::MAX)
         };
-        let usable = |l: &&Line| !l.uid.is_empty() && l.uid.len() <= NAME_MOST && l.weight.is_finite();
-        let line = |l: &Line| Member {
-            entry: HostEntry {
-                id: host_id(&l.uid),
+        let usable =
+            |l: &&EndpointRecord| !l.uid.is_empty() && l.uid.len() <= NAME_MOST && l.weight.is_finite();
+        let line = |l: &EndpointRecord| ListedEndpoint {
+            entry: EndpointEntry {
+                id: endpoint_id(&l.uid),
                 cell: l.cell,
                 zone: place(&self.zones, l.zone, zones),
                 kind: place(&self.kinds, l.kind, kinds),
                 weight: l.weight,
-                state: if l.draining { HostState::Draining } else { HostState::Ready },
+                state: if l.draining { EndpointState::Draining } else { EndpointState::Ready },
                 started: l.started,
                 in_place_of: None,
             },
--- a/crates/core/src/follow.rs
+++ b/crates/router/src/hint_follower.rs
@@ -4,8 +4,8 @@
 //! A lookup's answer is used at once or not at all. A request that may not be repeated is looked up and sent
 //! once: it fails if it may have run, and is refused if it can't have.
 
-use hollymux_decide::time::divide_to_micros;
-use hollymux_decide::*;
+use hollymux_decision::time::divide_to_micros;
+use hollymux_decision::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -18,17 +18,17 @@
 
 /// What a lookup came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Found<T> {
+pub enum LookupResult<T> {
     /// A box, and what the fill is to be.
-    Box(T),
+    Endpoint(T),
     /// Nothing may be named now.
-    Refused,
+    Rejected,
     /// No answer, or none that can be used.
     Failed,
 }
 
 #[derive(Debug)]
-struct Followed {
+struct FollowedRequest {
     r: Request,
     once: bool,
     attempts: u32,
@@ -39,27 +39,27 @@
 
 /// The requests that are followed by lookups.
 #[derive(Debug)]
-pub struct Follow {
+pub struct HintFollower {
     settings: Settings,
-    purges: Purges,
-    open: BTreeMap<RequestId, Followed>,
+    purges: PurgeHistory,
+    open: BTreeMap<RequestId, FollowedRequest>,
     /// Requests to be looked up now.
     pub wanted: Vec<RequestId>,
 }
 
-impl Follow {
+impl HintFollower {
     /// A follower under these settings.
-    pub fn new(settings: Settings) -> Follow {
-        Follow { settings, purges: Purges::default(), open: BTreeMap::new(), wanted: Vec::new() }
+    pub fn new(settings: Settings) -> HintFollower {
+        HintFollower { settings, purges: PurgeHistory::default(), open: BTreeMap::new(), wanted: Vec::new() }
     }
 
     /// Takes the purges that another router knew.
-    pub fn recall(&mut self, now: Timestamp, memory: &Memory) {
-        self.purges.recall(now, &memory.purges, memory.floor, PURGES);
+    pub fn restore(&mut self, now: Timestamp, memory: &DecisionSnapshot) {
+        self.purges.restore(now, &memory.purges, memory.floor, PURGES);
     }
 
     /// Goes on under other settings, in which the classes of requests under way are the same.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -68,9 +68,9 @@
         match event {
             Event::Request(r) => {
                 let id = r.id;
-                let once = self.settings.class(&r).effect != Effect::Safe;
+                let once = self.settings.class(&r).idempotency != Idempotency::Idempotent;
                 acts.push(Action::timer(r.deadline.saturating_duration_since(now), u64::from(id) << 1));
-                let f = Followed { r, once, attempts: 0, looking: false, out: false, ran: false };
+                let f = FollowedRequest { r, once, attempts: 0, looking: false, out: false, ran: false };
                 self.open.insert(id, f);
                 self.look(now, id, acts);
             }
@@ -82,13 +82,16 @@
                     self.end(now, id, acts);
                 }
             }
-            Event::Outcome(out) => self.on_outcome(now, &out, acts),
+            Event::AttemptOutcome(out) => self.on_outcome(now, &out, acts),
             Event::Withdrawn { request } => self.call_off(request, acts),
             Event::Purged(p) => {
                 self.purges.forget(now.saturating_sub(self.settings.purge_life()));
                 self.purges.add(now, &p, PURGES);
             }
-            Event::Hosts { .. } | Event::HostsFailed | Event::Started { .. } | Event::Probed { .. } => {}
+            Event::EndpointList { .. }
+            | Event::EndpointListFailed
+            | Event::Started { .. }
+            | Event::Probed { .. } => {}
         }
     }
 
@@ -107,7 +110,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        found: Found<(HostId, Fill)>,
+        found: LookupResult<(EndpointId, CacheFill)>,
         acts: &mut Vec<Action>,
     ) {
         let Some(f) = self.open.get_mut(&id).filter(|f| f.looking) else { return };
@@ -117,18 +120,18 @@
         }
         f.attempts += 1;
         match found {
-            Found::Box((host, mut fill)) => {
+            LookupResult::Endpoint((endpoint, mut fill)) => {
                 f.out = true;
                 let purged = self.purges.latest(&f.r);
                 if purged > Timestamp::ZERO {
-                    let bound = Purges::oldest_copy(now, purged);
+                    let bound = PurgeHistory::oldest_copy(now, purged);
                     fill.max_age = Some(fill.max_age.map_or(bound, |a| a.min(bound)));
                 }
                 let timeout = f.r.deadline.duration_since(now);
-                acts.push(Action::Attempt { request: id, host, timeout, fill });
+                acts.push(Action::Attempt { request: id, endpoint, timeout, fill });
             }
-            Found::Refused => self.end(now, id, acts),
-            Found::Failed => self.later(now, id, acts),
+            LookupResult::Rejected => self.end(now, id, acts),
+            LookupResult::Failed => self.later(now, id, acts),
         }
     }
 
@@ -143,11 +146,11 @@
         }
     }
 
-    fn on_outcome(&mut self, now: Timestamp, out: &Outcome, acts: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: Timestamp, out: &AttemptOutcome, acts: &mut Vec<Action>) {
         let Some(f) = self.open.get_mut(&out.request) else { return };
         f.out = false;
         f.ran |= !out.status.never_ran();
-        if out.ended || out.status == Status::Ok {
+        if out.ended || out.status == AttemptStatus::Ok {
             self.open.remove(&out.request);
         } else {
             self.later(now, out.request, acts);
--- a/crates/core/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,20 +2,20 @@
 //! Timed events go in, commands come out; it knows no wire, no socket and no clock, and every front and every
 //! source of members passes through it.
 
-pub mod ask;
-pub mod chain;
+pub mod buffers;
 pub mod classes;
-pub mod figures;
-mod filings;
-pub mod follow;
-pub mod legacy;
+pub mod endpoint_list;
+pub mod handover_state;
+pub mod hint_follower;
 pub mod lifecycle;
-pub mod members;
-pub mod orders;
+pub mod messages;
+pub mod metrics;
+mod pending_writes;
+pub mod request;
 pub mod router;
 
-pub use ask::*;
-pub use follow::Found;
-pub use members::{host_id, Member, Told};
-pub use orders::*;
+pub use endpoint_list::{endpoint_id, FeedEvent, ListedEndpoint};
+pub use hint_follower::LookupResult;
+pub use messages::*;
+pub use request::*;
 pub use router::*;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //! operators' calls and a replacement are told here, and connections, requests and readiness ask here. What is open
 //! is not known to it: who has nothing open asks whether he may stay.
 
-use hollymux_decide::Timestamp;
+use hollymux_decision::Timestamp;
 use std::time::Duration;
 
 /// New connections and requests are taken for this long after SIGTERM.
--- a/crates/core/src/orders.rs
+++ b/crates/router/src/messages.rs
@@ -1,16 +1,16 @@
 //! What the core is told and what it wants done: its inputs and commands, and what they carry.
 
-use crate::ask::{Ask, Reply, Said, Wanted};
-use crate::follow::Found;
-use crate::members::Told;
-use hollymux_decide::*;
+use crate::endpoint_list::FeedEvent;
+use crate::hint_follower::LookupResult;
+use crate::request::{AttemptResponse, ClientRequest, Reply, RequestedObject};
+use hollymux_decision::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Who is owed an answer: a connection and the tag of a request on it. The core only gives it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Client {
+pub struct ClientHandle {
     /// The connection.
     pub conn: u64,
     /// The tag.
@@ -26,11 +26,11 @@
     pub number: u16,
 }
 
-/// A host that was chosen, and what it is told of the fill.
+/// An endpoint that was chosen, and what it is told of the fill.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The host.
-    pub host: HostId,
+    /// The endpoint.
+    pub endpoint: EndpointId,
     /// Its name on the sockets.
     pub uid: Rc<str>,
     /// Its address.
@@ -38,12 +38,12 @@
     /// The source of a fill by its name on the sockets.
     pub source: Option<Rc<str>>,
     /// Fill and keep.
-    pub fill: Fill,
+    pub fill: CacheFill,
 }
 
 /// An attempt as it is to be sent.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct AttemptRequest {
     /// Which attempt it is.
     pub attempt: AttemptId,
     /// Where it goes.
@@ -53,16 +53,16 @@
     /// Its class by number.
     pub class: u16,
     /// What is asked.
-    pub ask: Rc<Ask>,
+    pub ask: Rc<ClientRequest>,
     /// Who asks: nothing goes out for one who has left.
-    pub client: Client,
+    pub client: ClientHandle,
     /// It may not go out after this: what may have run before is told apart as a repeat only for so long.
     pub by: Option<Timestamp>,
 }
 
 /// What a DNS answer told a follower: a box by name and address, and the fill as texts.
 #[derive(Debug)]
-pub struct Hint {
+pub struct RoutingHint {
     /// The box's name on the sockets, in lower case.
     pub uid: String,
     /// The box's address.
@@ -77,116 +77,116 @@
     /// The source by name; none: no fill.
     pub source: Option<String>,
     /// The rank at which the copy is kept, 0 to 3.
-    pub keep: u8,
+    pub retention: u8,
     /// The oldest copy that will do.
     pub max_age: Option<Duration>,
     /// Join a fill under way.
-    pub join: bool,
+    pub coalesce: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub stale_while_revalidate: bool,
     /// The source gives only what it holds.
-    pub shallow: bool,
+    pub only_if_cached: bool,
 }
 
 /// Who decides where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mind {
+pub enum RoutingMode {
     /// The decision module.
-    Module,
+    Decide,
     /// Lookups at another router.
-    Follow,
+    FollowHint,
 }
 
 /// What wakes the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
     /// A timer of the module or of the follower.
-    Mind(Mind, u64),
+    Decision(RoutingMode, u64),
     /// An attempt's time-out.
     Attempt(AttemptId),
 }
 
 /// Why an attempt ended with no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
-    /// The host refused a connection, so it never ran.
-    Refused,
+pub enum AttemptFailure {
+    /// The endpoint refused a connection, so it never ran.
+    ConnectionRefused,
     /// No connection came up while one was waited for, so it never ran.
-    Late,
-    /// It was never written whole, so it never ran. That tells nothing of the host.
-    Unsent,
+    ConnectTimeout,
+    /// It was never written whole, so it never ran. That tells nothing of the endpoint.
+    NotSent,
     /// The connection ended after it was written whole.
-    Broken,
+    ConnectionLost,
 }
 
 /// What the core is told.
 #[derive(Debug)]
 pub enum Input {
     /// A client asks.
-    Ask(Client, Ask),
+    Request(ClientHandle, ClientRequest),
     /// A client stops waiting.
-    Undo(Client),
+    Cancel(ClientHandle),
     /// A client's connection ended.
-    Left(u64),
+    ClientClosed(u64),
     /// A shelf answered an attempt, and what it said of the fill, if that is told.
-    Said(AttemptId, Said, Option<Note>),
+    Responded(AttemptId, AttemptResponse, Option<CacheStatus>),
     /// An attempt ended with no answer.
-    Lost(AttemptId, Lost),
+    Failed(AttemptId, AttemptFailure),
     /// A probe ended; none: nothing came back.
-    Probed(HostId, Option<bool>),
+    Probed(EndpointId, Option<bool>),
     /// A lookup for a request ended.
-    Found(RequestId, Found<Hint>),
+    LookedUp(RequestId, LookupResult<RoutingHint>),
     /// The control feed told something.
-    Told(Told),
+    Feed(FeedEvent),
     /// A timer is due.
     Wake(Wake),
     /// The router ends: whatever is open gets its answer now.
-    End,
+    Shutdown,
 }
 
 /// How a request was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closed {
+pub enum RequestResult {
     /// Served with bytes.
     Served,
     /// Served: the client's copy is the one.
-    Unchanged,
+    NotModified,
     /// Refused: it never ran.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// The client stopped waiting.
-    Withdrawn,
+    Cancelled,
     /// A lookup was answered with a box.
     Named,
 }
 
 /// Why a request was closed as it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ResultReason {
     /// As it was asked.
-    Asked,
+    Completed,
     /// Too much is open, or no further filing can be remembered.
-    NoRoom,
+    TableFull,
     /// Its class, id or budget can't be used.
-    Unusable,
+    InvalidRequest,
     /// A filing of that id may have run.
     MayHaveRun,
     /// No box could be asked.
-    NoHost,
+    NoEndpoint,
     /// The last attempt ended like this.
-    Host(Status),
+    Attempt(AttemptStatus),
     /// The client's connection or the buffers hold too much; it never came to a decision.
-    Crowded,
+    Overloaded,
 }
 
 /// What became of a request; told once, when it is closed.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct RequestSummary {
     /// The request; 0 if it was never opened.
     pub request: RequestId,
     /// What was asked for.
-    pub wanted: Wanted,
+    pub wanted: RequestedObject,
     /// When it came.
     pub arrived: Timestamp,
     /// How long the client would wait.
@@ -194,30 +194,30 @@
     /// How long it was open.
     pub took: Duration,
     /// How it was closed.
-    pub result: Closed,
+    pub result: RequestResult,
     /// Why.
-    pub why: Why,
+    pub why: ResultReason,
     /// Bytes of the answer.
     pub bytes: u64,
     /// Attempts made.
     pub attempts: u16,
     /// The box that was asked last, by name.
-    pub host: Option<Rc<str>>,
+    pub endpoint: Option<Rc<str>>,
     /// The source named with it, by name.
     pub source: Option<Rc<str>>,
 }
 
 /// An attempt that has ended.
 #[derive(Clone, Debug)]
-pub struct Tried {
+pub struct AttemptSummary {
     /// Which it was.
     pub attempt: AttemptId,
     /// The box that was asked, by name.
-    pub host: Rc<str>,
+    pub endpoint: Rc<str>,
     /// The source named with it, by name.
     pub source: Option<Rc<str>>,
     /// How it ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// How long it was out.
     pub took: Duration,
 }
@@ -226,30 +226,30 @@
 #[derive(Debug)]
 pub enum Command {
     /// Send an attempt.
-    Send(Order),
+    SendAttempt(AttemptRequest),
     /// Give an attempt up; `again`: its request is still open and may be sent once more.
-    Quit {
+    CancelAttempt {
         /// Which attempt.
         attempt: AttemptId,
         /// A further attempt may follow.
         again: bool,
     },
     /// Give a client its final answer.
-    Reply(Client, Reply),
+    Reply(ClientHandle, Reply),
     /// Wake the core at that time.
     Wake(Timestamp, Wake),
     /// Look up where a request is to go.
-    Look(RequestId, Wanted),
-    /// Probe a host.
-    Probe(HostId, SocketAddr),
-    /// Close all connections to a host: its process is no longer there.
-    Drop(HostId),
-    /// A host takes nothing more: what has not gone out to it must not go.
-    Hold(HostId),
+    Lookup(RequestId, RequestedObject),
+    /// Probe an endpoint.
+    Probe(EndpointId, SocketAddr),
+    /// Close all connections to an endpoint: its process is no longer there.
+    CloseConnections(EndpointId),
+    /// An endpoint takes nothing more: what has not gone out to it must not go.
+    StopSending(EndpointId),
     /// An attempt has ended: for the log.
-    Tried(Tried),
+    AttemptEnded(AttemptSummary),
     /// A request is closed: for the log and the recording.
-    Ended(Box<Ended>),
+    RequestEnded(Box<RequestSummary>),
     /// A line for the operator.
     Log(String),
 }
--- a/crates/core/src/figures.rs
+++ b/crates/router/src/metrics.rs
@@ -10,7 +10,7 @@
 
 /// What became of requests of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct ClassCounters {
     /// Served.
     pub fulfilled: u64,
     /// Refused.
@@ -23,15 +23,15 @@
 
 /// One of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CountedEvent {
     /// Served.
-    Fulfilled,
+    Served,
     /// Refused.
-    Throttled,
+    Rejected,
     /// Failed.
-    Faulted,
+    Failed,
     /// An attempt was written whole.
-    Relayed,
+    AttemptSent,
 }
 
 /// The present state, read when the numbers are asked for.
@@ -47,15 +47,15 @@
 
 /// The numbers since the process started.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    classes: Vec<(String, Ends)>,
+pub struct Metrics {
+    classes: Vec<(String, ClassCounters)>,
     /// Files taken at SIGHUP.
     pub cfg_accepted: u64,
     /// Files turned down at SIGHUP.
     pub cfg_invalid: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// The place of a class's numbers, by its name. A class that comes back finds what it had.
     pub fn place(&mut self, name: &str) -> usize {
         let shown = shown(name);
@@ -63,21 +63,21 @@
             return at;
         }
         if self.classes.len() < NAMES {
-            self.classes.push((shown, Ends::default()));
+            self.classes.push((shown, ClassCounters::default()));
         } else if self.classes.len() == NAMES {
-            self.classes.push((FURTHER.into(), Ends::default()));
+            self.classes.push((FURTHER.into(), ClassCounters::default()));
         }
         self.classes.len() - 1
     }
 
     /// Counts one.
-    pub fn count(&mut self, place: usize, end: End) {
+    pub fn count(&mut self, place: usize, end: CountedEvent) {
         let Some((_, ends)) = self.classes.get_mut(place) else { return };
         *match end {
-            End::Fulfilled => &mut ends.fulfilled,
-            End::Throttled => &mut ends.throttled,
-            End::Faulted => &mut ends.faulted,
-            End::Relayed => &mut ends.relayed,
+            CountedEvent::Served => &mut ends.fulfilled,
+            CountedEvent::Rejected => &mut ends.throttled,
+            CountedEvent::Failed => &mut ends.faulted,
+            CountedEvent::AttemptSent => &mut ends.relayed,
         } += 1;
     }
 
@@ -120,15 +120,15 @@
     /// Guards against a class whose name forges a line or takes another's, and against names without end.
     #[test]
     fn names_forge_no_lines_and_are_bounded() {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         let bad = figures.place("a=1\nsvc.open_requests");
-        figures.count(bad, End::Faulted);
+        figures.count(bad, CountedEvent::Failed);
         let docs = figures.place("docs-pages");
-        figures.count(docs, End::Fulfilled);
-        figures.count(docs, End::Relayed);
+        figures.count(docs, CountedEvent::Served);
+        figures.count(docs, CountedEvent::AttemptSent);
         for i in 0..2 * NAMES {
             let place = figures.place(&format!("class{i}"));
-            figures.count(place, End::Throttled);
+            figures.count(place, CountedEvent::Rejected);
         }
         // One that has vanished and comes back goes on counting.
         assert_eq!(figures.place("docs-pages"), docs);
--- a/crates/core/src/filings.rs
+++ b/crates/router/src/pending_writes.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated, remembered by id so that none runs twice.
 
-use crate::legacy::Filing;
-use hollymux_decide::{HostId, Timestamp};
+use crate::handover_state::PendingWrite;
+use hollymux_decision::{EndpointId, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 /// Requests by their id that may not be repeated: when they came, and where a lookup sent them, or none if they
 /// were taken here.
 #[derive(Debug)]
-pub(crate) struct Filings {
-    pub(crate) by_id: HashMap<u64, (Timestamp, Option<HostId>)>,
+pub(crate) struct PendingWrites {
+    pub(crate) by_id: HashMap<u64, (Timestamp, Option<EndpointId>)>,
     /// In the order in which they came, those among them that are no longer remembered too.
     order: VecDeque<(Timestamp, u64)>,
     pub(crate) most: usize,
     /// Those that came since they were last asked for, if somebody is to hear of them.
-    pub(crate) fresh: Option<Vec<Filing>>,
+    pub(crate) fresh: Option<Vec<PendingWrite>>,
 }
 
-impl Filings {
-    pub(crate) fn new(memory_mb: u64) -> Filings {
+impl PendingWrites {
+    pub(crate) fn new(memory_mb: u64) -> PendingWrites {
         let most = usize::try_from(memory_mb).unwrap_or(FILINGS).saturating_mul(FILINGS_PER_MB).min(FILINGS);
-        Filings { by_id: HashMap::new(), order: VecDeque::new(), most, fresh: None }
+        PendingWrites { by_id: HashMap::new(), order: VecDeque::new(), most, fresh: None }
     }
 
     /// Remembers one; false if there is no room and nothing is old enough to be forgotten.
-    pub(crate) fn add(&mut self, now: Timestamp, rid: u64, host: Option<HostId>) -> bool {
+    pub(crate) fn add(&mut self, now: Timestamp, rid: u64, endpoint: Option<EndpointId>) -> bool {
         if self.by_id.len() >= self.most || self.order.len() >= 2 * self.most {
             // Those that were refused must not take up the room of those that may have run.
             let by_id = &self.by_id;
@@ -41,10 +41,10 @@
         }
         let room = self.by_id.len() < self.most;
         if room {
-            self.by_id.insert(rid, (now, host));
+            self.by_id.insert(rid, (now, endpoint));
             self.order.push_back((now, rid));
             if let Some(fresh) = &mut self.fresh {
-                fresh.push((rid, now, host.map(|h| h.0)));
+                fresh.push((rid, now, endpoint.map(|h| h.0)));
             }
         }
         room
--- a/crates/core/src/ask.rs
+++ b/crates/router/src/request.rs
@@ -1,11 +1,11 @@
 //! What a client asks for and is answered, and what a shelf says: the core's own words for them. The codecs turn
 //! bytes into these and back.
 
-use crate::chain::Chain;
+use crate::buffers::BufferChain;
 
 /// What a client asks for, as it came.
 #[derive(Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The id, as it came, to be passed on like that, and as a number.
     pub rid: (Vec<u8>, u64),
     /// The class by name.
@@ -20,23 +20,23 @@
     pub budget: u64,
     /// The tag of the copy that the client holds.
     pub held: Option<Vec<u8>>,
-    /// The idempotency key, where the class has one: hosts tell repeats apart by it. It is passed on as it came.
+    /// The idempotency key, where the class has one: endpoints tell repeats apart by it. It is passed on as it came.
     pub key: Option<Vec<u8>>,
     /// The body of a write.
-    pub body: Chain,
+    pub body: BufferChain,
 }
 
-impl Ask {
+impl ClientRequest {
     /// What is wanted, of that class by number.
-    pub fn wanted(&self, class: u16) -> Wanted {
+    pub fn wanted(&self, class: u16) -> RequestedObject {
         let (object, part, group, rid) = (self.object.1, self.part, self.group, Some(self.rid.1));
-        Wanted { class, object, part, group, rid }
+        RequestedObject { class, object, part, group, rid }
     }
 }
 
 /// A part of an object that is asked for, by whichever front.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct RequestedObject {
     /// The class, by number.
     pub class: u16,
     /// The object.
@@ -53,30 +53,30 @@
 #[derive(Debug)]
 pub enum Reply {
     /// Served: the tag of the copy, if it is one, and its bytes.
-    Good(Option<Vec<u8>>, Chain),
+    Served(Option<Vec<u8>>, BufferChain),
     /// The copy that the client holds is the one.
-    Unchanged(Vec<u8>),
+    NotModified(Vec<u8>),
     /// Refused, with the milliseconds to stay away; 0: no advice.
-    Refused(u64),
+    Rejected(u64),
     /// Failed.
     Failed,
 }
 
 /// What a shelf says.
 #[derive(Debug)]
-pub enum Said {
+pub enum AttemptResponse {
     /// The bytes and their tag; what was written has none.
-    Data(Option<Vec<u8>>, Chain),
+    Data(Option<Vec<u8>>, BufferChain),
     /// The client's copy, of that tag, is the one.
-    Unchanged(Vec<u8>),
+    NotModified(Vec<u8>),
     /// A miss: it never ran.
     Absent,
     /// Full: it never ran.
-    Full,
+    AtCapacity,
     /// An error: it may have run.
     Failed,
     /// Over already: it never ran.
-    Moot,
+    AlreadyCancelled,
     /// A probe's answer: well or not.
-    Probed(bool),
+    ProbeResult(bool),
 }
--- a/crates/core/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,20 +1,20 @@
 //! The core of a request router. It owns the decision module, the open requests and attempts, and the member
 //! list. Timed events go in, commands come out; it knows no wire, no socket and no clock.
 
+mod feed_events;
+mod handover;
 mod lookups;
-mod succession;
-mod told;
-
-use crate::ask::{Ask, Reply, Said, Wanted};
-use crate::classes::{Classes, Table};
-use crate::figures::{End, Figures};
-use crate::filings::Filings;
-use crate::follow::{Follow, Found};
-use crate::legacy::{Filing, Legacy, Line};
-use crate::members::{Member, Told};
-use crate::orders::*;
-use hollymux_decide::time::{divide_to_micros, whole_micros};
-use hollymux_decide::*;
+
+use crate::classes::{ClassTable, Classes};
+use crate::endpoint_list::{FeedEvent, ListedEndpoint};
+use crate::handover_state::{EndpointRecord, HandoverState, PendingWrite};
+use crate::hint_follower::{HintFollower, LookupResult};
+use crate::messages::*;
+use crate::metrics::{CountedEvent, Metrics};
+use crate::pending_writes::PendingWrites;
+use crate::request::{AttemptResponse, ClientRequest, Reply, RequestedObject};
+use hollymux_decision::time::{divide_to_micros, whole_micros};
+use hollymux_decision::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,30 +22,37 @@
 
 /// Requests open at a time; beyond them new ones are refused.
 const OPEN_MOST: usize = 4_096;
-/// Addresses whose last host is remembered beyond those that are listed.
+/// Addresses whose last endpoint is remembered beyond those that are listed.
 const TENANTS: usize = 4_096;
 /// A budget above this multiple of its class's deadline is no usable one.
 const PATIENCE: u32 = 2;
 
 #[derive(Debug)]
 struct Open {
-    mind: Mind,
-    wanted: Wanted,
+    mind: RoutingMode,
+    wanted: RequestedObject,
     /// Who is owed an answer and what was asked; none: a lookup.
-    from: Option<(Client, Rc<Ask>)>,
+    from: Option<(ClientHandle, Rc<ClientRequest>)>,
     attempts: u16,
     arrived: Timestamp,
     deadline: Timestamp,
     /// The last box asked and its source, by name, and how that ended.
     tried: (Option<Rc<str>>, Option<Rc<str>>),
-    last: Option<Status>,
+    last: Option<AttemptStatus>,
     /// When the first attempt was sent that may have run.
     ran: Option<Timestamp>,
 }
 
 impl Open {
-    fn ended(&self, request: RequestId, now: Timestamp, result: Closed, why: Why, bytes: usize) -> Command {
-        Command::Ended(Box::new(Ended {
+    fn ended(
+        &self,
+        request: RequestId,
+        now: Timestamp,
+        result: RequestResult,
+        why: ResultReason,
+        bytes: usize,
+    ) -> Command {
+        Command::RequestEnded(Box::new(RequestSummary {
             request,
             wanted: self.wanted.clone(),
             arrived: self.arrived,
@@ -55,41 +62,45 @@
             why,
             bytes: bytes as u64,
             attempts: self.attempts,
-            host: self.tried.0.clone(),
+            endpoint: self.tried.0.clone(),
             source: self.tried.1.clone(),
         }))
     }
 
     /// Why it could not be served: how its last attempt ended, or that none could be made.
-    fn why(&self) -> Why {
+    fn why(&self) -> ResultReason {
         // An attempt that is still out when the time is over was silent.
-        let silent = if self.attempts > 0 { Why::Host(Status::Timeout) } else { Why::NoHost };
-        self.last.map_or(silent, Why::Host)
+        let silent = if self.attempts > 0 {
+            ResultReason::Attempt(AttemptStatus::Timeout)
+        } else {
+            ResultReason::NoEndpoint
+        };
+        self.last.map_or(silent, ResultReason::Attempt)
     }
 }
 
 #[derive(Debug)]
 struct Out {
-    mind: Mind,
+    mind: RoutingMode,
     class: u16,
-    host: HostId,
-    source: Option<HostId>,
+    endpoint: EndpointId,
+    source: Option<EndpointId>,
     sent: Timestamp,
     /// Only named to somebody: it is held to be out for a while, and nothing will be heard of it.
     named: bool,
 }
 
 /// How an attempt ended, and what its answer tells beside that.
-struct Ending {
-    status: Status,
+struct AttemptEnd {
+    status: AttemptStatus,
     /// The sending time of what came back, in seconds.
     work: Option<f64>,
-    note: Option<Note>,
+    note: Option<CacheStatus>,
 }
 
-impl From<Status> for Ending {
-    fn from(status: Status) -> Ending {
-        Ending { status, work: None, note: None }
+impl From<AttemptStatus> for AttemptEnd {
+    fn from(status: AttemptStatus) -> AttemptEnd {
+        AttemptEnd { status, work: None, note: None }
     }
 }
 
@@ -116,7 +127,7 @@
 
 /// What the core is started with.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct RouterOptions {
     /// What the module works by.
     pub settings: Settings,
     /// The names of the classes, by number.
@@ -132,19 +143,19 @@
 /// The core of one request router.
 #[derive(Debug)]
 pub struct Router {
-    control: Control,
-    follow: Option<Follow>,
+    control: DecisionModule,
+    follow: Option<HintFollower>,
     classes: Classes,
     settings: Settings,
     flow: f64,
-    filings: Filings,
+    filings: PendingWrites,
     /// What the lookup that is under way came to.
-    found: Option<Found<Target>>,
-    members: HashMap<HostId, (Rc<str>, Member)>,
+    found: Option<LookupResult<Target>>,
+    members: HashMap<EndpointId, (Rc<str>, ListedEndpoint)>,
     /// Who was listed last at an address, also after it has gone.
-    tenants: HashMap<SocketAddr, HostId>,
+    tenants: HashMap<SocketAddr, EndpointId>,
     open: HashMap<RequestId, Open>,
-    by_client: BTreeMap<Client, RequestId>,
+    by_client: BTreeMap<ClientHandle, RequestId>,
     /// The ids of clients' open requests.
     open_ids: HashSet<u64>,
     out: BTreeMap<AttemptId, Out>,
@@ -152,26 +163,26 @@
     /// What has been counted so far.
     pub counters: Counters,
     /// What operators are shown.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The places of the classes' numbers there, by class.
     places: Vec<usize>,
 }
 
 impl Router {
     /// The core under a setup; clients' requests are decided here, or followed by lookups.
-    pub fn new(setup: Setup, follow: bool) -> Result<Router, SettingsError> {
-        let Setup { settings, classes, seed, memory_mb, flow_bytes_per_s: flow } = setup;
-        let (mut figures, mut by_name) = (Figures::default(), Classes::default());
+    pub fn new(setup: RouterOptions, follow: bool) -> Result<Router, SettingsError> {
+        let RouterOptions { settings, classes, seed, memory_mb, flow_bytes_per_s: flow } = setup;
+        let (mut figures, mut by_name) = (Metrics::default(), Classes::default());
         let named = classes.into_iter().zip(settings.classes.iter().cloned()).collect();
         let settings = Settings { classes: by_name.change(named, &[], &BTreeSet::new()).classes, ..settings };
         let places = by_name.names().map(|name| figures.place(name)).collect();
         Ok(Router {
-            control: Control::new(settings.clone(), seed)?,
+            control: DecisionModule::new(settings.clone(), seed)?,
             classes: by_name,
-            follow: follow.then(|| Follow::new(settings.clone())),
+            follow: follow.then(|| HintFollower::new(settings.clone())),
             settings,
             flow,
-            filings: Filings::new(memory_mb),
+            filings: PendingWrites::new(memory_mb),
             found: None,
             members: HashMap::new(),
             tenants: HashMap::new(),
@@ -191,30 +202,30 @@
         self.by_client.len()
     }
 
-    /// How many hosts are listed and avoided.
+    /// How many endpoints are listed and avoided.
     pub fn rotation(&self) -> Rotation {
         self.control.rotation()
     }
 
     /// Counts an end of a request of a class, or an attempt.
-    pub fn count(&mut self, class: u16, end: End) {
+    pub fn count(&mut self, class: u16, end: CountedEvent) {
         if let Some(place) = self.places.get(usize::from(class)) {
             self.figures.count(*place, end);
         }
     }
 
     /// A request that is refused before it is opened; what there is to say of it.
-    pub fn turn_away(&mut self, now: Timestamp, ask: &Ask) -> Option<Command> {
+    pub fn reject_unopened(&mut self, now: Timestamp, ask: &ClientRequest) -> Option<Command> {
         self.counters.turned_away += 1;
         let class = self.classes.named(&ask.class)?;
-        self.count(class, End::Throttled);
-        Some(unopened(&ask.wanted(class), now, ask.budget, Closed::Refused, Why::Crowded))
+        self.count(class, CountedEvent::Rejected);
+        Some(unopened(&ask.wanted(class), now, ask.budget, RequestResult::Rejected, ResultReason::Overloaded))
     }
 
     /// A request whose fields can't be used: it is failed.
     pub fn spoilt(&mut self, class: &[u8]) {
         if let Some(class) = self.classes.named(class) {
-            self.count(class, End::Faulted);
+            self.count(class, CountedEvent::Failed);
         }
     }
 
@@ -223,19 +234,19 @@
         self.control.count_routers(all, here);
     }
 
-    /// Parts of cold budgets are agreed with other routers: see [`Control::lease`].
-    pub fn lease(&mut self, homes: (f64, f64), parts: BTreeMap<HostId, Part>) {
+    /// Parts of cold budgets are agreed with other routers: see [`DecisionModule::lease`].
+    pub fn lease(&mut self, homes: (f64, f64), parts: BTreeMap<EndpointId, QuotaShare>) {
         self.control.lease(homes, parts);
     }
 
-    /// What members call a host, if it is one.
-    pub fn uid(&self, host: HostId) -> Option<&str> {
-        self.members.get(&host).map(|(uid, _)| &**uid)
+    /// What members call an endpoint, if it is one.
+    pub fn uid(&self, endpoint: EndpointId) -> Option<&str> {
+        self.members.get(&endpoint).map(|(uid, _)| &**uid)
     }
 
-    /// What cold hosts are asked for here.
-    pub fn cold_demands(&self, now: Timestamp) -> Vec<ColdDemand> {
-        self.control.cold_demands(now)
+    /// What cold endpoints are asked for here.
+    pub fn warm_up_demands(&self, now: Timestamp) -> Vec<WarmUpDemand> {
+        self.control.warm_up_demands(now)
     }
 
     /// Shares cold budgets with another process that works at this one's place, or no longer.
@@ -258,58 +269,69 @@
         &self.settings
     }
 
-    /// A host and a source as they are on the sockets; none if one of them takes no work.
-    fn target(&self, host: HostId, fill: Fill) -> Option<Target> {
+    /// An endpoint and a source as they are on the sockets; none if one of them takes no work.
+    fn target(&self, endpoint: EndpointId, fill: CacheFill) -> Option<Target> {
         let ready = |id| self.members.get(&id).filter(|m| takes_work(m));
-        let (uid, member) = ready(host)?;
-        // On the sockets a host that fills from itself names no source.
-        let source = match fill.source.filter(|s| *s != host) {
+        let (uid, member) = ready(endpoint)?;
+        // On the sockets an endpoint that fills from itself names no source.
+        let source = match fill.source.filter(|s| *s != endpoint) {
             Some(source) => Some(ready(source)?.0.clone()),
             None => None,
         };
-        Some(Target { host, uid: uid.clone(), addr: member.addr?, source, fill })
+        Some(Target { endpoint, uid: uid.clone(), addr: member.addr?, source, fill })
     }
 
     /// Takes one input and appends what is to be done, in order.
     pub fn handle(&mut self, now: Timestamp, input: Input, commands: &mut Vec<Command>) {
         match input {
-            Input::Ask(client, ask) => self.on_ask(now, client, ask, commands),
-            Input::Undo(client) => self.withdraw(now, client, commands),
-            Input::Left(conn) => {
-                let all = Client { conn, tag: 0 }..=Client { conn, tag: u64::MAX };
-                let left: Vec<Client> = self.by_client.range(all).map(|(c, _)| *c).collect();
+            Input::Request(client, ask) => self.on_ask(now, client, ask, commands),
+            Input::Cancel(client) => self.withdraw(now, client, commands),
+            Input::ClientClosed(conn) => {
+                let all = ClientHandle { conn, tag: 0 }..=ClientHandle { conn, tag: u64::MAX };
+                let left: Vec<ClientHandle> = self.by_client.range(all).map(|(c, _)| *c).collect();
                 left.into_iter().for_each(|c| self.withdraw(now, c, commands));
             }
-            Input::Said(attempt, said, note) => self.on_said(now, attempt, said, note, commands),
-            Input::Lost(attempt, Lost::Refused) => self.end(now, attempt, Status::ConnectFailed, commands),
-            Input::Lost(attempt, Lost::Late) => self.end(now, attempt, Status::Unreached, commands),
-            Input::Lost(attempt, Lost::Unsent) => self.end(now, attempt, Status::Moot, commands),
-            Input::Lost(attempt, Lost::Broken) => self.end(now, attempt, Status::Reset, commands),
-            Input::Probed(host, well) => {
+            Input::Responded(attempt, said, note) => self.on_said(now, attempt, said, note, commands),
+            Input::Failed(attempt, AttemptFailure::ConnectionRefused) => {
+                self.end(now, attempt, AttemptStatus::ConnectFailed, commands)
+            }
+            Input::Failed(attempt, AttemptFailure::ConnectTimeout) => {
+                self.end(now, attempt, AttemptStatus::Unreached, commands)
+            }
+            Input::Failed(attempt, AttemptFailure::NotSent) => {
+                self.end(now, attempt, AttemptStatus::Moot, commands)
+            }
+            Input::Failed(attempt, AttemptFailure::ConnectionLost) => {
+                self.end(now, attempt, AttemptStatus::Reset, commands)
+            }
+            Input::Probed(endpoint, well) => {
                 let status = match well {
-                    Some(true) => Status::Ok,
-                    Some(false) => Status::Error,
-                    None => Status::Timeout,
+                    Some(true) => AttemptStatus::Ok,
+                    Some(false) => AttemptStatus::Error,
+                    None => AttemptStatus::Timeout,
                 };
-                self.drive(now, Mind::Module, Event::Probed { host, status }, commands);
+                self.drive(now, RoutingMode::Decide, Event::Probed { endpoint, status }, commands);
+            }
+            Input::Feed(told) => self.on_told(now, told, commands),
+            Input::Wake(Wake::Decision(mind, token)) => {
+                self.drive(now, mind, Event::Timer { token }, commands)
             }
-            Input::Told(told) => self.on_told(now, told, commands),
-            Input::Wake(Wake::Mind(mind, token)) => self.drive(now, mind, Event::Timer { token }, commands),
-            Input::Found(request, found) => self.on_found(now, request, found, commands),
+            Input::LookedUp(request, found) => self.on_found(now, request, found, commands),
             Input::Wake(Wake::Attempt(attempt)) => {
                 let named = self.out.get(&attempt).map(|o| o.named);
                 if named == Some(false) {
                     commands.push(self.quit(attempt));
                 }
-                let status = if named == Some(true) { Status::Cancelled } else { Status::Timeout };
+                let status =
+                    if named == Some(true) { AttemptStatus::Cancelled } else { AttemptStatus::Timeout };
                 self.end(now, attempt, status, commands);
             }
-            Input::End => self.end_all(now, commands),
+            Input::Shutdown => self.end_all(now, commands),
         }
     }
 
     fn quit(&self, attempt: AttemptId) -> Command {
-        Command::Quit { attempt, again: self.open.contains_key(&attempt.request) }
+        Command::CancelAttempt { attempt, again: self.open.contains_key(&attempt.request) }
     }
 
     /// Answers whatever is open: nothing may be left when the router ends.
@@ -322,7 +344,13 @@
         }
     }
 
-    fn on_ask(&mut self, now: Timestamp, client: Client, ask: Ask, commands: &mut Vec<Command>) {
+    fn on_ask(
+        &mut self,
+        now: Timestamp,
+        client: ClientHandle,
+        ask: ClientRequest,
+        commands: &mut Vec<Command>,
+    ) {
         self.counters.taken += 1;
         let Some(class) = self.classes.named(&ask.class) else {
             self.counters.failed += 1;
@@ -334,24 +362,42 @@
         let rid = ask.rid.1;
         if self.open_ids.contains(&rid) || !limit.is_zero() && Duration::from_millis(ask.budget) > limit {
             self.tally(class, &Reply::Failed);
-            commands.push(unopened(&wanted, now, ask.budget, Closed::Failed, Why::Unusable));
+            commands.push(unopened(
+                &wanted,
+                now,
+                ask.budget,
+                RequestResult::Failed,
+                ResultReason::InvalidRequest,
+            ));
             return commands.push(Command::Reply(client, Reply::Failed));
         }
-        let once = wanted.rid.filter(|_| self.classes.effect(class) == Effect::Unsafe);
+        let once = wanted.rid.filter(|_| self.classes.idempotency(class) == Idempotency::NotIdempotent);
         if once.is_some_and(|rid| self.filings.by_id.contains_key(&rid)) {
             // It was taken before, or somebody was told where to go with it: it may have run.
             self.tally(class, &Reply::Failed);
-            commands.push(unopened(&wanted, now, ask.budget, Closed::Failed, Why::MayHaveRun));
+            commands.push(unopened(
+                &wanted,
+                now,
+                ask.budget,
+                RequestResult::Failed,
+                ResultReason::MayHaveRun,
+            ));
             return commands.push(Command::Reply(client, Reply::Failed));
         }
         let room = self.open.len() < OPEN_MOST && once.is_none_or(|rid| self.filings.add(now, rid, None));
         if !room {
-            let refused = Reply::Refused(whole_micros(self.settings.max_retry_after) / 1_000);
+            let refused = Reply::Rejected(whole_micros(self.settings.max_retry_after) / 1_000);
             self.tally(class, &refused);
-            commands.push(unopened(&wanted, now, ask.budget, Closed::Refused, Why::NoRoom));
+            commands.push(unopened(
+                &wanted,
+                now,
+                ask.budget,
+                RequestResult::Rejected,
+                ResultReason::TableFull,
+            ));
             return commands.push(Command::Reply(client, refused));
         }
-        let mind = if self.follow.is_some() { Mind::Follow } else { Mind::Module };
+        let mind = if self.follow.is_some() { RoutingMode::FollowHint } else { RoutingMode::Decide };
         let deadline = now + Duration::from_millis(ask.budget);
         self.begin(now, deadline, mind, wanted, Some((client, Rc::new(ask))), commands);
     }
@@ -359,9 +405,9 @@
     /// Counts a final answer.
     fn tally(&mut self, class: u16, reply: &Reply) {
         let (counter, end) = match reply {
-            Reply::Good(..) | Reply::Unchanged(_) => (&mut self.counters.served, End::Fulfilled),
-            Reply::Refused(_) => (&mut self.counters.refused, End::Throttled),
-            Reply::Failed => (&mut self.counters.failed, End::Faulted),
+            Reply::Served(..) | Reply::NotModified(_) => (&mut self.counters.served, CountedEvent::Served),
+            Reply::Rejected(_) => (&mut self.counters.refused, CountedEvent::Rejected),
+            Reply::Failed => (&mut self.counters.failed, CountedEvent::Failed),
         };
         *counter += 1;
         self.count(class, end);
@@ -372,14 +418,14 @@
         &mut self,
         now: Timestamp,
         deadline: Timestamp,
-        mind: Mind,
-        wanted: Wanted,
-        from: Option<(Client, Rc<Ask>)>,
+        mind: RoutingMode,
+        wanted: RequestedObject,
+        from: Option<(ClientHandle, Rc<ClientRequest>)>,
         commands: &mut Vec<Command>,
     ) -> RequestId {
         let id = self.next;
         self.next = self.next.wrapping_add(1).max(1);
-        let Wanted { class, object, part, group, .. } = wanted;
+        let RequestedObject { class, object, part, group, .. } = wanted;
         let request = Request { id, class, object, part, group, deadline, ..Request::default() };
         if let Some((client, _)) = &from {
             self.by_client.insert(*client, id);
@@ -391,11 +437,11 @@
         id
     }
 
-    fn withdraw(&mut self, now: Timestamp, client: Client, commands: &mut Vec<Command>) {
+    fn withdraw(&mut self, now: Timestamp, client: ClientHandle, commands: &mut Vec<Command>) {
         if let Some(request) = self.by_client.remove(&client) {
             if let Some(open) = self.open.remove(&request) {
                 open.wanted.rid.map(|rid| self.open_ids.remove(&rid));
-                commands.push(open.ended(request, now, Closed::Withdrawn, open.why(), 0));
+                commands.push(open.ended(request, now, RequestResult::Cancelled, open.why(), 0));
                 self.drive(now, open.mind, Event::Withdrawn { request }, commands);
             }
         }
@@ -410,21 +456,21 @@
             return;
         };
         let (result, why, bytes) = match &reply {
-            Reply::Good(_, body) => (Closed::Served, Why::Asked, body.len()),
-            Reply::Unchanged(_) => (Closed::Unchanged, Why::Asked, 0),
-            Reply::Refused(_) => (Closed::Refused, open.why(), 0),
-            Reply::Failed => (Closed::Failed, open.why(), 0),
+            Reply::Served(_, body) => (RequestResult::Served, ResultReason::Completed, body.len()),
+            Reply::NotModified(_) => (RequestResult::NotModified, ResultReason::Completed, 0),
+            Reply::Rejected(_) => (RequestResult::Rejected, open.why(), 0),
+            Reply::Failed => (RequestResult::Failed, open.why(), 0),
         };
         commands.push(open.ended(request, now, result, why, bytes));
         let Some((client, _)) = open.from else {
-            let refused = matches!(reply, Reply::Refused(_));
-            self.found = Some(if refused { Found::Refused } else { Found::Failed });
+            let refused = matches!(reply, Reply::Rejected(_));
+            self.found = Some(if refused { LookupResult::Rejected } else { LookupResult::Failed });
             return;
         };
         self.by_client.remove(&client);
         open.wanted.rid.map(|rid| self.open_ids.remove(&rid));
-        let once = self.classes.effect(open.wanted.class) == Effect::Unsafe;
-        if let (Some(rid), Reply::Refused(_), true) = (open.wanted.rid, &reply, once) {
+        let once = self.classes.idempotency(open.wanted.class) == Idempotency::NotIdempotent;
+        if let (Some(rid), Reply::Rejected(_), true) = (open.wanted.rid, &reply, once) {
             // Refused: it never ran, and may be asked for again.
             self.filings.by_id.remove(&rid);
         }
@@ -436,35 +482,35 @@
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
-        said: Said,
-        note: Option<Note>,
+        said: AttemptResponse,
+        note: Option<CacheStatus>,
         commands: &mut Vec<Command>,
     ) {
         let request = attempt.request;
         let live = self.out.contains_key(&attempt) && self.open.contains_key(&request);
         let mut work = None;
         let status = match said {
-            Said::Absent => Status::Miss,
-            Said::Full => Status::Full,
-            Said::Failed | Said::Probed(_) => Status::Error,
-            Said::Moot => Status::Moot,
-            Said::Data(digest, body) => {
+            AttemptResponse::Absent => AttemptStatus::Miss,
+            AttemptResponse::AtCapacity => AttemptStatus::Full,
+            AttemptResponse::Failed | AttemptResponse::ProbeResult(_) => AttemptStatus::Error,
+            AttemptResponse::AlreadyCancelled => AttemptStatus::Moot,
+            AttemptResponse::Data(digest, body) => {
                 work = Some(body.len() as f64 / self.flow).filter(|w| w.is_finite());
                 if live {
-                    self.reply(now, request, Reply::Good(digest, body), commands);
+                    self.reply(now, request, Reply::Served(digest, body), commands);
                 }
-                Status::Ok
+                AttemptStatus::Ok
             }
-            Said::Unchanged(digest) => {
+            AttemptResponse::NotModified(digest) => {
                 if live {
-                    self.reply(now, request, Reply::Unchanged(digest), commands);
+                    self.reply(now, request, Reply::NotModified(digest), commands);
                 }
-                Status::Ok
+                AttemptStatus::Ok
             }
         };
         // What is not to be told by the settings is not believed.
-        let note = note.filter(|_| self.settings.notes != Notes::None);
-        self.end(now, attempt, Ending { status, work, note }, commands);
+        let note = note.filter(|_| self.settings.cache_status_reporting != CacheStatusReporting::None);
+        self.end(now, attempt, AttemptEnd { status, work, note }, commands);
     }
 
     /// An attempt has ended; later news of it is no news.
@@ -472,7 +518,7 @@
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
-        ending: impl Into<Ending>,
+        ending: impl Into<AttemptEnd>,
         commands: &mut Vec<Command>,
     ) {
         let mind = self.out.get(&attempt).map(|o| o.mind);
@@ -485,26 +531,26 @@
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
-        ending: impl Into<Ending>,
+        ending: impl Into<AttemptEnd>,
         commands: &mut Vec<Command>,
     ) -> Option<Event> {
         let out = self.out.remove(&attempt)?;
-        let Ending { status, work, note } = ending.into();
+        let AttemptEnd { status, work, note } = ending.into();
         if let Some(open) = self.open.get_mut(&attempt.request) {
             open.last = Some(status);
             if !status.never_ran() {
                 open.ran = open.ran.or(Some(out.sent));
             }
         }
-        let name = |id: HostId| self.members.get(&id).map(|m| m.0.clone());
-        if let Some(host) = name(out.host).filter(|_| !out.named) {
+        let name = |id: EndpointId| self.members.get(&id).map(|m| m.0.clone());
+        if let Some(endpoint) = name(out.endpoint).filter(|_| !out.named) {
             let (source, took) = (out.source.and_then(name), now.saturating_duration_since(out.sent));
-            commands.push(Command::Tried(Tried { attempt, host, source, status, took }));
+            commands.push(Command::AttemptEnded(AttemptSummary { attempt, endpoint, source, status, took }));
         }
-        Some(Event::Outcome(Outcome {
+        Some(Event::AttemptOutcome(AttemptOutcome {
             request: attempt.request,
             attempt: attempt.number,
-            host: out.host,
+            endpoint: out.endpoint,
             latency: now.saturating_duration_since(out.sent),
             status,
             ended: !self.open.contains_key(&attempt.request),
@@ -514,23 +560,29 @@
     }
 
     /// Hands an event to whoever decides and carries the actions out.
-    fn drive(&mut self, now: Timestamp, mind: Mind, event: Event, commands: &mut Vec<Command>) {
+    fn drive(&mut self, now: Timestamp, mind: RoutingMode, event: Event, commands: &mut Vec<Command>) {
         let mut actions = Vec::new();
         match (mind, &mut self.follow) {
-            (Mind::Follow, Some(follow)) => follow.handle(now, event, &mut actions),
+            (RoutingMode::FollowHint, Some(follow)) => follow.handle(now, event, &mut actions),
             _ => self.control.handle(now, event, &mut actions),
         }
         self.carry(now, mind, actions, commands);
     }
 
     /// Carries actions out, in order; their immediate ends are events again.
-    fn carry(&mut self, now: Timestamp, mind: Mind, actions: Vec<Action>, commands: &mut Vec<Command>) {
+    fn carry(
+        &mut self,
+        now: Timestamp,
+        mind: RoutingMode,
+        actions: Vec<Action>,
+        commands: &mut Vec<Command>,
+    ) {
         let ends: Vec<Event> = actions.into_iter().filter_map(|a| self.act(now, mind, a, commands)).collect();
         ends.into_iter().for_each(|event| self.drive(now, mind, event, commands));
         let wanted = self.follow.as_mut().map(|f| std::mem::take(&mut f.wanted)).unwrap_or_default();
         for id in wanted {
             if let Some(open) = self.open.get(&id) {
-                commands.push(Command::Look(id, open.wanted.clone()));
+                commands.push(Command::Lookup(id, open.wanted.clone()));
             }
         }
     }
@@ -538,13 +590,13 @@
     fn act(
         &mut self,
         now: Timestamp,
-        mind: Mind,
+        mind: RoutingMode,
         action: Action,
         commands: &mut Vec<Command>,
     ) -> Option<Event> {
         match action {
-            Action::Attempt { request, host, timeout, fill } => {
-                return self.attempt(now, request, host, timeout, fill, commands);
+            Action::Attempt { request, endpoint, timeout, fill } => {
+                return self.attempt(now, request, endpoint, timeout, fill, commands);
             }
             Action::Cancel { request, attempt } => {
                 let attempt = AttemptId { request, number: attempt };
@@ -552,18 +604,18 @@
                     return None;
                 }
                 commands.push(self.quit(attempt));
-                return self.outcome(now, attempt, Status::Cancelled, commands);
+                return self.outcome(now, attempt, AttemptStatus::Cancelled, commands);
             }
             Action::Refuse { request, retry_after } => {
-                self.reply(now, request, Reply::Refused(whole_micros(retry_after).div_ceil(1_000)), commands)
+                self.reply(now, request, Reply::Rejected(whole_micros(retry_after).div_ceil(1_000)), commands)
             }
             Action::Fail { request } => self.reply(now, request, Reply::Failed, commands),
             Action::Timer { after, token } => {
-                commands.push(Command::Wake(now + after, Wake::Mind(mind, token)));
+                commands.push(Command::Wake(now + after, Wake::Decision(mind, token)));
             }
-            Action::Probe { host } => {
-                let addr = self.members.get(&host).and_then(|m| m.1.addr)?;
-                commands.push(Command::Probe(host, addr));
+            Action::Probe { endpoint } => {
+                let addr = self.members.get(&endpoint).and_then(|m| m.1.addr)?;
+                commands.push(Command::Probe(endpoint, addr));
             }
             // The control feed is always open and always complete.
             Action::Subscribe | Action::FetchHosts => {}
@@ -576,9 +628,9 @@
         &mut self,
         now: Timestamp,
         request: RequestId,
-        host: HostId,
+        endpoint: EndpointId,
         timeout: Duration,
-        fill: Fill,
+        fill: CacheFill,
         commands: &mut Vec<Command>,
     ) -> Option<Event> {
         let all = AttemptId { request, number: 0 }..=AttemptId { request, number: u16::MAX };
@@ -594,13 +646,16 @@
         let ask = open.from.as_ref().map(|(client, ask)| (*client, ask.clone()));
         // A tenth of the window is left for the way there, as in the decision.
         let keyed = &self.settings.classes[usize::from(class)];
-        let keyed = Some(divide_to_micros(keyed.window, 10) * 9).filter(|_| keyed.effect == Effect::Keyed);
+        let keyed = Some(divide_to_micros(keyed.window, 10) * 9)
+            .filter(|_| keyed.idempotency == Idempotency::WithKey);
         let by = open.ran.zip(keyed).map(|(ran, window)| ran + window);
-        self.out
-            .insert(attempt, Out { mind, class, host, source: fill.source, sent: now, named: ask.is_none() });
-        let Some(target) = self.target(host, fill) else {
+        self.out.insert(
+            attempt,
+            Out { mind, class, endpoint, source: fill.source, sent: now, named: ask.is_none() },
+        );
+        let Some(target) = self.target(endpoint, fill) else {
             // It names what takes no work: it can't have run.
-            return self.outcome(now, attempt, Status::Moot, commands);
+            return self.outcome(now, attempt, AttemptStatus::Moot, commands);
         };
         if let Some(open) = self.open.get_mut(&request) {
             open.tried = (Some(target.uid.clone()), target.source.clone());
@@ -609,15 +664,23 @@
             Some((client, ask)) => {
                 self.counters.attempts += 1;
                 commands.push(Command::Wake(now + timeout, Wake::Attempt(attempt)));
-                commands.push(Command::Send(Order { attempt, target, timeout, class, ask, client, by }));
+                commands.push(Command::SendAttempt(AttemptRequest {
+                    attempt,
+                    target,
+                    timeout,
+                    class,
+                    ask,
+                    client,
+                    by,
+                }));
             }
             None => {
                 if let Some(open) = self.open.remove(&request) {
-                    commands.push(open.ended(request, now, Closed::Named, Why::Asked, 0));
+                    commands.push(open.ended(request, now, RequestResult::Named, ResultReason::Completed, 0));
                 }
-                let aim = self.settings.classes[usize::from(class)].aim;
-                commands.push(Command::Wake(now + aim, Wake::Attempt(attempt)));
-                self.found = Some(Found::Box(target));
+                let latency_objective = self.settings.classes[usize::from(class)].latency_objective;
+                commands.push(Command::Wake(now + latency_objective, Wake::Attempt(attempt)));
+                self.found = Some(LookupResult::Endpoint(target));
             }
         }
         None
@@ -625,8 +688,14 @@
 }
 
 /// A request that was answered without being opened; `budget` in milliseconds.
-pub fn unopened(wanted: &Wanted, arrived: Timestamp, budget: u64, result: Closed, why: Why) -> Command {
-    Command::Ended(Box::new(Ended {
+pub fn unopened(
+    wanted: &RequestedObject,
+    arrived: Timestamp,
+    budget: u64,
+    result: RequestResult,
+    why: ResultReason,
+) -> Command {
+    Command::RequestEnded(Box::new(RequestSummary {
         request: 0,
         wanted: wanted.clone(),
         arrived,
@@ -636,11 +705,11 @@
         why,
         bytes: 0,
         attempts: 0,
-        host: None,
+        endpoint: None,
         source: None,
     }))
 }
 
-fn takes_work(member: &(Rc<str>, Member)) -> bool {
-    member.1.entry.state == HostState::Ready
+fn takes_work(member: &(Rc<str>, ListedEndpoint)) -> bool {
+    member.1.entry.state == EndpointState::Ready
 }
--- a/crates/core/src/router/told.rs
+++ b/crates/router/src/router/feed_events.rs
@@ -3,33 +3,34 @@
 use super::*;
 
 impl Router {
-    pub(super) fn on_told(&mut self, now: Timestamp, told: Told, commands: &mut Vec<Command>) {
+    pub(super) fn on_told(&mut self, now: Timestamp, told: FeedEvent, commands: &mut Vec<Command>) {
         match told {
-            Told::Purge { object, group, at } => {
+            FeedEvent::Purge { object, group, at } => {
                 let purge = Purge { since: now.saturating_duration_since(at), object, group };
                 if self.follow.is_some() {
-                    self.drive(now, Mind::Follow, Event::Purged(purge.clone()), commands);
+                    self.drive(now, RoutingMode::FollowHint, Event::Purged(purge.clone()), commands);
                 }
-                self.drive(now, Mind::Module, Event::Purged(purge), commands);
+                self.drive(now, RoutingMode::Decide, Event::Purged(purge), commands);
             }
-            Told::Members { all, lines } => {
+            FeedEvent::Endpoints { all, lines } => {
                 if all {
-                    let named: Vec<HostId> = lines.iter().map(|m| m.entry.id).collect();
+                    let named: Vec<EndpointId> = lines.iter().map(|m| m.entry.id).collect();
                     for (id, (_, m)) in self.members.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                        m.entry.state = HostState::Gone;
-                        commands.push(Command::Drop(*id));
+                        m.entry.state = EndpointState::Gone;
+                        commands.push(Command::CloseConnections(*id));
                     }
                 }
                 let mut entries = Vec::with_capacity(lines.len());
                 for mut line in lines {
                     let id = line.entry.id;
                     // Whoever had the address of one that is ready now has gone, told or not.
-                    let ready = line.entry.state == HostState::Ready && line.addr.is_some();
+                    let ready = line.entry.state == EndpointState::Ready && line.addr.is_some();
                     for (old, (_, m)) in self.members.iter_mut() {
-                        if ready && *old != id && m.addr == line.addr && m.entry.state != HostState::Gone {
-                            m.entry.state = HostState::Gone;
+                        if ready && *old != id && m.addr == line.addr && m.entry.state != EndpointState::Gone
+                        {
+                            m.entry.state = EndpointState::Gone;
                             entries.push(m.entry.clone());
-                            commands.push(Command::Drop(*old));
+                            commands.push(Command::CloseConnections(*old));
                         }
                     }
                     let old = self.members.get(&id).map(|m| &m.1);
@@ -38,13 +39,13 @@
                         line.addr = line.addr.or(old.addr);
                         let moved = line.addr != old.addr || line.entry.started > old.entry.started;
                         match line.entry.state {
-                            HostState::Gone => commands.push(Command::Drop(id)),
-                            HostState::Ready if moved => commands.push(Command::Drop(id)),
-                            HostState::Draining => commands.push(Command::Hold(id)),
-                            HostState::Ready => {}
+                            EndpointState::Gone => commands.push(Command::CloseConnections(id)),
+                            EndpointState::Ready if moved => commands.push(Command::CloseConnections(id)),
+                            EndpointState::Draining => commands.push(Command::StopSending(id)),
+                            EndpointState::Ready => {}
                         }
-                        if line.entry.state == HostState::Gone {
-                            line.entry = HostEntry { state: HostState::Gone, ..old.entry.clone() };
+                        if line.entry.state == EndpointState::Gone {
+                            line.entry = EndpointEntry { state: EndpointState::Gone, ..old.entry.clone() };
                         }
                     }
                     if let Some(addr) = line.addr.filter(|_| ready) {
@@ -55,8 +56,8 @@
                     self.members.insert(id, (Rc::from(line.uid.as_str()), line));
                 }
                 let kind = if all { ListKind::Full } else { ListKind::Delta };
-                self.drive(now, Mind::Module, Event::Hosts { kind, entries }, commands);
-                let gone = |m: &(Rc<str>, Member)| m.1.entry.state == HostState::Gone;
+                self.drive(now, RoutingMode::Decide, Event::EndpointList { kind, entries }, commands);
+                let gone = |m: &(Rc<str>, ListedEndpoint)| m.1.entry.state == EndpointState::Gone;
                 self.members.retain(|_, m| !gone(m));
                 if self.tenants.len() > TENANTS {
                     self.tenants.retain(|_, id| self.members.contains_key(id));
--- a/crates/core/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -2,12 +2,13 @@
 //! core's commands into neutral lines. A change of names is followed here and nowhere else in the test.
 
 use super::neutral::*;
-use hollymux_core::chain::{Chain, Pool};
-use hollymux_core::*;
-use hollymux_decide::time::whole_micros;
-use hollymux_decide::{
-    settings_from, HostEntry, HostId, HostState, Note, Pairs, Settings, Status, Timestamp,
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::{
+    parse_settings, AttemptStatus, CacheStatus, EndpointEntry, EndpointId, EndpointState, Settings,
+    SettingsMap, Timestamp,
 };
+use hollymux_router::buffers::{BufferChain, BufferPool};
+use hollymux_router::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 /// A core, and what its driver has to remember for it.
 pub struct Core {
     router: Router,
-    pool: Pool,
+    pool: BufferPool,
     follows: bool,
     seed: u64,
     /// The settings in force.
@@ -29,7 +30,7 @@
     classes: Vec<String>,
     /// What is due at each handle of an [`Reaction::Wake`].
     wakes: Vec<Wake>,
-    names: BTreeMap<HostId, String>,
+    names: BTreeMap<EndpointId, String>,
 }
 
 impl Core {
@@ -37,7 +38,7 @@
         let classes: Vec<String> = classes.iter().map(|class| (*class).to_string()).collect();
         Core {
             router: router(parse(settings), &classes, seed, follows),
-            pool: Pool::new(BUFFERS),
+            pool: BufferPool::new(BUFFERS),
             follows,
             seed,
             settings: settings.to_string(),
@@ -56,7 +57,7 @@
             Stimulus::Lookup { class, object, part, group, id } => {
                 effects.push(self.lookup(now, class, (object, part, group, id), &mut commands));
             }
-            Stimulus::Settings(text) => effects.push(self.retune(text)),
+            Stimulus::Settings(text) => effects.push(self.reconfigure(text)),
             Stimulus::HandOver { last } => effects.extend(self.hand_over(now, last)),
             other => {
                 let input = self.input(other);
@@ -86,36 +87,36 @@
 
     fn input(&mut self, stimulus: Stimulus) -> Input {
         match stimulus {
-            Stimulus::Ask(client, asked) => Input::Ask(core_client(client), self.ask(asked)),
-            Stimulus::StopWaiting(client) => Input::Undo(core_client(client)),
-            Stimulus::Leave { connection } => Input::Left(connection),
+            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.ask(asked)),
+            Stimulus::StopWaiting(client) => Input::Cancel(core_client(client)),
+            Stimulus::Leave { connection } => Input::ClientClosed(connection),
             Stimulus::Answer { attempt, answer, note } => {
-                Input::Said(attempt_id(attempt), self.said(answer), note.map(core_note))
+                Input::Responded(attempt_id(attempt), self.said(answer), note.map(core_note))
             }
-            Stimulus::Lost { attempt, how } => Input::Lost(attempt_id(attempt), lost(how)),
-            Stimulus::Probed { uid, well } => Input::Probed(host_id(&uid), well),
-            Stimulus::Found { request, found } => Input::Found(request, core_found(found)),
+            Stimulus::Lost { attempt, how } => Input::Failed(attempt_id(attempt), lost(how)),
+            Stimulus::Probed { uid, well } => Input::Probed(endpoint_id(&uid), well),
+            Stimulus::Found { request, found } => Input::LookedUp(request, core_found(found)),
             Stimulus::Wake { handle } => Input::Wake(self.wakes[handle]),
-            Stimulus::Hosts { all, lines } => Input::Told(self.members(all, lines)),
+            Stimulus::Hosts { all, lines } => Input::Feed(self.members(all, lines)),
             Stimulus::Purge { object, group, at } => {
-                Input::Told(Told::Purge { object, group, at: Timestamp::from_micros(at) })
+                Input::Feed(FeedEvent::Purge { object, group, at: Timestamp::from_micros(at) })
             }
-            Stimulus::End => Input::End,
+            Stimulus::End => Input::Shutdown,
             Stimulus::Lookup { .. } | Stimulus::Settings(_) | Stimulus::HandOver { .. } => {
                 unreachable!("these are calls, not inputs")
             }
         }
     }
 
-    fn chain(&self, length: usize) -> Chain {
+    fn chain(&self, length: usize) -> BufferChain {
         let mut chain = self.pool.chain();
         chain.extend(&vec![b'x'; length]).expect("buffers enough");
         chain
     }
 
-    fn ask(&self, asked: Asked) -> Ask {
+    fn ask(&self, asked: Asked) -> ClientRequest {
         let word = |number: u64| (format!("{number:016x}").into_bytes(), number);
-        Ask {
+        ClientRequest {
             rid: word(asked.id),
             class: asked.class.into(),
             object: word(asked.object),
@@ -128,24 +129,24 @@
         }
     }
 
-    fn said(&self, answer: Answer) -> Said {
+    fn said(&self, answer: Answer) -> AttemptResponse {
         match answer {
             Answer::Bytes { tagged, length } => {
-                Said::Data(tagged.then(|| b"tag".to_vec()), self.chain(length))
+                AttemptResponse::Data(tagged.then(|| b"tag".to_vec()), self.chain(length))
             }
-            Answer::Unchanged => Said::Unchanged(b"held".to_vec()),
-            Answer::Absent => Said::Absent,
-            Answer::Full => Said::Full,
-            Answer::Failed => Said::Failed,
-            Answer::Moot => Said::Moot,
+            Answer::Unchanged => AttemptResponse::NotModified(b"held".to_vec()),
+            Answer::Absent => AttemptResponse::Absent,
+            Answer::Full => AttemptResponse::AtCapacity,
+            Answer::Failed => AttemptResponse::Failed,
+            Answer::Moot => AttemptResponse::AlreadyCancelled,
         }
     }
 
-    fn members(&mut self, all: bool, lines: Vec<HostLine>) -> Told {
+    fn members(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
         for line in &lines {
-            self.names.insert(host_id(&line.uid), line.uid.clone());
+            self.names.insert(endpoint_id(&line.uid), line.uid.clone());
         }
-        Told::Members { all, lines: lines.into_iter().map(member).collect() }
+        FeedEvent::Endpoints { all, lines: lines.into_iter().map(member).collect() }
     }
 
     fn lookup(
@@ -156,16 +157,16 @@
         commands: &mut Vec<Command>,
     ) -> Effect {
         let class = self.router.classes().named(class.as_bytes()).expect("a class in use");
-        let wanted = Wanted { class, object, part, group, rid: id };
+        let wanted = RequestedObject { class, object, part, group, rid: id };
         match self.router.lookup(now, wanted, commands) {
-            Found::Box(target) => Effect::new("lookup named", self.target_words(&target)),
-            Found::Refused => Effect::new("lookup refused", String::new()),
-            Found::Failed => Effect::new("lookup failed", String::new()),
+            LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_words(&target)),
+            LookupResult::Rejected => Effect::new("lookup refused", String::new()),
+            LookupResult::Failed => Effect::new("lookup failed", String::new()),
         }
     }
 
-    fn retune(&mut self, text: &str) -> Effect {
-        let taken = self.router.retune(&parse(text), &self.classes).is_ok();
+    fn reconfigure(&mut self, text: &str) -> Effect {
+        let taken = self.router.reconfigure(&parse(text), &self.classes).is_ok();
         if taken {
             self.settings = text.to_string();
         }
@@ -179,24 +180,24 @@
         legacy.kinds = KINDS.map(str::to_string).to_vec();
         let mut commands = Vec::new();
         if let Some((client, asked)) = last {
-            let input = Input::Ask(core_client(client), self.ask(asked));
+            let input = Input::Request(core_client(client), self.ask(asked));
             self.router.handle(now, input, &mut commands);
         }
-        let later = self.router.new_filings();
-        self.router.handle(now, Input::End, &mut commands);
+        let later = self.router.take_new_pending_writes();
+        self.router.handle(now, Input::Shutdown, &mut commands);
         let mut successor = router(parse(&self.settings), &self.classes, self.seed ^ 1, self.follows);
         let told = legacy.told(&legacy.zones, &legacy.kinds);
-        successor.handle(now, Input::Told(told), &mut commands);
-        successor.recall(now, &legacy);
-        successor.recall_filings(now, &later);
+        successor.handle(now, Input::Feed(told), &mut commands);
+        successor.restore(now, &legacy);
+        successor.restore_pending_writes(now, &later);
         self.router = successor;
         let mut effects = vec![Effect::new("handed over", legacy_words(&legacy, &later))];
         effects.extend(commands.into_iter().filter_map(|command| self.effect(command)));
         effects
     }
 
-    fn name(&self, host: HostId) -> &str {
-        self.names.get(&host).map_or("unknown", |name| name)
+    fn name(&self, endpoint: EndpointId) -> &str {
+        self.names.get(&endpoint).map_or("unknown", |name| name)
     }
 
     fn target_words(&self, target: &Target) -> String {
@@ -204,46 +205,46 @@
         format!(
             "host={}/{} address={} source={}/{} keep={} max_age={} join={} renew={} shallow={}",
             target.uid,
-            self.name(target.host),
+            self.name(target.endpoint),
             target.addr,
             target.source.as_deref().unwrap_or("-"),
             fill.source.map_or("-", |source| self.name(source)),
-            fill.keep,
+            fill.retention,
             micros(fill.max_age),
-            fill.join,
-            fill.renew,
-            fill.shallow
+            fill.coalesce,
+            fill.stale_while_revalidate,
+            fill.only_if_cached
         )
     }
 
     /// A command in neutral words; none for a log line, whose wording is no decision.
     fn effect(&mut self, command: Command) -> Option<Effect> {
-        let effect = match command {
-            Command::Send(order) => self.send(&order),
-            Command::Quit { attempt, again } => {
+        let idempotency = match command {
+            Command::SendAttempt(order) => self.send(&order),
+            Command::CancelAttempt { attempt, again } => {
                 Effect::new("cancel", format!("{} again={again}", attempt_words(attempt)))
             }
             Command::Reply(client, reply) => reply_effect(client, &reply),
             Command::Wake(at, wake) => self.wake(at, wake),
-            Command::Look(request, wanted) => {
+            Command::Lookup(request, wanted) => {
                 Effect::new("look up", format!("request={request} {}", wanted_words(&wanted)))
                     .reacting(Reaction::LookUp { request })
             }
-            Command::Probe(host, address) => {
-                let uid = self.name(host).to_string();
+            Command::Probe(endpoint, address) => {
+                let uid = self.name(endpoint).to_string();
                 Effect::new("probe", format!("host={uid} address={address}"))
                     .reacting(Reaction::Probe { uid })
             }
-            Command::Drop(host) => Effect::new("drop", self.name(host).to_string()),
-            Command::Hold(host) => Effect::new("hold", self.name(host).to_string()),
-            Command::Tried(tried) => tried_effect(&tried),
-            Command::Ended(ended) => ended_effect(&ended),
+            Command::CloseConnections(endpoint) => Effect::new("drop", self.name(endpoint).to_string()),
+            Command::StopSending(endpoint) => Effect::new("hold", self.name(endpoint).to_string()),
+            Command::AttemptEnded(tried) => tried_effect(&tried),
+            Command::RequestEnded(ended) => ended_effect(&ended),
             Command::Log(_) => return None,
         };
-        Some(effect)
+        Some(idempotency)
     }
 
-    fn send(&self, order: &Order) -> Effect {
+    fn send(&self, order: &AttemptRequest) -> Effect {
         let line = format!(
             "{} {} timeout={} class={} id={} client={}/{} by={}",
             attempt_words(order.attempt),
@@ -264,8 +265,8 @@
     fn wake(&mut self, at: Timestamp, wake: Wake) -> Effect {
         let at = at.as_micros();
         let what = match wake {
-            Wake::Mind(Mind::Module, token) => format!("module token={token}"),
-            Wake::Mind(Mind::Follow, token) => format!("follower token={token}"),
+            Wake::Decision(RoutingMode::Decide, token) => format!("module token={token}"),
+            Wake::Decision(RoutingMode::FollowHint, token) => format!("follower token={token}"),
             Wake::Attempt(attempt) => attempt_words(attempt),
         };
         self.wakes.push(wake);
@@ -274,7 +275,7 @@
     }
 }
 
-/// Hosts that a whole list leaves out are dropped in the order of a hash table: that order means nothing, so each
+/// Endpoints that a whole list leaves out are dropped in the order of a hash table: that order means nothing, so each
 /// run of drops is sorted.
 fn sort_drops(effects: &mut [Effect]) {
     for run in effects.chunk_by_mut(|a, b| a.kind == "drop" && b.kind == "drop") {
@@ -285,11 +286,11 @@
 fn parse(text: &str) -> Settings {
     let pair = |line: &str| line.split_once('=').map(|(key, value)| (key.to_string(), value.to_string()));
     let pairs = text.lines().filter_map(pair).collect();
-    settings_from(&Pairs::new(pairs)).expect("settings that can be read")
+    parse_settings(&SettingsMap::new(pairs)).expect("settings that can be read")
 }
 
 fn router(settings: Settings, classes: &[String], seed: u64, follows: bool) -> Router {
-    let setup = Setup {
+    let setup = RouterOptions {
         settings,
         classes: classes.to_vec(),
         seed,
@@ -299,8 +300,8 @@
     Router::new(setup, follows).expect("settings that can be worked under")
 }
 
-fn core_client(client: Caller) -> Client {
-    Client { conn: client.connection, tag: client.tag }
+fn core_client(client: Caller) -> ClientHandle {
+    ClientHandle { conn: client.connection, tag: client.tag }
 }
 
 fn attempt_id(attempt: AttemptName) -> AttemptId {
@@ -311,27 +312,27 @@
     AttemptName { request: attempt.request, number: attempt.number }
 }
 
-fn core_note(note: FillNote) -> Note {
+fn core_note(note: FillNote) -> CacheStatus {
     match note {
-        FillNote::Hit => Note::Hit,
-        FillNote::Filled => Note::Filled,
-        FillNote::FilledByOrigin => Note::FilledByOrigin,
-        FillNote::Joined => Note::Joined,
-        FillNote::Stale => Note::Stale,
-        FillNote::SourceRefused => Note::SourceRefused,
-        FillNote::SourceUnreachable => Note::SourceUnreachable,
-        FillNote::SourceLacks => Note::SourceLacks,
-        FillNote::NoFillPlace => Note::NoFillPlace,
-        FillNote::OriginFailed => Note::OriginFailed,
+        FillNote::Hit => CacheStatus::Hit,
+        FillNote::Filled => CacheStatus::Filled,
+        FillNote::FilledByOrigin => CacheStatus::FilledByOrigin,
+        FillNote::Joined => CacheStatus::Joined,
+        FillNote::Stale => CacheStatus::Stale,
+        FillNote::SourceRefused => CacheStatus::SourceRefused,
+        FillNote::SourceUnreachable => CacheStatus::SourceUnreachable,
+        FillNote::SourceLacks => CacheStatus::SourceLacks,
+        FillNote::NoFillPlace => CacheStatus::NoFillPlace,
+        FillNote::OriginFailed => CacheStatus::OriginFailed,
     }
 }
 
-fn lost(how: Loss) -> Lost {
+fn lost(how: Loss) -> AttemptFailure {
     match how {
-        Loss::Refused => Lost::Refused,
-        Loss::Unreached => Lost::Late,
-        Loss::Unsent => Lost::Unsent,
-        Loss::Broken => Lost::Broken,
+        Loss::Refused => AttemptFailure::ConnectionRefused,
+        Loss::Unreached => AttemptFailure::ConnectTimeout,
+        Loss::Unsent => AttemptFailure::NotSent,
+        Loss::Broken => AttemptFailure::ConnectionLost,
     }
 }
 
@@ -339,25 +340,25 @@
     ([127, 0, 0, 1], port).into()
 }
 
-fn core_found(found: LookupAnswer) -> Found<Hint> {
+fn core_found(found: LookupAnswer) -> LookupResult<RoutingHint> {
     match found {
         LookupAnswer::Host { uid, port, source, keep } => {
-            let fill = FillHint { source, keep, join: true, ..FillHint::default() };
-            Found::Box(Hint { uid, addr: address(port), fill })
+            let fill = FillHint { source, retention: keep, coalesce: true, ..FillHint::default() };
+            LookupResult::Endpoint(RoutingHint { uid, addr: address(port), fill })
         }
-        LookupAnswer::Refused => Found::Refused,
-        LookupAnswer::Failed => Found::Failed,
+        LookupAnswer::Refused => LookupResult::Rejected,
+        LookupAnswer::Failed => LookupResult::Failed,
     }
 }
 
-fn member(line: HostLine) -> Member {
+fn member(line: HostLine) -> ListedEndpoint {
     let state = match line.state {
-        Standing::Ready => HostState::Ready,
-        Standing::Draining => HostState::Draining,
-        Standing::Gone => HostState::Gone,
+        Standing::Ready => EndpointState::Ready,
+        Standing::Draining => EndpointState::Draining,
+        Standing::Gone => EndpointState::Gone,
     };
-    let entry = HostEntry {
-        id: host_id(&line.uid),
+    let entry = EndpointEntry {
+        id: endpoint_id(&line.uid),
         cell: line.cell,
         zone: line.zone,
         kind: line.kind,
@@ -366,7 +367,7 @@
         started: Timestamp::from_micros(line.started),
         in_place_of: None,
     };
-    Member { entry, uid: line.uid, addr: line.port.map(address) }
+    ListedEndpoint { entry, uid: line.uid, addr: line.port.map(address) }
 }
 
 fn optional<T: std::fmt::Display>(value: Option<T>) -> String {
@@ -381,36 +382,36 @@
     format!("request={} attempt={}", attempt.request, attempt.number)
 }
 
-fn wanted_words(wanted: &Wanted) -> String {
+fn wanted_words(wanted: &RequestedObject) -> String {
     let id = optional(wanted.rid);
-    let Wanted { class, object, part, group, .. } = wanted;
+    let RequestedObject { class, object, part, group, .. } = wanted;
     format!("class={class} object={object} part={part} group={group} id={id}")
 }
 
-fn status_word(status: Status) -> &'static str {
+fn status_word(status: AttemptStatus) -> &'static str {
     match status {
-        Status::Ok => "ok",
-        Status::Miss => "miss",
-        Status::Error => "error",
-        Status::Full => "full",
-        Status::Timeout => "timeout",
-        Status::ConnectFailed => "connect-failed",
-        Status::Unreached => "unreached",
-        Status::Reset => "reset",
-        Status::Cancelled => "cancelled",
-        Status::Moot => "moot",
+        AttemptStatus::Ok => "ok",
+        AttemptStatus::Miss => "miss",
+        AttemptStatus::Error => "error",
+        AttemptStatus::Full => "full",
+        AttemptStatus::Timeout => "timeout",
+        AttemptStatus::ConnectFailed => "connect-failed",
+        AttemptStatus::Unreached => "unreached",
+        AttemptStatus::Reset => "reset",
+        AttemptStatus::Cancelled => "cancelled",
+        AttemptStatus::Moot => "moot",
     }
 }
 
-fn reply_effect(client: Client, reply: &Reply) -> Effect {
+fn reply_effect(client: ClientHandle, reply: &Reply) -> Effect {
     let tag_words = |tag: &[u8]| String::from_utf8_lossy(tag).into_owned();
     let (kind, what) = match reply {
-        Reply::Good(tag, body) => {
+        Reply::Served(tag, body) => {
             let tag = optional(tag.as_deref().map(tag_words));
             ("reply served", format!("copy={tag} bytes={}", body.len()))
         }
-        Reply::Unchanged(tag) => ("reply unchanged", format!("copy={}", tag_words(tag))),
-        Reply::Refused(stay_away) => ("reply refused", format!("advice={stay_away}")),
+        Reply::NotModified(tag) => ("reply unchanged", format!("copy={}", tag_words(tag))),
+        Reply::Rejected(stay_away) => ("reply refused", format!("advice={stay_away}")),
         Reply::Failed => ("reply failed", String::new()),
     };
     let caller = Caller { connection: client.conn, tag: client.tag };
@@ -418,11 +419,11 @@
         .reacting(Reaction::Replied(caller))
 }
 
-fn tried_effect(tried: &Tried) -> Effect {
+fn tried_effect(tried: &AttemptSummary) -> Effect {
     let line = format!(
         "{} host={} source={} status={} took={}",
         attempt_words(tried.attempt),
-        tried.host,
+        tried.endpoint,
         tried.source.as_deref().unwrap_or("-"),
         status_word(tried.status),
         whole_micros(tried.took)
@@ -430,23 +431,23 @@
     Effect::new("tried", line)
 }
 
-fn ended_effect(ended: &Ended) -> Effect {
+fn ended_effect(ended: &RequestSummary) -> Effect {
     let kind = match ended.result {
-        Closed::Served => "ended served",
-        Closed::Unchanged => "ended unchanged",
-        Closed::Refused => "ended refused",
-        Closed::Failed => "ended failed",
-        Closed::Withdrawn => "ended withdrawn",
-        Closed::Named => "ended named",
+        RequestResult::Served => "ended served",
+        RequestResult::NotModified => "ended unchanged",
+        RequestResult::Rejected => "ended refused",
+        RequestResult::Failed => "ended failed",
+        RequestResult::Cancelled => "ended withdrawn",
+        RequestResult::Named => "ended named",
     };
     let why = match ended.why {
-        Why::Asked => "as-asked",
-        Why::NoRoom => "no-room",
-        Why::Unusable => "unusable",
-        Why::MayHaveRun => "may-have-run",
-        Why::NoHost => "no-host",
-        Why::Host(status) => status_word(status),
-        Why::Crowded => "crowded",
+        ResultReason::Completed => "as-asked",
+        ResultReason::TableFull => "no-room",
+        ResultReason::InvalidRequest => "unusable",
+        ResultReason::MayHaveRun => "may-have-run",
+        ResultReason::NoEndpoint => "no-host",
+        ResultReason::Attempt(status) => status_word(status),
+        ResultReason::Overloaded => "crowded",
     };
     let line = format!(
         "request={} {} arrived={} budget={} took={} why={why} bytes={} attempts={} host={} source={}",
@@ -457,14 +458,14 @@
         whole_micros(ended.took),
         ended.bytes,
         ended.attempts,
-        ended.host.as_deref().unwrap_or("-"),
+        ended.endpoint.as_deref().unwrap_or("-"),
         ended.source.as_deref().unwrap_or("-")
     );
     Effect::new(kind, line)
 }
 
-fn legacy_words(legacy: &legacy::Legacy, later: &[legacy::Filing]) -> String {
-    let member = |line: &legacy::Line| {
+fn legacy_words(legacy: &handover_state::HandoverState, later: &[handover_state::PendingWrite]) -> String {
+    let member = |line: &handover_state::EndpointRecord| {
         let address = optional(line.addr);
         let place = format!("{}/{}/{}", line.zone, line.kind, line.cell);
         format!(
@@ -475,8 +476,9 @@
             line.started.as_micros()
         )
     };
-    let once =
-        |filing: &legacy::Filing| format!("{} {} {}", filing.0, filing.1.as_micros(), optional(filing.2));
+    let once = |filing: &handover_state::PendingWrite| {
+        format!("{} {} {}", filing.0, filing.1.as_micros(), optional(filing.2))
+    };
     let members: Vec<String> = legacy.members.iter().map(member).collect();
     let known: Vec<String> = legacy.filings.iter().map(once).collect();
     let later: Vec<String> = later.iter().map(once).collect();
--- a/crates/core/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -2,9 +2,9 @@
 //! second answers, breaks, cancels, closes, drains, purges, stalls and the end has to leave every client that still waits
 //! with exactly one final answer, and nothing may go out that a rule forbids.
 
-use hollymux_core::chain::Pool;
-use hollymux_core::*;
-use hollymux_decide::*;
+use hollymux_decision::*;
+use hollymux_router::buffers::BufferPool;
+use hollymux_router::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,29 +13,29 @@
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
 const WINDOW: Duration = Duration::from_millis(900);
-/// What may be repeated, what hosts tell apart for `WINDOW`, and what never runs twice.
-const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
+/// What may be repeated, what endpoints tell apart for `WINDOW`, and what never runs twice.
+const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
 const NAMES: [&str; 3] = ["read", "order", "filing"];
 const UIDS: [&str; 6] = ["s-a", "s-b", "s-c", "s-p", "s-q", "s-o"];
 const ATTEMPTS: u32 = 4;
 
 fn settings() -> Settings {
-    let class = |effect| Class {
-        aim: Duration::from_millis(250),
+    let class = |idempotency| RequestClass {
+        latency_objective: Duration::from_millis(250),
         deadline: Duration::from_secs(2),
-        effect,
-        scope: Scope::All,
+        idempotency,
+        scope: DeduplicationScope::All,
         window: WINDOW,
-        write: effect != Effect::Safe,
-        ..Class::default()
+        write: idempotency != Idempotency::Idempotent,
+        ..RequestClass::default()
     };
     Settings {
         classes: EFFECTS.map(class).to_vec(),
-        dispatchers: 2,
+        router_count: 2,
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
-        direct: true,
-        weights: Weights::Size,
+        bypass_edge_cache: true,
+        weights: ListedWeights::Size,
         max_attempts: ATTEMPTS,
         cancel: true,
         retry_after: true,
@@ -44,17 +44,17 @@
         purge_done: Duration::from_secs(6),
         purge_slack: Duration::from_millis(300),
         drain_grace: Duration::from_millis(500),
-        cold_from: 0.2,
-        cold_for: Duration::from_secs(10),
-        fall_multiple: 2.5,
-        fall_after: Duration::from_secs(1),
+        warm_up_floor: 0.2,
+        warm_up_period: Duration::from_secs(10),
+        overload_multiple: 2.5,
+        overload_window: Duration::from_secs(1),
         ..Settings::default()
     }
 }
 
-fn member(i: usize, state: HostState) -> Member {
-    let entry = HostEntry {
-        id: host_id(UIDS[i]),
+fn member(i: usize, state: EndpointState) -> ListedEndpoint {
+    let entry = EndpointEntry {
+        id: endpoint_id(UIDS[i]),
         cell: 0,
         zone: u16::from(i > 2),
         kind: [0, 0, 0, PARENT, PARENT, ORIGIN][i],
@@ -64,7 +64,7 @@
         in_place_of: None,
     };
     let addr = Some(([127, 0, 0, 1], 5_000 + i as u16).into());
-    Member { entry, uid: UIDS[i].into(), addr }
+    ListedEndpoint { entry, uid: UIDS[i].into(), addr }
 }
 
 /// What is known of a client's request.
@@ -78,24 +78,24 @@
 
 struct World {
     router: Router,
-    pool: Pool,
+    pool: BufferPool,
     now: Timestamp,
     wakes: BTreeMap<(Timestamp, usize), Wake>,
     serial: usize,
     /// Who is owed an answer.
-    owed: BTreeMap<Client, Asked>,
-    whose: BTreeMap<u32, Client>,
+    owed: BTreeMap<ClientHandle, Asked>,
+    whose: BTreeMap<u32, ClientHandle>,
     /// Attempts that are out, and when they were sent.
     out: BTreeMap<AttemptId, Timestamp>,
     /// Attempts that were given up or answered: their shelfs may still speak.
     past: Vec<AttemptId>,
-    ready: BTreeSet<HostId>,
+    ready: BTreeSet<EndpointId>,
     answered: usize,
 }
 
 impl World {
     fn new() -> World {
-        let setup = Setup {
+        let setup = RouterOptions {
             settings: settings(),
             classes: NAMES.map(str::to_string).to_vec(),
             seed: 7,
@@ -104,7 +104,7 @@
         };
         let mut world = World {
             router: Router::new(setup, false).unwrap(),
-            pool: Pool::new(1_000),
+            pool: BufferPool::new(1_000),
             now: START,
             wakes: BTreeMap::new(),
             serial: 0,
@@ -112,11 +112,11 @@
             whose: BTreeMap::new(),
             out: BTreeMap::new(),
             past: Vec::new(),
-            ready: UIDS.iter().map(|u| host_id(u)).collect(),
+            ready: UIDS.iter().map(|u| endpoint_id(u)).collect(),
             answered: 0,
         };
-        let lines = (0..UIDS.len()).map(|i| member(i, HostState::Ready)).collect();
-        world.feed(Input::Told(Told::Members { all: true, lines }));
+        let lines = (0..UIDS.len()).map(|i| member(i, EndpointState::Ready)).collect();
+        world.feed(Input::Feed(FeedEvent::Endpoints { all: true, lines }));
         world
     }
 
@@ -128,18 +128,18 @@
 
     fn check(&mut self, command: Command) {
         match command {
-            Command::Send(order) => {
+            Command::SendAttempt(order) => {
                 let asked = self.owed.get_mut(&order.client).expect("sent for a client that is owed nothing");
                 let request = order.attempt.request;
                 assert!(self.out.keys().all(|a| a.request != request), "two attempts out");
-                assert!(self.ready.contains(&order.target.host), "sent to one that takes no work");
+                assert!(self.ready.contains(&order.target.endpoint), "sent to one that takes no work");
                 let source = order.target.fill.source;
                 assert!(source.is_none_or(|s| self.ready.contains(&s)), "a source that takes no work");
                 asked.attempts += 1;
                 assert!(asked.attempts <= ATTEMPTS, "too many attempts");
                 match (EFFECTS[asked.class], asked.ran) {
-                    (Effect::Unsafe, ran) => assert_eq!(ran, None, "it may have run"),
-                    (Effect::Keyed, Some(ran)) => {
+                    (Idempotency::NotIdempotent, ran) => assert_eq!(ran, None, "it may have run"),
+                    (Idempotency::WithKey, Some(ran)) => {
                         let by = order.by.expect("a repeat has an end");
                         assert!(self.now <= by && by < ran + WINDOW, "a repeat after its window");
                     }
@@ -149,7 +149,7 @@
                 self.out.insert(order.attempt, self.now);
             }
             // Written whole or not: it may have run.
-            Command::Quit { attempt, again } => {
+            Command::CancelAttempt { attempt, again } => {
                 let client = self.whose[&attempt.request];
                 assert_eq!(
                     again,
@@ -161,8 +161,8 @@
             Command::Reply(client, reply) => {
                 let asked = self.owed.remove(&client).expect("an answer that nobody is owed");
                 let ran = asked.ran.is_some() || self.out.keys().any(|a| self.whose[&a.request] == client);
-                let refused = matches!(reply, Reply::Refused(_));
-                let harmless = EFFECTS[asked.class] != Effect::Unsafe || !ran;
+                let refused = matches!(reply, Reply::Rejected(_));
+                let harmless = EFFECTS[asked.class] != Idempotency::NotIdempotent || !ran;
                 assert!(!refused || harmless, "refused, though it may have run");
                 self.answered += 1;
             }
@@ -188,7 +188,7 @@
         self.serial += 1;
         let tag = self.serial as u64;
         let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
-        let ask = Ask {
+        let ask = ClientRequest {
             rid: word(tag),
             class: NAMES[class].into(),
             object: word(object),
@@ -199,9 +199,9 @@
             key: None,
             body: self.pool.chain(),
         };
-        let client = Client { conn, tag };
+        let client = ClientHandle { conn, tag };
         self.owed.insert(client, Asked { class, ..Asked::default() });
-        self.feed(Input::Ask(client, ask));
+        self.feed(Input::Request(client, ask));
     }
 
     /// A shelf says something, or a connection breaks; one time in four of what is over already.
@@ -211,15 +211,22 @@
         let from = if over { &self.past } else { &live };
         let Some(attempt) = from.get(pick % from.len().max(1)).copied() else { return };
         let (input, ran) = match how % 9 {
-            0 | 1 => (Input::Said(attempt, Said::Data(Some(b"d1".to_vec()), self.pool.chain()), None), true),
-            2 => (Input::Said(attempt, Said::Absent, None), false),
-            3 => (Input::Said(attempt, Said::Full, None), false),
-            4 => (Input::Said(attempt, Said::Failed, None), true),
-            5 => (Input::Said(attempt, Said::Moot, None), false),
-            6 => (Input::Lost(attempt, Lost::Broken), true),
-            7 if pick.is_multiple_of(3) => (Input::Lost(attempt, Lost::Late), false),
-            7 => (Input::Lost(attempt, Lost::Refused), false),
-            _ => (Input::Lost(attempt, Lost::Unsent), false),
+            0 | 1 => (
+                Input::Responded(
+                    attempt,
+                    AttemptResponse::Data(Some(b"d1".to_vec()), self.pool.chain()),
+                    None,
+                ),
+                true,
+            ),
+            2 => (Input::Responded(attempt, AttemptResponse::Absent, None), false),
+            3 => (Input::Responded(attempt, AttemptResponse::AtCapacity, None), false),
+            4 => (Input::Responded(attempt, AttemptResponse::Failed, None), true),
+            5 => (Input::Responded(attempt, AttemptResponse::AlreadyCancelled, None), false),
+            6 => (Input::Failed(attempt, AttemptFailure::ConnectionLost), true),
+            7 if pick.is_multiple_of(3) => (Input::Failed(attempt, AttemptFailure::ConnectTimeout), false),
+            7 => (Input::Failed(attempt, AttemptFailure::ConnectionRefused), false),
+            _ => (Input::Failed(attempt, AttemptFailure::NotSent), false),
         };
         self.end(attempt, ran);
         self.feed(input);
@@ -239,26 +246,26 @@
         self.now = until;
     }
 
-    /// A host drains, goes or is back.
-    fn told(&mut self, i: usize, state: HostState) {
+    /// An endpoint drains, goes or is back.
+    fn told(&mut self, i: usize, state: EndpointState) {
         let line = member(i, state);
         let id = line.entry.id;
-        if state == HostState::Ready {
+        if state == EndpointState::Ready {
             self.ready.insert(id);
         } else {
             self.ready.remove(&id);
         }
-        self.feed(Input::Told(Told::Members { all: false, lines: vec![line] }));
+        self.feed(Input::Feed(FeedEvent::Endpoints { all: false, lines: vec![line] }));
     }
 
     /// A client cancels its oldest request, or closes its connection.
     fn leave(&mut self, conn: u64, cancels: bool) {
         let of = self.owed.keys().copied().filter(|c| c.conn == conn);
-        let gone: Vec<Client> = of.take(if cancels { 1 } else { usize::MAX }).collect();
+        let gone: Vec<ClientHandle> = of.take(if cancels { 1 } else { usize::MAX }).collect();
         self.owed.retain(|c, _| !gone.contains(c));
         match gone.first().filter(|_| cancels) {
-            Some(client) => self.feed(Input::Undo(*client)),
-            None => self.feed(Input::Left(conn)),
+            Some(client) => self.feed(Input::Cancel(*client)),
+            None => self.feed(Input::ClientClosed(conn)),
         }
     }
 }
@@ -273,12 +280,14 @@
         12 => world.leave(conn, true),
         13 => world.leave(conn, false),
         14 => {
-            let state = [HostState::Draining, HostState::Gone, HostState::Ready, HostState::Ready][pick % 4];
+            let state =
+                [EndpointState::Draining, EndpointState::Gone, EndpointState::Ready, EndpointState::Ready]
+                    [pick % 4];
             world.told(usize::from(who) % UIDS.len(), state);
         }
         _ => {
             let object = pick.is_multiple_of(2).then_some(pick as u64 % 5);
-            world.feed(Input::Told(Told::Purge {
+            world.feed(Input::Feed(FeedEvent::Purge {
                 object,
                 group: 1,
                 at: world.now - Duration::from_millis(10),
@@ -301,7 +310,7 @@
         steps.into_iter().for_each(|s| step(&mut world, s));
         if cut {
             // The router's time is over: what is open is answered at once.
-            world.feed(Input::End);
+            world.feed(Input::Shutdown);
         } else {
             world.pass(Duration::from_secs(3), false);
         }
@@ -323,8 +332,8 @@
     world.ask(1, 2, 3);
     let filing = *world.out.keys().last().unwrap();
     world.end(filing, true);
-    world.feed(Input::Lost(filing, Lost::Broken));
+    world.feed(Input::Failed(filing, AttemptFailure::ConnectionLost));
     assert_eq!((world.answered, world.out.len()), (1, 1), "a filing that may have run is failed");
-    world.feed(Input::End);
+    world.feed(Input::Shutdown);
     assert_eq!((world.answered, world.out.len()), (2, 0));
 }
--- a/crates/core/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -1,7 +1,7 @@
 //! What the router is to its clients, under any order of signals, calls and replacements.
 
-use hollymux_core::lifecycle::*;
-use hollymux_decide::Timestamp;
+use hollymux_decision::Timestamp;
+use hollymux_router::lifecycle::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/node/src/clients.rs
+++ b/crates/server/src/clients.rs
@@ -1,10 +1,10 @@
 //! Clients' connections.
 
 use super::*;
-use hollymux_core::chain::Exhausted;
-use hollymux_core::{Ask, Client, Reply};
-use hollymux_wire::front::{self, Call, Tags};
-use hollymux_wire::resp::Decoder;
+use hollymux_protocol::client::{self, Call, Tags};
+use hollymux_protocol::resp::Decoder;
+use hollymux_router::buffers::Exhausted;
+use hollymux_router::{ClientHandle, ClientRequest, Reply};
 use std::collections::BTreeMap;
 
 /// Requests that may be open on one connection.
@@ -39,7 +39,7 @@
 pub(super) struct ClientConn {
     pub(super) stream: Stream,
     decoder: Decoder,
-    out: Chain,
+    out: BufferChain,
     /// Tags whose answer is owed, and since when.
     owed: BTreeMap<u64, Timestamp>,
     tags: Tags,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Driver {
+impl Server {
     pub(super) fn on_accept(&mut self, key: Key, listener: &mut TcpListener) -> Fate {
         for _ in 0..ACCEPTS {
             if !self.lifecycle.accepts(self.now) {
@@ -111,7 +111,7 @@
                     let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
                     let conn = ClientConn {
                         stream: Stream::new(socket, self.now),
-                        decoder: front::decoder(&self.pool),
+                        decoder: client::decoder(&self.pool),
                         out: self.pool.chain(),
                         owed: BTreeMap::new(),
                         tags: Tags::default(),
@@ -180,7 +180,7 @@
     }
 
     /// Whether a client has stopped waiting for a request, as far as this machine knows: what has come from him is read.
-    pub(super) fn has_left(&mut self, client: Client) -> bool {
+    pub(super) fn has_left(&mut self, client: ClientHandle) -> bool {
         // Nobody there: it was closed. A connection that is being served has been read.
         let Some(place) = self.at(client.conn) else { return true };
         let Some(Role::Client(mut conn)) = place.role.take() else { return false };
@@ -207,16 +207,16 @@
                     }
                     return Fate::Keep;
                 }
-                Ok(Some(frame)) => front::call(frame),
+                Ok(Some(frame)) => client::call(frame),
                 Err(e) => Err(e),
             };
             (conn.awaited, conn.first) = (None, None);
             let said = match call {
                 Ok(Call::Ping(tag)) => {
-                    front::fit(&self.pool, tag, self.lifecycle.ready()).map(|c| conn.out.append(c))
+                    client::fit(&self.pool, tag, self.lifecycle.ready()).map(|c| conn.out.append(c))
                 }
                 // A tag used twice: its answers could not be told apart, the client is out of step.
-                Ok(Call::Do(tag, _)) if !conn.tags.take(tag) => return Fate::Part,
+                Ok(Call::Do(tag, _)) if !conn.tags.take(tag) => return Fate::QuotaShare,
                 Ok(Call::Do(tag, Err(class))) => {
                     self.router.spoilt(&class);
                     self.say(conn, tag, Reply::Failed)
@@ -227,28 +227,28 @@
                     if open || self.pool.fuller_than(CROWDED) || !serves {
                         conn.sent_away = !serves;
                         conn.waste += u32::from(open);
-                        let ended = self.router.turn_away(self.now, &ask);
+                        let ended = self.router.reject_unopened(self.now, &ask);
                         ended.into_iter().for_each(|e| self.carry_out(e));
                         let wait = self.router.settings().max_retry_after.as_millis() as u64;
-                        self.say(conn, tag, Reply::Refused(wait))
+                        self.say(conn, tag, Reply::Rejected(wait))
                     } else {
                         conn.owed.insert(tag, self.now);
                         let ask = self.in_time(ask);
-                        self.inbox.push_back(Input::Ask(Client { conn: key, tag }, ask));
+                        self.inbox.push_back(Input::Request(ClientHandle { conn: key, tag }, ask));
                         Ok(())
                     }
                 }
                 Ok(Call::Undo(tag)) => {
                     if let Some(since) = conn.owed.remove(&tag) {
                         conn.waste += u32::from(self.now < since + HASTE);
-                        let client = Client { conn: key, tag };
+                        let client = ClientHandle { conn: key, tag };
                         if !self.unask(|c| c == client) {
-                            self.inbox.push_back(Input::Undo(client));
+                            self.inbox.push_back(Input::Cancel(client));
                         }
                     }
                     Ok(())
                 }
-                Err(_) => return Fate::Part,
+                Err(_) => return Fate::QuotaShare,
             };
             let kept = said.is_ok() && conn.waste <= WASTE_MOST && !self.overfull(conn);
             if !kept || self.flush(key, &mut conn.stream, &mut conn.out) == Fate::Close {
@@ -258,7 +258,7 @@
     }
 
     /// A request with no more time than this process has.
-    fn in_time(&self, mut ask: Ask) -> Ask {
+    fn in_time(&self, mut ask: ClientRequest) -> ClientRequest {
         if let Some(by) = self.lifecycle.ends_by(self.longest()) {
             ask.budget = ask.budget.min(by.saturating_duration_since(self.now).as_millis() as u64).max(1);
         }
@@ -267,9 +267,9 @@
 
     /// Takes back requests that were read but not handed on yet, so that nothing is sent for them; whether there
     /// was one.
-    pub(super) fn unask(&mut self, whose: impl Fn(Client) -> bool) -> bool {
+    pub(super) fn unask(&mut self, whose: impl Fn(ClientHandle) -> bool) -> bool {
         let before = self.inbox.len();
-        self.inbox.retain(|i| !matches!(i, Input::Ask(client, _) if whose(*client)));
+        self.inbox.retain(|i| !matches!(i, Input::Request(client, _) if whose(*client)));
         before != self.inbox.len()
     }
 
@@ -279,16 +279,16 @@
     }
 
     fn say(&mut self, conn: &mut ClientConn, tag: u64, reply: Reply) -> Result<(), Exhausted> {
-        conn.out.append(front::reply(&self.pool, tag, reply)?);
+        conn.out.append(client::reply(&self.pool, tag, reply)?);
         Ok(())
     }
 
     /// Puts a final answer on its connection, if that is still there.
-    pub(super) fn answer(&mut self, client: Client, reply: Reply) {
+    pub(super) fn answer(&mut self, client: ClientHandle, reply: Reply) {
         let Some(Role::Client(mut conn)) = self.take(client.conn) else { return };
         if conn.owed.remove(&client.tag).is_none() {
             // The client has stopped waiting, and the core hears of it next; else it would be a second answer.
-            if !self.inbox.iter().any(|i| matches!(i, Input::Undo(c) if *c == client)) {
+            if !self.inbox.iter().any(|i| matches!(i, Input::Cancel(c) if *c == client)) {
                 self.router.counters.broken += 1;
                 debug_assert!(false, "an answer that is not owed");
             }
@@ -339,7 +339,7 @@
     /// Takes back all that a client has asked for.
     pub(super) fn withdraw_all(&mut self, key: Key) {
         self.unask(|c| c.conn == key);
-        self.inbox.push_back(Input::Left(key));
+        self.inbox.push_back(Input::ClientClosed(key));
     }
 
     pub(super) fn any_client_owed(&self) -> bool {
@@ -366,7 +366,7 @@
         if stuck || left {
             Fate::Close
         } else if conn.closing.is_none() && conn.resting() && (idle || partial) && !conn.unread() {
-            Fate::Part
+            Fate::QuotaShare
         } else {
             Fate::Keep
         }
--- a/crates/node/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,9 +1,9 @@
 //! The platform's configuration file, JSON.
 
 use crate::renewal;
-use hollymux_core::{Setup, Told};
-use hollymux_decide::{settings_from, Pairs, Settings, SettingsError};
-use hollymux_wire::events::Names;
+use hollymux_decision::{parse_settings, Settings, SettingsError, SettingsMap};
+use hollymux_protocol::feed_events::Names;
+use hollymux_router::{FeedEvent, RouterOptions};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
     /// Where operators call; none: nowhere.
     pub door: Option<SocketAddr>,
     /// The number of the last event known, and the events.
-    pub known: (u64, Vec<Told>),
+    pub known: (u64, Vec<FeedEvent>),
     /// What the module works by.
     pub settings: Settings,
     /// Names of numbers.
@@ -120,8 +120,8 @@
 
 impl Config {
     /// What the core is started with.
-    pub fn setup(&self) -> Setup {
-        Setup {
+    pub fn setup(&self) -> RouterOptions {
+        RouterOptions {
             settings: self.settings.clone(),
             classes: self.names.classes.clone(),
             seed: self.seed,
@@ -154,8 +154,8 @@
         let file = File::deserialize(&whole).map_err(|e| wrong(&e))?;
         let mut map = BTreeMap::new();
         flatten("", &file.settings, &mut map);
-        let p = Pairs::new(map);
-        let settings = settings_from(&p).map_err(|e| wrong(&e))?;
+        let p = SettingsMap::new(map);
+        let settings = parse_settings(&p).map_err(|e| wrong(&e))?;
         settings.check().map_err(|e| wrong(&e))?;
         let class = |i| p.read(&format!("classes.{i}.name")).map(Option::unwrap_or_default);
         let classes: Result<Vec<String>, _> = (0..settings.classes.len()).map(class).collect();
--- a/crates/node/src/dns.rs
+++ b/crates/server/src/dns.rs
@@ -1,10 +1,10 @@
 //! The sockets of the DNS front: queries over UDP and TCP, and the lookups of a follower.
 
 use super::*;
-use hollymux_core::{Found, Wanted};
-use hollymux_decide::{Effect, RequestId};
-use hollymux_wire::dns::{self, Answer, Framer, Name, Query, Rcode};
-use hollymux_wire::routing::{self, Place as At};
+use hollymux_decision::{Idempotency, RequestId};
+use hollymux_protocol::dns::{self, Answer, Framer, Name, Query, Rcode};
+use hollymux_protocol::dns_routing::{self, Place as At};
+use hollymux_router::{LookupResult, RequestedObject};
 use rand_core::RngCore;
 use std::net::IpAddr;
 
@@ -23,7 +23,7 @@
 pub(super) struct DnsConn {
     pub(super) stream: Stream,
     framer: Framer,
-    out: Chain,
+    out: BufferChain,
     used: Timestamp,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-impl Driver {
+impl Server {
     pub(super) fn open_dns(&mut self) -> io::Result<()> {
         let Some(front) = self.operator.dns.clone() else { return Ok(()) };
         if let Some(listen) = front.listen {
@@ -159,42 +159,42 @@
 
     fn decide(&mut self, query: &Query) -> Answer {
         let zone = &self.zone;
-        let wanted = match routing::place(&query.name, zone, self.router.classes()) {
+        let wanted = match dns_routing::place(&query.name, zone, self.router.classes()) {
             At::Elsewhere => return Answer::code(Rcode::Refused),
-            At::Nowhere => return routing::nothing(Rcode::NxDomain, zone),
-            At::Apex => return routing::apex(query.kind, zone),
-            At::Between => return routing::nothing(Rcode::NoError, zone),
+            At::Nowhere => return dns_routing::nothing(Rcode::NxDomain, zone),
+            At::Apex => return dns_routing::apex(query.kind, zone),
+            At::Between => return dns_routing::nothing(Rcode::NoError, zone),
             At::Box(uid) => {
-                return match self.router.standing(&uid) {
-                    Some(addr) => routing::standing(query.kind, zone, addr),
-                    None => routing::nothing(Rcode::NxDomain, zone),
+                return match self.router.ready_address(&uid) {
+                    Some(addr) => dns_routing::ready_address(query.kind, zone, addr),
+                    None => dns_routing::nothing(Rcode::NxDomain, zone),
                 };
             }
-            At::Wanted(wanted) => wanted,
+            At::RequestedObject(wanted) => wanted,
         };
-        if !routing::answers(query.kind) {
-            return routing::nothing(Rcode::NoError, zone);
+        if !dns_routing::answers(query.kind) {
+            return dns_routing::nothing(Rcode::NoError, zone);
         }
         let found = self.router.lookup(self.now, wanted, &mut self.commands);
         for command in std::mem::take(&mut self.commands) {
             self.carry_out(command);
         }
         match found {
-            Found::Box(target) => routing::named(query.kind, &self.zone, &target),
-            Found::Refused => Answer::code(Rcode::Refused),
-            Found::Failed => Answer::code(Rcode::ServFail),
+            LookupResult::Endpoint(target) => dns_routing::named(query.kind, &self.zone, &target),
+            LookupResult::Rejected => Answer::code(Rcode::Refused),
+            LookupResult::Failed => Answer::code(Rcode::ServFail),
         }
     }
 
     // ---- following ----
 
     /// Asks where a request is to go.
-    pub(super) fn look(&mut self, request: RequestId, wanted: &Wanted) {
-        let once = self.router.classes().effect(wanted.class) == Effect::Unsafe;
-        let wanted = Wanted { rid: wanted.rid.filter(|_| once), ..wanted.clone() };
-        let name = routing::name_of(&wanted, &self.zone, self.router.classes());
+    pub(super) fn look(&mut self, request: RequestId, wanted: &RequestedObject) {
+        let once = self.router.classes().idempotency(wanted.class) == Idempotency::NotIdempotent;
+        let wanted = RequestedObject { rid: wanted.rid.filter(|_| once), ..wanted.clone() };
+        let name = dns_routing::name_of(&wanted, &self.zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.asked.len() < ASKED_MOST) else {
-            return self.inbox.push_back(Input::Found(request, Found::Failed));
+            return self.inbox.push_back(Input::LookedUp(request, LookupResult::Failed));
         };
         let mut id = self.resolver.rng.next_u64() as u16;
         while self.resolver.asked.contains_key(&id) {
@@ -210,7 +210,7 @@
         if asked.times >= ASKS {
             let request = asked.request;
             self.resolver.asked.remove(&id);
-            return self.inbox.push_back(Input::Found(request, Found::Failed));
+            return self.inbox.push_back(Input::LookedUp(request, LookupResult::Failed));
         }
         asked.times += 1;
         let bytes = dns::ask(id, &asked.name);
@@ -235,13 +235,13 @@
             let Some((code, pointed)) = dns::read_answer(&buffer[..n], id, &asked.name) else { continue };
             let request = asked.request;
             self.resolver.asked.remove(&id);
-            let hint = pointed.and_then(routing::hint);
+            let hint = pointed.and_then(dns_routing::hint);
             let found = match (code == Rcode::Refused as u16, hint) {
-                (true, _) => Found::Refused,
-                (false, Some(hint)) if code == Rcode::NoError as u16 => Found::Box(hint),
-                _ => Found::Failed,
+                (true, _) => LookupResult::Rejected,
+                (false, Some(hint)) if code == Rcode::NoError as u16 => LookupResult::Endpoint(hint),
+                _ => LookupResult::Failed,
             };
-            self.inbox.push_back(Input::Found(request, found));
+            self.inbox.push_back(Input::LookedUp(request, found));
         }
         Fate::Keep
     }
--- a/crates/node/src/feed.rs
+++ b/crates/server/src/feed.rs
@@ -1,7 +1,7 @@
 //! The connection to the control feed.
 
 use super::*;
-use hollymux_wire::control_feed::{call, Reader};
+use hollymux_protocol::endpoint_feed::{call, Reader};
 use rand_core::RngCore;
 
 /// A comment arrives every second; silence for this long means that the connection is dead. Each call adds a part of its
@@ -15,13 +15,13 @@
 pub(super) struct Feed {
     pub(super) stream: Stream,
     reader: Reader,
-    out: Chain,
+    out: BufferChain,
     heard: Timestamp,
     /// The silence that is borne.
     patience: Duration,
 }
 
-impl Driver {
+impl Server {
     /// Calls the feed for what comes after the last event known.
     pub(super) fn open_feed(&mut self) {
         if self.feed_key.is_some() {
@@ -66,7 +66,7 @@
                 return Fate::Close;
             }
         }
-        self.read_from(feed, READS, |f| &mut f.stream, Driver::feed_bytes)
+        self.read_from(feed, READS, |f| &mut f.stream, Server::feed_bytes)
     }
 
     fn feed_bytes(&mut self, feed: &mut Feed, bytes: &[u8]) -> Fate {
