--- a/crates/node/src/fleet.rs
+++ b/crates/server/src/fleet.rs
@@ -1,14 +1,14 @@
 //! The driver of the fleet's view: one socket, one timer, and the number of routers for the core. What the datagrams
-//! mean is in `hollymux-fleet`. Without the section `fleet` of the operator's file nothing of this exists.
+//! mean is in `hollymux-cluster`. Without the section `fleet` of the operator's file nothing of this exists.
 
 use super::*;
 use crate::operator::Section;
 use crate::shelfs::UNSENT;
-use hollymux_decide::time::MICROSECOND;
-use hollymux_decide::HostId;
-use hollymux_fleet::limits::{self, Limits, Standing, Terms, WHOLE};
-use hollymux_fleet::view::{Change, Phase as Doing, Rank, Record, Seen, Setup, Times, View};
-use hollymux_fleet::DATAGRAM_MOST;
+use hollymux_cluster::limits::{self, LeaseStatus, LeaseTimings, Limits, WHOLE};
+use hollymux_cluster::view::{Change, Membership, Phase as Doing, Rank, Record, Seen, Setup, Times};
+use hollymux_cluster::DATAGRAM_MOST;
+use hollymux_decision::time::MICROSECOND;
+use hollymux_decision::EndpointId;
 use serde_json::{json, Value};
 
 /// Datagrams that are read, and sent, in one turn of the loop: clients come before the rest.
@@ -20,7 +20,7 @@
 /// The view with its socket.
 pub(super) struct Fleet {
     section: Section,
-    view: View,
+    view: Membership,
     /// The socket's place; none while another process has it, or while it can't be had.
     socket: Option<Key>,
     /// The timer that is set; those set for later are passed over.
@@ -56,7 +56,7 @@
             },
             seed: config.seed ^ now.as_micros(),
         };
-        let view = View::new(setup, now.as_micros());
+        let view = Membership::new(setup, now.as_micros());
         let section = section.clone();
         Fleet {
             section,
@@ -75,21 +75,21 @@
         let Some(leases) = &self.section.limits else { return };
         let ms = |v: u64| v * MICROS_PER_MILLI;
         let s = &config.settings;
-        let here = s.dispatchers_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
-        let terms = Terms {
+        let here = s.router_count_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
+        let terms = LeaseTimings {
             lease: ms(leases.lease_ms),
             onward: ms(leases.onward_ms),
             turn: ms(leases.turn_ms),
             // What is decided now may be written so much later.
-            window: whole_micros(s.fall_after + UNSENT),
-            ..Terms::default()
+            window: whole_micros(s.overload_window + UNSENT),
+            ..LeaseTimings::default()
         };
         let setup = limits::Setup {
             fleet: self.section.name.clone(),
             addr: self.section.advertised(),
             // Processes that have one address one after another differ in one of them.
             life: now.as_micros().rotate_left(20) ^ u64::from(std::process::id()) | 1,
-            configured: (s.dispatchers, here),
+            configured: (s.router_count, here),
             terms,
         };
         self.limits = Some(Limits::new(setup, now.as_micros()));
@@ -104,7 +104,7 @@
     }
 }
 
-impl Driver {
+impl Server {
     /// Opens the socket, if there is a section for it and nobody else has it. What can't be had yet is asked for again:
     /// that is no reason not to serve, and until then the configured number of routers counts.
     pub(super) fn open_fleet(&mut self) {
@@ -135,7 +135,7 @@
             match socket.recv(&mut bytes) {
                 Ok(n) if Limits::is_for(&bytes[..n]) => {
                     if let Some(limits) = &mut fleet.limits {
-                        let demands = demands.get_or_insert_with(|| self.router.cold_demands(self.now));
+                        let demands = demands.get_or_insert_with(|| self.router.warm_up_demands(self.now));
                         limits.demand(self.now.as_micros(), demands);
                         limits.datagram(self.now.as_micros(), &bytes[..n]);
                     }
@@ -158,7 +158,7 @@
             fleet.view.tick(self.now.as_micros());
         }
         if let Some(limits) = fleet.limits.as_mut().filter(|l| self.now.as_micros() >= l.due()) {
-            limits.demand(self.now.as_micros(), &self.router.cold_demands(self.now));
+            limits.demand(self.now.as_micros(), &self.router.warm_up_demands(self.now));
             limits.tick(self.now.as_micros());
         }
         if self.now >= fleet.planned {
@@ -328,8 +328,8 @@
         let limits = fleet.limits.as_ref()?;
         let (open, all, here) = limits.homes();
         let part = |parts: u32| f64::from(parts) / f64::from(WHOLE);
-        let line = |s: Standing| {
-            json!({"server": self.router.uid(HostId(s.limit)).map(str::to_string), "limit": format!("{:016x}", s.limit),
+        let line = |s: LeaseStatus| {
+            json!({"server": self.router.uid(EndpointId(s.limit)).map(str::to_string), "limit": format!("{:016x}", s.limit),
                    "shared_by": s.sharers.name(), "share": part(s.home), "held": part(s.held), "lent": part(s.lent),
                    "may_use": part(s.has), "used": part(s.used), "wanted": part(s.wanted),
                    "broker": s.broker.map_or("this router".to_string(), |b| b.to_string())})
@@ -359,7 +359,7 @@
     /// The same in numbers.
     fn limits_figures(limits: &Limits) -> String {
         let (open, all, here) = limits.homes();
-        let sum = |f: fn(&Standing) -> u32| {
+        let sum = |f: fn(&LeaseStatus) -> u32| {
             limits.standings().iter().map(|s| u64::from(f(s)) * 1_000 / u64::from(WHOLE)).sum::<u64>()
         };
         let c = limits.counts;
@@ -408,7 +408,7 @@
             ("unsent", fleet.unsent),
         ];
         let view: String = lines.iter().map(|(name, value)| format!("svc.fleet_{name}={value}\n")).collect();
-        view + &fleet.limits.as_ref().map_or(String::new(), Driver::limits_figures)
+        view + &fleet.limits.as_ref().map_or(String::new(), Server::limits_figures)
     }
 }
 
--- a/crates/node/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -5,8 +5,8 @@
 //! one has said `Yours`. Whatever fails on the way leaves the old one serving, or the new one starting from nothing.
 
 use super::*;
-use hollymux_core::legacy::Legacy;
-use hollymux_wire::handover::{Message, Reader};
+use hollymux_protocol::handover::{Message, Reader};
+use hollymux_router::handover_state::HandoverState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, SocketAddrUnix,
@@ -37,7 +37,7 @@
 /// What the old process gave.
 pub(super) struct Heritage {
     pub(super) listener: TcpListener,
-    pub(super) legacy: Option<Box<Legacy>>,
+    pub(super) legacy: Option<Box<HandoverState>>,
     socket: UnixStream,
     reader: Reader,
 }
@@ -90,7 +90,7 @@
         }
         reader.feed(&bytes[..got]);
         match reader.message().map_err(|e| e.to_string())? {
-            Some(Message::Legacy(legacy)) => {
+            Some(Message::HandoverState(legacy)) => {
                 let listener = TcpListener::from(listener.ok_or("it gave no listening socket")?);
                 if listener.local_addr().ok() != Some(listen) {
                     return Err("its listening socket is for another address".into());
@@ -133,7 +133,7 @@
     }
 }
 
-impl Driver {
+impl Server {
     /// Takes what the old process gave: its list at once, what it learnt when the control feed has been heard.
     pub(super) fn inherit(&mut self, heritage: Heritage) -> io::Result<TcpListener> {
         let Heritage { listener, legacy, socket, reader } = heritage;
@@ -212,14 +212,14 @@
                 legacy.zones.clone_from(&driver.config.names.zones);
                 legacy.kinds.clone_from(&driver.config.names.kinds);
                 peer.gives = true;
-                peer.out.extend(Message::Legacy(Some(Box::new(legacy))).bytes());
+                peer.out.extend(Message::HandoverState(Some(Box::new(legacy))).bytes());
                 info!("another process takes over");
                 true
             }
             Message::Take if peer.greeted => {
                 peer.took = true;
                 driver.live(Event::Replaced);
-                let since = driver.router.new_filings();
+                let since = driver.router.take_new_pending_writes();
                 peer.out.extend(Message::Filings(since).bytes());
                 if let Some((start, incarnation)) = driver.fleet_give() {
                     peer.out.extend(Message::Fleet(start, incarnation).bytes());
@@ -235,7 +235,7 @@
     pub(super) fn on_forebear(&mut self, key: Key, peer: &mut Peer, flags: EventFlags) -> Fate {
         self.on_peer(key, peer, flags, |driver, _, message| match message {
             Message::Filings(filings) => {
-                driver.router.recall_filings(driver.now, &filings);
+                driver.router.restore_pending_writes(driver.now, &filings);
                 true
             }
             Message::Fleet(start, incarnation) => {
@@ -255,10 +255,10 @@
         key: Key,
         peer: &mut Peer,
         flags: EventFlags,
-        hear: fn(&mut Driver, &mut Peer, Message) -> bool,
+        hear: fn(&mut Server, &mut Peer, Message) -> bool,
     ) -> Fate {
         if flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
-            let hand = |driver: &mut Driver, peer: &mut Peer, bytes: &[u8]| {
+            let hand = |driver: &mut Server, peer: &mut Peer, bytes: &[u8]| {
                 peer.reader.feed(bytes);
                 loop {
                     let message = match peer.reader.message() {
@@ -318,7 +318,7 @@
         if !matches!(self.seen(key), Some(Role::Heir(p)) if p.took) {
             return;
         }
-        let filings = self.router.new_filings();
+        let filings = self.router.take_new_pending_writes();
         if filings.is_empty() {
             return;
         }
@@ -332,7 +332,7 @@
     /// The new process is gone: what was handed over is this one's again, unless it is ending.
     pub(super) fn heir_closed(&mut self) {
         self.heir = None;
-        self.router.keep_filings();
+        self.router.stop_tracking_pending_writes();
         self.share();
         self.live(Event::Alone);
         // It had put its own meeting place where this one's was.
@@ -387,7 +387,7 @@
                 let drained = legacy.drained(&self.config.names.zones, &self.config.names.kinds);
                 self.tell(drained);
                 self.settle();
-                self.router.recall(self.now, &legacy);
+                self.router.restore(self.now, &legacy);
             }
             self.live(Event::Began);
             self.open_meeting();
--- a/crates/node/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,5 +1,5 @@
 //! The driver: epoll, connections, timers and signals. Only this touches sockets; what the bytes mean is in
-//! `hollymux-wire`, what is done about it in `hollymux-core`.
+//! `hollymux-protocol`, what is done about it in `hollymux-router`.
 
 mod clients;
 pub mod config;
@@ -21,14 +21,14 @@
 use dns::{DnsConn, Resolver};
 use feed::Feed;
 use handover::Peer;
-use hollymux_core::chain::{Chain, Pool, BUFFER};
-use hollymux_core::legacy::Legacy;
-use hollymux_core::lifecycle::{Event, Lifecycle, Phase, FAREWELL, LINGER};
-use hollymux_core::{AttemptId, Command, Ended, Input, Router, Told, Wake};
-use hollymux_decide::time::whole_micros;
-use hollymux_decide::{HostId, Timestamp};
-use hollymux_record::{Head, Recorder, Sink};
-use hollymux_wire::dns::Name;
+use hollymux_capture::{Head, Recorder, Sink};
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::{EndpointId, Timestamp};
+use hollymux_protocol::dns::Name;
+use hollymux_router::buffers::{BufferChain, BufferPool, BUFFER};
+use hollymux_router::handover_state::HandoverState;
+use hollymux_router::lifecycle::{Event, Lifecycle, Phase, FAREWELL, LINGER};
+use hollymux_router::{AttemptId, Command, FeedEvent, Input, RequestSummary, Router, Wake};
 use operations::DoorConn;
 use operator::Operator;
 use places::{fd, Place};
@@ -116,11 +116,11 @@
     Keep,
     Close,
     /// A client's connection is shut, and read to its end.
-    Part,
+    QuotaShare,
 }
 
 /// One request router on its sockets.
-pub struct Driver {
+pub struct Server {
     poll: OwnedFd,
     clock: Clock,
     now: Timestamp,
@@ -128,7 +128,7 @@
     /// The file that the configuration came from; SIGHUP has it read again.
     path: PathBuf,
     router: Router,
-    pool: Pool,
+    pool: BufferPool,
     wheel: Wheel<Timer>,
     places: Vec<Place>,
     free: Vec<u32>,
@@ -138,7 +138,7 @@
     /// Listeners that are not asked for now.
     paused: Vec<Key>,
     clients: usize,
-    shelfs: HashMap<HostId, shelfs::Line>,
+    shelfs: HashMap<EndpointId, shelfs::Line>,
     attempts: HashMap<AttemptId, Key>,
     shelf_conns: usize,
     operator: Operator,
@@ -157,7 +157,7 @@
     heir: Option<Key>,
     forebear: Option<Key>,
     /// What that one handed over, until this one serves.
-    legacy: Option<Box<Legacy>>,
+    legacy: Option<Box<HandoverState>>,
     /// What this router knows of others, if it is to know them.
     fleet: Option<Box<fleet::Fleet>>,
     /// Limits are shared with one of them.
@@ -170,17 +170,17 @@
     scratch: Vec<u8>,
 }
 
-impl Driver {
+impl Server {
     /// Binds the listener, registers the signals and takes what the configuration already knows.
-    pub fn new(mut config: Config, path: PathBuf, operator: Operator) -> io::Result<Driver> {
+    pub fn new(mut config: Config, path: PathBuf, operator: Operator) -> io::Result<Server> {
         let clock = Clock::start();
         let now = clock.now();
         let follows = operator.dns.as_ref().is_some_and(|d| d.follow.is_some());
         let router = Router::new(config.setup(), follows).map_err(io::Error::other)?;
         let known = std::mem::take(&mut config.known.1);
         let recorder = recorder(&operator, &config, &router)?;
-        let pool = Pool::new(pool_most(&config));
-        let mut driver = Driver {
+        let pool = BufferPool::new(pool_most(&config));
+        let mut driver = Server {
             poll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             clock,
             now,
@@ -354,7 +354,7 @@
             Timer::Fleet => self.fleet_turn(),
             Timer::Over => {
                 self.over = true;
-                self.inbox.push_back(Input::End);
+                self.inbox.push_back(Input::Shutdown);
             }
         }
         self.settle();
@@ -439,7 +439,7 @@
         self.over || done
     }
 
-    /// The order in which news is taken. After a stall much has come at once: first that a host takes no more work,
+    /// The order in which news is taken. After a stall much has come at once: first that an endpoint takes no more work,
     /// then operators, who wait a second at most, then that clients have left, and only then what has work sent.
     fn turn(&self, key: Key) -> u8 {
         match self.seen(key) {
@@ -453,38 +453,40 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::Send(order) => self.send(order),
-            Command::Quit { attempt, again } => self.quit(attempt, again),
-            Command::Look(request, wanted) => self.look(request, &wanted),
+            Command::SendAttempt(order) => self.send(order),
+            Command::CancelAttempt { attempt, again } => self.quit(attempt, again),
+            Command::Lookup(request, wanted) => self.look(request, &wanted),
             Command::Reply(client, reply) => self.answer(client, reply),
             Command::Wake(at, wake) => self.wheel.set(at, Timer::Core(wake)),
-            Command::Probe(host, addr) => self.probe(host, addr),
-            Command::Drop(host) => self.drop_line(host, Fate::Close),
-            Command::Hold(host) => self.drop_line(host, Fate::Keep),
-            Command::Tried(t) => {
+            Command::Probe(endpoint, addr) => self.probe(endpoint, addr),
+            Command::CloseConnections(endpoint) => self.drop_line(endpoint, Fate::Close),
+            Command::StopSending(endpoint) => self.drop_line(endpoint, Fate::Keep),
+            Command::AttemptEnded(t) => {
                 let (request, number) = (t.attempt.request, t.attempt.number);
-                let (shelf, source) = (&*t.host, t.source.as_deref());
+                let (shelf, source) = (&*t.endpoint, t.source.as_deref());
                 let (status, took_us) = (t.status, whole_micros(t.took));
                 debug!(request, attempt = number, shelf, source, ?status, took_us, "attempt ended");
             }
-            Command::Ended(ended) => self.ended(&ended),
+            Command::RequestEnded(ended) => self.ended(&ended),
             Command::Log(line) => info!("{line}"),
         }
     }
 
     /// Hands on what the control feed told.
-    fn tell(&mut self, told: Told) {
+    fn tell(&mut self, told: FeedEvent) {
         if let Some(recorder) = &mut self.recorder {
             match &told {
-                Told::Members { lines, .. } => recorder.members(self.now.as_micros(), lines),
-                Told::Purge { object, group, .. } => recorder.purge(self.now.as_micros(), *object, *group),
+                FeedEvent::Endpoints { lines, .. } => recorder.members(self.now.as_micros(), lines),
+                FeedEvent::Purge { object, group, .. } => {
+                    recorder.purge(self.now.as_micros(), *object, *group)
+                }
             }
         }
-        self.inbox.push_back(Input::Told(told));
+        self.inbox.push_back(Input::Feed(told));
     }
 
     /// A request is closed: what there is to say of it.
-    fn ended(&mut self, e: &Ended) {
+    fn ended(&mut self, e: &RequestSummary) {
         if let Some(recorder) = &mut self.recorder {
             recorder.request(e);
         }
@@ -498,7 +500,7 @@
             took_us = whole_micros(e.took),
             bytes = e.bytes,
             attempts = e.attempts,
-            shelf = e.host.as_deref(),
+            shelf = e.endpoint.as_deref(),
             source = e.source.as_deref(),
             "request closed"
         );
--- a/crates/node/src/operations.rs
+++ b/crates/server/src/operations.rs
@@ -1,8 +1,8 @@
 //! Operators' connections: the second address of the configuration.
 
 use super::*;
-use hollymux_core::figures::Gauges;
-use hollymux_wire::operations::{answer, answer_json, Asked, Call, Reader};
+use hollymux_protocol::admin::{answer, answer_json, Asked, Call, Reader};
+use hollymux_router::metrics::Gauges;
 use rustix::net::Shutdown;
 
 /// Connections at the door at a time; the oldest that has not finished its call gives way to a new one.
@@ -13,12 +13,12 @@
 pub(super) struct DoorConn {
     pub(super) stream: Stream,
     reader: Reader,
-    out: Chain,
+    out: BufferChain,
     since: Timestamp,
     answered: bool,
 }
 
-impl Driver {
+impl Server {
     /// Listens at the operators' address, if there is one. One that is not to be had yet is asked for again: that is
     /// no reason not to serve.
     pub(super) fn open_door(&mut self) {
--- a/crates/node/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is on beyond the platform's protocol. Without it, nothing of this is.
 
-use hollymux_settings::{Check, Faults};
-use hollymux_wire::dns;
+use hollymux_config_file::{Check, Faults};
+use hollymux_protocol::dns;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/node/src/places.rs
+++ b/crates/server/src/places.rs
@@ -7,14 +7,14 @@
     pub(super) role: Option<Role>,
 }
 
-impl Driver {
+impl Server {
     /// Hands on what a connection has to read, up to so many buffers in a row: none starves the others.
     pub(super) fn read_from<C, S: Read + Write>(
         &mut self,
         conn: &mut C,
         reads: usize,
         stream: fn(&mut C) -> &mut Stream<S>,
-        mut hand: impl FnMut(&mut Driver, &mut C, &[u8]) -> Fate,
+        mut hand: impl FnMut(&mut Server, &mut C, &[u8]) -> Fate,
     ) -> Fate {
         let mut scratch = std::mem::take(&mut self.scratch);
         scratch.resize(BUFFER, 0);
@@ -85,7 +85,7 @@
         match fate {
             Fate::Keep => {}
             Fate::Close => self.close(key),
-            Fate::Part => self.part(key),
+            Fate::QuotaShare => self.part(key),
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Writes what waits, as far as the socket takes it, and asks to be told when it takes more.
-    pub(super) fn flush(&mut self, key: Key, stream: &mut Stream, out: &mut Chain) -> Fate {
+    pub(super) fn flush(&mut self, key: Key, stream: &mut Stream, out: &mut BufferChain) -> Fate {
         match stream.write(out, self.now) {
             Ok(all) => {
                 self.wait_for(key, stream, !all);
--- a/crates/node/src/reload.rs
+++ b/crates/server/src/reload.rs
@@ -3,13 +3,13 @@
 use super::*;
 use config::ConfigError;
 
-impl Driver {
+impl Server {
     /// Reads the configuration file again. Of a new file the settings and the feed's address apply; whatever is open,
     /// known or learnt is kept. All of it applies or nothing.
     pub(super) fn read_again(&mut self) {
         let new = Config::load(&self.path).and_then(|new| self.config.gives_way_to(&new).map(|()| new));
         let applied = new.and_then(|new| {
-            let retuned = self.router.retune(&new.settings, &new.names.classes);
+            let retuned = self.router.reconfigure(&new.settings, &new.names.classes);
             retuned.map(|()| new).map_err(ConfigError::from)
         });
         match applied {
--- a/crates/node/src/shelfs.rs
+++ b/crates/server/src/shelfs.rs
@@ -5,18 +5,18 @@
 mod tests;
 
 use super::*;
-use hollymux_core::figures::End;
-use hollymux_core::{Client, Lost, Order, Said};
-use hollymux_decide::Effect;
-use hollymux_wire::resp::{Decoder, RespError};
-use hollymux_wire::shelf;
+use hollymux_decision::Idempotency;
+use hollymux_protocol::endpoint;
+use hollymux_protocol::resp::{Decoder, RespError};
+use hollymux_router::metrics::CountedEvent;
+use hollymux_router::{AttemptFailure, AttemptRequest, AttemptResponse, ClientHandle};
 
 /// What was not begun to be written this long after it was decided is not sent, or less where the graces for drains
 /// and purges are shorter: what goes out once such a grace is over must have been decided after it was told.
 pub(super) const UNSENT: Duration = Duration::from_millis(200);
 /// So much of a grace is left for the way there.
 const SPARE: Duration = Duration::from_millis(50);
-/// Connections to one host.
+/// Connections to one endpoint.
 const LINE_MOST: usize = 32;
 /// Ids given up or answered lately on a connection: the same id is not asked there again, a late answer or a
 /// second copy could be taken for the new one.
@@ -26,7 +26,7 @@
 /// Bytes that may wait to be written on one connection.
 const OUT_MOST: usize = 1 << 20;
 
-/// The connections to one host.
+/// The connections to one endpoint.
 #[derive(Default)]
 pub(super) struct Line {
     keys: Vec<Key>,
@@ -36,7 +36,7 @@
 
 /// A message on its way out.
 struct Message {
-    bytes: Chain,
+    bytes: BufferChain,
     /// The attempt that it carries, if it is one.
     errand: Option<Errand>,
     begun: bool,
@@ -48,9 +48,9 @@
 struct Errand {
     id: AttemptId,
     /// Nothing goes out for a client that has left.
-    client: Client,
+    client: ClientHandle,
     /// Nor with a source that takes no work any more.
-    source: Option<HostId>,
+    source: Option<EndpointId>,
     /// Nor after this.
     by: Option<Timestamp>,
 }
@@ -86,7 +86,7 @@
 
 pub(super) struct ShelfConn {
     pub(super) stream: Stream,
-    host: HostId,
+    endpoint: EndpointId,
     addr: SocketAddr,
     decoder: Decoder,
     /// When it was begun.
@@ -99,12 +99,12 @@
     used: Timestamp,
     /// Takes nothing new.
     leaving: bool,
-    /// The host could not be connected to.
+    /// The endpoint could not be connected to.
     refused: bool,
 }
 
 impl ShelfConn {
-    fn queue(&mut self, bytes: Chain, errand: Option<Errand>, decided: Timestamp) {
+    fn queue(&mut self, bytes: BufferChain, errand: Option<Errand>, decided: Timestamp) {
         self.queue.push_back(Message { bytes, errand, begun: false, decided });
     }
 
@@ -129,31 +129,31 @@
     }
 }
 
-/// Whether it is the host that can't be connected to; a reset or a want of descriptors tells nothing of it.
+/// Whether it is the endpoint that can't be connected to; a reset or a want of descriptors tells nothing of it.
 fn refuses(e: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable, TimedOut};
     matches!(e.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | TimedOut)
 }
 
-impl Driver {
-    pub(super) fn send(&mut self, order: Order) {
+impl Server {
+    pub(super) fn send(&mut self, order: AttemptRequest) {
         let attempt = order.attempt;
         if let Err(lost) = self.try_send(order) {
-            self.inbox.push_back(Input::Lost(attempt, lost));
+            self.inbox.push_back(Input::Failed(attempt, lost));
         }
     }
 
-    fn try_send(&mut self, order: Order) -> Result<(), Lost> {
-        let bytes = shelf::ask(&self.pool, &order).map_err(|_| Lost::Unsent)?;
+    fn try_send(&mut self, order: AttemptRequest) -> Result<(), AttemptFailure> {
+        let bytes = endpoint::ask(&self.pool, &order).map_err(|_| AttemptFailure::NotSent)?;
         let rid = order.ask.rid.0.clone();
-        let (host, addr) = (order.target.host, order.target.addr);
-        let mut key = self.connection(host, addr, &rid)?;
+        let (endpoint, addr) = (order.target.endpoint, order.target.addr);
+        let mut key = self.connection(endpoint, addr, &rid)?;
         // Its end may have come and not been read yet: what is written there may have run for all that is known.
         while self.has_ended(key) {
-            key = self.connection(host, addr, &rid)?;
+            key = self.connection(endpoint, addr, &rid)?;
         }
         let now = self.now;
-        let Some(Role::Shelf(conn)) = self.role(key) else { return Err(Lost::Unsent) };
+        let Some(Role::Shelf(conn)) = self.role(key) else { return Err(AttemptFailure::NotSent) };
         let (id, class, held) = (order.attempt, order.class, order.ask.held.clone());
         conn.open.insert(rid, Sent::Attempt(Given { id, class, held, since: now, whole: false }));
         let (client, source, by) = (order.client, order.target.fill.source, order.by);
@@ -170,7 +170,7 @@
         graces.map(|g| g.saturating_sub(SPARE).max(SPARE / 5)).fold(UNSENT, Duration::min)
     }
 
-    /// Closes the connection to a shelf that has rested longest: another host needs its descriptor more.
+    /// Closes the connection to a shelf that has rested longest: another endpoint needs its descriptor more.
     fn evict_shelf(&mut self) -> bool {
         let rests = |(key, role): (Key, &Role)| match role {
             Role::Shelf(c) if c.up && c.open.is_empty() && c.queue.is_empty() => Some((c.used, key)),
@@ -186,18 +186,18 @@
         (sockets - sockets / 3).saturating_sub(RESERVED).min(sockets / 2)
     }
 
-    pub(super) fn probe(&mut self, host: HostId, addr: SocketAddr) {
+    pub(super) fn probe(&mut self, endpoint: EndpointId, addr: SocketAddr) {
         let now = self.now;
         let tag = format!("p{:x}", now.as_micros()).into_bytes();
-        let probe = shelf::probe(&self.pool, &tag).ok();
-        let key = self.connection(host, addr, &tag).ok();
+        let probe = endpoint::probe(&self.pool, &tag).ok();
+        let key = self.connection(endpoint, addr, &tag).ok();
         match (probe, key.and_then(|k| self.role(k))) {
             (Some(bytes), Some(Role::Shelf(conn))) => {
                 conn.open.insert(tag, Sent::Probe);
                 conn.queue(bytes, None, now);
                 self.write_shelf(key.unwrap_or_default());
             }
-            _ => self.inbox.push_back(Input::Probed(host, None)),
+            _ => self.inbox.push_back(Input::Probed(endpoint, None)),
         }
     }
 
@@ -213,17 +213,16 @@
             return self.put_back(key, Role::Shelf(conn), Fate::Keep);
         };
         let class = |g: &Given| self.router.settings().classes.get(usize::from(g.class));
-        let overdue = class(&given).is_some_and(|c| now > given.since + c.aim);
+        let overdue = class(&given).is_some_and(|c| now > given.since + c.latency_objective);
         // An answer that is overdue may never come, nor any other on its connection: what may be repeated is
         // repeated elsewhere, what may not can only wait.
-        let once =
-            |s: &Sent| matches!(s, Sent::Attempt(g) if class(g).is_some_and(|c| c.effect == Effect::Unsafe));
+        let once = |s: &Sent| matches!(s, Sent::Attempt(g) if class(g).is_some_and(|c| c.idempotency == Idempotency::NotIdempotent));
         // Part of it is written: the rest would have it run for one who may have left long before it is read.
         let begun = conn.queue.iter().any(|m| m.errand.is_some_and(|e| e.id == attempt));
         let ended = (overdue || begun || again) && !conn.open.values().any(once);
         conn.leaving |= overdue;
         conn.spend(id.clone());
-        let fate = match shelf::quit(&pool, &id) {
+        let fate = match endpoint::quit(&pool, &id) {
             Ok(bytes) if !ended => {
                 conn.queue(bytes, None, now);
                 Fate::Keep
@@ -251,9 +250,9 @@
         if !flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
             return Fate::Keep;
         }
-        let hand = |driver: &mut Driver, conn: &mut ShelfConn, bytes: &[u8]| {
+        let hand = |driver: &mut Server, conn: &mut ShelfConn, bytes: &[u8]| {
             let Err(e) = driver.shelf_bytes(conn, bytes) else { return Fate::Keep };
-            warn!(shelf = format_args!("{:x}", conn.host.0), "a shelf's answer can't be used: {e}");
+            warn!(shelf = format_args!("{:x}", conn.endpoint.0), "a shelf's answer can't be used: {e}");
             Fate::Close
         };
         self.read_from(conn, READS, |c| &mut c.stream, hand)
@@ -270,15 +269,15 @@
 
     fn shelf_bytes(&mut self, conn: &mut ShelfConn, mut bytes: &[u8]) -> Result<(), RespError> {
         while let Some(frame) = conn.decoder.feed(&mut bytes)? {
-            let (id, said, note) = shelf::said(frame)?;
+            let (id, said, note) = endpoint::said(frame)?;
             conn.used = self.now;
             match (conn.open.remove(&id), said) {
-                (Some(Sent::Probe), Said::Probed(well)) => {
-                    self.inbox.push_back(Input::Probed(conn.host, Some(well)));
+                (Some(Sent::Probe), AttemptResponse::ProbeResult(well)) => {
+                    self.inbox.push_back(Input::Probed(conn.endpoint, Some(well)));
                 }
                 (Some(Sent::Attempt(given)), said) if given.whole && self.fits(&given, &said) => {
                     self.attempts.remove(&given.id);
-                    self.inbox.push_back(Input::Said(given.id, said, note));
+                    self.inbox.push_back(Input::Responded(given.id, said, note));
                     conn.spend(id);
                 }
                 (Some(sent), _) => {
@@ -294,9 +293,9 @@
         Ok(())
     }
 
-    fn fits(&self, given: &Given, said: &Said) -> bool {
+    fn fits(&self, given: &Given, said: &AttemptResponse) -> bool {
         let writes = self.router.settings().classes.get(usize::from(given.class)).is_some_and(|c| c.write);
-        shelf::fits(said, given.held.as_deref(), writes)
+        endpoint::fits(said, given.held.as_deref(), writes)
     }
 
     fn write_shelf(&mut self, key: Key) {
@@ -329,7 +328,7 @@
                         match sent {
                             Sent::Attempt(given) if Some(given.id) == attempt => {
                                 given.whole = true;
-                                self.router.count(given.class, End::Relayed);
+                                self.router.count(given.class, CountedEvent::AttemptSent);
                             }
                             _ => {}
                         }
@@ -352,13 +351,13 @@
         if conn.unqueue(attempt) {
             conn.open.retain(|_, s| !s.is(attempt));
             self.attempts.remove(&attempt);
-            self.inbox.push_back(Input::Lost(attempt, Lost::Unsent));
+            self.inbox.push_back(Input::Failed(attempt, AttemptFailure::NotSent));
         }
     }
 
-    /// A host takes nothing more, or is no longer there at all.
-    pub(super) fn drop_line(&mut self, host: HostId, fate: Fate) {
-        let keys = self.shelfs.get(&host).map_or(Vec::new(), |l| l.keys.clone());
+    /// An endpoint takes nothing more, or is no longer there at all.
+    pub(super) fn drop_line(&mut self, endpoint: EndpointId, fate: Fate) {
+        let keys = self.shelfs.get(&endpoint).map_or(Vec::new(), |l| l.keys.clone());
         for key in keys {
             if fate == Fate::Close {
                 self.close(key);
@@ -367,16 +366,16 @@
             }
         }
         if fate == Fate::Close {
-            self.shelfs.remove(&host);
+            self.shelfs.remove(&endpoint);
         }
-        self.unsend_all(|h, e| h == host || e.source == Some(host));
+        self.unsend_all(|h, e| h == endpoint || e.source == Some(endpoint));
     }
 
-    /// Takes back what waits for these hosts or names these sources.
-    fn unsend_all(&mut self, which: impl Fn(HostId, &Errand) -> bool) {
+    /// Takes back what waits for these endpoints or names these sources.
+    fn unsend_all(&mut self, which: impl Fn(EndpointId, &Errand) -> bool) {
         let waits = |(key, role): (Key, &Role)| match role {
             Role::Shelf(c) => {
-                let waiting = c.queue.iter().filter_map(Message::waiting).filter(|e| which(c.host, e));
+                let waiting = c.queue.iter().filter_map(Message::waiting).filter(|e| which(c.endpoint, e));
                 Some((key, waiting.map(|e| e.id).collect::<Vec<_>>())).filter(|w| !w.1.is_empty())
             }
             _ => None,
@@ -390,18 +389,22 @@
 
     pub(super) fn shelf_closed(&mut self, key: Key, conn: ShelfConn) {
         self.shelf_conns -= 1;
-        if let Some(line) = self.shelfs.get_mut(&conn.host) {
+        if let Some(line) = self.shelfs.get_mut(&conn.endpoint) {
             line.keys.retain(|k| *k != key);
         }
         let mut ended: Vec<(Vec<u8>, Sent)> = conn.open.into_iter().collect();
         ended.sort_by(|a, b| a.0.cmp(&b.0));
         for (_, sent) in ended {
             self.inbox.push_back(match sent {
-                Sent::Probe => Input::Probed(conn.host, None),
+                Sent::Probe => Input::Probed(conn.endpoint, None),
                 Sent::Attempt(given) => {
                     self.attempts.remove(&given.id);
-                    let lost = if given.whole { Lost::Broken } else { Lost::Unsent };
-                    Input::Lost(given.id, if conn.refused { Lost::Refused } else { lost })
+                    let lost =
+                        if given.whole { AttemptFailure::ConnectionLost } else { AttemptFailure::NotSent };
+                    Input::Failed(
+                        given.id,
+                        if conn.refused { AttemptFailure::ConnectionRefused } else { lost },
+                    )
                 }
             });
         }
--- a/crates/node/src/shelfs/tests.rs
+++ b/crates/server/src/shelfs/tests.rs
@@ -2,8 +2,8 @@
 //! given up on a way that is cut.
 
 use super::*;
-use hollymux_core::{Ask, Target};
-use hollymux_decide::Fill;
+use hollymux_decision::CacheFill;
+use hollymux_router::{ClientRequest, Target};
 use rustix::net::sockopt;
 use std::io::Read;
 use std::net::TcpStream;
@@ -13,31 +13,31 @@
 const ATTEMPT: AttemptId = AttemptId { request: 1, number: 0 };
 
 /// A driver with a connection to a shelf, and the shelf's end of it.
-fn connected() -> (Driver, Key, TcpStream, SocketAddr) {
+fn connected() -> (Server, Key, TcpStream, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = Config::read(FILE).unwrap();
     config.listen = "127.0.0.1:0".parse().unwrap();
     config.door = None;
-    let mut driver = Driver::new(config, PathBuf::new(), Operator::default()).unwrap();
+    let mut driver = Server::new(config, PathBuf::new(), Operator::default()).unwrap();
     let addr = listener.local_addr().unwrap();
-    let key = driver.connection(HostId(77), addr, b"x").unwrap();
+    let key = driver.connection(EndpointId(77), addr, b"x").unwrap();
     let (peer, _) = listener.accept().unwrap();
     conn(&mut driver, key).expect("a connection").up = true;
     (driver, key, peer, addr)
 }
 
-fn conn(driver: &mut Driver, key: Key) -> Option<&mut ShelfConn> {
+fn conn(driver: &mut Server, key: Key) -> Option<&mut ShelfConn> {
     match driver.role(key) {
         Some(Role::Shelf(conn)) => Some(conn),
         _ => None,
     }
 }
 
-fn send(driver: &mut Driver, addr: SocketAddr, body: usize) {
+fn send(driver: &mut Server, addr: SocketAddr, body: usize) {
     let mut chain = driver.pool.chain();
     chain.extend(&vec![b'x'; body]).unwrap();
     let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
-    let ask = Ask {
+    let ask = ClientRequest {
         rid: word(1),
         class: b"cert-filing".to_vec(),
         object: word(2),
@@ -48,10 +48,17 @@
         key: None,
         body: chain,
     };
-    let fill = Fill { source: None, keep: 0, max_age: None, join: false, renew: false, shallow: false };
-    let target = Target { host: HostId(77), uid: "s-a".into(), addr, source: None, fill };
-    let client = Client { conn: 1, tag: 1 };
-    driver.send(Order {
+    let fill = CacheFill {
+        source: None,
+        retention: 0,
+        max_age: None,
+        coalesce: false,
+        stale_while_revalidate: false,
+        only_if_cached: false,
+    };
+    let target = Target { endpoint: EndpointId(77), uid: "s-a".into(), addr, source: None, fill };
+    let client = ClientHandle { conn: 1, tag: 1 };
+    driver.send(AttemptRequest {
         attempt: ATTEMPT,
         target,
         timeout: Duration::from_secs(1),
--- a/crates/node/src/sockets.rs
+++ b/crates/server/src/sockets.rs
@@ -1,9 +1,9 @@
 //! The clock, streams with what waits to be written on them, and how sockets are opened.
 
 use crate::BACKLOG;
-use hollymux_core::chain::Chain;
-use hollymux_decide::time::whole_micros;
-use hollymux_decide::Timestamp;
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::Timestamp;
+use hollymux_router::buffers::BufferChain;
 use rustix::net::{connect, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -59,7 +59,7 @@
     }
 
     /// Writes as much of a chain as the socket takes; whether that was all.
-    pub(super) fn write(&mut self, chain: &mut Chain, now: Timestamp) -> io::Result<bool> {
+    pub(super) fn write(&mut self, chain: &mut BufferChain, now: Timestamp) -> io::Result<bool> {
         if !self.waiting {
             self.moved = now;
         }
--- a/crates/node/src/wheel.rs
+++ b/crates/server/src/wheel.rs
@@ -1,6 +1,6 @@
 //! Timers as coarse ticks on a wheel.
 
-use hollymux_decide::Timestamp;
+use hollymux_decision::Timestamp;
 use std::time::Duration;
 
 /// The length of a tick in microseconds.
--- a/crates/lab/examples/foca.rs
+++ b/crates/simulation/examples/foca.rs
@@ -1,7 +1,7 @@
 //! `foca`, the library that was weighed against an own core (docs/fleet.md), on the same links in virtual time: the
-//! figures of `hollymux lab fleet` for it, by its own settings for a site and by those of `hollymux_fleet::view::Times`.
+//! figures of `hollymux lab fleet` for it, by its own settings for a site and by those of `hollymux_cluster::view::Times`.
 //!
-//!     cargo run --release -p hollymux-lab --example foca -- 100 0.01 60
+//!     cargo run --release -p hollymux-simulation --example foca -- 100 0.01 60
 
 use foca::{
     Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer,
--- a/crates/lab/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -3,7 +3,7 @@
 //! Rates of links are given in *flows*: how many transfers at a client's full pace fit on a link. Sizes are in
 //! bytes at that pace, which is small so that hundreds of transfers a second cost a test machine little.
 
-use hollymux_settings::{Check, Faults};
+use hollymux_config_file::{Check, Faults};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
--- a/crates/lab/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -2,9 +2,9 @@
 //! directed link between them. The same seed gives the same run, to the byte.
 
 use crate::{Time, MS, SEC};
-use hollymux_decide::ColdDemand;
-use hollymux_fleet::limits::{self, Limits, Terms};
-use hollymux_fleet::view::{Change, Phase, Rank, Setup, Times, View};
+use hollymux_cluster::limits::{self, LeaseTimings, Limits};
+use hollymux_cluster::view::{Change, Membership, Phase, Rank, Setup, Times};
+use hollymux_decision::WarmUpDemand;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -38,10 +38,10 @@
 
 /// A router's place: what runs there now, if anything does.
 struct Place {
-    view: Option<View>,
+    view: Option<Membership>,
     limits: Option<Limits>,
     /// What its cold servers are asked for.
-    demands: Vec<ColdDemand>,
+    demands: Vec<WarmUpDemand>,
     /// Routers that its settings name, in all and at its office.
     configured: (u32, u32),
     paused: bool,
@@ -72,7 +72,7 @@
     seq: u64,
     seeds: Vec<SocketAddr>,
     /// Parts of limits are on lease, by these times, for those that start from now on.
-    pub lease: Option<Terms>,
+    pub lease: Option<LeaseTimings>,
     /// Routers whose parts may have changed.
     pub touched: BTreeSet<usize>,
     /// Of all routers so far: what operators were told, by router.
@@ -156,7 +156,7 @@
     }
 
     /// What a router's cold servers are asked for now.
-    pub fn demand(&mut self, router: usize, demands: Vec<ColdDemand>) {
+    pub fn demand(&mut self, router: usize, demands: Vec<WarmUpDemand>) {
         self.places[router].demands = demands;
     }
 
@@ -186,7 +186,7 @@
             terms,
         });
         let place = &mut self.places[router];
-        (place.paused, place.view) = (false, Some(View::new(setup, self.now)));
+        (place.paused, place.view) = (false, Some(Membership::new(setup, self.now)));
         place.limits = limits.map(|setup| Limits::new(setup, self.now));
         place.waiting.clear();
         self.after(router);
@@ -242,7 +242,7 @@
     }
 
     /// A router's view, if it runs.
-    pub fn view(&self, router: usize) -> Option<&View> {
+    pub fn view(&self, router: usize) -> Option<&Membership> {
         self.places[router].view.as_ref()
     }
 
@@ -431,7 +431,7 @@
 
     /// Whether all of those routers hold the same view, in which all of them are there.
     pub fn same(&self, who: &[usize]) -> bool {
-        let mut digests = who.iter().map(|i| self.view(*i).map(View::digest));
+        let mut digests = who.iter().map(|i| self.view(*i).map(Membership::digest));
         let first = digests.next().flatten();
         let there = |by: usize, of: &usize| self.rank(*of, by).is_some_and(|r| r <= Rank::Suspect);
         let Some(one) = who.first().filter(|_| first.is_some()) else { return false };
--- a/crates/lab/src/measure.rs
+++ b/crates/simulation/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{Fleet, Link};
 use crate::{Time, SEC};
-use hollymux_fleet::view::Rank;
+use hollymux_cluster::view::Rank;
 use rayon::prelude::*;
 use serde::Serialize;
 use std::time::Instant;
--- a/crates/lab/src/sockets.rs
+++ b/crates/simulation/src/sockets.rs
@@ -10,8 +10,8 @@
 use crate::virtually::{age, Played};
 use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::{Time, MS, SEC};
-use hollymux_core::chain::Pool;
-use hollymux_wire::resp::{array, bulk, decimal, field, Decoder, Frame};
+use hollymux_protocol::resp::{array, bulk, decimal, field, Decoder, Frame};
+use hollymux_router::buffers::BufferPool;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use std::cmp::Reverse;
@@ -91,7 +91,7 @@
     unix: Time,
     now: Time,
     poll: Poll,
-    pool: Pool,
+    pool: BufferPool,
     conns: HashMap<usize, Conn>,
     next_token: usize,
     world: World,
@@ -139,7 +139,7 @@
         unix,
         now: unix,
         poll: Poll::new()?,
-        pool: Pool::new(4_096),
+        pool: BufferPool::new(4_096),
         conns: HashMap::new(),
         next_token: 0,
         world: World::new(day, unix, seed),
@@ -770,7 +770,7 @@
                 bulk(&mut out, &id);
                 bulk(&mut out, said);
                 bulk(&mut out, fields.as_bytes());
-                hollymux_wire::resp::bulk_head(&mut out, bytes as usize);
+                hollymux_protocol::resp::bulk_head(&mut out, bytes as usize);
                 let mut left = bytes as usize;
                 while left > 0 {
                     let n = left.min(ZEROS.len());
--- a/crates/lab/src/sweep.rs
+++ b/crates/simulation/src/sweep.rs
@@ -4,7 +4,7 @@
 use crate::day::{Day, Fault, What};
 use crate::report::{report, Report};
 use crate::virtually::play;
-use hollymux_settings::{Check, Faults};
+use hollymux_config_file::{Check, Faults};
 use rayon::prelude::*;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/virtually.rs
+++ b/crates/simulation/src/virtually.rs
@@ -9,15 +9,16 @@
 use crate::together::{judge, links, places, quiet_from, Watch};
 use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::{Time, MS, SEC};
-use hollymux_core::chain::Pool;
-use hollymux_core::{
-    AttemptId, Client, Command, Ended, Input, Lost, Member, Order, Reply, Router, Said, Told, Wake,
+use hollymux_cluster::limits::LeaseTimings;
+use hollymux_cluster::view::{Change, Rank};
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::{EndpointId, QuotaScope, Timestamp};
+use hollymux_router::buffers::BufferPool;
+use hollymux_router::{
+    AttemptFailure, AttemptId, AttemptRequest, AttemptResponse, ClientHandle, Command, FeedEvent, Input,
+    ListedEndpoint, Reply, RequestSummary, Router, Wake,
 };
-use hollymux_decide::time::whole_micros;
-use hollymux_decide::{HostId, Sharers, Timestamp};
-use hollymux_fleet::limits::Terms;
-use hollymux_fleet::view::{Change, Rank};
-use hollymux_node::config::Config;
+use hollymux_server::config::Config;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -48,10 +49,10 @@
 
 enum Event {
     Core(usize, Wake),
-    Arrive(usize, Box<Order>),
+    Arrive(usize, Box<AttemptRequest>),
     Said(u64, Word, u64),
-    Lost(usize, AttemptId, Lost),
-    Probe(usize, HostId, Option<bool>),
+    Lost(usize, AttemptId, AttemptFailure),
+    Probe(usize, EndpointId, Option<bool>),
     /// News of members, from the control feed; the text is that of the sockets.
     Told(usize, String),
     /// A fault between or in routers begins or ends.
@@ -93,7 +94,7 @@
     clients: Clients,
     routers: Vec<Router>,
     configs: Vec<Config>,
-    pool: Pool,
+    pool: BufferPool,
     events: BinaryHeap<Reverse<Timed>>,
     seq: u64,
     calls: BTreeMap<u64, Out>,
@@ -110,7 +111,7 @@
     counted: Counted,
     /// When accounts of limits are looked at next, and since when all who share a cold server know that it is.
     look: Time,
-    known: BTreeMap<HostId, Time>,
+    known: BTreeMap<EndpointId, Time>,
     ended: &'a mut dyn FnMut(Seat, &Heard<'_>),
 }
 
@@ -126,9 +127,9 @@
 /// What a recording of a router holds: what it closed, and what it was told.
 pub enum Heard<'a> {
     /// A request was closed.
-    Ended(&'a Ended),
+    Ended(&'a RequestSummary),
     /// Members changed.
-    Members(Time, &'a [Member]),
+    Members(Time, &'a [ListedEndpoint]),
     /// Something was purged.
     Purge(Time, Option<u64>, u32),
 }
@@ -177,7 +178,7 @@
         clients,
         routers,
         configs,
-        pool: Pool::new(BUFFERS),
+        pool: BufferPool::new(BUFFERS),
         events: BinaryHeap::new(),
         seq: 0,
         calls: BTreeMap::new(),
@@ -248,18 +249,18 @@
         }
         self.look = self.now + LOOK;
         // Kind, used, wanted, and how many who share it do not know yet that it is cold.
-        let mut sums: BTreeMap<HostId, (usize, f64, f64, i64)> = BTreeMap::new();
+        let mut sums: BTreeMap<EndpointId, (usize, f64, f64, i64)> = BTreeMap::new();
         for (seat, router) in self.seats.iter().zip(&self.routers) {
             for d in router
-                .cold_demands(Timestamp::from_micros(self.now))
+                .warm_up_demands(Timestamp::from_micros(self.now))
                 .into_iter()
-                .filter(|d| d.sharers != Sharers::Elsewhere)
+                .filter(|d| d.sharers != QuotaScope::Elsewhere)
             {
-                let all = d.sharers == Sharers::All;
+                let all = d.sharers == QuotaScope::All;
                 let runs = |s: &&Seat| {
                     (all || s.office == seat.office) && !matches!(self.stands[s.number], Process::Dead)
                 };
-                let sum = sums.entry(d.host).or_insert_with(|| {
+                let sum = sums.entry(d.endpoint).or_insert_with(|| {
                     (usize::from(all), 0.0, 0.0, self.seats.iter().filter(runs).count() as i64)
                 });
                 (sum.1, sum.2, sum.3) = (sum.1 + d.used, sum.2 + d.wanted, sum.3 - 1);
@@ -298,7 +299,7 @@
                     if matches!(self.stands[router], Process::Stopped(_)) {
                         self.gave_up.insert(rid);
                     }
-                    self.feed(router, Input::Undo(Client { conn: rid, tag: id }));
+                    self.feed(router, Input::Cancel(ClientHandle { conn: rid, tag: id }));
                 }
             }
         }
@@ -307,7 +308,7 @@
     fn on_ask(&mut self, ask: &Ask) {
         let router = self.day.router(ask.office, ask.router);
         let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
-        let asked = hollymux_core::Ask {
+        let asked = hollymux_router::ClientRequest {
             rid: word(ask.rid),
             class: self.day.classes[ask.class].name.clone().into_bytes(),
             object: word(ask.key.0),
@@ -319,17 +320,17 @@
             body: self.pool.chain(),
         };
         self.open.insert(ask.id, (router, ask.rid));
-        self.feed(router, Input::Ask(Client { conn: ask.rid, tag: ask.id }, asked));
+        self.feed(router, Input::Request(ClientHandle { conn: ask.rid, tag: ask.id }, asked));
     }
 
-    fn tell(&mut self, router: usize, told: Told) {
+    fn tell(&mut self, router: usize, told: FeedEvent) {
         let now = self.now;
         let seat = self.seats[router];
         match &told {
-            Told::Members { lines, .. } => (self.ended)(seat, &Heard::Members(now, lines)),
-            Told::Purge { object, group, .. } => (self.ended)(seat, &Heard::Purge(now, *object, *group)),
+            FeedEvent::Endpoints { lines, .. } => (self.ended)(seat, &Heard::Members(now, lines)),
+            FeedEvent::Purge { object, group, .. } => (self.ended)(seat, &Heard::Purge(now, *object, *group)),
         }
-        self.feed(router, Input::Told(told));
+        self.feed(router, Input::Feed(told));
     }
 
     // ---- routers among themselves ----
@@ -339,10 +340,10 @@
             if let Some(fleet) = &mut self.fleet {
                 fleet.place(seat.number, &self.day.offices[seat.office].name);
                 let s = &self.configs[seat.number].settings;
-                let here = s.dispatchers_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
-                fleet.configure(seat.number, s.dispatchers, here);
-                let window = whole_micros(s.fall_after);
-                fleet.lease = self.day.limits.then(|| Terms { window, ..Terms::default() });
+                let here = s.router_count_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
+                fleet.configure(seat.number, s.router_count, here);
+                let window = whole_micros(s.overload_window);
+                fleet.lease = self.day.limits.then(|| LeaseTimings { window, ..LeaseTimings::default() });
                 fleet.start(seat.number);
             }
         }
@@ -361,7 +362,7 @@
         if self.day.limits && fleet.due().is_some_and(|due| due - BEGIN + START <= self.now) {
             let runs = |r: &usize| matches!(self.stands[*r], Process::Runs);
             for r in (0..self.routers.len()).filter(runs) {
-                fleet.demand(r, self.routers[r].cold_demands(Timestamp::from_micros(self.now)));
+                fleet.demand(r, self.routers[r].warm_up_demands(Timestamp::from_micros(self.now)));
             }
         }
         fleet.run((self.now - START + BEGIN).saturating_sub(fleet.now));
@@ -464,7 +465,7 @@
             Process::Runs => {}
             Process::Stopped(waits) => return waits.push_back(input),
             Process::Dead => {
-                if let Input::Ask(client, _) = input {
+                if let Input::Request(client, _) = input {
                     self.open.remove(&client.tag);
                     self.clients.answered(self.now, client.tag, Got::Lost);
                 }
@@ -483,8 +484,8 @@
 
     fn carry_out(&mut self, router: usize, command: Command, inbox: &mut VecDeque<Input>) {
         match command {
-            Command::Send(order) => self.at(self.now + WAY, Event::Arrive(router, Box::new(order))),
-            Command::Quit { attempt, .. } => {
+            Command::SendAttempt(order) => self.at(self.now + WAY, Event::Arrive(router, Box::new(order))),
+            Command::CancelAttempt { attempt, .. } => {
                 if let Some(id) = self.by_attempt.remove(&(router, attempt)) {
                     self.calls.remove(&id);
                     self.world.quit(self.now, id);
@@ -501,9 +502,9 @@
                     return;
                 }
                 let got = match reply {
-                    Reply::Good(digest, _) => Got::Served(age(self.now, digest.as_deref())),
-                    Reply::Unchanged(_) => Got::Served(0),
-                    Reply::Refused(ms) => Got::Refused(ms * MS),
+                    Reply::Served(digest, _) => Got::Served(age(self.now, digest.as_deref())),
+                    Reply::NotModified(_) => Got::Served(0),
+                    Reply::Rejected(ms) => Got::Refused(ms * MS),
                     Reply::Failed => Got::Failed,
                 };
                 self.clients.answered(self.now, client.tag, got);
@@ -518,8 +519,8 @@
                 };
                 self.at(self.now + after, Event::Probe(router, host, well));
             }
-            Command::Drop(host) => {
-                let of = |uid: &str| hollymux_core::host_id(uid) == host;
+            Command::CloseConnections(host) => {
+                let of = |uid: &str| hollymux_router::endpoint_id(uid) == host;
                 let server = self.world.servers.iter().position(|s| of(&s.uid));
                 let gone = self.calls.iter().filter(|(_, o)| o.router == router && Some(o.server) == server);
                 let gone: Vec<u64> = gone.map(|(id, _)| *id).collect();
@@ -527,12 +528,12 @@
                     if let Some(out) = self.calls.remove(&id) {
                         self.by_attempt.remove(&(router, out.attempt));
                         self.world.quit(self.now, id);
-                        inbox.push_back(Input::Lost(out.attempt, Lost::Broken));
+                        inbox.push_back(Input::Failed(out.attempt, AttemptFailure::ConnectionLost));
                     }
                 }
             }
-            Command::Ended(ended) => (self.ended)(self.seats[router], &Heard::Ended(&ended)),
-            Command::Hold(_) | Command::Look(..) | Command::Tried(..) | Command::Log(_) => {}
+            Command::RequestEnded(ended) => (self.ended)(self.seats[router], &Heard::Ended(&ended)),
+            Command::StopSending(_) | Command::Lookup(..) | Command::AttemptEnded(..) | Command::Log(_) => {}
         }
     }
 
@@ -544,10 +545,10 @@
                 let Some(out) = self.calls.remove(&id) else { return };
                 self.by_attempt.remove(&(out.router, out.attempt));
                 let said = self.said(word, bytes, out.write);
-                self.feed(out.router, Input::Said(out.attempt, said, None));
+                self.feed(out.router, Input::Responded(out.attempt, said, None));
             }
             Event::Fault(i, begins) => self.on_fault(i, begins),
-            Event::Lost(router, attempt, lost) => self.feed(router, Input::Lost(attempt, lost)),
+            Event::Lost(router, attempt, lost) => self.feed(router, Input::Failed(attempt, lost)),
             Event::Probe(router, host, well) => self.feed(router, Input::Probed(host, well)),
             Event::Told(router, text) => {
                 if let Ok((_, Some(told))) = self.configs[router].names.event(text.as_bytes()) {
@@ -557,7 +558,7 @@
         }
     }
 
-    fn said(&self, word: Word, bytes: u64, write: bool) -> Said {
+    fn said(&self, word: Word, bytes: u64, write: bool) -> AttemptResponse {
         match word {
             Word::Data(dated) => {
                 let mut body = self.pool.chain();
@@ -566,20 +567,23 @@
                 while left > 0 && body.extend(&zeros[..left.min(zeros.len())]).is_ok() {
                     left -= left.min(zeros.len());
                 }
-                Said::Data((!write).then(|| format!("{dated:x}").into_bytes()), body)
+                AttemptResponse::Data((!write).then(|| format!("{dated:x}").into_bytes()), body)
             }
-            Word::Absent => Said::Absent,
-            Word::Full => Said::Full,
-            Word::Failed => Said::Failed,
+            Word::Absent => AttemptResponse::Absent,
+            Word::Full => AttemptResponse::AtCapacity,
+            Word::Failed => AttemptResponse::Failed,
         }
     }
 
-    fn arrive(&mut self, router: usize, order: &Order) {
+    fn arrive(&mut self, router: usize, order: &AttemptRequest) {
         let server = server_at(order.target.addr);
         match self.world.servers[server].stand {
             Stand::Up => {}
             Stand::Down => {
-                return self.at(self.now + WAY, Event::Lost(router, order.attempt, Lost::Refused));
+                return self.at(
+                    self.now + WAY,
+                    Event::Lost(router, order.attempt, AttemptFailure::ConnectionRefused),
+                );
             }
             Stand::Cut => return,
         }
@@ -605,10 +609,10 @@
             bytes: self.clients.objects.bytes(class, key),
             rid: order.ask.rid.1,
             accept: f.max_age.map(whole_micros),
-            keep: f.keep,
+            keep: f.retention,
             source: known,
-            join: f.join,
-            shallow: f.shallow,
+            join: f.coalesce,
+            shallow: f.only_if_cached,
         };
         self.world.call(self.now, id, server, call);
     }
@@ -622,7 +626,10 @@
                 for id in hit {
                     if let Some(out) = self.calls.remove(&id) {
                         self.by_attempt.remove(&(out.router, out.attempt));
-                        self.at(self.now + WAY, Event::Lost(out.router, out.attempt, Lost::Broken));
+                        self.at(
+                            self.now + WAY,
+                            Event::Lost(out.router, out.attempt, AttemptFailure::ConnectionLost),
+                        );
                     }
                 }
             }
--- a/crates/lab/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days in virtual time: the same seed gives the same day, the rules hold under every fault, and what can't be
 //! played is refused field by field.
 
-use hollymux_lab::day::Day;
-use hollymux_lab::report::{report, Report};
-use hollymux_lab::sweep::{sweep, Sweep};
-use hollymux_lab::virtually::play;
-use hollymux_settings::Fault;
+use hollymux_config_file::Fault;
+use hollymux_simulation::day::Day;
+use hollymux_simulation::report::{report, Report};
+use hollymux_simulation::sweep::{sweep, Sweep};
+use hollymux_simulation::virtually::play;
 
 const FLEET: &str = r#"
  seconds: 40, warm_s: 8, rate_per_s: 110, purges_per_s: 1,
@@ -14,7 +14,7 @@
  hubs: [{name: "north", link_flows: 16}, {name: "south", link_flows: 16}],"#;
 
 fn day(faults: &str) -> Day {
-    hollymux_settings::read(&format!("{{{FLEET} faults: [{faults}]}}")).expect("a day")
+    hollymux_config_file::read(&format!("{{{FLEET} faults: [{faults}]}}")).expect("a day")
 }
 
 fn played(day: &Day, seed: u64) -> Report {
@@ -69,7 +69,7 @@
  hubs: [{{name: "north", link_flows: 30}}, {{name: "south", link_flows: 30}}], faults: [{faults}]}}"#,
         routers.0, routers.1
     );
-    hollymux_settings::read(&text).expect("a day")
+    hollymux_config_file::read(&text).expect("a day")
 }
 
 /// Guards against routers that go on naming a dead hub because hits that name it look like answers of it, and so push
@@ -103,7 +103,7 @@
 
 fn example(name: &str) -> Day {
     let path = format!("{}/../../examples/fleet/{name}.json5", env!("CARGO_MANIFEST_DIR"));
-    hollymux_settings::load(std::path::Path::new(&path)).expect("a day")
+    hollymux_config_file::load(std::path::Path::new(&path)).expect("a day")
 }
 
 /// Guards against a view that condemns healthy routers, misses dead ones, or does not settle again under load; and
@@ -139,7 +139,7 @@
 fn a_day_that_cant_be_played_is_refused_field_by_field() {
     let text = r#"{seconds: 10, warm_s: 20, offices: [{name: "a", hub: "x", link_in_flows: 0, boxes: 0}],
  hubs: [{name: "library", link_flows: 1}], faults: [{at_s: 1, what: {drain: {who: "a-9"}}}]}"#;
-    let faults = hollymux_settings::read::<Day>(text).unwrap_err();
+    let faults = hollymux_config_file::read::<Day>(text).unwrap_err();
     let fields: Vec<&str> = faults.iter().map(|f: &Fault| f.field.as_str()).collect();
     assert_eq!(
         fields,
@@ -164,7 +164,7 @@
           hubs: [{ name: "north-hub", link_flows: 30 }, { name: "south-hub", link_flows: 30 }] },
         at_s: 10, lost: ["hub", "hubs", "half_office", "office", "library", "replaced"], for_s: [3], loads: [1, 3],
         routers: [3, 28], uneven: [3], news_ms: [1000] }"#;
-    let file: Sweep = hollymux_settings::read(text).expect("a sweep");
+    let file: Sweep = hollymux_config_file::read(text).expect("a sweep");
     let rows = sweep(&file).expect("its days are played");
     assert_eq!(rows.len(), 24);
     for r in &rows {
@@ -174,7 +174,7 @@
     assert!(
         rows.iter().any(|r| r.served_worth < 0.9) && rows.iter().filter(|r| r.back_s.is_some()).count() > 12
     );
-    let table = hollymux_lab::sweep::text(&rows);
+    let table = hollymux_simulation::sweep::text(&rows);
     assert_eq!(table.lines().count(), 2 + 12, "{table}");
 }
 
@@ -191,7 +191,7 @@
  faults: [{}]}}"#,
             (1..=6).map(lost).collect::<Vec<_>>().join(",")
         );
-        let day: Day = hollymux_settings::read(&text).expect("a day");
+        let day: Day = hollymux_config_file::read(&text).expect("a day");
         for seed in seeds {
             let r = played(&day, seed);
             assert!(r.broken.is_empty(), "{long} s, seed {seed}: {:?}", r.broken);
@@ -217,7 +217,7 @@
         office("giza", "north", 4, 36),
         office("aswan", "south", 4, 36),
     );
-    let day: Day = hollymux_settings::read(&text).expect("a day");
+    let day: Day = hollymux_config_file::read(&text).expect("a day");
     let r = played(&day, 1);
     assert!(r.library_fell <= 1, "the library stopped {} times", r.library_fell);
     assert!(r.broken.is_empty(), "{:?}", r.broken);
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Fleets in virtual time: what is promised of their views under every fault, and the same run twice.
 
-use hollymux_fleet::view::{Change, Rank, MEMBERS_MOST};
-use hollymux_fleet::DATAGRAM_MOST;
-use hollymux_lab::fleet::{addr, Fleet, Link};
-use hollymux_lab::{Time, MS, SEC};
+use hollymux_cluster::view::{Change, Rank, MEMBERS_MOST};
+use hollymux_cluster::DATAGRAM_MOST;
+use hollymux_simulation::fleet::{addr, Fleet, Link};
+use hollymux_simulation::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Hosts many dispatchers' decision modules on the simulator's wire. It translates only.
+//! Endpoints many routers' decision modules on the simulator's wire. It translates only.
 
 mod wire;
 
-use hollymux_decide::{Control, Event};
+use hollymux_decision::{DecisionModule, Event};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("hollymux-simhost: {e}");
+            eprintln!("hollymux-simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
@@ -35,7 +35,7 @@
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), Box<dyn std::error::Error>> {
     let mut decoder = wire::Decoder::default();
     let mut encoder = wire::Encoder::default();
-    let mut instances: BTreeMap<u16, Control> = BTreeMap::new();
+    let mut instances: BTreeMap<u16, DecisionModule> = BTreeMap::new();
     let mut actions = Vec::new();
     let mut frame = Vec::new();
     loop {
@@ -53,7 +53,7 @@
             match input {
                 wire::Input::Create { inst, seed, settings } => {
                     let control =
-                        Control::new(*settings, seed).map_err(|e| format!("instance {inst}: {e}"))?;
+                        DecisionModule::new(*settings, seed).map_err(|e| format!("instance {inst}: {e}"))?;
                     instances.insert(inst, control);
                 }
                 wire::Input::PowerOff { inst } => {
@@ -77,10 +77,10 @@
 
 fn name(event: &Event) -> &'static str {
     match event {
-        Event::Hosts { .. } | Event::HostsFailed => "a host list",
+        Event::EndpointList { .. } | Event::EndpointListFailed => "a host list",
         Event::Request(_) => "a request",
         Event::Started { .. } => "a started stream",
-        Event::Outcome(_) => "an outcome",
+        Event::AttemptOutcome(_) => "an outcome",
         Event::Withdrawn { .. } => "a withdrawal",
         Event::Timer { .. } => "a timer",
         Event::Purged(_) => "a purge",
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's binary frames, to and from the types of the interface.
 
-use hollymux_decide::time::MICROSECOND;
-use hollymux_decide::*;
+use hollymux_decision::time::MICROSECOND;
+use hollymux_decision::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     #[error("record {index}: {field} has no meaning for value {value}")]
     Value { index: usize, field: &'static str, value: u64 },
     #[error(transparent)]
-    Setting(#[from] SettingError),
+    Setting(#[from] SettingParseError),
 }
 
 /// One event, with the instance it is for.
@@ -65,9 +65,9 @@
     fn f32(&self, at: usize) -> f64 {
         f64::from(f32::from_le_bytes(self.get(at)))
     }
-    fn host(&self, at: usize) -> HostId {
+    fn endpoint(&self, at: usize) -> EndpointId {
         let a: [u8; 6] = self.get(at);
-        HostId(u64::from_le_bytes([a[0], a[1], a[2], a[3], a[4], a[5], 0, 0]))
+        EndpointId(u64::from_le_bytes([a[0], a[1], a[2], a[3], a[4], a[5], 0, 0]))
     }
     fn bad(&self, field: &'static str, value: u64) -> WireError {
         WireError::Value { index: self.index, field, value }
@@ -81,17 +81,17 @@
             Err(self.bad(field, u64::from(self.u32(at))))
         }
     }
-    fn status(&self, at: usize) -> Result<Status, WireError> {
+    fn status(&self, at: usize) -> Result<AttemptStatus, WireError> {
         Ok(match self.u8(at) {
-            0 => Status::Ok,
-            1 => Status::Miss,
-            249 => Status::Moot,
-            250 => Status::Cancelled,
-            251 => Status::Reset,
-            252 => Status::ConnectFailed,
-            253 => Status::Timeout,
-            254 => Status::Full,
-            255 => Status::Error,
+            0 => AttemptStatus::Ok,
+            1 => AttemptStatus::Miss,
+            249 => AttemptStatus::Moot,
+            250 => AttemptStatus::Cancelled,
+            251 => AttemptStatus::Reset,
+            252 => AttemptStatus::ConnectFailed,
+            253 => AttemptStatus::Timeout,
+            254 => AttemptStatus::Full,
+            255 => AttemptStatus::Error,
             v => return Err(self.bad("rc", u64::from(v))),
         })
     }
@@ -111,10 +111,10 @@
     }
 }
 
-/// Decodes batches; holds the numbered host lists of the process.
+/// Decodes batches; holds the numbered endpoint lists of the process.
 #[derive(Default)]
 pub struct Decoder {
-    lists: [Option<Vec<HostEntry>>; LISTS],
+    lists: [Option<Vec<EndpointEntry>>; LISTS],
 }
 
 /// The whole length that a batch header announces.
@@ -177,7 +177,7 @@
                     0 => ListKind::Delta,
                     1 => ListKind::Full,
                     2 => ListKind::Cached,
-                    3 => return Ok(Some(Input::Event { inst, event: Event::HostsFailed })),
+                    3 => return Ok(Some(Input::Event { inst, event: Event::EndpointListFailed })),
                     v => return Err(r.bad("how", u64::from(v))),
                 };
                 let n = r.u32(8);
@@ -186,7 +186,7 @@
                     .get(n as usize)
                     .and_then(Option::clone)
                     .ok_or_else(|| r.bad("list", u64::from(n)))?;
-                Event::Hosts { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             60 => {
                 let size = r.f32(7);
@@ -203,9 +203,9 @@
                 })
             }
             20 => Event::Started { request: r.u32(3), attempt: r.u16(7) },
-            100 => Event::Outcome(Outcome {
+            100 => Event::AttemptOutcome(AttemptOutcome {
                 request: r.u32(3),
-                host: r.host(11),
+                endpoint: r.endpoint(11),
                 latency: Duration::from_micros(u64::from(r.u32(17))),
                 attempt: r.u16(21),
                 status: r.status(23)?,
@@ -213,16 +213,16 @@
                 work: None,
                 note: match r.u8(25) {
                     0 => None,
-                    1 => Some(Note::Hit),
-                    2 => Some(Note::Filled),
-                    3 => Some(Note::FilledByOrigin),
-                    4 => Some(Note::Joined),
-                    5 => Some(Note::Stale),
-                    6 => Some(Note::SourceRefused),
-                    7 => Some(Note::SourceUnreachable),
-                    8 => Some(Note::SourceLacks),
-                    9 => Some(Note::NoFillPlace),
-                    10 => Some(Note::OriginFailed),
+                    1 => Some(CacheStatus::Hit),
+                    2 => Some(CacheStatus::Filled),
+                    3 => Some(CacheStatus::FilledByOrigin),
+                    4 => Some(CacheStatus::Joined),
+                    5 => Some(CacheStatus::Stale),
+                    6 => Some(CacheStatus::SourceRefused),
+                    7 => Some(CacheStatus::SourceUnreachable),
+                    8 => Some(CacheStatus::SourceLacks),
+                    9 => Some(CacheStatus::NoFillPlace),
+                    10 => Some(CacheStatus::OriginFailed),
                     v => return Err(r.bad("info", u64::from(v))),
                 },
             }),
@@ -236,7 +236,7 @@
                     object: (object != 0).then_some(object),
                 })
             }
-            120 => Event::Probed { host: r.host(3), status: r.status(9)? },
+            120 => Event::Probed { endpoint: r.endpoint(3), status: r.status(9)? },
             90 => {
                 tail_of(tail, r, 7, 1)?;
                 return Ok(None);
@@ -247,15 +247,15 @@
     }
 }
 
-fn entry(r: &Rec) -> Result<HostEntry, WireError> {
-    Ok(HostEntry {
+fn entry(r: &Rec) -> Result<EndpointEntry, WireError> {
+    Ok(EndpointEntry {
         cell: r.u16(0),
-        id: r.host(2),
+        id: r.endpoint(2),
         weight: r.f32(8),
         state: match r.u8(12) {
-            0 => HostState::Gone,
-            1 => HostState::Ready,
-            2 => HostState::Draining,
+            0 => EndpointState::Gone,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             v => return Err(r.bad("state", u64::from(v))),
         },
         started: Timestamp::from_micros(r.u64(13)),
@@ -276,7 +276,7 @@
     u32::try_from(t.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-fn host6(h: HostId) -> [u8; 6] {
+fn host6(h: EndpointId) -> [u8; 6] {
     let b = h.0.to_le_bytes();
     [b[0], b[1], b[2], b[3], b[4], b[5]]
 }
@@ -301,17 +301,19 @@
     /// Adds one action of an instance.
     pub fn action(&mut self, inst: u16, action: &Action) {
         match action {
-            Action::Attempt { request, host, timeout, fill } => self.put(
+            Action::Attempt { request, endpoint, timeout, fill } => self.put(
                 60,
                 inst,
                 &[
                     &request.to_le_bytes(),
-                    &host6(*host),
+                    &host6(*endpoint),
                     &span(*timeout),
-                    &host6(fill.source.unwrap_or(*host)),
-                    &[fill.keep],
+                    &host6(fill.source.unwrap_or(*endpoint)),
+                    &[fill.retention],
                     &span(fill.max_age.map_or(Duration::ZERO, |a| a.max(MICROSECOND))),
-                    &[u8::from(fill.join) | u8::from(fill.renew) << 3 | u8::from(fill.shallow) << 1],
+                    &[u8::from(fill.coalesce)
+                        | u8::from(fill.stale_while_revalidate) << 3
+                        | u8::from(fill.only_if_cached) << 1],
                 ],
             ),
             Action::Cancel { request, attempt } => {
@@ -324,7 +326,7 @@
             Action::Timer { after, token } => self.put(130, inst, &[&span(*after), &token.to_le_bytes()]),
             Action::Subscribe => self.put(70, inst, &[&[1]]),
             Action::FetchHosts => self.put(10, inst, &[]),
-            Action::Probe { host } => self.put(50, inst, &[&host6(*host)]),
+            Action::Probe { endpoint } => self.put(50, inst, &[&host6(*endpoint)]),
             Action::Log(text) => self.text(40, inst, text),
         }
     }
@@ -347,8 +349,8 @@
     for line in text.lines().filter(|l| !l.trim().is_empty()) {
         let (k, v) = line
             .split_once('=')
-            .ok_or_else(|| SettingError { key: line.to_string(), value: String::new() })?;
+            .ok_or_else(|| SettingParseError { key: line.to_string(), value: String::new() })?;
         map.insert(k.trim().to_string(), v.trim().to_string());
     }
-    Ok(settings_from(&Pairs::new(map))?)
+    Ok(parse_settings(&SettingsMap::new(map))?)
 }
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hollymux-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_hollymux-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/simhost/tests/characterization/frames.rs
+++ b/crates/simulator-adapter/tests/characterization/frames.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 /// The adapter's executable: the one place that follows a rename of its package.
-const ADAPTER: &str = env!("CARGO_BIN_EXE_hollymux-simhost");
+const ADAPTER: &str = env!("CARGO_BIN_EXE_hollymux-simulator-adapter");
 const EVENT_BYTES: usize = 48;
 const ACTION_BYTES: usize = 32;
 /// The numbered list that every list of hosts is sent as.
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 #[path = "../src/wire.rs"]
 mod wire;
 
-use hollymux_decide::*;
+use hollymux_decision::*;
 use std::time::Duration;
 use wire::{Decoder, Encoder, Input, WireError};
 
@@ -68,22 +68,22 @@
 #[test]
 fn every_outcome_code() {
     let codes = [
-        (0, Status::Ok),
-        (1, Status::Miss),
-        (249, Status::Moot),
-        (250, Status::Cancelled),
-        (251, Status::Reset),
-        (252, Status::ConnectFailed),
-        (253, Status::Timeout),
-        (254, Status::Full),
-        (255, Status::Error),
+        (0, AttemptStatus::Ok),
+        (1, AttemptStatus::Miss),
+        (249, AttemptStatus::Moot),
+        (250, AttemptStatus::Cancelled),
+        (251, AttemptStatus::Reset),
+        (252, AttemptStatus::ConnectFailed),
+        (253, AttemptStatus::Timeout),
+        (254, AttemptStatus::Full),
+        (255, AttemptStatus::Error),
     ];
     for (code, status) in codes {
         let hex = format!("64 0300 c4913a5d b8240000 0a124a07 8b13 44480000 0200 {code:02x} 01 02");
-        let Event::Outcome(o) = event(&hex) else { panic!() };
-        assert_eq!((o.status, o.ended, o.note), (status, true, Some(Note::Filled)));
+        let Event::AttemptOutcome(o) = event(&hex) else { panic!() };
+        assert_eq!((o.status, o.ended, o.note), (status, true, Some(CacheStatus::Filled)));
         assert_eq!((o.latency, o.attempt), (Duration::from_micros(18_500), 2));
-        assert_eq!(o.host, HostId(0x138b_074a_120a));
+        assert_eq!(o.endpoint, EndpointId(0x138b_074a_120a));
     }
 }
 
@@ -99,9 +99,9 @@
     assert_eq!(purge, Event::Purged(Purge { since, object, group: 11 }));
     let Event::Purged(p) = event("0a 0300 084c0100 0b00") else { panic!() };
     assert_eq!(p.object, None);
-    assert_eq!(event("32 0300 03"), Event::HostsFailed);
+    assert_eq!(event("32 0300 03"), Event::EndpointListFailed);
     let probed = event("78 0300 0a9011f2 b413 fc");
-    assert!(matches!(probed, Event::Probed { status: Status::ConnectFailed, .. }));
+    assert!(matches!(probed, Event::Probed { status: AttemptStatus::ConnectFailed, .. }));
     assert_eq!(only(&[padded("6e 0300", 48)], &[]), vec![Input::PowerOff { inst: 3 }]);
     assert_eq!(only(&[padded("5a 0300 02000000 00000000 04000000", 48)], b"hi 7"), vec![]);
 }
@@ -119,20 +119,23 @@
     let mut tail = padded("0000 0a124a07 8b13 0000803f 01", 24);
     tail.extend(bytes("0100 0a9011f2 b413 0000c03f 02 20145d0000000000 01 0200"));
     let inputs = only(&[list(0), known(), list(24), known()], &tail);
-    let lines: Vec<HostEntry> = inputs
+    let lines: Vec<EndpointEntry> = inputs
         .into_iter()
         .map(|i| match i {
-            Input::Event { event: Event::Hosts { kind: ListKind::Full, mut entries }, .. } => {
+            Input::Event { event: Event::EndpointList { kind: ListKind::Full, mut entries }, .. } => {
                 entries.pop().unwrap()
             }
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(lines[0].id, HostId(0x138b_074a_120a));
-    assert_eq!((lines[0].weight, lines[0].state, lines[0].started), (1.0, HostState::Ready, Timestamp::ZERO));
+    assert_eq!(lines[0].id, EndpointId(0x138b_074a_120a));
+    assert_eq!(
+        (lines[0].weight, lines[0].state, lines[0].started),
+        (1.0, EndpointState::Ready, Timestamp::ZERO)
+    );
     assert_eq!(
         (lines[1].weight, lines[1].state, lines[1].started),
-        (1.5, HostState::Draining, Timestamp::from_micros(0x5d1420))
+        (1.5, EndpointState::Draining, Timestamp::from_micros(0x5d1420))
     );
     assert_eq!((lines[1].cell, lines[1].zone, lines[1].kind), (1, 1, 2));
 }
@@ -140,20 +143,20 @@
 #[test]
 fn actions_by_the_table() {
     let mut e = Encoder::default();
-    let host = HostId(0x138b_074a_120a);
+    let endpoint = EndpointId(0x138b_074a_120a);
     e.action(
         3,
         &Action::Attempt {
             request: 0x5d3a_91c4,
-            host,
+            endpoint,
             timeout: Duration::from_millis(900),
-            fill: Fill {
-                source: Some(HostId(0x13b4_f211_900a)),
-                keep: 2,
+            fill: CacheFill {
+                source: Some(EndpointId(0x13b4_f211_900a)),
+                retention: 2,
                 max_age: Some(Duration::from_millis(1_500)),
-                join: true,
-                renew: true,
-                shallow: false,
+                coalesce: true,
+                stale_while_revalidate: true,
+                only_if_cached: false,
             },
         },
     );
@@ -176,8 +179,15 @@
     want.extend(b"two servers known");
     assert_eq!(e.finish(), want);
     // No fill names the cache itself; the encoder starts empty again.
-    let fill = Fill { source: None, keep: 0, max_age: None, join: false, renew: false, shallow: true };
-    e.action(0, &Action::Attempt { request: 1, host, timeout: Duration::from_micros(1), fill });
+    let fill = CacheFill {
+        source: None,
+        retention: 0,
+        max_age: None,
+        coalesce: false,
+        stale_while_revalidate: false,
+        only_if_cached: true,
+    };
+    e.action(0, &Action::Attempt { request: 1, endpoint, timeout: Duration::from_micros(1), fill });
     let b = e.finish();
     assert_eq!(b.len(), 40);
     // The source gives only what it holds.
@@ -224,15 +234,15 @@
          familyInfo.shieldKind=-1\nfamilyInfo.storeKind=2\nweightSource=rough\ngroupSize=3\n",
     )
     .unwrap();
-    assert_eq!((s.zone, s.dispatchers, s.parent_kind, s.origin_kind), (2, 3, None, Some(2)));
-    assert_eq!(s.dispatchers_by_zone, [0, 1, 2]);
-    assert_eq!(s.weights, Weights::Size);
+    assert_eq!((s.zone, s.router_count, s.parent_kind, s.origin_kind), (2, 3, None, Some(2)));
+    assert_eq!(s.router_count_by_zone, [0, 1, 2]);
+    assert_eq!(s.weights, ListedWeights::Size);
     let c = &s.classes[0];
     assert_eq!(
-        (c.effect, c.scope, c.aim, c.write),
-        (Effect::Keyed, Scope::Zone, Duration::from_micros(500), true)
+        (c.idempotency, c.scope, c.latency_objective, c.write),
+        (Idempotency::WithKey, DeduplicationScope::Zone, Duration::from_micros(500), true)
     );
-    assert_eq!((c.fresh, c.stale_worth), (Duration::ZERO, 1.0));
+    assert_eq!((c.fresh, c.stale_weight), (Duration::ZERO, 1.0));
     assert_eq!(wire::settings("").unwrap(), Settings::default());
     assert!(wire::frame_len(&[0; 16]).is_err());
 }
@@ -251,5 +261,5 @@
     let one = wire::settings(&text("edge", "video", "sheet")).unwrap();
     let other = wire::settings(&text("other", "x_1", "zz")).unwrap();
     assert_eq!(one, other);
-    assert_eq!((one.classes.len(), one.dispatchers), (2, 3));
+    assert_eq!((one.classes.len(), one.router_count), (2, 3));
 }
