--- a/crates/planner/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -135,7 +135,7 @@
     pub sockets: f64,
     /// Memory, in MB. Default: 192.
     pub memory_mb: f64,
-    /// Processor time for one request. Default: 0.35, as measured for this version (docs/planner.md).
+    /// Processor time for one request. Default: 0.35, as measured for this version (docs/capacity.md).
     pub cpu_ms: f64,
 }
 
--- a/crates/planner/tests/forms.rs
+++ b/crates/capacity/tests/forms.rs
@@ -1,8 +1,8 @@
 //! The planner's parts against closed forms and plain references.
 
-use hollymux_planner::keep::Keep;
-use hollymux_planner::link::{erlang_wait, sharing_time, Link, Workers};
-use hollymux_planner::reuse::{curve, Use};
+use hollymux_capacity::keep::Keep;
+use hollymux_capacity::link::{erlang_wait, sharing_time, Link, Workers};
+use hollymux_capacity::reuse::{curve, Use};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, Zipf};
--- a/crates/planner/tests/plans.rs
+++ b/crates/capacity/tests/plans.rs
@@ -3,9 +3,9 @@
 use hollymux_decide::{
     Action, Class, Control, Event, HostEntry, HostId, HostState, ListKind, Request, Settings, Weights,
 };
-use hollymux_planner::place::{identity, order, seed};
-use hollymux_planner::trace::{Ask, Key, Trace};
-use hollymux_planner::{plan, Answer, Fleet, PlanError, Question};
+use hollymux_capacity::place::{identity, order, seed};
+use hollymux_capacity::trace::{Ask, Key, Trace};
+use hollymux_capacity::{plan, Answer, Fleet, PlanError, Question};
 use hollymux_record::{ClassHead, Recording};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -74,7 +74,7 @@
     a
 }
 
-fn value(f: Option<hollymux_planner::sure::Figure>) -> f64 {
+fn value(f: Option<hollymux_capacity::sure::Figure>) -> f64 {
     f.expect("a figure").value
 }
 
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -1,8 +1,8 @@
 //! `hollymux plan`: recorded load and a fleet in, a plan out.
 
 use crate::{put, Fail};
-use hollymux_planner::trace::Trace;
-use hollymux_planner::{plan, Fleet, Question};
+use hollymux_capacity::trace::Trace;
+use hollymux_capacity::{plan, Fleet, Question};
 use std::path::PathBuf;
 
 #[derive(clap::Args)]
