--- a/crates/capacity/src/calibration/cache_size.rs
+++ b/crates/capacity/src/calibration/cache_size.rs
@@ -74,8 +74,11 @@
 fn observe_site(trace: &Trace, network: &Network, site: usize) -> SiteObservation {
     let max_delay_us = network.delays.hit_us + network.delays.parent_us / 2.0;
     let endpoints = network.sites[site].weighted_edge_caches();
-    let mut observation =
-        SiteObservation { accesses: vec![Vec::new(); endpoints.len()], timed_responses: 0.0, hits: 0.0 };
+    let mut observation = SiteObservation {
+        accesses: vec![Vec::new(); endpoints.len()],
+        timed_responses: 0.0,
+        hits: 0.0,
+    };
     let mut purge_log = PurgeLog::default();
     for request in &trace.requests {
         purge_log.advance(&trace.purges, request.arrived_us);
@@ -85,7 +88,7 @@
             continue;
         }
         if let Some(latency_us) = latency_beside_sending_us(trace, request) {
-            let slowdown_us = HIT_SLOWDOWN * trace.sending_time_s(request.chunk) * 1e6;
+            let slowdown_us = HIT_SLOWDOWN * trace.sending_time_s(chunk) * 1e6;
             observation.timed_responses += 1.0;
             if latency_us <= max_delay_us + slowdown_us {
                 observation.hits += 1.0;
--- a/crates/capacity/src/calibration/delays.rs
+++ b/crates/capacity/src/calibration/delays.rs
@@ -46,9 +46,9 @@
     let hit_us = network.delays.hit_us;
     match undisturbed_latency_us(trace, sources, ServedFrom::ParentCache) {
         Some(parent_us) => network.delays.parent_us = (parent_us - hit_us).max(0.0),
-        None => {
-            network.calibration_notes.push("fills from a hub: too few to time, the way is assumed".into())
-        }
+        None => network
+            .calibration_notes
+            .push("fills from a hub: too few to time, the way is assumed".into()),
     }
     let parent_us = network.delays.parent_us;
     match undisturbed_latency_us(trace, sources, ServedFrom::Origin) {
@@ -73,14 +73,19 @@
     }
     if network.origin.service_us <= 0.0 && network.origin.workers.is_some() {
         network.origin.service_us = network.delays.write_us;
-        network
-            .calibration_notes
-            .push(format!("the library's work: {:.0} ms, as filings take", network.origin.service_us / 1e3));
+        network.calibration_notes.push(format!(
+            "the library's work: {:.0} ms, as filings take",
+            network.origin.service_us / 1e3
+        ));
     }
 }
 
 /// The latency, beside sending, of responses from one source that waited for nothing else.
-fn undisturbed_latency_us(trace: &Trace, sources: &[ServedFrom], wanted: ServedFrom) -> Option<f64> {
+fn undisturbed_latency_us(
+    trace: &Trace,
+    sources: &[ServedFrom],
+    wanted: ServedFrom,
+) -> Option<f64> {
     let mut latencies: Vec<f64> = trace
         .requests
         .iter()
--- a/crates/capacity/src/calibration/mod.rs
+++ b/crates/capacity/src/calibration/mod.rs
@@ -1,6 +1,6 @@
 //! Calibration: what an operator cannot write down is estimated from the recording, namely how long
-//! responses take to begin and how much edge caches hold. The recording does not say which responses
-//! were hits; a hit shows by how little it took beside its own sending time.
+//! responses take to begin and how much edge caches hold. The recording does not say which
+//! responses were hits; a hit shows by how little it took beside its own sending time.
 
 mod cache_size;
 mod delays;
@@ -21,5 +21,5 @@
 /// What a response took beside its own sending time, in microseconds; none if it was not served.
 fn latency_beside_sending_us(trace: &Trace, request: &TraceRequest) -> Option<f64> {
     let latency_us = request.latency_us?;
-    Some(f64::from(latency_us) - trace.sending_time_s(request.chunk) * 1e6)
+    Some(f64::from(latency_us) - trace.sending_time_s(trace.chunk_of(request)) * 1e6)
 }
--- a/crates/capacity/src/confidence.rs
+++ b/crates/capacity/src/confidence.rs
@@ -1,5 +1,6 @@
-//! Confidence intervals by a block bootstrap over the seconds that an estimate was summed from. Blocks
-//! keep together what depends on each other, such as a burst and the late responses behind it.
+//! Confidence intervals by a block bootstrap over the seconds that an estimate was summed from.
+//! Blocks keep together what depends on each other, such as a burst and the late responses behind
+//! it.
 
 use crate::replay::Totals;
 use rand::{Rng, SeedableRng};
@@ -83,8 +84,10 @@
 
 /// The weight served, late responses at their late weight, as a share of the weight requested.
 pub fn estimate_served(seconds: &[Totals], seed: u64) -> Option<Estimate> {
-    let term =
-        |second: &Totals| RatioTerm { numerator: second.earned_weight, denominator: second.requested_weight };
+    let term = |second: &Totals| RatioTerm {
+        numerator: second.earned_weight,
+        denominator: second.requested_weight,
+    };
     estimate_ratio(&seconds.iter().map(term).collect::<Vec<_>>(), seed)
 }
 
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -7,7 +7,9 @@
     #[error("the recording holds no request")]
     EmptyRecording,
     /// The recording does not say how fast one transfer to a client runs.
-    #[error("the recording says nothing of the rate of a transfer, which sizes of links are measured by")]
+    #[error(
+        "the recording says nothing of the rate of a transfer, which sizes of links are measured by"
+    )]
     MissingFlowRate,
     /// The recorded routers were configured with different rates of a transfer.
     #[error("routers were told different rates of a flow")]
--- a/crates/capacity/src/eviction.rs
+++ b/crates/capacity/src/eviction.rs
@@ -1,6 +1,7 @@
 //! A bounded cache with priorities: the lower priority is evicted first, and within a priority what
 //! was used least recently.
 
+use crate::trace::ChunkId;
 use std::collections::{BTreeMap, HashMap};
 
 /// How long a copy is to be retained relative to others.
@@ -35,8 +36,8 @@
     capacity_bytes: f64,
     used_bytes: f64,
     use_counter: u64,
-    copies: HashMap<u32, CachedCopy>,
-    eviction_order: BTreeMap<EvictionRank, u32>,
+    copies: HashMap<ChunkId, CachedCopy>,
+    eviction_order: BTreeMap<EvictionRank, ChunkId>,
 }
 
 impl LruCache {
@@ -53,17 +54,29 @@
 
     /// When the copy of a chunk was created, if there is one not older than `not_before_us`. A hit
     /// counts as a use, and raises the copy's priority to `priority`.
-    pub fn lookup(&mut self, chunk: u32, not_before_us: u64, priority: RetentionPriority) -> Option<u64> {
+    pub fn lookup(
+        &mut self,
+        chunk: ChunkId,
+        not_before_us: u64,
+        priority: RetentionPriority,
+    ) -> Option<u64> {
         let copy = self.copies.get_mut(&chunk).filter(|copy| copy.created_us >= not_before_us)?;
         self.eviction_order.remove(&copy.rank);
-        copy.rank = EvictionRank { priority: priority.max(copy.rank.priority), last_use: self.use_counter };
+        copy.rank =
+            EvictionRank { priority: priority.max(copy.rank.priority), last_use: self.use_counter };
         self.eviction_order.insert(copy.rank, chunk);
         self.use_counter += 1;
         Some(copy.created_us)
     }
 
     /// Stores a copy, unless that would evict copies of a higher priority.
-    pub fn insert(&mut self, chunk: u32, bytes: f64, priority: RetentionPriority, created_us: u64) {
+    pub fn insert(
+        &mut self,
+        chunk: ChunkId,
+        bytes: f64,
+        priority: RetentionPriority,
+        created_us: u64,
+    ) {
         self.remove(chunk);
         while self.used_bytes + bytes > self.capacity_bytes {
             match self.next_victim(priority) {
@@ -79,7 +92,7 @@
     }
 
     /// Removes a chunk's copy, if there is one.
-    pub fn remove(&mut self, chunk: u32) {
+    pub fn remove(&mut self, chunk: ChunkId) {
         if let Some(copy) = self.copies.remove(&chunk) {
             self.eviction_order.remove(&copy.rank);
             self.used_bytes -= copy.bytes;
@@ -92,7 +105,7 @@
     }
 
     /// The chunk to evict for one of `priority`; none if all that is left is more important.
-    fn next_victim(&self, priority: RetentionPriority) -> Option<u32> {
+    fn next_victim(&self, priority: RetentionPriority) -> Option<ChunkId> {
         let (rank, chunk) = self.eviction_order.first_key_value()?;
         (rank.priority <= priority).then_some(*chunk)
     }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet as an operator describes it. What the file does not give is calibrated from the recording
-//! or not judged; the plan says which.
+//! The fleet as an operator describes it. What the file does not give is calibrated from the
+//! recording or not judged; the plan says which.
 //!
 //! The keys of the file are older than the names in this module, hence the `rename` attributes.
 
@@ -21,8 +21,8 @@
 /// What the file says of a list that is empty.
 const IS_EMPTY: &str = "there is none";
 
-/// Edge caches, parent caches and the origin, with the links between them. Capacities of links are in
-/// flows: how many transfers at a client's full rate they carry.
+/// Edge caches, parent caches and the origin, with the links between them. Capacities of links are
+/// in flows: how many transfers at a client's full rate they carry.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -167,7 +167,8 @@
     pub max_sockets: f64,
     /// Memory, in MB. Default: 192.
     pub memory_mb: f64,
-    /// Processor time for one request. Default: 0.35, as measured for this version (docs/capacity.md).
+    /// Processor time for one request. Default: 0.35, as measured for this version
+    /// (docs/capacity.md).
     pub cpu_ms: f64,
 }
 
@@ -206,7 +207,8 @@
         for (index, site) in self.sites.iter().enumerate() {
             let path = format!("offices[{index}]");
             faults.unless(names.insert(&site.name), format!("{path}.name"), "stands twice");
-            let has_parent = self.parent_caches.iter().any(|parent| parent.name == site.parent_cache);
+            let has_parent =
+                self.parent_caches.iter().any(|parent| parent.name == site.parent_cache);
             faults.unless(has_parent, format!("{path}.hub"), "is no hub of this fleet");
             site.check(&path, faults);
         }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,6 +1,6 @@
-//! Capacity planning from recorded traffic. Input: a recording and a description of the fleet. Output:
-//! what breaks first, how many edge caches a goal needs, and what losses of endpoints do, with a
-//! confidence interval for each figure.
+//! Capacity planning from recorded traffic. Input: a recording and a description of the fleet.
+//! Output: what breaks first, how many edge caches a goal needs, and what losses of endpoints do,
+//! with a confidence interval for each figure.
 //!
 //! The crate has no I/O and no clock, and shares nothing but file formats with the simulated fleets
 //! that its predictions are checked on. docs/capacity.md describes the model.
--- a/crates/capacity/src/network.rs
+++ b/crates/capacity/src/network.rs
@@ -21,7 +21,12 @@
 
 impl Default for ResponseDelays {
     fn default() -> Self {
-        ResponseDelays { hit_us: 4_000.0, parent_us: 12_000.0, origin_us: 50_000.0, write_us: 50_000.0 }
+        ResponseDelays {
+            hit_us: 4_000.0,
+            parent_us: 12_000.0,
+            origin_us: 50_000.0,
+            write_us: 50_000.0,
+        }
     }
 }
 
@@ -177,7 +182,8 @@
 
     /// The parent caches, for placement.
     pub fn weighted_parents(&self) -> Vec<WeightedEndpoint> {
-        let weighted = |node: &ParentCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
+        let weighted =
+            |node: &ParentCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
         self.parent_caches.iter().map(weighted).collect()
     }
 }
@@ -212,7 +218,8 @@
 
     /// The edge caches, for placement.
     pub fn weighted_edge_caches(&self) -> Vec<WeightedEndpoint> {
-        let weighted = |node: &EdgeCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
+        let weighted =
+            |node: &EdgeCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
         self.edge_caches.iter().map(weighted).collect()
     }
 }
@@ -244,7 +251,8 @@
 
 impl ParentCacheNode {
     fn new(parent: &fleet::ParentCache, trace: &Trace) -> ParentCacheNode {
-        let is_this = |listed: &&ListedEndpoint| listed.zone == parent.name && listed.is_parent_cache;
+        let is_this =
+            |listed: &&ListedEndpoint| listed.zone == parent.name && listed.is_parent_cache;
         let listed = trace.listed_endpoints.iter().find(is_this);
         let uid = listed.map_or_else(|| format!("s-{}", parent.name), |found| found.uid.clone());
         ParentCacheNode {
@@ -258,7 +266,10 @@
 }
 
 /// The fleet's sites: those of the recording in its order, then the others.
-fn sites_in_trace_order<'a>(fleet: &'a Fleet, trace: &Trace) -> Result<Vec<&'a fleet::Site>, PlanError> {
+fn sites_in_trace_order<'a>(
+    fleet: &'a Fleet,
+    trace: &Trace,
+) -> Result<Vec<&'a fleet::Site>, PlanError> {
     let mut ordered = Vec::new();
     for name in &trace.sites {
         let site = fleet.sites.iter().find(|site| site.name == *name);
--- a/crates/capacity/src/placement.rs
+++ b/crates/capacity/src/placement.rs
@@ -1,9 +1,11 @@
 //! Placement of chunks on endpoints, the same as the decision module's: weighted rendezvous hashing
-//! (docs/design.md). Every chunk has one hashed order of a site's edge caches, and one of all parent caches.
+//! (docs/design.md). Every chunk has one hashed order of a site's edge caches, and one of all
+//! parent caches.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hash bits that fit a double's mantissa, so that a hash becomes a uniform number without rounding.
+/// Hash bits that fit a double's mantissa, so that a hash becomes a uniform number without
+/// rounding.
 const UNIFORM_BITS: u32 = 53;
 
 /// An endpoint as placement sees it.
--- a/crates/capacity/src/plan/bottlenecks.rs
+++ b/crates/capacity/src/plan/bottlenecks.rs
@@ -33,8 +33,8 @@
     used: f64,
 }
 
-/// Every resource with the load at which it breaks, the first to break first. `levels` begins with the
-/// requested load.
+/// Every resource with the load at which it breaks, the first to break first. `levels` begins with
+/// the requested load.
 pub(super) fn find_bottlenecks(levels: &[LoadLevel], fleet: &Fleet, seed: u64) -> Vec<Bottleneck> {
     let Some(requested) = levels.first() else { return Vec::new() };
     let resources = requested.first_result().resources.iter().enumerate();
@@ -50,11 +50,16 @@
 }
 
 fn usage_points(levels: &[LoadLevel], resource: usize) -> Vec<UsagePoint> {
-    let point = |level: &LoadLevel| UsagePoint { load: level.load, used: level.busiest_usage(resource) };
+    let point =
+        |level: &LoadLevel| UsagePoint { load: level.load, used: level.busiest_usage(resource) };
     levels.iter().map(point).collect()
 }
 
-fn resource_bottleneck(resource: &Resource, used: Option<Estimate>, points: &[UsagePoint]) -> Bottleneck {
+fn resource_bottleneck(
+    resource: &Resource,
+    used: Option<Estimate>,
+    points: &[UsagePoint],
+) -> Bottleneck {
     Bottleneck {
         resource: resource_name(resource),
         used,
@@ -106,7 +111,11 @@
             "answers of every class begin later and later",
         ),
         bottleneck("sockets", sockets / routers.max_sockets, "clients wait to be connected"),
-        bottleneck("memory", memory_mb / routers.memory_mb, "requests are refused while others are served"),
+        bottleneck(
+            "memory",
+            memory_mb / routers.memory_mb,
+            "requests are refused while others are served",
+        ),
     ]
 }
 
--- a/crates/capacity/src/plan/load_levels.rs
+++ b/crates/capacity/src/plan/load_levels.rs
@@ -1,5 +1,5 @@
-//! The fleet at several loads. A short recording is scaled and replayed several times for each, since
-//! what scaling adds to it is chance.
+//! The fleet at several loads. A short recording is scaled and replayed several times for each,
+//! since what scaling adds to it is chance.
 
 use super::PlanInput;
 use crate::replay::{replay, ReplayOptions, ReplayResult, Totals};
@@ -41,7 +41,8 @@
         let draw = |number: u64| {
             let seed = input.options.seed + number;
             let trace = input.trace.scaled(load, seed);
-            let options = ReplayOptions { seed, ..input.options.replay_options(input.counted_from_us) };
+            let options =
+                ReplayOptions { seed, ..input.options.replay_options(input.counted_from_us) };
             let result = replay(&trace, &input.network, &options);
             LoadDraw { trace, result }
         };
@@ -61,7 +62,9 @@
 
     /// Totals of the counted seconds, one draw after the other.
     pub(super) fn totals_by_second(&self) -> Vec<Totals> {
-        self.results().flat_map(|r| r.totals_by_second(r.counted_from_second(), r.seconds.len())).collect()
+        self.results()
+            .flat_map(|r| r.totals_by_second(r.counted_from_second(), r.seconds.len()))
+            .collect()
     }
 
     /// Totals of a site's counted seconds, one draw after the other.
--- a/crates/capacity/src/plan/losses.rs
+++ b/crates/capacity/src/plan/losses.rs
@@ -31,7 +31,10 @@
 const METASTABILITY_LOSS: f64 = 0.1;
 
 /// The outcome of each loss; none is judged on too short a load.
-pub(super) fn judge_losses(trial: &TrialLoad, requested: Vec<Vec<EndpointRef>>) -> Vec<LossOutcome> {
+pub(super) fn judge_losses(
+    trial: &TrialLoad,
+    requested: Vec<Vec<EndpointRef>>,
+) -> Vec<LossOutcome> {
     if !is_long_enough(trial) {
         return Vec::new();
     }
@@ -100,9 +103,14 @@
 }
 
 /// The first second from which the weight in time is as without the loss.
-fn recovered_at(with_loss: &ReplayResult, without_loss: &ReplayResult, returned: usize) -> Option<usize> {
-    let in_time_share =
-        |result: &ReplayResult, from: usize| result.totals(from, from + RECOVERY_WINDOW_S).in_time_share();
+fn recovered_at(
+    with_loss: &ReplayResult,
+    without_loss: &ReplayResult,
+    returned: usize,
+) -> Option<usize> {
+    let in_time_share = |result: &ReplayResult, from: usize| {
+        result.totals(from, from + RECOVERY_WINDOW_S).in_time_share()
+    };
     let last_window = with_loss.seconds.len().saturating_sub(RECOVERY_WINDOW_S);
     (returned..last_window).find(|second| {
         let expected = in_time_share(without_loss, *second);
@@ -141,13 +149,18 @@
 /// The edge cache of a site with the largest link, the first of equal ones.
 fn largest_edge_cache(site: &SiteNetwork) -> Option<usize> {
     let link_flows = |position: &usize| site.edge_caches[*position].link_flows;
-    let larger = |a: &usize, b: &usize| link_flows(a).total_cmp(&link_flows(b)).then(b.cmp(a));
-    (0..site.edge_caches.len()).max_by(larger)
+    let by_link = |left: &usize, right: &usize| {
+        // Of equal ones the maximum is the last, so positions compare in reverse.
+        link_flows(left).total_cmp(&link_flows(right)).then(right.cmp(left))
+    };
+    (0..site.edge_caches.len()).max_by(by_link)
 }
 
 fn name_of(network: &Network, endpoint: EndpointRef) -> String {
     match endpoint {
-        EndpointRef::EdgeCache { site, position } => network.sites[site].edge_caches[position].name.clone(),
+        EndpointRef::EdgeCache { site, position } => {
+            network.sites[site].edge_caches[position].name.clone()
+        }
         EndpointRef::ParentCache { parent } => network.parent_caches[parent].name.clone(),
     }
 }
--- a/crates/capacity/src/plan/sizing.rs
+++ b/crates/capacity/src/plan/sizing.rs
@@ -60,7 +60,8 @@
     }
 }
 
-/// How many edge caches a site needs to reach the goal by itself, by bisection; none if no number does.
+/// How many edge caches a site needs to reach the goal by itself, by bisection; none if no number
+/// does.
 fn needed_at(trial: &TrialLoad, site: usize) -> Option<usize> {
     let present = trial.network.sites[site].edge_caches.len();
     let reaches_goal = |count: usize| {
@@ -83,8 +84,8 @@
     Some(high)
 }
 
-/// Takes away one edge cache after the other, where it costs least, as long as the goal is reached. The
-/// goal is for all sites together: one may fall short where another makes up for it.
+/// Takes away one edge cache after the other, where it costs least, as long as the goal is reached.
+/// The goal is for all sites together: one may fall short where another makes up for it.
 fn cheapest_allocation(trial: &TrialLoad, needed: &[Option<usize>]) -> Allocation {
     // A site that cannot reach the goal keeps what it has: more edge caches would be for nothing.
     let sites = &trial.network.sites;
@@ -96,7 +97,8 @@
             .filter(|site| best.counts[*site] > 1)
             .map(|site| best.with_one_less(trial, site))
             .collect();
-        let least_costly = smaller.into_iter().max_by(|a, b| a.in_time_share().total_cmp(&b.in_time_share()));
+        let least_costly =
+            smaller.into_iter().max_by(|a, b| a.in_time_share().total_cmp(&b.in_time_share()));
         match least_costly.filter(|next| next.in_time_share() >= trial.options.goal) {
             Some(next) => best = next,
             None => break,
--- a/crates/capacity/src/plan/trial.rs
+++ b/crates/capacity/src/plan/trial.rs
@@ -1,4 +1,5 @@
-//! A load that is short enough to be replayed many times over, for trials of other fleets and of losses.
+//! A load that is short enough to be replayed many times over, for trials of other fleets and of
+//! losses.
 
 use super::{PlanInput, PlanOptions};
 use crate::network::Network;
--- a/crates/capacity/src/replay/admission.rs
+++ b/crates/capacity/src/replay/admission.rs
@@ -1,16 +1,16 @@
-//! Whether an endpoint takes one more request: the decision module's rules for overload and warm-up,
-//! with what routers learn from responses.
+//! Whether an endpoint takes one more request: the decision module's rules for overload and
+//! warm-up, with what routers learn from responses.
 
 use super::outages::EndpointRef;
-use super::requests::RequestId;
+use super::request_table::RequestId;
 use super::simulation::Simulation;
 use crate::trace::RequestClass;
 
-/// An edge cache has spare capacity while a transfer there would take this share of the time that its
-/// class leaves (docs/design.md).
+/// An edge cache has spare capacity while a transfer there would take this share of the time that
+/// its class leaves (docs/design.md).
 const CAPACITY_SHARE: f64 = 0.9;
-/// Responses that took more of their objective than this on average reduce an edge cache's capacity:
-/// something that the router does not see is short.
+/// Responses that took more of their objective than this on average reduce an edge cache's
+/// capacity: something that the router does not see is short.
 const MAX_LATENESS: f64 = 0.5;
 /// The most that one response counts as late, in multiples of its objective.
 const LATENESS_CAP: f64 = 2.0;
@@ -55,8 +55,8 @@
 }
 
 impl Simulation<'_> {
-    /// Spare capacity of an edge cache for a class: 1 where nothing is active, below 0 where one more
-    /// request could not be sent in time.
+    /// Spare capacity of an edge cache for a class: 1 where nothing is active, below 0 where one
+    /// more request could not be sent in time.
     pub(super) fn spare_capacity(
         &self,
         site: usize,
@@ -99,8 +99,12 @@
         let Some(returned_us) = self.availability[endpoint].returned_us else { return 1.0 };
         let warm_up = &self.network.warm_up;
         let (initial_share, duration_s) = match self.topology.endpoint_ref(endpoint) {
-            EndpointRef::EdgeCache { .. } => (warm_up.edge_cache_initial_share, warm_up.edge_cache_s),
-            EndpointRef::ParentCache { .. } => (warm_up.parent_cache_initial_share, warm_up.parent_cache_s),
+            EndpointRef::EdgeCache { .. } => {
+                (warm_up.edge_cache_initial_share, warm_up.edge_cache_s)
+            }
+            EndpointRef::ParentCache { .. } => {
+                (warm_up.parent_cache_initial_share, warm_up.parent_cache_s)
+            }
         };
         let elapsed_s = self.now_us.saturating_sub(returned_us) as f64 / 1e6;
         if elapsed_s >= duration_s {
@@ -132,7 +136,8 @@
         }
     }
 
-    /// What routers learn from a response: how late the edge cache is, and the class's service time.
+    /// What routers learn from a response: how late the edge cache is, and the class's service
+    /// time.
     pub(super) fn learn_from_response(&mut self, id: RequestId) {
         let edge_cache = self.edge_cache_of(id);
         let request = self.requests.get(id);
@@ -158,8 +163,8 @@
         let site = usize::from(self.requests.get(id).site);
         let class = self.class_of(id);
         let service_time_s = self.service_times.get(site, self.class_index(id));
-        let objective_s =
-            class.latency_objective_us as f64 / 1e6 + class.latency_objective_stretch * service_time_s;
+        let objective_s = class.latency_objective_us as f64 / 1e6
+            + class.latency_objective_stretch * service_time_s;
         let observed = (latency_s / objective_s).min(LATENESS_CAP);
         let lateness = &mut self.edge_caches[edge_cache].lateness;
         *lateness += (observed - *lateness) / LATENESS_SAMPLES;
--- a/crates/capacity/src/replay/endpoints.rs
+++ b/crates/capacity/src/replay/endpoints.rs
@@ -3,6 +3,7 @@
 use crate::eviction::{LruCache, RetentionPriority};
 use crate::network::{EdgeCacheNode, ParentCacheNode};
 use crate::replication::ReplicationLevels;
+use crate::trace::ChunkId;
 
 /// Something that varies with time, by second.
 #[derive(Debug)]
@@ -63,8 +64,9 @@
         }
     }
 
-    /// Puts in a copy that was there before the load; one that is requested again is retained longer.
-    pub(super) fn preload(&mut self, chunk: u32, bytes: f64) {
+    /// Puts in a copy that was there before the load; one that is requested again is retained
+    /// longer.
+    pub(super) fn preload(&mut self, chunk: ChunkId, bytes: f64) {
         let is_present = self.cache.lookup(chunk, 0, RetentionPriority::High).is_some();
         let priority = if is_present { RetentionPriority::High } else { RetentionPriority::Normal };
         self.cache.insert(chunk, bytes, priority, 0);
@@ -105,7 +107,12 @@
 
 impl Default for Availability {
     fn default() -> Self {
-        Availability { is_available: true, returned_us: None, recent_work_s: 0.0, recent_work_us: 0 }
+        Availability {
+            is_available: true,
+            returned_us: None,
+            recent_work_s: 0.0,
+            recent_work_us: 0,
+        }
     }
 }
 
--- a/crates/capacity/src/replay/events.rs
+++ b/crates/capacity/src/replay/events.rs
@@ -1,8 +1,7 @@
 //! The events of a replay and the queue that they wait in.
 
-use super::fills::FetchId;
-use super::requests::RequestHandle;
-use super::requests::RequestId;
+use super::fetch_table::FetchId;
+use super::request_table::{RequestHandle, RequestId};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
--- a/crates/capacity/src/replay/fills.rs
+++ b/crates/capacity/src/replay/fills.rs
@@ -1,28 +1,13 @@
-//! Fills of edge caches from parent caches, and fetches of parent caches from the origin. Requests for
-//! a chunk that is being fetched join the fetch.
+//! Fills of edge caches from parent caches, and fetches of parent caches from the origin. Requests
+//! for a chunk that is being fetched join the fetch.
 
 use super::events::Event;
+use super::fetch_table::{FetchId, FetchState, ParentChunk};
 use super::links::TransferLeg;
 use super::outcome::ServedFrom;
-use super::requests::{RequestHandle, RequestId};
+use super::request_table::{RequestHandle, RequestId};
 use super::simulation::Simulation;
 use crate::eviction::RetentionPriority;
-use std::collections::HashMap;
-
-/// A fetch from the origin.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct FetchId(u32);
-
-/// How far a fetch has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FetchState {
-    /// The origin has not responded yet.
-    Requested,
-    /// The response is being transferred.
-    Receiving,
-    /// It has ended, with the whole response or without it.
-    Ended,
-}
 
 /// Whether a fetch ended with the whole response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,67 +16,6 @@
     Failed,
 }
 
-#[derive(Debug)]
-struct OriginFetch {
-    parent: u16,
-    chunk: u32,
-    /// The oldest copy that was valid when the fetch began.
-    valid_since_us: u64,
-    state: FetchState,
-    copy_created_us: u64,
-    waiting: Vec<RequestHandle>,
-}
-
-/// All fetches, and those that run by parent cache and chunk.
-#[derive(Debug, Default)]
-pub(super) struct FetchTable {
-    fetches: Vec<OriginFetch>,
-    running: HashMap<(u16, u32), FetchId>,
-}
-
-impl FetchTable {
-    fn get(&self, fetch: FetchId) -> &OriginFetch {
-        &self.fetches[fetch.0 as usize]
-    }
-
-    fn get_mut(&mut self, fetch: FetchId) -> &mut OriginFetch {
-        &mut self.fetches[fetch.0 as usize]
-    }
-
-    /// The running fetch of a chunk, if its response will be valid.
-    fn joinable(&self, parent: u16, chunk: u32, valid_since_us: u64) -> Option<FetchId> {
-        let fetch = *self.running.get(&(parent, chunk))?;
-        (self.get(fetch).valid_since_us >= valid_since_us).then_some(fetch)
-    }
-
-    fn begin(&mut self, parent: u16, chunk: u32, valid_since_us: u64) -> FetchId {
-        let fetch = FetchId(self.fetches.len() as u32);
-        self.fetches.push(OriginFetch {
-            parent,
-            chunk,
-            valid_since_us,
-            state: FetchState::Requested,
-            copy_created_us: 0,
-            waiting: Vec::new(),
-        });
-        self.running.insert((parent, chunk), fetch);
-        fetch
-    }
-
-    /// Ends a fetch and returns the requests that waited for it.
-    fn end(&mut self, fetch: FetchId) -> Vec<RequestHandle> {
-        let ended = self.get_mut(fetch);
-        ended.state = FetchState::Ended;
-        let waiting = std::mem::take(&mut ended.waiting);
-        let key = (ended.parent, ended.chunk);
-        // A later fetch of the same chunk may have taken its place, after a purge.
-        if self.running.get(&key) == Some(&fetch) {
-            self.running.remove(&key);
-        }
-        waiting
-    }
-}
-
 impl Simulation<'_> {
     /// Counts a fill that begins at the request's edge cache.
     pub(super) fn begin_fill(&mut self, id: RequestId) {
@@ -109,7 +33,12 @@
         let request = self.requests.get(id);
         let chunk = self.trace_request(id).chunk;
         let bytes = f64::from(self.chunk_of(id).bytes);
-        self.edge_caches[edge_cache].cache.insert(chunk, bytes, request.retention, request.copy_created_us);
+        self.edge_caches[edge_cache].cache.insert(
+            chunk,
+            bytes,
+            request.retention,
+            request.copy_created_us,
+        );
     }
 
     /// A fill has ended.
@@ -140,19 +69,22 @@
             return self.start_fill_transfers(id);
         }
         self.requests.get_mut(id).served_from = ServedFrom::Origin;
-        match self.join_or_begin_fetch(parent, chunk, valid_since_us) {
+        let target = ParentChunk { parent: parent as u16, chunk };
+        match self.join_or_begin_fetch(target, valid_since_us) {
             Some(fetch) => self.wait_for_fetch(id, fetch),
             None => self.retry_elsewhere(id),
         }
     }
 
     /// The fetch of a chunk by a parent cache; none if neither it nor the origin takes one more.
-    fn join_or_begin_fetch(&mut self, parent: usize, chunk: u32, valid_since_us: u64) -> Option<FetchId> {
-        let joinable = self.fetches.joinable(parent as u16, chunk, valid_since_us);
+    fn join_or_begin_fetch(&mut self, target: ParentChunk, valid_since_us: u64) -> Option<FetchId> {
+        let joinable = self.fetches.joinable(target, valid_since_us);
         if joinable.is_some() {
             return joinable;
         }
-        if self.parent_caches[parent].active_fetches >= self.network.parent_caches[parent].max_fetches {
+        let parent = usize::from(target.parent);
+        let max_fetches = self.network.parent_caches[parent].max_fetches;
+        if self.parent_caches[parent].active_fetches >= max_fetches {
             return None;
         }
         let service_us = self.network.origin.service_us;
@@ -162,7 +94,7 @@
         let parent_cache = &mut self.parent_caches[parent];
         parent_cache.active_fetches += 1;
         parent_cache.fetch_peaks.raise_to(second, parent_cache.active_fetches);
-        let fetch = self.fetches.begin(parent as u16, chunk, valid_since_us);
+        let fetch = self.fetches.begin(target, valid_since_us);
         let travel_us = (self.network.delays.origin_us - service_us).max(0.0) as u64;
         self.schedule(done_us + travel_us, Event::FetchResponded(fetch));
         Some(fetch)
@@ -185,7 +117,8 @@
         self.start_fill_transfers(id);
     }
 
-    /// The first byte of a fill is there: it goes on to the edge cache and to the client as it comes.
+    /// The first byte of a fill is there: it goes on to the edge cache and to the client as it
+    /// comes.
     fn start_fill_transfers(&mut self, id: RequestId) {
         self.start_transfer(id, TransferLeg::FromParent);
         self.start_transfer(id, TransferLeg::IntoSite);
@@ -197,7 +130,7 @@
 
     /// The first byte of a fetch reaches the parent cache.
     pub(super) fn on_fetch_responded(&mut self, fetch: FetchId) {
-        let parent = usize::from(self.fetches.get(fetch).parent);
+        let parent = usize::from(self.fetches.get(fetch).target.parent);
         if !self.availability[self.topology.parent_cache(parent)].is_available {
             return self.end_fetch(fetch, FetchOutcome::Failed);
         }
@@ -206,7 +139,7 @@
         receiving.state = FetchState::Receiving;
         receiving.copy_created_us = now_us;
         let waiting = receiving.waiting.clone();
-        let bytes = f64::from(self.trace.chunks[receiving.chunk as usize].bytes);
+        let bytes = f64::from(self.trace.chunk(receiving.target.chunk).bytes);
         self.start_origin_transfer(u64::from(fetch.0), bytes);
         for handle in waiting {
             if self.is_waiting(handle, fetch) {
@@ -231,13 +164,13 @@
         }
         let waiting = self.fetches.end(fetch);
         let ended = self.fetches.get(fetch);
-        let (chunk, copy_created_us) = (ended.chunk, ended.copy_created_us);
-        let parent = usize::from(ended.parent);
+        let (chunk, copy_created_us) = (ended.target.chunk, ended.copy_created_us);
+        let parent = usize::from(ended.target.parent);
         let is_available = self.availability[self.topology.parent_cache(parent)].is_available;
         let state = &mut self.parent_caches[parent];
         state.active_fetches = state.active_fetches.saturating_sub(1);
         if outcome == FetchOutcome::Completed && is_available {
-            let bytes = f64::from(self.trace.chunks[chunk as usize].bytes);
+            let bytes = f64::from(self.trace.chunk(chunk).bytes);
             state.cache.insert(chunk, bytes, RetentionPriority::Normal, copy_created_us);
         }
         for handle in waiting {
--- a/crates/capacity/src/replay/links.rs
+++ b/crates/capacity/src/replay/links.rs
@@ -1,7 +1,7 @@
 //! The links of a replay with the transfers on them, and when each link's next transfer completes.
 
 use super::events::Event;
-use super::requests::{RequestHandle, RequestId};
+use super::request_table::{RequestHandle, RequestId};
 use super::simulation::Simulation;
 use super::topology::Topology;
 use crate::network::Network;
@@ -38,7 +38,8 @@
     }
 }
 
-/// A transfer's identifier on its link: unique, as a request's generation changes when it withdraws.
+/// A transfer's identifier on its link: unique, as a request's generation changes when it
+/// withdraws.
 fn transfer_id(request: RequestHandle, leg: TransferLeg) -> u64 {
     let generation = u64::from(request.generation) & ((1 << GENERATION_BITS) - 1);
     u64::from(request.id.0) << (GENERATION_BITS + LEG_BITS) | generation << LEG_BITS | leg as u64
--- a/crates/capacity/src/replay/mod.rs
+++ b/crates/capacity/src/replay/mod.rs
@@ -1,18 +1,20 @@
-//! Replay of a load over a network, as a discrete event simulation. Every first attempt is placed as
-//! the routers place it, served from its edge cache or filled over links that it shares with others,
-//! and retried by its client if it is not served. The result is the weight that was served in time by
-//! site, class and second, and how much of every resource was used.
+//! Replay of a load over a network, as a discrete event simulation. Every first attempt is placed
+//! as the routers place it, served from its edge cache or filled over links that it shares with
+//! others, and retried by its client if it is not served. The result is the weight that was served
+//! in time by site, class and second, and how much of every resource was used.
 //!
-//! Time is that of the recording. Links are shared as in [`crate::shared_link`]; a client's transfer
-//! starts with the first byte of its fill.
+//! Time is that of the recording. Links are shared as in [`crate::shared_link`]; a client's
+//! transfer starts with the first byte of its fill.
 
 mod admission;
 mod endpoints;
 mod events;
+mod fetch_table;
 mod fills;
 mod links;
 mod outages;
 mod outcome;
+mod request_table;
 mod requests;
 mod resources;
 mod routing;
@@ -30,8 +32,9 @@
 /// What caches hold when the load begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InitialCaches {
-    /// What the warm-up requests. What they really held when the recording began is not known, and a
-    /// fleet that starts empty under its full load may collapse at a load that it carries when warm.
+    /// What the warm-up requests. What they really held when the recording began is not known, and
+    /// a fleet that starts empty under its full load may collapse at a load that it carries when
+    /// warm.
     #[default]
     Warm,
     /// Nothing, as after a loss of everything.
--- a/crates/capacity/src/replay/outages.rs
+++ b/crates/capacity/src/replay/outages.rs
@@ -2,7 +2,7 @@
 
 use super::events::Event;
 use super::links::TransferLeg;
-use super::requests::{OpenRequest, RequestId};
+use super::request_table::{OpenRequest, RequestId};
 use super::simulation::Simulation;
 
 /// How often the link of an endpoint that warms up gets a larger share.
--- a/crates/capacity/src/replay/requests.rs
+++ b/crates/capacity/src/replay/requests.rs
@@ -1,127 +1,17 @@
-//! Open requests: from a client's first attempt to its response, or until the client gives up.
+//! The way of a request: from a client's first attempt to its response, or until the client gives
+//! up.
 
 use super::events::Event;
-use super::fills::FetchId;
 use super::links::TransferLeg;
-use super::outcome::{response_totals, ServedFrom, Totals};
+use super::outcome::{response_totals, Totals};
+use super::request_table::{OpenRequest, RequestHandle, RequestId};
 use super::simulation::Simulation;
-use crate::eviction::RetentionPriority;
 use crate::trace::{Chunk, RequestClass, TraceRequest};
 use rand::Rng;
 
 /// How long a router takes to notice that an endpoint is lost, before it tries another.
 const FAILURE_DETECTION_US: u64 = 30_000;
 
-/// The slot of an open request. Slots are used again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RequestId(pub(super) u32);
-
-impl RequestId {
-    fn index(self) -> usize {
-        self.0 as usize
-    }
-}
-
-/// A request at one stage: whatever was scheduled for an earlier stage is stale.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RequestHandle {
-    pub(super) id: RequestId,
-    pub(super) generation: u32,
-}
-
-/// A request of a client.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct OpenRequest {
-    /// The first attempt, as an index of the trace's requests.
-    pub(super) trace_index: u32,
-    /// Changes whenever the request withdraws from where it is, or ends.
-    pub(super) generation: u32,
-    /// Retries by the client so far.
-    pub(super) retries: u8,
-    /// The router's attempts since the client's last one.
-    pub(super) attempts: u8,
-    /// The site.
-    pub(super) site: u16,
-    /// The edge cache of the current attempt, by its position in the site.
-    pub(super) edge_cache: u16,
-    /// The parent cache that fills the current attempt.
-    pub(super) parent_cache: u16,
-    /// Transfers and fetches that the response still waits for.
-    pub(super) pending_steps: u8,
-    /// Which legs the response is being transferred on, by [`TransferLeg`].
-    pub(super) active_legs: [bool; 3],
-    /// Whether the edge cache is being filled for this request.
-    pub(super) is_filling: bool,
-    /// The priority of the copy that a fill leaves.
-    pub(super) retention: RetentionPriority,
-    /// When the copy that serves the request was created.
-    pub(super) copy_created_us: u64,
-    /// The fetch from the origin that the request waits for.
-    pub(super) fetch: Option<FetchId>,
-    /// Where the current attempt is served from.
-    pub(super) served_from: ServedFrom,
-    /// When the client made its last attempt.
-    pub(super) client_attempt_us: u64,
-    /// When the current attempt was sent to its edge cache.
-    pub(super) sent_us: u64,
-    /// Whether the current attempt is counted at its edge cache.
-    pub(super) is_at_edge_cache: bool,
-}
-
-/// Open requests by slot.
-#[derive(Debug, Default)]
-pub(super) struct RequestTable {
-    slots: Vec<OpenRequest>,
-    free: Vec<RequestId>,
-}
-
-impl RequestTable {
-    pub(super) fn get(&self, id: RequestId) -> &OpenRequest {
-        &self.slots[id.index()]
-    }
-
-    pub(super) fn get_mut(&mut self, id: RequestId) -> &mut OpenRequest {
-        &mut self.slots[id.index()]
-    }
-
-    pub(super) fn handle(&self, id: RequestId) -> RequestHandle {
-        RequestHandle { id, generation: self.get(id).generation }
-    }
-
-    pub(super) fn is_current(&self, handle: RequestHandle) -> bool {
-        self.get(handle.id).generation == handle.generation
-    }
-
-    pub(super) fn are_all_closed(&self) -> bool {
-        self.slots.len() == self.free.len()
-    }
-
-    /// The open requests for which `predicate` holds, by slot.
-    pub(super) fn find(&self, predicate: impl Fn(RequestId, &OpenRequest) -> bool) -> Vec<RequestId> {
-        let ids = (0..self.slots.len() as u32).map(RequestId);
-        ids.filter(|id| predicate(*id, self.get(*id)) && !self.free.contains(id)).collect()
-    }
-
-    fn open(&mut self, request: OpenRequest) -> RequestId {
-        match self.free.pop() {
-            Some(id) => {
-                let generation = self.get(id).generation + 1;
-                *self.get_mut(id) = OpenRequest { generation, ..request };
-                id
-            }
-            None => {
-                self.slots.push(request);
-                RequestId(self.slots.len() as u32 - 1)
-            }
-        }
-    }
-
-    fn close(&mut self, id: RequestId) {
-        self.get_mut(id).generation += 1;
-        self.free.push(id);
-    }
-}
-
 impl<'a> Simulation<'a> {
     /// A client's first attempt.
     pub(super) fn open_request(&mut self, trace_index: usize) {
@@ -221,7 +111,7 @@
             self.leave_edge_cache(id);
         }
         let request = *self.trace_request(id);
-        let objective_us = self.trace.latency_objective_us(request.chunk);
+        let objective_us = self.trace.latency_objective_us(self.chunk_of(id));
         let totals = response_totals(&request, self.class_of(id), objective_us, self.now_us);
         self.record(id, &totals);
         if self.is_counted() {
--- a/crates/capacity/src/replay/resources.rs
+++ b/crates/capacity/src/replay/resources.rs
@@ -55,12 +55,10 @@
             for position in 0..site.edge_caches.len() {
                 resources.extend(self.edge_cache_resources(index, position));
             }
-            resources.push(
-                self.link_usage(
-                    Resource::SiteInboundLink(site.name.clone()),
-                    self.topology.inbound_link(index),
-                ),
-            );
+            resources.push(self.link_usage(
+                Resource::SiteInboundLink(site.name.clone()),
+                self.topology.inbound_link(index),
+            ));
         }
         resources
     }
--- a/crates/capacity/src/replay/routing.rs
+++ b/crates/capacity/src/replay/routing.rs
@@ -3,15 +3,16 @@
 use super::events::Event;
 use super::links::TransferLeg;
 use super::outcome::ServedFrom;
-use super::requests::RequestId;
-use super::simulation::Simulation;
+use super::request_table::RequestId;
+use super::simulation::{RouterChunk, Simulation};
 use crate::eviction::RetentionPriority;
 use crate::placement::{hash_order, placement_seed};
 use rand::Rng;
 
 /// Attempts of a router for one attempt of the client.
 const MAX_ATTEMPTS: u8 = 6;
-/// An endpoint that is not the first choice must have this much spare capacity (bounded-load hashing).
+/// An endpoint that is not the first choice must have this much spare capacity (bounded-load
+/// hashing).
 const OVERFLOW_SPARE_CAPACITY: f64 = 0.8;
 /// A chunk that a router was asked for within this time is retained at the higher priority.
 const RECENT_REQUEST_US: u64 = 30_000_000;
@@ -42,8 +43,8 @@
         }
     }
 
-    /// The first edge cache in the chunk's order that can take the request. A replicated chunk begins
-    /// at a random one of its replicas.
+    /// The first edge cache in the chunk's order that can take the request. A replicated chunk
+    /// begins at a random one of its replicas.
     fn choose_edge_cache(&mut self, id: RequestId) -> Option<EdgeCacheChoice> {
         let site = usize::from(self.requests.get(id).site);
         let order = self.available_edge_caches(id);
@@ -65,7 +66,8 @@
         None
     }
 
-    /// Whether an edge cache of the request's site has that much spare capacity, and can run a fill.
+    /// Whether an edge cache of the request's site has that much spare capacity, and can run a
+    /// fill.
     fn has_spare_capacity(&self, id: RequestId, position: usize, min_spare: f64) -> bool {
         let site = usize::from(self.requests.get(id).site);
         let node = &self.network.sites[site].edge_caches[position];
@@ -86,8 +88,8 @@
         order.into_iter().filter(is_available).collect()
     }
 
-    /// How many edge caches the chunk is spread over. Only a client's attempt counts as a request, and
-    /// only it goes to any replica.
+    /// How many edge caches the chunk is spread over. Only a client's attempt counts as a request,
+    /// and only it goes to any replica.
     fn replicas(&mut self, id: RequestId, endpoint_count: usize) -> usize {
         if self.requests.get(id).attempts != 1 {
             return 1;
@@ -130,7 +132,7 @@
     /// The priority of the copy that a request leaves at an edge cache.
     fn retention(&mut self, id: RequestId, choice: EdgeCacheChoice) -> RetentionPriority {
         let request = self.trace_request(id);
-        let key = (request.router, request.chunk);
+        let key = RouterChunk { router: request.router, chunk: request.chunk };
         let last_us = self.last_requested_us.insert(key, self.now_us);
         let is_recent = last_us.is_some_and(|last| self.now_us < last + RECENT_REQUEST_US);
         if choice.rank == 0 && is_recent {
@@ -161,7 +163,8 @@
         order.into_iter().map(usize::from).find(|parent| {
             let endpoint = self.topology.parent_cache(*parent);
             let link_flows = self.network.parent_caches[*parent].link_flows;
-            self.availability[endpoint].is_available && self.admit_work(endpoint, link_flows, work_s)
+            self.availability[endpoint].is_available
+                && self.admit_work(endpoint, link_flows, work_s)
         })
     }
 
--- a/crates/capacity/src/replay/simulation.rs
+++ b/crates/capacity/src/replay/simulation.rs
@@ -3,22 +3,29 @@
 use super::admission::ServiceTimes;
 use super::endpoints::{Availability, EdgeCacheState, ParentCacheState, RouterState};
 use super::events::{Event, EventQueue};
-use super::fills::FetchTable;
+use super::fetch_table::FetchTable;
 use super::links::LinkTable;
 use super::outages::Outage;
 use super::outcome::ReplayResult;
-use super::requests::RequestTable;
+use super::request_table::RequestTable;
 use super::topology::Topology;
 use super::ReplayOptions;
 use crate::eviction::RetentionPriority;
 use crate::network::Network;
 use crate::placement::{hash_order, placement_seed, WeightedEndpoint};
-use crate::trace::{PurgeLog, Trace};
+use crate::trace::{ChunkId, PurgeLog, Trace};
 use crate::worker_pool::WorkerPool;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
+/// A chunk at a router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct RouterChunk {
+    pub(super) router: u16,
+    pub(super) chunk: ChunkId,
+}
+
 /// A replay in progress.
 pub(super) struct Simulation<'a> {
     pub(super) trace: &'a Trace,
@@ -38,8 +45,8 @@
     pub(super) fetches: FetchTable,
     pub(super) service_times: ServiceTimes,
     pub(super) purge_log: PurgeLog,
-    /// When a router was last asked for a chunk, by router and chunk.
-    pub(super) last_requested_us: HashMap<(u16, u32), u64>,
+    /// When a router was last asked for a chunk.
+    pub(super) last_requested_us: HashMap<RouterChunk, u64>,
     /// The edge caches of each site, for placement.
     pub(super) weighted_edge_caches: Vec<Vec<WeightedEndpoint>>,
     pub(super) weighted_parents: Vec<WeightedEndpoint>,
@@ -48,9 +55,17 @@
 }
 
 impl<'a> Simulation<'a> {
-    pub(super) fn new(trace: &'a Trace, network: &'a Network, options: &'a ReplayOptions) -> Simulation<'a> {
-        let result =
-            ReplayResult::empty(trace, network.sites.len(), options.counted_from_us, options.record_sources);
+    pub(super) fn new(
+        trace: &'a Trace,
+        network: &'a Network,
+        options: &'a ReplayOptions,
+    ) -> Simulation<'a> {
+        let result = ReplayResult::empty(
+            trace,
+            network.sites.len(),
+            options.counted_from_us,
+            options.record_sources,
+        );
         let seconds = result.seconds.len();
         let topology = Topology::new(network);
         let edge_caches = network.sites.iter().flat_map(|site| &site.edge_caches);
@@ -142,9 +157,9 @@
     }
 
     /// The oldest valid creation time of a chunk's copy.
-    pub(super) fn valid_since_us(&self, chunk: u32) -> u64 {
-        let chunk = &self.trace.chunks[chunk as usize];
-        let class = &self.trace.classes[usize::from(chunk.class)];
+    pub(super) fn valid_since_us(&self, chunk: ChunkId) -> u64 {
+        let chunk = self.trace.chunk(chunk);
+        let class = self.trace.class_of_chunk(chunk);
         self.purge_log.valid_since_us(self.now_us, chunk, class)
     }
 
--- a/crates/capacity/src/replication.rs
+++ b/crates/capacity/src/replication.rs
@@ -1,7 +1,8 @@
-//! How many edge caches a chunk is spread over. A chunk that takes more than its share of a router's
-//! requests is replicated on the first 1, 3, 7, ... endpoints of its hashed order; each level doubles
-//! the block that is added. The rule is the decision module's.
+//! How many edge caches a chunk is spread over. A chunk that takes more than its share of a
+//! router's requests is replicated on the first 1, 3, 7, ... endpoints of its hashed order; each
+//! level doubles the block that is added. The rule is the decision module's.
 
+use crate::trace::ChunkId;
 use std::collections::HashMap;
 
 /// The shortest time over which requests are counted.
@@ -33,16 +34,17 @@
     interval_began_us: u64,
     sampled_requests: u32,
     requests_per_s: f64,
-    sampled_by_chunk: HashMap<u32, u32>,
-    levels: HashMap<u32, ChunkLevel>,
+    sampled_by_chunk: HashMap<ChunkId, u32>,
+    levels: HashMap<ChunkId, ChunkLevel>,
 }
 
 impl ReplicationLevels {
     /// Counts a request and returns how many endpoints of its order the chunk is spread over.
-    pub fn record_request(&mut self, now_us: u64, chunk: u32, endpoint_count: usize) -> usize {
+    pub fn record_request(&mut self, now_us: u64, chunk: ChunkId, endpoint_count: usize) -> usize {
         let elapsed_us = now_us.saturating_sub(self.interval_began_us);
         let sampled_enough = self.sampled_requests >= MIN_SAMPLED_REQUESTS;
-        if elapsed_us >= LEVEL_DECAY_US || elapsed_us >= MIN_SAMPLING_INTERVAL_US && sampled_enough {
+        if elapsed_us >= LEVEL_DECAY_US || elapsed_us >= MIN_SAMPLING_INTERVAL_US && sampled_enough
+        {
             self.end_interval(now_us, elapsed_us as f64 / 1e6, endpoint_count.max(1) as f64);
         }
         *self.sampled_by_chunk.entry(chunk).or_default() += 1;
@@ -51,7 +53,7 @@
     }
 
     /// A chunk's level; 0 is one replica.
-    pub fn level(&self, chunk: u32) -> u32 {
+    pub fn level(&self, chunk: ChunkId) -> u32 {
         self.levels.get(&chunk).map_or(0, |entry| entry.level)
     }
 
@@ -70,7 +72,8 @@
         };
         let expected_requests = self.requests_per_s.max(rate) * elapsed_s;
         let threshold = |level: u32| {
-            WIDEN_SHARE * f64::from(1u32 << level.min(MAX_LEVEL)) / endpoint_count * expected_requests
+            WIDEN_SHARE * f64::from(1u32 << level.min(MAX_LEVEL)) / endpoint_count
+                * expected_requests
         };
         for (chunk, count) in std::mem::take(&mut self.sampled_by_chunk) {
             let count = f64::from(count);
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -1,5 +1,6 @@
-//! The plan as data. [`text`] renders it as a page for people and [`plot`] as a picture; as JSON it
-//! keeps the keys of earlier versions, hence the `rename` attributes.
+//! The plan as data. [`CapacityPlan::text`] renders it as a page for people and
+//! [`CapacityPlan::plot`] as a picture; as JSON it keeps the keys of earlier versions, hence the
+//! `rename` attributes.
 
 mod plot;
 mod text;
--- a/crates/capacity/src/report/plot.rs
+++ b/crates/capacity/src/report/plot.rs
@@ -55,10 +55,9 @@
     }
 
     fn plot_points(&self) -> Vec<PlotPoint> {
-        let known = self
-            .loads
-            .iter()
-            .filter_map(|outcome| Some(PlotPoint { load: outcome.load, in_time: outcome.in_time? }));
+        let known = self.loads.iter().filter_map(|outcome| {
+            Some(PlotPoint { load: outcome.load, in_time: outcome.in_time? })
+        });
         known.collect()
     }
 }
--- a/crates/capacity/src/report/text.rs
+++ b/crates/capacity/src/report/text.rs
@@ -43,7 +43,8 @@
         }
         if self.is_metastable == Some(true) {
             lines.push(
-                "With all hubs cold this load stays in a bad state: shed load until they are warm.".into(),
+                "With all hubs cold this load stays in a bad state: shed load until they are warm."
+                    .into(),
             );
         }
         lines
@@ -65,7 +66,11 @@
         let sizing = &self.sizing;
         let mut lines = vec![
             format!("Boxes for {:.1}%:", self.goal * 100.0),
-            format!("  the {} there are reach {}", sizing.present, percentage(sizing.present_reaches)),
+            format!(
+                "  the {} there are reach {}",
+                sizing.present,
+                percentage(sizing.present_reaches)
+            ),
             self.allocation_line(),
         ];
         for requirement in &sizing.requirements {
@@ -93,7 +98,8 @@
         if self.losses.is_empty() {
             return Vec::new();
         }
-        let title = "Losses (worth in time without, during, while its successor is cold; back after):";
+        let title =
+            "Losses (worth in time without, during, while its successor is cold; back after):";
         let mut lines = vec![title.to_string()];
         lines.extend(self.losses.iter().map(loss_line));
         lines
@@ -116,7 +122,8 @@
             "What this rests on:".to_string(),
             format!(
                 "  {:.0} s counted, {} first tries, {:.1}% of what was recorded were further \
-                 tries; intervals hold nine times in ten as far as the recording's own spread tells",
+                 tries; intervals hold nine times in ten as far as the recording's own spread \
+                 tells",
                 quality.seconds,
                 quality.requests,
                 quality.retry_share * 100.0
@@ -140,8 +147,11 @@
 
 fn bottleneck_line(bottleneck: &Bottleneck) -> String {
     let Bottleneck { resource, symptom, .. } = bottleneck;
-    let breaks_at = bottleneck.breaks_at.map_or("beyond 4".to_string(), |load| format!("{load:.2}"));
-    let used = bottleneck.used.map_or(String::new(), |used| format!("{:.0}% used now", used.value * 100.0));
+    let breaks_at =
+        bottleneck.breaks_at.map_or("beyond 4".to_string(), |load| format!("{load:.2}"));
+    let used = bottleneck
+        .used
+        .map_or(String::new(), |used| format!("{:.0}% used now", used.value * 100.0));
     format!("  {breaks_at:>8}  {resource:<26} {used:<14} {symptom}")
 }
 
@@ -160,8 +170,9 @@
     let value = |estimate: Option<Estimate>| {
         estimate.map_or("?".to_string(), |known| format!("{:.1}%", known.value * 100.0))
     };
-    let recovery =
-        loss.recovered_after_s.map_or("not by the end".to_string(), |after| format!("{after:.0} s"));
+    let recovery = loss
+        .recovered_after_s
+        .map_or("not by the end".to_string(), |after| format!("{after:.0} s"));
     format!(
         "  {:<26} {:>7} {:>7} {:>7}   {recovery}",
         loss.endpoints.join(" and "),
--- a/crates/capacity/src/reuse_distance.rs
+++ b/crates/capacity/src/reuse_distance.rs
@@ -1,10 +1,11 @@
 //! Reuse distances: how many bytes of other chunks were requested between two requests for the same
-//! chunk. An LRU cache still has the chunk if it holds more than that, so one pass over the load gives
-//! the hit ratio for every cache size (Mattson's stack distances).
+//! chunk. An LRU cache still has the chunk if it holds more than that, so one pass over the load
+//! gives the hit ratio for every cache size (Mattson's stack distances).
 //!
-//! Exact distances take a tree with one leaf per request. Sampled ones follow only chunks whose hash
-//! falls below a bound and scale distances up, which leaves the curve unbiased (SHARDS).
+//! Exact distances take a tree with one leaf per request. Sampled ones follow only chunks whose
+//! hash falls below a bound and scale distances up, which leaves the curve unbiased (SHARDS).
 
+use crate::trace::ChunkId;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -51,7 +52,7 @@
     /// When, in microseconds.
     pub at_us: u64,
     /// The chunk.
-    pub chunk: u32,
+    pub chunk: ChunkId,
     /// The chunk's size.
     pub bytes: f64,
     /// A copy created before this is not valid: it was purged, or is no longer fresh.
@@ -93,7 +94,8 @@
     /// The smallest cache that serves that share of requests; none if no size does.
     pub fn min_size_for(&self, hit_ratio: f64) -> Option<f64> {
         let hits = hit_ratio * (self.requests + self.sampling_deficit);
-        let followed_hits = (hits - self.sampling_deficit - COUNT_TOLERANCE).ceil().max(0.0) as usize;
+        let followed_hits =
+            (hits - self.sampling_deficit - COUNT_TOLERANCE).ceil().max(0.0) as usize;
         if followed_hits == 0 {
             return Some(0.0);
         }
@@ -106,13 +108,17 @@
     }
 }
 
-/// The curve of a load that meets one cache. `sample_share` is the share of chunks that are followed;
-/// 1 follows all.
-pub fn hit_ratio_curve(accesses: impl Iterator<Item = CacheAccess>, sample_share: f64) -> HitRatioCurve {
+/// The curve of a load that meets one cache. `sample_share` is the share of chunks that are
+/// followed; 1 follows all.
+pub fn hit_ratio_curve(
+    accesses: impl Iterator<Item = CacheAccess>,
+    sample_share: f64,
+) -> HitRatioCurve {
     let share = sample_share.clamp(MIN_SAMPLE_SHARE, 1.0);
     let hash_bound = (share * u64::MAX as f64) as u64;
-    let is_followed =
-        |access: &CacheAccess| sample_share >= 1.0 || xxh3_64(&access.chunk.to_le_bytes()) <= hash_bound;
+    let is_followed = |access: &CacheAccess| {
+        sample_share >= 1.0 || xxh3_64(&access.chunk.0.to_le_bytes()) <= hash_bound
+    };
     let mut total_requests = 0.0;
     let followed: Vec<CacheAccess> =
         accesses.inspect(|_| total_requests += 1.0).filter(is_followed).collect();
@@ -129,15 +135,15 @@
 /// The reuse distance of every access that finds a valid copy in an unbounded cache.
 fn reuse_distances(accesses: &[CacheAccess], sample_share: f64) -> Vec<f64> {
     let mut bytes_by_last_access = FenwickTree::new(accesses.len());
-    let mut last_access: HashMap<u32, LastAccess> = HashMap::new();
+    let mut last_access: HashMap<ChunkId, LastAccess> = HashMap::new();
     let mut distances = Vec::new();
     for (index, access) in accesses.iter().enumerate() {
         // A copy is as old as the last request that had to fetch one.
         let mut copy_created_us = access.at_us;
         if let Some(last) = last_access.get(&access.chunk).copied() {
             if last.copy_created_us >= access.not_before_us {
-                let between =
-                    bytes_by_last_access.sum_before(index) - bytes_by_last_access.sum_before(last.index);
+                let between = bytes_by_last_access.sum_before(index)
+                    - bytes_by_last_access.sum_before(last.index);
                 // The chunk itself takes up space as well.
                 distances.push((between - last.bytes).max(0.0) / sample_share + access.bytes);
                 copy_created_us = last.copy_created_us;
@@ -145,7 +151,8 @@
             bytes_by_last_access.add(last.index, -last.bytes);
         }
         bytes_by_last_access.add(index, access.bytes);
-        last_access.insert(access.chunk, LastAccess { index, copy_created_us, bytes: access.bytes });
+        last_access
+            .insert(access.chunk, LastAccess { index, copy_created_us, bytes: access.bytes });
     }
     distances
 }
--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -1,5 +1,5 @@
-//! Recorded load as the planner uses it: clients' first attempts by site with the sizes of the chunks
-//! they ask for, which can be scaled, cut, and filtered.
+//! Recorded load as the planner uses it: clients' first attempts by site with the sizes of the
+//! chunks they ask for, which can be scaled, cut, and filtered.
 
 mod object_size;
 mod purges;
@@ -12,6 +12,10 @@
 use hollymux_record::ClassHead;
 use std::collections::HashMap;
 
+/// A chunk's number: its position in [`Trace::chunks`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ChunkId(pub u32);
+
 /// A chunk of an object.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Chunk {
@@ -29,13 +33,26 @@
     pub is_unusually_large: bool,
 }
 
+/// What identifies a chunk in a recording.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ChunkAddress {
+    object: u64,
+    index: u32,
+}
+
+impl Chunk {
+    fn address(&self) -> ChunkAddress {
+        ChunkAddress { object: self.object, index: self.index }
+    }
+}
+
 /// A client's first attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TraceRequest {
     /// When it arrived, in microseconds from the start of the trace.
     pub arrived_us: u64,
-    /// What it asks for, as an index of [`Trace::chunks`].
-    pub chunk: u32,
+    /// What it asks for.
+    pub chunk: ChunkId,
     /// The site, as an index of [`Trace::sites`].
     pub site: u16,
     /// The router.
@@ -133,24 +150,34 @@
 }
 
 impl Trace {
+    /// The chunk of a number.
+    pub fn chunk(&self, chunk: ChunkId) -> &Chunk {
+        &self.chunks[chunk.0 as usize]
+    }
+
     /// The chunk that a request asks for.
     pub fn chunk_of(&self, request: &TraceRequest) -> &Chunk {
-        &self.chunks[request.chunk as usize]
+        self.chunk(request.chunk)
+    }
+
+    /// The class of a chunk.
+    pub fn class_of_chunk(&self, chunk: &Chunk) -> &RequestClass {
+        &self.classes[usize::from(chunk.class)]
     }
 
     /// The class of a request.
     pub fn class_of(&self, request: &TraceRequest) -> &RequestClass {
-        &self.classes[usize::from(self.chunk_of(request).class)]
+        self.class_of_chunk(self.chunk_of(request))
     }
 
     /// How long it takes to send a chunk to a client, in seconds.
-    pub fn sending_time_s(&self, chunk: u32) -> f64 {
-        f64::from(self.chunks[chunk as usize].bytes) / self.flow_bytes_per_s
+    pub fn sending_time_s(&self, chunk: &Chunk) -> f64 {
+        f64::from(chunk.bytes) / self.flow_bytes_per_s
     }
 
     /// How long a request for a chunk may take to be in time, in microseconds.
-    pub fn latency_objective_us(&self, chunk: u32) -> f64 {
-        let class = &self.classes[usize::from(self.chunks[chunk as usize].class)];
+    pub fn latency_objective_us(&self, chunk: &Chunk) -> f64 {
+        let class = self.class_of_chunk(chunk);
         let stretch_us = class.latency_objective_stretch * self.sending_time_s(chunk) * 1e6;
         class.latency_objective_us as f64 + stretch_us
     }
--- a/crates/capacity/src/trace/object_size.rs
+++ b/crates/capacity/src/trace/object_size.rs
@@ -3,18 +3,18 @@
 //! Clients give up on large objects, so what was never served is larger than what was. The longest
 //! wait for a chunk gives its least size.
 
-use super::{Chunk, Trace};
+use super::{Chunk, ChunkId, Trace};
 use std::collections::{BTreeMap, HashMap};
 
 /// An object is unusually large from this many times its class's median on.
 const LARGE_FACTOR: f64 = 6.0;
-/// The same where at least [`MIN_CORROBORATING_CHUNKS`] of its chunks say so. Of a large object only
-/// the smaller chunks come in time, so that its mean looks less than it is.
+/// The same where at least [`MIN_CORROBORATING_CHUNKS`] of its chunks say so. Of a large object
+/// only the smaller chunks come in time, so that its mean looks less than it is.
 const CORROBORATED_LARGE_FACTOR: f64 = 3.5;
 /// See [`CORROBORATED_LARGE_FACTOR`].
 const MIN_CORROBORATING_CHUNKS: f64 = 3.0;
-/// An object that was never served is held to be too large if chance explains its unserved waits with
-/// less than this probability.
+/// An object that was never served is held to be too large if chance explains its unserved waits
+/// with less than this probability.
 const MAX_CHANCE: f64 = 0.02;
 /// Chunks that were never served are larger than those of the same object that were, and than their
 /// longest wait could have brought, by about this factor.
@@ -73,8 +73,11 @@
 
     fn is_unusually_large(&self, evidence: &ObjectEvidence) -> bool {
         let witnesses = evidence.served_chunks + f64::from(evidence.unserved_waits);
-        let factor =
-            if witnesses >= MIN_CORROBORATING_CHUNKS { CORROBORATED_LARGE_FACTOR } else { LARGE_FACTOR };
+        let factor = if witnesses >= MIN_CORROBORATING_CHUNKS {
+            CORROBORATED_LARGE_FACTOR
+        } else {
+            LARGE_FACTOR
+        };
         let exceeds = evidence.mean_chunk_bytes() > factor * self.median_object_mean_bytes;
         self.knows_enough_objects && (exceeds || self.is_too_large(evidence))
     }
@@ -82,11 +85,11 @@
 
 /// Estimates sizes from unserved waits, by chunk.
 pub(super) struct SizeEstimator<'a> {
-    unserved_waits: &'a HashMap<u32, UnservedWaits>,
+    unserved_waits: &'a HashMap<ChunkId, UnservedWaits>,
 }
 
 impl<'a> SizeEstimator<'a> {
-    pub(super) fn new(unserved_waits: &'a HashMap<u32, UnservedWaits>) -> SizeEstimator<'a> {
+    pub(super) fn new(unserved_waits: &'a HashMap<ChunkId, UnservedWaits>) -> SizeEstimator<'a> {
         SizeEstimator { unserved_waits }
     }
 
@@ -101,7 +104,7 @@
                 let object = evidence.get(&chunk.object).copied().unwrap_or_default();
                 chunk.is_unusually_large = statistics.is_unusually_large(&object);
                 if chunk.bytes <= 0.0 {
-                    let wait_bytes = self.wait_bytes(index, flow_bytes_per_s);
+                    let wait_bytes = self.wait_bytes(ChunkId(index as u32), flow_bytes_per_s);
                     chunk.bytes = estimated_bytes(chunk, wait_bytes, &object, &statistics);
                 }
             }
@@ -109,8 +112,8 @@
     }
 
     /// What the longest unserved wait for a chunk could have brought.
-    fn wait_bytes(&self, chunk: usize, flow_bytes_per_s: f64) -> f64 {
-        let waits = self.unserved_waits.get(&(chunk as u32));
+    fn wait_bytes(&self, chunk: ChunkId, flow_bytes_per_s: f64) -> f64 {
+        let waits = self.unserved_waits.get(&chunk);
         waits.map_or(0.0, |waits| f64::from(waits.longest_us) / 1e6 * flow_bytes_per_s)
     }
 
@@ -123,8 +126,8 @@
                 object.served_bytes += f64::from(chunk.bytes);
                 object.served_chunks += 1.0;
             }
-            if let Some(waits) = self.unserved_waits.get(&(index as u32)) {
-                let wait_bytes = self.wait_bytes(index, trace.flow_bytes_per_s);
+            if let Some(waits) = self.unserved_waits.get(&ChunkId(index as u32)) {
+                let wait_bytes = self.wait_bytes(ChunkId(index as u32), trace.flow_bytes_per_s);
                 object.unserved_waits += waits.count;
                 object.longest_wait_bytes = object.longest_wait_bytes.max(wait_bytes);
             }
@@ -141,10 +144,12 @@
         let in_class = |chunk: &Chunk| usize::from(chunk.class) == class;
         let served = trace.chunks.iter().filter(|chunk| in_class(chunk) && chunk.bytes > 0.0);
         let mut chunk_sizes: Vec<f64> = served.map(|chunk| f64::from(chunk.bytes)).collect();
-        let requests = trace.requests.iter().filter(|request| in_class(trace.chunk_of(request))).count();
+        let requests =
+            trace.requests.iter().filter(|request| in_class(trace.chunk_of(request))).count();
         let unserved: f64 = evidence.values().map(|object| f64::from(object.unserved_waits)).sum();
         let served_objects = evidence.values().filter(|object| object.was_served());
-        let mut object_means: Vec<f64> = served_objects.map(ObjectEvidence::mean_chunk_bytes).collect();
+        let mut object_means: Vec<f64> =
+            served_objects.map(ObjectEvidence::mean_chunk_bytes).collect();
         ClassStatistics {
             median_chunk_bytes: median(&mut chunk_sizes),
             knows_enough_objects: object_means.len() >= MIN_KNOWN_OBJECTS,
@@ -155,7 +160,12 @@
 }
 
 /// The size of a chunk that was never served.
-fn estimated_bytes(chunk: &Chunk, wait_bytes: f64, object: &ObjectEvidence, class: &ClassStatistics) -> f32 {
+fn estimated_bytes(
+    chunk: &Chunk,
+    wait_bytes: f64,
+    object: &ObjectEvidence,
+    class: &ClassStatistics,
+) -> f32 {
     let bytes = if object.was_served() && chunk.is_unusually_large {
         UNSERVED_SIZE_FACTOR * object.mean_chunk_bytes().max(wait_bytes)
     } else if object.was_served() {
--- a/crates/capacity/src/trace/purges.rs
+++ b/crates/capacity/src/trace/purges.rs
@@ -27,7 +27,11 @@
 
 impl Default for PurgeLog {
     fn default() -> Self {
-        PurgeLog { next_purge: 0, purged_objects_us: HashMap::new(), purged_groups_us: [0; GROUP_COUNT] }
+        PurgeLog {
+            next_purge: 0,
+            purged_objects_us: HashMap::new(),
+            purged_groups_us: [0; GROUP_COUNT],
+        }
     }
 }
 
--- a/crates/capacity/src/trace/recorded.rs
+++ b/crates/capacity/src/trace/recorded.rs
@@ -2,7 +2,7 @@
 
 use super::object_size::{SizeEstimator, UnservedWaits};
 use super::viewings::ViewingTracker;
-use super::{Chunk, ListedEndpoint, Purge, Trace, TraceRequest};
+use super::{Chunk, ChunkAddress, ChunkId, ListedEndpoint, Purge, Trace, TraceRequest};
 use crate::error::PlanError;
 use hollymux_record::{End, Head, Recording, Row};
 use std::collections::{BTreeMap, HashMap};
@@ -17,7 +17,18 @@
 const STATE_GONE: u8 = 2;
 
 /// A chunk at a site.
-type SiteChunk = (u16, u32);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct SiteChunk {
+    site: u16,
+    chunk: ChunkId,
+}
+
+/// What a purge names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct PurgeTarget {
+    object: Option<u64>,
+    group: u32,
+}
 
 /// A trace while a recording is read.
 #[derive(Default)]
@@ -26,11 +37,11 @@
     /// The site of each router.
     router_sites: Vec<u16>,
     first_arrival_us: u64,
-    chunk_indices: HashMap<(u64, u32), u32>,
+    chunk_ids: HashMap<ChunkAddress, ChunkId>,
     /// When the last request for a chunk at a site ended without being served.
     unserved_at_us: HashMap<SiteChunk, u64>,
     viewings: ViewingTracker,
-    unserved_waits: HashMap<u32, UnservedWaits>,
+    unserved_waits: HashMap<ChunkId, UnservedWaits>,
     retries: usize,
 }
 
@@ -53,7 +64,8 @@
         let head = recording.heads.first().ok_or(PlanError::EmptyRecording)?;
         let first_row = recording.rows.first().ok_or(PlanError::EmptyRecording)?;
         let flow_bytes_per_s = common_flow_rate(head, &recording.heads)?;
-        let mut sites: Vec<String> = recording.heads.iter().map(|head| head.office.clone()).collect();
+        let mut sites: Vec<String> =
+            recording.heads.iter().map(|head| head.office.clone()).collect();
         sites.sort();
         sites.dedup();
         let site_of = |head: &Head| sites.iter().position(|site| *site == head.office).unwrap_or(0);
@@ -74,10 +86,10 @@
         if usize::from(row.class) >= class_count {
             return Err(PlanError::UnknownClass { class: row.class, class_count });
         }
-        let chunk = self.chunk_index(row);
+        let chunk = self.chunk_id(row);
         self.learn_size(chunk, row);
         let site = self.router_sites.get(usize::from(row.router)).copied().unwrap_or(0);
-        if self.is_retry((site, chunk), row) {
+        if self.is_retry(SiteChunk { site, chunk }, row) {
             self.retries += 1;
             return Ok(());
         }
@@ -94,9 +106,10 @@
         Ok(())
     }
 
-    fn chunk_index(&mut self, row: &Row) -> u32 {
+    fn chunk_id(&mut self, row: &Row) -> ChunkId {
         let chunks = &mut self.trace.chunks;
-        *self.chunk_indices.entry((row.object, row.part)).or_insert_with(|| {
+        let address = ChunkAddress { object: row.object, index: row.part };
+        *self.chunk_ids.entry(address).or_insert_with(|| {
             chunks.push(Chunk {
                 object: row.object,
                 index: row.part,
@@ -105,16 +118,18 @@
                 bytes: 0.0,
                 is_unusually_large: false,
             });
-            chunks.len() as u32 - 1
+            ChunkId(chunks.len() as u32 - 1)
         })
     }
 
     /// Learns a chunk's size from a response, or how long a client waited in vain for it.
-    fn learn_size(&mut self, chunk: u32, row: &Row) {
+    fn learn_size(&mut self, chunk: ChunkId, row: &Row) {
         if is_served(row) {
-            let chunk = &mut self.trace.chunks[chunk as usize];
+            let chunk = &mut self.trace.chunks[chunk.0 as usize];
             chunk.bytes = chunk.bytes.max(row.bytes as f32);
-        } else if row.attempts > 0 && f64::from(row.took) > EARNEST_WAIT_SHARE * f64::from(row.budget) {
+        } else if row.attempts > 0
+            && f64::from(row.took) > EARNEST_WAIT_SHARE * f64::from(row.budget)
+        {
             let waits = self.unserved_waits.entry(chunk).or_default();
             waits.count += 1;
             waits.longest_us = waits.longest_us.max(row.took);
@@ -194,10 +209,11 @@
 
 /// The recorded purges, each once however many routers reported it.
 fn distinct_purges(recording: &Recording, first_arrival_us: u64) -> Vec<Purge> {
-    let mut last_report_us: HashMap<(Option<u64>, u32), u64> = HashMap::new();
+    let mut last_report_us: HashMap<PurgeTarget, u64> = HashMap::new();
     let mut purges = Vec::new();
     for (_, line) in &recording.purges {
-        let previous_us = last_report_us.insert((line.object, line.group), line.at);
+        let target = PurgeTarget { object: line.object, group: line.group };
+        let previous_us = last_report_us.insert(target, line.at);
         if previous_us.is_none_or(|previous| line.at > previous + PURGE_REPORT_SPREAD_US) {
             purges.push(Purge {
                 at_us: line.at.saturating_sub(first_arrival_us),
--- a/crates/capacity/src/trace/scaling.rs
+++ b/crates/capacity/src/trace/scaling.rs
@@ -1,10 +1,11 @@
 //! Scaling a load by viewings.
 //!
-//! An added viewing copies a recorded one but for its object: an object that was viewed r times stands
-//! for one that was viewed r - 1 times, and one that was viewed once for one that was never seen (the
-//! Good-Turing estimate). So what was requested once does not become popular by multiplication.
+//! An added viewing copies a recorded one but for its object: an object that was viewed r times
+//! stands for one that was viewed r - 1 times, and one that was viewed once for one that was never
+//! seen (the Good-Turing estimate). So what was requested once does not become popular by
+//! multiplication.
 
-use super::{Chunk, Trace, TraceRequest};
+use super::{Chunk, ChunkAddress, ChunkId, Trace, TraceRequest};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -43,14 +44,15 @@
 struct LoadScaler<'a> {
     recorded: &'a Trace,
     scaled: Trace,
-    chunk_indices: HashMap<(u64, u32), u32>,
+    chunk_ids: HashMap<ChunkAddress, ChunkId>,
     next_viewing: u32,
     max_shift_us: u64,
     rng: Pcg64Mcg,
 }
 
 impl Trace {
-    /// The load this many times as strong: viewings are left out, or added beside the recorded ones.
+    /// The load this many times as strong: viewings are left out, or added beside the recorded
+    /// ones.
     pub fn scaled(&self, factor: f64, seed: u64) -> Trace {
         if (factor - 1.0).abs() < UNSCALED_TOLERANCE {
             return self.clone();
@@ -68,7 +70,8 @@
 impl ViewingCatalogue {
     fn new(trace: &Trace) -> ViewingCatalogue {
         let viewing_of = |request: &TraceRequest| request.viewing as usize;
-        let viewing_count = trace.requests.iter().map(|request| viewing_of(request) + 1).max().unwrap_or(0);
+        let viewing_count =
+            trace.requests.iter().map(|request| viewing_of(request) + 1).max().unwrap_or(0);
         let mut viewings: Vec<Vec<u32>> = vec![Vec::new(); viewing_count];
         let mut popularity: BTreeMap<u64, Popularity> = BTreeMap::new();
         for (index, request) in trace.requests.iter().enumerate() {
@@ -101,12 +104,12 @@
     fn new(recorded: &'a Trace, next_viewing: u32, seed: u64) -> LoadScaler<'a> {
         let mut scaled = recorded.clone();
         scaled.requests.clear();
-        let indexed_chunks = (0..).zip(&recorded.chunks);
+        let numbered_chunks = (0..).zip(&recorded.chunks);
         LoadScaler {
             recorded,
             scaled,
-            chunk_indices: indexed_chunks
-                .map(|(index, chunk)| ((chunk.object, chunk.index), index))
+            chunk_ids: numbered_chunks
+                .map(|(index, chunk)| (chunk.address(), ChunkId(index)))
                 .collect(),
             next_viewing,
             max_shift_us: MAX_SHIFT_US.min(recorded.duration_us / 4),
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Adds a viewing as often as the factor says; what is left of it after the whole times is chance.
+    /// Adds a viewing as often as the factor says; what is left of it after the whole times is
+    /// chance.
     fn add_copies(&mut self, viewing: &[u32], factor: f64, catalogue: &ViewingCatalogue) {
         let one_more = self.rng.random::<f64>() < factor.fract();
         let copies = factor.floor() as usize + usize::from(one_more);
@@ -153,12 +157,12 @@
     }
 
     /// The chunk of `object` that corresponds to another object's chunk.
-    fn chunk_like(&mut self, chunk: u32, object: u64) -> u32 {
-        let original = self.recorded.chunks[chunk as usize];
+    fn chunk_like(&mut self, chunk: ChunkId, object: u64) -> ChunkId {
+        let copy = Chunk { object, ..*self.recorded.chunk(chunk) };
         let chunks = &mut self.scaled.chunks;
-        *self.chunk_indices.entry((object, original.index)).or_insert_with(|| {
-            chunks.push(Chunk { object, ..original });
-            chunks.len() as u32 - 1
+        *self.chunk_ids.entry(copy.address()).or_insert_with(|| {
+            chunks.push(copy);
+            ChunkId(chunks.len() as u32 - 1)
         })
     }
 }
@@ -173,7 +177,9 @@
     entry.only_site = entry.only_site.filter(|known| *known == site);
 }
 
-fn objects_by_popularity(popularity: &BTreeMap<u64, Popularity>) -> HashMap<PopularityKey, Vec<u64>> {
+fn objects_by_popularity(
+    popularity: &BTreeMap<u64, Popularity>,
+) -> HashMap<PopularityKey, Vec<u64>> {
     let mut objects: HashMap<PopularityKey, Vec<u64>> = HashMap::new();
     for (object, entry) in popularity {
         let key = PopularityKey { class: entry.class, only_site: None, viewings: entry.viewings };
--- a/crates/capacity/src/worker_pool.rs
+++ b/crates/capacity/src/worker_pool.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Submits a call and returns when it is done; none if it is rejected. Calls come in order of time.
+    /// Submits a call and returns when it is done; none if it is rejected. Calls come in order of
+    /// time.
     pub fn submit(&mut self, now_us: u64, service_time_us: u64) -> Option<u64> {
         self.count_call(now_us);
         if !self.admit(now_us) {
--- a/crates/capacity/tests/caches.rs
+++ b/crates/capacity/tests/caches.rs
@@ -2,6 +2,7 @@
 
 use hollymux_capacity::eviction::{LruCache, RetentionPriority};
 use hollymux_capacity::reuse_distance::{hit_ratio_curve, CacheAccess};
+use hollymux_capacity::trace::ChunkId;
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Zipf};
@@ -14,7 +15,8 @@
 fn che_hit_ratio(weights: &[f64], cache_size: f64) -> f64 {
     let total: f64 = weights.iter().sum();
     // The characteristic time: after it a cache of that size has turned over.
-    let held_after = |time: f64| weights.iter().map(|w| 1.0 - (-w / total * time).exp()).sum::<f64>();
+    let held_after =
+        |time: f64| weights.iter().map(|w| 1.0 - (-w / total * time).exp()).sum::<f64>();
     let (mut low, mut high) = (0.0, 1e7);
     for _ in 0..100 {
         let middle = (low + high) / 2.0;
@@ -34,7 +36,7 @@
     let distribution = Zipf::new(objects as f64, zipf_exponent).unwrap();
     let accesses: Vec<CacheAccess> = (0..300_000u64)
         .map(|at_us| {
-            let chunk = distribution.sample(&mut rng) as u32 - 1;
+            let chunk = ChunkId(distribution.sample(&mut rng) as u32 - 1);
             CacheAccess { at_us, chunk, bytes: 1.0, not_before_us: 0 }
         })
         .collect();
@@ -47,7 +49,10 @@
         assert!((exact - expected).abs() < 0.012, "{size}: {exact} against {expected}");
         // A fifth of the objects is followed: a cache of less than a hundred holds too few of them.
         let sampled = sampled_curve.hit_ratio(size);
-        assert!(size < 100.0 || (sampled - exact).abs() < 0.1, "{size}: {sampled} sampled, {exact} exact");
+        assert!(
+            size < 100.0 || (sampled - exact).abs() < 0.1,
+            "{size}: {sampled} sampled, {exact} exact"
+        );
     }
 }
 
@@ -83,7 +88,7 @@
         let accesses = uses.iter().enumerate().map(|(index, (chunk, is_purged))| {
             let at_us = index as u64 + 1;
             let not_before_us = if *is_purged { at_us } else { 0 };
-            CacheAccess { at_us, chunk: *chunk, bytes: 1.0, not_before_us }
+            CacheAccess { at_us, chunk: ChunkId(*chunk), bytes: 1.0, not_before_us }
         });
         let curve = hit_ratio_curve(accesses, 1.0);
         for size in [1usize, 2, 5, 10, 29, 30] {
@@ -104,10 +109,10 @@
         let mut cache = LruCache::new(size as f64);
         let mut hits = 0;
         for (index, chunk) in uses.iter().enumerate() {
-            if cache.lookup(*chunk, 0, RetentionPriority::Normal).is_some() {
+            if cache.lookup(ChunkId(*chunk), 0, RetentionPriority::Normal).is_some() {
                 hits += 1;
             } else {
-                cache.insert(*chunk, 1.0, RetentionPriority::Normal, index as u64);
+                cache.insert(ChunkId(*chunk), 1.0, RetentionPriority::Normal, index as u64);
             }
         }
         let accesses: Vec<Access> = uses.iter().map(|chunk| (*chunk, false)).collect();
@@ -119,19 +124,22 @@
 fn a_copy_of_lower_priority_is_evicted_first_and_evicts_no_higher_one() {
     use RetentionPriority::{High, Lowest, Normal};
     let mut cache = LruCache::new(3.0);
-    cache.insert(1, 1.0, High, 10);
-    cache.insert(2, 1.0, Normal, 10);
-    cache.insert(3, 1.0, High, 10);
-    cache.insert(4, 1.0, Normal, 11);
-    assert_eq!((cache.lookup(2, 0, Lowest), cache.lookup(4, 0, Lowest)), (None, Some(11)));
-    cache.insert(5, 3.0, Normal, 12);
-    assert!(cache.lookup(5, 0, Lowest).is_none());
-    assert!(cache.lookup(1, 0, Lowest).is_some());
-    assert!(cache.lookup(3, 11, Lowest).is_none());
+    cache.insert(ChunkId(1), 1.0, High, 10);
+    cache.insert(ChunkId(2), 1.0, Normal, 10);
+    cache.insert(ChunkId(3), 1.0, High, 10);
+    cache.insert(ChunkId(4), 1.0, Normal, 11);
+    assert_eq!(
+        (cache.lookup(ChunkId(2), 0, Lowest), cache.lookup(ChunkId(4), 0, Lowest)),
+        (None, Some(11))
+    );
+    cache.insert(ChunkId(5), 3.0, Normal, 12);
+    assert!(cache.lookup(ChunkId(5), 0, Lowest).is_none());
+    assert!(cache.lookup(ChunkId(1), 0, Lowest).is_some());
+    assert!(cache.lookup(ChunkId(3), 11, Lowest).is_none());
     cache.clear();
-    assert!(cache.lookup(1, 0, Lowest).is_none());
+    assert!(cache.lookup(ChunkId(1), 0, Lowest).is_none());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for step in 0..1_000usize {
-        cache.insert(rng.random_range(0..50), 0.5, PRIORITIES[step % 3], 0);
+        cache.insert(ChunkId(rng.random_range(0..50)), 0.5, PRIORITIES[step % 3], 0);
     }
 }
--- a/crates/capacity/tests/placement.rs
+++ b/crates/capacity/tests/placement.rs
@@ -2,7 +2,8 @@
 
 use hollymux_capacity::placement::{endpoint_hash, hash_order, placement_seed, WeightedEndpoint};
 use hollymux_decide::{
-    Action, Class, Control, Effect, Event, HostEntry, HostId, HostState, ListKind, Request, Settings, Weights,
+    Action, Class, Control, Effect, Event, HostEntry, HostId, HostState, ListKind, Request,
+    Settings, Weights,
 };
 
 const EDGE_KIND: u16 = 0;
@@ -11,7 +12,8 @@
 const TIMEOUT_US: u64 = 2_500_000;
 
 fn settings() -> Settings {
-    let class = Class { aim: 400_000, deadline: TIMEOUT_US, effect: Effect::Safe, ..Class::default() };
+    let class =
+        Class { aim: 400_000, deadline: TIMEOUT_US, effect: Effect::Safe, ..Class::default() };
     Settings {
         classes: vec![class],
         parent_kind: Some(PARENT_KIND),
@@ -52,8 +54,10 @@
 
 #[test]
 fn a_request_goes_to_the_endpoints_that_the_decision_module_chooses() {
-    let weighted =
-        |(uid, weight): &(&str, f64)| WeightedEndpoint { hash: endpoint_hash(uid), weight: *weight };
+    let weighted = |(uid, weight): &(&str, f64)| WeightedEndpoint {
+        hash: endpoint_hash(uid),
+        weight: *weight,
+    };
     let edge_caches = [("s-a", 4.0), ("s-b", 8.0), ("s-c", 2.0), ("s-d", 8.0)];
     let parent_caches = [("s-h1", 9.0), ("s-h2", 9.0), ("s-h3", 9.0)];
     let mut entries: Vec<HostEntry> =
--- a/crates/capacity/tests/plans.rs
+++ b/crates/capacity/tests/plans.rs
@@ -3,7 +3,7 @@
 use hollymux_capacity::confidence::Estimate;
 use hollymux_capacity::replay::InitialCaches;
 use hollymux_capacity::report::LossOutcome;
-use hollymux_capacity::trace::{Chunk, RequestClass, Trace, TraceRequest};
+use hollymux_capacity::trace::{Chunk, ChunkId, RequestClass, Trace, TraceRequest};
 use hollymux_capacity::{plan, CapacityPlan, Fleet, PlanError, PlanOptions};
 use hollymux_record::Recording;
 use rand::{Rng, SeedableRng};
@@ -31,8 +31,8 @@
     Chunk { object, index: 0, group, class, bytes, is_unusually_large: false }
 }
 
-/// A load for two sites: `shared` objects that both request, and as many that only the first one does
-/// with `local_share` of its requests.
+/// A load for two sites: `shared` objects that both request, and as many that only the first one
+/// does with `local_share` of its requests.
 fn load(seconds: u64, requests_per_s: u64, shared: u64, local_share: f64) -> Trace {
     let mut rng = Pcg64Mcg::seed_from_u64(17);
     let mut trace = Trace {
@@ -51,10 +51,10 @@
         let site = (number % 2) as u16;
         let is_local = site == 0 && rng.random::<f64>() < local_share;
         let rank = (shared as f64).powf(rng.random::<f64>()) as u64 - 1;
-        let mut requested = (rank + if is_local { shared } else { 0 }) as u32;
+        let mut requested = ChunkId((rank + if is_local { shared } else { 0 }) as u32);
         if number % WRITE_INTERVAL == 0 {
             trace.chunks.push(chunk(1 << 40 | number, 0, WRITE_CLASS, 200.0));
-            requested = trace.chunks.len() as u32 - 1;
+            requested = ChunkId(trace.chunks.len() as u32 - 1);
         }
         trace.requests.push(TraceRequest {
             arrived_us: number * 1_000_000 / requests_per_s + rng.random_range(0..1_000),
@@ -112,7 +112,8 @@
     let short = planned(&trace, &fleet(1, 12.0, 12.0), &scaled(2.0));
     assert!(value(short.in_time) < 0.9, "{}", short.text());
     let sizing = &short.sizing;
-    let needed: usize = sizing.allocation.iter().flatten().map(|allocation| allocation.edge_caches).sum();
+    let needed: usize =
+        sizing.allocation.iter().flatten().map(|allocation| allocation.edge_caches).sum();
     assert!(needed > 2 && value(sizing.reaches) >= 0.95, "{sizing:?}");
     // The same question has the same answer.
     let again = planned(&trace, &fleet(1, 12.0, 12.0), &scaled(2.0));
@@ -163,7 +164,8 @@
 
 /// The objects of all requests, in order.
 fn requested_objects(trace: &Trace) -> Vec<u64> {
-    let mut objects: Vec<u64> = trace.requests.iter().map(|request| trace.chunk_of(request).object).collect();
+    let mut objects: Vec<u64> =
+        trace.requests.iter().map(|request| trace.chunk_of(request).object).collect();
     objects.sort_unstable();
     objects
 }
@@ -185,7 +187,8 @@
     let doubled = trace.scaled(2.0, 3);
     assert_eq!(doubled.requests.len(), 2 * trace.requests.len());
     let objects = requested_objects(&trace);
-    let requested_once = objects.chunk_by(|a, b| a == b).filter(|requests| requests.len() == 1).count();
+    let requested_once =
+        objects.chunk_by(|a, b| a == b).filter(|requests| requests.len() == 1).count();
     assert!(requested_once > 100);
     assert_eq!(distinct_objects(&doubled), distinct_objects(&trace) + requested_once);
     let halved = trace.scaled(0.5, 3).requests.len() as f64 / trace.requests.len() as f64;
@@ -199,7 +202,8 @@
     let caveats = planned.quality.caveats.join("\n");
     assert!(caveats.contains("only 15 s") && caveats.contains("calm recording"), "{caveats}");
     assert!(
-        caveats.contains("filing: 1 requests are too few") || caveats.contains("filing: 0 requests"),
+        caveats.contains("filing: 1 requests are too few")
+            || caveats.contains("filing: 0 requests"),
         "{caveats}"
     );
     assert!(planned.classes[1].in_time.is_none());
@@ -210,8 +214,9 @@
 fn what_cannot_be_planned_is_refused_in_one_line() {
     let (trace, fleet) = (load(30, 20, 50, 0.0), fleet(2, 12.0, 12.0));
     let defaults = PlanOptions::default;
-    let refusal =
-        |trace: &Trace, options: PlanOptions| plan(trace, &fleet, &options).unwrap_err().to_string();
+    let refusal = |trace: &Trace, options: PlanOptions| {
+        plan(trace, &fleet, &options).unwrap_err().to_string()
+    };
     let goal = |goal: f64| PlanOptions { goal, ..defaults() };
     assert!(refusal(&trace, goal(1.0)).contains("below 100%"));
     assert!(refusal(&trace, goal(f64::NAN)).contains("goal"));
--- a/crates/capacity/tests/queueing.rs
+++ b/crates/capacity/tests/queueing.rs
@@ -106,7 +106,10 @@
         }
         let mean = total_wait_us / calls as f64 / MEAN_SERVICE_US;
         let expected = erlang_c_mean_wait(load, worker_count).unwrap();
-        assert!((mean / expected - 1.0).abs() < 0.08, "{load} at {worker_count}: {mean} against {expected}");
+        assert!(
+            (mean / expected - 1.0).abs() < 0.08,
+            "{load} at {worker_count}: {mean} against {expected}"
+        );
     }
     // Above its rate the pool rejects the excess.
     let mut pool = WorkerPool::new(None, Some(10.0));
