--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -77,7 +77,7 @@
     pub latency_objective_stretch: f64,
     /// The priority weight of a response within the objective.
     pub priority_weight: f64,
-    /// The share of the weight that a late response is worth.
+    /// The share of the weight that a late response earns.
     pub late_weight: f64,
     /// Whether requests change something at the origin; they bypass the caches.
     pub is_write: bool,
