--- a/crates/protocol/src/endpoint_feed.rs
+++ b/crates/protocol/src/endpoint_feed.rs
@@ -31,7 +31,7 @@
 
 /// The call that opens the feed after the event of that number.
 pub fn call(host: &str, after: u64) -> Vec<u8> {
-    let head = "Accept: text/event-stream\r\nCache-DecisionModule: no-cache";
+    let head = "Accept: text/event-stream\r\nCache-Control: no-cache";
     format!("GET /v1/events HTTP/1.1\r\nHost: {host}\r\n{head}\r\nLast-Event-ID: {after}\r\n\r\n")
         .into_bytes()
 }
