--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -11,15 +11,15 @@
 
 /// What an operator wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminOperation {
     /// Whether this process is ready to serve.
     Status,
     /// The figures.
     Metrics,
     /// What is known of other routers.
-    Fleet,
+    ClusterStatus,
     /// Parts of the fleet's limits.
-    Limits,
+    LimitStatus,
     /// Empty the router.
     Standby,
     /// Back to work.
@@ -28,37 +28,37 @@
 
 /// A call as it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct AdminRequest {
     /// What is wanted.
-    pub call: Call,
+    pub operation: AdminOperation,
     /// Only the head of the answer is.
     pub head_only: bool,
 }
 
 /// Why a call is not followed: HTTP's status, and the methods that would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct AdminRequestError {
     /// The status.
     pub status: u16,
     /// For 405.
     pub allow: Option<&'static str>,
 }
 
-const fn wrong(status: u16) -> Wrong {
-    Wrong { status, allow: None }
+const fn wrong(status: u16) -> AdminRequestError {
+    AdminRequestError { status, allow: None }
 }
 
 /// Reads one call in pieces of any size; holds a head and the count of a body at most.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct AdminRequestReader {
     head: Vec<u8>,
     /// The call, once its head is whole, and the bytes of its body that are still to come.
-    body: Option<(Result<Asked, Wrong>, usize)>,
+    body: Option<(Result<AdminRequest, AdminRequestError>, usize)>,
 }
 
-impl Reader {
+impl AdminRequestReader {
     /// Takes bytes; none: there are more to come. After an end further bytes mean nothing.
-    pub fn feed(&mut self, mut bytes: &[u8]) -> Option<Result<Asked, Wrong>> {
+    pub fn feed(&mut self, mut bytes: &[u8]) -> Option<Result<AdminRequest, AdminRequestError>> {
         if self.body.is_none() {
             let before = self.head.len();
             // More than a whole head is not held, however much comes at once.
@@ -80,9 +80,9 @@
 }
 
 /// A head: where it ends, what is asked, and how many bytes of a body follow. None: it is not whole.
-type Head = (usize, Result<Asked, Wrong>, usize);
+type Head = (usize, Result<AdminRequest, AdminRequestError>, usize);
 
-fn head(bytes: &[u8]) -> Result<Option<Head>, Wrong> {
+fn head(bytes: &[u8]) -> Result<Option<Head>, AdminRequestError> {
     let mut lines = [httparse::EMPTY_HEADER; LINES];
     let mut request = httparse::Request::new(&mut lines);
     let ends = match request.parse(bytes) {
@@ -115,36 +115,42 @@
     Ok(Some((ends, asked, if waits { 0 } else { body })))
 }
 
-fn call(method: &str, target: &str) -> Result<Asked, Wrong> {
+fn call(method: &str, target: &str) -> Result<AdminRequest, AdminRequestError> {
     // A target may be a whole URL.
     let path = match target.split_once("://") {
         Some((_, rest)) => rest.find('/').map_or("/", |at| &rest[at..]),
         None => target,
     };
     let call = match path.split('?').next().unwrap_or(path) {
-        "/status" => Call::Status,
-        "/status/metrics" => Call::Metrics,
-        "/status/fleet" => Call::Fleet,
-        "/status/fleet/limits" => Call::Limits,
-        "/standby" => Call::Standby,
-        "/active" => Call::Active,
+        "/status" => AdminOperation::Status,
+        "/status/metrics" => AdminOperation::Metrics,
+        "/status/fleet" => AdminOperation::ClusterStatus,
+        "/status/fleet/limits" => AdminOperation::LimitStatus,
+        "/standby" => AdminOperation::Standby,
+        "/active" => AdminOperation::Active,
         _ => return Err(wrong(404)),
     };
-    let reads = matches!(call, Call::Status | Call::Metrics | Call::Fleet | Call::Limits);
+    let reads = matches!(
+        call,
+        AdminOperation::Status
+            | AdminOperation::Metrics
+            | AdminOperation::ClusterStatus
+            | AdminOperation::LimitStatus
+    );
     match method {
-        "GET" | "HEAD" if reads => Ok(Asked { call, head_only: method == "HEAD" }),
-        "PUT" if !reads => Ok(Asked { call, head_only: false }),
-        _ => Err(Wrong { status: 405, allow: Some(if reads { "GET, HEAD" } else { "PUT" }) }),
+        "GET" | "HEAD" if reads => Ok(AdminRequest { operation: call, head_only: method == "HEAD" }),
+        "PUT" if !reads => Ok(AdminRequest { operation: call, head_only: false }),
+        _ => Err(AdminRequestError { status: 405, allow: Some(if reads { "GET, HEAD" } else { "PUT" }) }),
     }
 }
 
 /// The bytes of an answer; the connection ends after it.
-pub fn answer(status: u16, allow: Option<&str>, body: &str, head_only: bool) -> Vec<u8> {
+pub fn encode_text_response(status: u16, allow: Option<&str>, body: &str, head_only: bool) -> Vec<u8> {
     typed(status, allow, "text/plain; charset=utf-8", body, head_only)
 }
 
 /// A yes whose body is JSON.
-pub fn answer_json(body: &str, head_only: bool) -> Vec<u8> {
+pub fn encode_json_response(body: &str, head_only: bool) -> Vec<u8> {
     typed(200, None, "application/json", body, head_only)
 }
 
@@ -179,28 +185,28 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn whole(bytes: &[u8]) -> Option<Result<Asked, Wrong>> {
-        Reader::default().feed(bytes)
+    fn whole(bytes: &[u8]) -> Option<Result<AdminRequest, AdminRequestError>> {
+        AdminRequestReader::default().feed(bytes)
     }
 
-    fn asks(call: Call) -> Option<Result<Asked, Wrong>> {
-        Some(Ok(Asked { call, head_only: false }))
+    fn asks(call: AdminOperation) -> Option<Result<AdminRequest, AdminRequestError>> {
+        Some(Ok(AdminRequest { operation: call, head_only: false }))
     }
 
     /// Guards against a call that is read otherwise because it came in pieces.
     #[test]
     fn every_call_is_the_same_in_any_two_pieces() {
-        let calls: [(&str, Call); 5] = [
-            ("GET /status HTTP/1.1\r\nHost: a\r\n\r\n", Call::Status),
-            ("GET http://a:1/status/metrics?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Call::Metrics),
-            ("PUT /standby HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", Call::Standby),
-            ("PUT /active HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nagain", Call::Active),
-            ("GET /status HTTP/1.0\r\n\r\n", Call::Status),
+        let calls: [(&str, AdminOperation); 5] = [
+            ("GET /status HTTP/1.1\r\nHost: a\r\n\r\n", AdminOperation::Status),
+            ("GET http://a:1/status/metrics?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", AdminOperation::Metrics),
+            ("PUT /standby HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", AdminOperation::Standby),
+            ("PUT /active HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nagain", AdminOperation::Active),
+            ("GET /status HTTP/1.0\r\n\r\n", AdminOperation::Status),
         ];
         for (text, call) in calls {
             assert_eq!(whole(text.as_bytes()), asks(call), "{text}");
             for at in 1..text.len() {
-                let mut reader = Reader::default();
+                let mut reader = AdminRequestReader::default();
                 assert_eq!(reader.feed(&text.as_bytes()[..at]), None, "{text} at {at}");
                 assert_eq!(reader.feed(&text.as_bytes()[at..]), asks(call), "{text} at {at}");
             }
@@ -241,7 +247,7 @@
         #[test]
         fn any_bytes_are_read_within_bounds(pieces in proptest::collection::vec(
             proptest::collection::vec(any::<u8>(), 0..400), 0..60)) {
-            let mut reader = Reader::default();
+            let mut reader = AdminRequestReader::default();
             for piece in pieces {
                 if reader.feed(&piece).is_some() {
                     break;
--- a/crates/protocol/src/dns.rs
+++ b/crates/protocol/src/dns.rs
@@ -19,11 +19,11 @@
 const IN: u16 = 1;
 
 /// The largest message over UDP that is sent or asked for: it fits one frame on common links.
-pub const UDP_MOST: usize = 1232;
+pub const MAX_UDP_MESSAGE_BYTES: usize = 1232;
 /// Without EDNS0 a message over UDP holds this much.
 const UDP_PLAIN: usize = 512;
 /// No query is longer than this.
-pub const QUERY_MOST: usize = 4096;
+pub const MAX_QUERY_BYTES: usize = 4096;
 const HEADER: usize = 12;
 
 /// What an answer says in its head.
@@ -49,14 +49,14 @@
 pub type Name = Vec<Vec<u8>>;
 
 /// The name that a text of labels and dots spells; none if it can't be one.
-pub fn name(text: &str) -> Option<Name> {
+pub fn parse_name(text: &str) -> Option<Name> {
     let text = text.strip_suffix('.').unwrap_or(text).to_ascii_lowercase();
     let name: Name = text.split('.').map(|l| l.as_bytes().to_vec()).collect();
-    (valid(&name) && text.is_ascii()).then_some(name)
+    (is_valid_name(&name) && text.is_ascii()).then_some(name)
 }
 
 /// Whether the labels fit the bounds of a name.
-pub fn valid(name: &Name) -> bool {
+pub fn is_valid_name(name: &Name) -> bool {
     name.iter().all(|l| (1..=63).contains(&l.len())) && name.iter().map(|l| l.len() + 1).sum::<usize>() < 255
 }
 
@@ -71,9 +71,9 @@
     /// The name asked for.
     pub name: Name,
     /// The type asked for.
-    pub kind: u16,
+    pub record_type: u16,
     /// What is wrong with it, if its head could be read but no more.
-    pub wrong: Option<Rcode>,
+    pub error: Option<Rcode>,
 }
 
 /// One record of an answer; its time to live is always 0.
@@ -82,24 +82,24 @@
     /// Whose it is; none: the name asked for.
     pub owner: Option<Name>,
     /// Its type.
-    pub kind: u16,
+    pub record_type: u16,
     /// Its data.
     pub data: Vec<u8>,
 }
 
 /// What an answer holds.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its code.
-    pub code: Rcode,
-    /// Answer, authority and additional records.
+    pub rcode: Rcode,
+    /// Response, authority and additional records.
     pub sections: [Vec<Record>; 3],
 }
 
-impl Answer {
+impl Response {
     /// An answer that is only a code.
-    pub fn code(code: Rcode) -> Answer {
-        Answer { code, sections: Default::default() }
+    pub fn from_rcode(rcode: Rcode) -> Response {
+        Response { rcode, sections: Default::default() }
     }
 }
 
@@ -155,7 +155,7 @@
 }
 
 /// Reads a query. None: it is not to be answered at all (no head, or itself an answer).
-pub fn query(bytes: &[u8]) -> Option<Query> {
+pub fn parse_query(bytes: &[u8]) -> Option<Query> {
     let mut input = Input(bytes, 0);
     let (id, flags) = (input.u16()?, input.u16()?);
     let counts = [input.u16()?, input.u16()?, input.u16()?, input.u16()?];
@@ -168,10 +168,10 @@
         question: Vec::new(),
         edns: None,
         name: Name::new(),
-        kind: 0,
-        wrong: None,
+        record_type: 0,
+        error: None,
     };
-    query.wrong = if flags & 0x7800 != 0 {
+    query.error = if flags & 0x7800 != 0 {
         Some(Rcode::NotImp)
     } else {
         read_question(&mut query, &mut input, counts).unwrap_or(Some(Rcode::FormErr))
@@ -191,7 +191,7 @@
     if raw.len() != name.iter().map(|l| l.len() + 1).sum::<usize>() + 5 {
         return None;
     }
-    (query.name, query.kind, query.question) = (name, kind, raw.to_vec());
+    (query.name, query.record_type, query.question) = (name, kind, raw.to_vec());
     let mut wrong = None;
     for _ in 0..usize::from(counts[1]) + usize::from(counts[2]) + usize::from(counts[3]) {
         let (owner, kind, size, ttl, _) = input.record()?;
@@ -250,17 +250,30 @@
         Some(owner) => put_name(out, owner),
         None => out.extend((0xc000 | HEADER as u16).to_be_bytes()),
     }
-    for field in [record.kind, IN, 0, 0, record.data.len() as u16] {
+    for field in [record.record_type, IN, 0, 0, record.data.len() as u16] {
         out.extend(field.to_be_bytes());
     }
     out.extend(&record.data);
 }
 
+/// How a message travels, which bounds its length.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Transport {
+    /// One datagram.
+    Udp,
+    /// A stream, with a length of two bytes before each message.
+    Tcp,
+}
+
 /// The bytes of an answer. Over UDP it is held to what the client takes: first the additional records go,
 /// then everything, with the mark that it was cut.
-pub fn answer(query: &Query, answer: &Answer, udp: bool) -> Vec<u8> {
+pub fn encode_response(query: &Query, answer: &Response, transport: Transport) -> Vec<u8> {
     let offered = query.edns.map_or(UDP_PLAIN, usize::from);
-    let most = if udp { offered.clamp(UDP_PLAIN, UDP_MOST) } else { usize::from(u16::MAX) };
+    let most = if transport == Transport::Udp {
+        offered.clamp(UDP_PLAIN, MAX_UDP_MESSAGE_BYTES)
+    } else {
+        usize::from(u16::MAX)
+    };
     let whole = encode(query, answer, 3, false);
     if whole.len() <= most {
         return whole;
@@ -272,9 +285,9 @@
     encode(query, answer, 0, true)
 }
 
-fn encode(query: &Query, answer: &Answer, sections: usize, cut: bool) -> Vec<u8> {
-    let code = answer.code as u16;
-    let authority = matches!(answer.code, Rcode::NoError | Rcode::NxDomain);
+fn encode(query: &Query, answer: &Response, sections: usize, cut: bool) -> Vec<u8> {
+    let code = answer.rcode as u16;
+    let authority = matches!(answer.rcode, Rcode::NoError | Rcode::NxDomain);
     let flags = 0x8000
         | u16::from(authority) << 10
         | u16::from(cut) << 9
@@ -293,7 +306,7 @@
     answer.sections.iter().take(sections).flatten().for_each(|r| put_record(&mut out, r));
     if query.edns.is_some() {
         out.push(0);
-        for field in [OPT, UDP_MOST as u16, code >> 4 << 8, 0, 0] {
+        for field in [OPT, MAX_UDP_MESSAGE_BYTES as u16, code >> 4 << 8, 0, 0] {
             out.extend(field.to_be_bytes());
         }
     }
@@ -301,7 +314,7 @@
 }
 
 /// The bytes of a question that this program asks, for an SRV record and what belongs to it.
-pub fn ask(id: u16, name: &Name) -> Vec<u8> {
+pub fn encode_srv_query(id: u16, name: &Name) -> Vec<u8> {
     let mut out = Vec::new();
     for field in [id, 0, 1, 0, 0, 1] {
         out.extend(field.to_be_bytes());
@@ -311,15 +324,24 @@
         out.extend(field.to_be_bytes());
     }
     out.push(0);
-    for field in [OPT, UDP_MOST as u16, 0, 0, 0] {
+    for field in [OPT, MAX_UDP_MESSAGE_BYTES as u16, 0, 0, 0] {
         out.extend(field.to_be_bytes());
     }
     out
 }
 
+/// The response to a query for an SRV record.
+#[derive(Debug, PartialEq)]
+pub struct SrvResponse {
+    /// The response code without the upper bits of EDNS0, as in [`Rcode`]; a server may send one unknown here.
+    pub rcode: u16,
+    /// What the SRV record names; none if there is no such record or the response was truncated.
+    pub target: Option<SrvTarget>,
+}
+
 /// What an answer to such a question names.
 #[derive(Debug, PartialEq)]
-pub struct Pointed {
+pub struct SrvTarget {
     /// The target, and the port there.
     pub target: Name,
     /// The port.
@@ -332,7 +354,7 @@
 
 /// Reads an answer to the question of that id and name: its code, and what it names. None: it is no answer
 /// to that question, or can't be read.
-pub fn read_answer(bytes: &[u8], id: u16, name: &Name) -> Option<(u16, Option<Pointed>)> {
+pub fn parse_srv_response(bytes: &[u8], id: u16, name: &Name) -> Option<SrvResponse> {
     let mut input = Input(bytes, 0);
     let (got, flags) = (input.u16()?, input.u16()?);
     let counts = [input.u16()?, input.u16()?, input.u16()?, input.u16()?];
@@ -341,7 +363,7 @@
         return None;
     }
     let cut = flags & 0x0200 != 0;
-    let mut pointed: Option<Pointed> = None;
+    let mut pointed: Option<SrvTarget> = None;
     let (mut texts, mut addresses) = (Vec::new(), Vec::new());
     for _ in 0..counts[1..].iter().map(|c| usize::from(*c)).sum::<usize>() {
         let (owner, kind, _, _, data) = input.record()?;
@@ -350,7 +372,7 @@
                 let mut data = Input(&bytes[..data.end], data.start);
                 data.bytes(4)?;
                 let (port, target) = (data.u16()?, data.name()?);
-                pointed = Some(Pointed { target, port, addr: None, texts: Vec::new() });
+                pointed = Some(SrvTarget { target, port, addr: None, texts: Vec::new() });
             }
             A if data.len() == 4 => addresses.push((owner, data)),
             TXT if owner == *name => {
@@ -365,23 +387,23 @@
     let pointed = pointed.filter(|_| !cut).map(|p| {
         let own = addresses.iter().find(|a| a.0 == p.target);
         let addr = own.and_then(|a| bytes[a.1.clone()].try_into().ok());
-        Pointed { addr, texts, ..p }
+        SrvTarget { addr, texts, ..p }
     });
-    Some((flags & 0xf, pointed))
+    Some(SrvResponse { rcode: flags & 0xf, target: pointed })
 }
 
 /// Takes messages with a length before them out of a byte stream.
 #[derive(Debug, Default)]
-pub struct Framer(Vec<u8>);
+pub struct MessageFramer(Vec<u8>);
 
-impl Framer {
+impl MessageFramer {
     /// Takes bytes; whole messages go to `messages`. False: one is longer than any query may be.
     pub fn feed(&mut self, bytes: &[u8], messages: &mut Vec<Vec<u8>>) -> bool {
         self.0.extend_from_slice(bytes);
         let mut at = 0;
         while let Some(head) = self.0.get(at..at + 2) {
             let len = usize::from(u16::from_be_bytes([head[0], head[1]]));
-            if len > QUERY_MOST {
+            if len > MAX_QUERY_BYTES {
                 return false;
             }
             let Some(message) = self.0.get(at + 2..at + 2 + len) else { break };
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -4,10 +4,10 @@
 //! `g17.p3.7f3a9c21e0b4d655.docs-pages.route.example`. A class that may not be repeated needs the `r` label
 //! with the request's id, the others have none. Boxes stand at `UID.box.ZONE`.
 
-use crate::client::hex16;
-use crate::dns::{self, Answer, Name, Rcode, Record};
-use crate::endpoint::fill_fields;
-use crate::resp::decimal;
+use crate::client::parse_hex_u64;
+use crate::dns::{self, Name, Rcode, Record, Response};
+use crate::endpoint::fill_hint_fields;
+use crate::resp::parse_decimal;
 use hollymux_decision::Idempotency;
 use hollymux_router::classes::Classes;
 use hollymux_router::{FillHint, RequestedObject, RoutingHint, Target};
@@ -19,70 +19,64 @@
 
 /// What a name is.
 #[derive(Debug, PartialEq)]
-pub enum Place {
+pub enum NameKind {
     /// Not below the zone.
-    Elsewhere,
+    OutsideZone,
     /// Nothing.
-    Nowhere,
+    NotFound,
     /// The zone itself.
     Apex,
     /// There are names below it, but it has no records.
-    Between,
+    EmptyNonTerminal,
     /// A box, by its name there.
-    Box(Vec<u8>),
+    Endpoint(Vec<u8>),
     /// A request.
-    RequestedObject(RequestedObject),
+    Request(RequestedObject),
 }
 
 /// A number behind a letter.
 fn lettered(label: &[u8], letter: u8) -> Option<u32> {
     let digits = label.strip_prefix(&[letter])?;
     let plain = digits == b"0" || !digits.starts_with(b"0");
-    decimal(digits).filter(|_| plain).and_then(|n| u32::try_from(n).ok())
+    parse_decimal(digits).filter(|_| plain).and_then(|n| u32::try_from(n).ok())
 }
 
 /// What a name is in a zone with these classes.
-pub fn place(name: &Name, zone: &Name, classes: &Classes) -> Place {
-    let Some(below) = name.strip_suffix(zone.as_slice()) else { return Place::Elsewhere };
-    let Some(first) = below.last() else { return Place::Apex };
+pub fn classify_name(name: &Name, zone: &Name, classes: &Classes) -> NameKind {
+    let Some(below) = name.strip_suffix(zone.as_slice()) else { return NameKind::OutsideZone };
+    let Some(first) = below.last() else { return NameKind::Apex };
     if first == BOX {
         return match below {
-            [_] => Place::Between,
-            [uid, _] => Place::Box(uid.clone()),
-            _ => Place::Nowhere,
+            [_] => NameKind::EmptyNonTerminal,
+            [uid, _] => NameKind::Endpoint(uid.clone()),
+            _ => NameKind::NotFound,
         };
     }
-    wanted(below, classes).unwrap_or(Place::Nowhere)
+    wanted(below, classes).unwrap_or(NameKind::NotFound)
 }
 
-fn wanted(below: &[Vec<u8>], classes: &Classes) -> Option<Place> {
+fn wanted(below: &[Vec<u8>], classes: &Classes) -> Option<NameKind> {
     let mut labels = below.iter().rev();
     let label = labels.next()?;
     let class = classes.named_in_any_case(label)?;
-    let Some(object) = labels.next() else { return Some(Place::Between) };
-    let object = hex16(object)?;
-    let Some(part) = labels.next() else { return Some(Place::Between) };
+    let Some(object) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
+    let object = parse_hex_u64(object)?;
+    let Some(part) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
     let part = lettered(part, b'p')?;
-    let Some(group) = labels.next() else { return Some(Place::Between) };
+    let Some(group) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
     let group = lettered(group, b'g').filter(|g| *g < 256)?;
     let once = classes.idempotency(class) == Idempotency::NotIdempotent;
     let rid = match (labels.next(), once) {
-        (None, true) => return Some(Place::Between),
+        (None, true) => return Some(NameKind::EmptyNonTerminal),
         (None, false) => None,
-        (Some(rid), true) => Some(hex16(rid.strip_prefix(b"r")?)?),
+        (Some(rid), true) => Some(parse_hex_u64(rid.strip_prefix(b"r")?)?),
         (Some(_), false) => return None,
     };
-    labels.next().is_none().then_some(Place::RequestedObject(RequestedObject {
-        class,
-        object,
-        part,
-        group,
-        rid,
-    }))
+    labels.next().is_none().then_some(NameKind::Request(RequestedObject { class, object, part, group, rid }))
 }
 
 /// The name that asks for that.
-pub fn name_of(w: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
+pub fn encode_name(w: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
     let class = classes.name(w.class).to_ascii_lowercase().into_bytes();
     let mut name: Name = w.rid.iter().map(|r| format!("r{r:016x}").into_bytes()).collect();
     name.push(format!("g{}", w.group).into_bytes());
@@ -90,77 +84,77 @@
     name.push(format!("{:016x}", w.object).into_bytes());
     name.push(class);
     name.extend(zone.iter().cloned());
-    Some(name).filter(dns::valid)
+    Some(name).filter(dns::is_valid_name)
 }
 
 fn address(owner: Option<Name>, addr: SocketAddr) -> Record {
     match addr.ip() {
-        IpAddr::V4(ip) => Record { owner, kind: dns::A, data: ip.octets().to_vec() },
-        IpAddr::V6(ip) => Record { owner, kind: dns::AAAA, data: ip.octets().to_vec() },
+        IpAddr::V4(ip) => Record { owner, record_type: dns::A, data: ip.octets().to_vec() },
+        IpAddr::V6(ip) => Record { owner, record_type: dns::AAAA, data: ip.octets().to_vec() },
     }
 }
 
 fn authority(zone: &Name) -> Record {
-    Record { owner: Some(zone.clone()), kind: dns::SOA, data: dns::soa(zone) }
+    Record { owner: Some(zone.clone()), record_type: dns::SOA, data: dns::soa(zone) }
 }
 
 /// There is no such name, or no such record of it.
-pub fn nothing(code: Rcode, zone: &Name) -> Answer {
-    Answer { code, sections: [Vec::new(), vec![authority(zone)], Vec::new()] }
+pub fn negative_response(code: Rcode, zone: &Name) -> Response {
+    Response { rcode: code, sections: [Vec::new(), vec![authority(zone)], Vec::new()] }
 }
 
-fn some(records: Vec<Record>, additional: Vec<Record>) -> Answer {
-    Answer { code: Rcode::NoError, sections: [records, Vec::new(), additional] }
+fn some(records: Vec<Record>, additional: Vec<Record>) -> Response {
+    Response { rcode: Rcode::NoError, sections: [records, Vec::new(), additional] }
 }
 
 /// The zone's own records.
-pub fn apex(kind: u16, zone: &Name) -> Answer {
+pub fn apex_response(kind: u16, zone: &Name) -> Response {
     match kind {
         dns::SOA | dns::ANY => some(vec![Record { owner: None, ..authority(zone) }], Vec::new()),
-        _ => nothing(Rcode::NoError, zone),
+        _ => negative_response(Rcode::NoError, zone),
     }
 }
 
 /// A box's own records.
-pub fn ready_address(kind: u16, zone: &Name, addr: SocketAddr) -> Answer {
+pub fn endpoint_response(kind: u16, zone: &Name, addr: SocketAddr) -> Response {
     let record = address(None, addr);
-    if kind == record.kind || kind == dns::ANY {
+    if kind == record.record_type || kind == dns::ANY {
         some(vec![record], Vec::new())
     } else {
-        nothing(Rcode::NoError, zone)
+        negative_response(Rcode::NoError, zone)
     }
 }
 
 /// Whether a request's name is answered for that type: no decision is made, and no load counted, for others,
 /// such as the AAAA question that many clients put beside the one for A.
-pub fn answers(kind: u16) -> bool {
+pub fn is_routable_type(kind: u16) -> bool {
     matches!(kind, dns::A | dns::SRV | dns::ANY)
 }
 
 /// Names the box that was chosen. What the fill is to be goes with it as text.
-pub fn named(kind: u16, zone: &Name, target: &Target) -> Answer {
+pub fn route_response(kind: u16, zone: &Name, target: &Target) -> Response {
     let mut owner: Name = vec![target.uid.to_ascii_lowercase().into_bytes(), BOX.to_vec()];
     owner.extend(zone.iter().cloned());
-    if !dns::valid(&owner) {
-        return Answer::code(Rcode::ServFail);
+    if !dns::is_valid_name(&owner) {
+        return Response::from_rcode(Rcode::ServFail);
     }
-    let srv = Record { owner: None, kind: dns::SRV, data: dns::srv(target.addr.port(), &owner) };
+    let srv = Record { owner: None, record_type: dns::SRV, data: dns::srv(target.addr.port(), &owner) };
     let texts: Vec<String> =
-        fill_fields(target).iter().map(|(name, value)| format!("{name}={value}")).collect();
+        fill_hint_fields(target).iter().map(|(name, value)| format!("{name}={value}")).collect();
     let mut additional = vec![address(Some(owner), target.addr)];
     match kind {
         dns::SRV | dns::ANY => {
             if !texts.is_empty() {
-                additional.push(Record { owner: None, kind: dns::TXT, data: dns::txt(&texts) });
+                additional.push(Record { owner: None, record_type: dns::TXT, data: dns::txt(&texts) });
             }
             some(vec![srv], additional)
         }
         _ => {
             let record = Record { owner: None, ..additional.remove(0) };
-            if record.kind == kind {
+            if record.record_type == kind {
                 some(vec![record], Vec::new())
             } else {
-                nothing(Rcode::NoError, zone)
+                negative_response(Rcode::NoError, zone)
             }
         }
     }
@@ -172,7 +166,7 @@
 }
 
 /// What an answer that was followed tells of a box: its name and address, and the fill; none if it can't be used.
-pub fn hint(pointed: dns::Pointed) -> Option<RoutingHint> {
+pub fn parse_routing_hint(pointed: dns::SrvTarget) -> Option<RoutingHint> {
     let uid = String::from_utf8(pointed.target.first()?.clone()).ok()?;
     let mut fill = FillHint::default();
     for (name, value) in pointed.texts.iter().filter_map(|t| t.split_once('=')) {
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -1,12 +1,14 @@
 //! The shelfs' side of the platform's protocol: attempts out, answers in.
 
-use crate::resp::{array, bulk, bulk_head, field, Decoder, Frame, RespError};
+use crate::resp::{
+    find_field, push_array_header, push_bulk_length, push_bulk_string, Decoder, Frame, RespError,
+};
 use hollymux_decision::CacheStatus;
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{AttemptRequest, AttemptResponse, Target};
 
 /// An object holds at most so many bytes.
-pub const OBJECT_MOST: usize = 240_000;
+pub const MAX_OBJECT_BYTES: usize = 240_000;
 /// The place of the body in `ID WORD FIELDS BODY`.
 const BODY_AT: usize = 3;
 
@@ -15,11 +17,11 @@
 
 /// The decoder for a shelf's connection.
 pub fn decoder(pool: &BufferPool) -> Decoder {
-    Decoder::new(pool, BODY_AT, OBJECT_MOST)
+    Decoder::new(pool, BODY_AT, MAX_OBJECT_BYTES)
 }
 
 /// What an answer may say of its fill, in the order of the simulator's numbers.
-const NOTES: [(&[u8], CacheStatus); 10] = [
+const CACHE_STATUS_WORDS: [(&[u8], CacheStatus); 10] = [
     (b"TCP_HIT", CacheStatus::Hit),
     (b"TCP_MISS", CacheStatus::Filled),
     (b"TCP_MISS_ROOT", CacheStatus::FilledByOrigin),
@@ -32,14 +34,25 @@
     (b"ROOT_FAIL", CacheStatus::OriginFailed),
 ];
 
-/// Reads an answer: the id, what is said of it, and what of its fill, where that is told.
-pub fn said(mut frame: Frame) -> Result<(Vec<u8>, AttemptResponse, Option<CacheStatus>), RespError> {
+/// A response to an attempt or a probe.
+#[derive(Debug)]
+pub struct EndpointResponse {
+    /// The id under which the attempt or probe was sent.
+    pub id: Vec<u8>,
+    /// The result.
+    pub response: AttemptResponse,
+    /// How the endpoint's cache served it, where the response says so.
+    pub cache_status: Option<CacheStatus>,
+}
+
+/// Parses a response.
+pub fn parse_response(mut frame: Frame) -> Result<EndpointResponse, RespError> {
     if frame.words.len() < 2 {
         return Err(RespError::Malformed);
     }
     let fields = frame.words.get(2).map_or(&[][..], Vec::as_slice);
     let plain = |t: &&[u8]| (1..=TAG_MOST).contains(&t.len()) && t.iter().all(u8::is_ascii_graphic);
-    let digest = || field(fields, "digest").filter(plain).map(<[u8]>::to_vec);
+    let digest = || find_field(fields, "digest").filter(plain).map(<[u8]>::to_vec);
     let said = match frame.words[1].as_slice() {
         b"data" => AttemptResponse::Data(digest(), frame.body),
         b"unchanged" if frame.body.is_empty() => {
@@ -53,14 +66,14 @@
         b"ill" => AttemptResponse::ProbeResult(false),
         _ => return Err(RespError::Malformed),
     };
-    let remark = field(fields, "remark");
-    let note = NOTES.iter().find(|(word, _)| remark == Some(word)).map(|(_, note)| *note);
-    Ok((std::mem::take(&mut frame.words[0]), said, note))
+    let remark = find_field(fields, "remark");
+    let note = CACHE_STATUS_WORDS.iter().find(|(word, _)| remark == Some(word)).map(|(_, note)| *note);
+    Ok(EndpointResponse { id: std::mem::take(&mut frame.words[0]), response: said, cache_status: note })
 }
 
 /// Whether that may be said of such a request: bytes of a copy come with its tag, only a copy that was asked about
 /// can be unchanged, and no request is answered as a probe is.
-pub fn fits(said: &AttemptResponse, held: Option<&[u8]>, writes: bool) -> bool {
+pub fn response_allowed(said: &AttemptResponse, held: Option<&[u8]>, writes: bool) -> bool {
     match said {
         AttemptResponse::Data(digest, _) => writes || digest.is_some(),
         AttemptResponse::NotModified(digest) => held == Some(digest.as_slice()),
@@ -73,7 +86,7 @@
 }
 
 /// The fill as fields of a request to a shelf.
-pub fn fill_fields(target: &Target) -> Vec<(&'static str, String)> {
+pub fn fill_hint_fields(target: &Target) -> Vec<(&'static str, String)> {
     let f = &target.fill;
     let hints =
         [(f.coalesce, "coalesce"), (f.only_if_cached, "shallow"), (f.stale_while_revalidate, "freshen")];
@@ -86,7 +99,7 @@
 }
 
 /// The bytes of an attempt.
-pub fn ask(pool: &BufferPool, order: &AttemptRequest) -> Result<BufferChain, Exhausted> {
+pub fn encode_attempt(pool: &BufferPool, order: &AttemptRequest) -> Result<BufferChain, Exhausted> {
     let ask = &order.ask;
     let mut fields = Vec::with_capacity(128);
     let mut put = |name: &str, value: &[u8]| {
@@ -101,7 +114,7 @@
     put("thing", &ask.object.0);
     put("nth", ask.part.to_string().as_bytes());
     put("max", order.timeout.as_millis().max(1).to_string().as_bytes());
-    for (name, value) in fill_fields(&order.target) {
+    for (name, value) in fill_hint_fields(&order.target) {
         put(name, value.as_bytes());
     }
     if let Some(held) = &ask.held {
@@ -111,11 +124,11 @@
         put("replay", key);
     }
     let mut head = Vec::with_capacity(256);
-    array(&mut head, 4);
-    bulk(&mut head, b"ASK");
-    bulk(&mut head, &ask.rid.0);
-    bulk(&mut head, &fields);
-    bulk_head(&mut head, ask.body.len());
+    push_array_header(&mut head, 4);
+    push_bulk_string(&mut head, b"ASK");
+    push_bulk_string(&mut head, &ask.rid.0);
+    push_bulk_string(&mut head, &fields);
+    push_bulk_length(&mut head, ask.body.len());
     let mut out = pool.chain();
     out.extend(&head)?;
     for run in ask.body.runs() {
@@ -126,20 +139,20 @@
 }
 
 /// The bytes that call an attempt off.
-pub fn quit(pool: &BufferPool, rid: &[u8]) -> Result<BufferChain, Exhausted> {
+pub fn encode_cancel(pool: &BufferPool, rid: &[u8]) -> Result<BufferChain, Exhausted> {
     words(pool, b"QUIT", rid)
 }
 
 /// The bytes of a probe.
-pub fn probe(pool: &BufferPool, tag: &[u8]) -> Result<BufferChain, Exhausted> {
+pub fn encode_probe(pool: &BufferPool, tag: &[u8]) -> Result<BufferChain, Exhausted> {
     words(pool, b"NOOP", tag)
 }
 
 fn words(pool: &BufferPool, verb: &[u8], id: &[u8]) -> Result<BufferChain, Exhausted> {
     let mut head = Vec::new();
-    array(&mut head, 2);
-    bulk(&mut head, verb);
-    bulk(&mut head, id);
+    push_array_header(&mut head, 2);
+    push_bulk_string(&mut head, verb);
+    push_bulk_string(&mut head, id);
     let mut out = pool.chain();
     out.extend(&head)?;
     Ok(out)
--- a/crates/protocol/src/endpoint_feed.rs
+++ b/crates/protocol/src/endpoint_feed.rs
@@ -1,6 +1,6 @@
 //! The control feed: an HTTP answer that carries server-sent events, fed in any pieces.
 
-use crate::resp::decimal;
+use crate::resp::parse_decimal;
 
 /// A line of the head or of an event holds at most so many bytes.
 const LINE: usize = 4 << 20;
@@ -22,7 +22,7 @@
 
 /// Reads one answer of the feed.
 #[derive(Debug)]
-pub struct Reader {
+pub struct EndpointFeedReader {
     step: Step,
     chunked: bool,
     line: Vec<u8>,
@@ -30,19 +30,19 @@
 }
 
 /// The call that opens the feed after the event of that number.
-pub fn call(host: &str, after: u64) -> Vec<u8> {
+pub fn encode_request(host: &str, after: u64) -> Vec<u8> {
     let head = "Accept: text/event-stream\r\nCache-Control: no-cache";
     format!("GET /v1/events HTTP/1.1\r\nHost: {host}\r\n{head}\r\nLast-Event-ID: {after}\r\n\r\n")
         .into_bytes()
 }
 
-impl Default for Reader {
+impl Default for EndpointFeedReader {
     fn default() -> Self {
-        Reader { step: Step::AttemptStatus, chunked: false, line: Vec::new(), data: Vec::new() }
+        EndpointFeedReader { step: Step::AttemptStatus, chunked: false, line: Vec::new(), data: Vec::new() }
     }
 }
 
-impl Reader {
+impl EndpointFeedReader {
     /// Takes bytes; the data of each whole event goes to `events`.
     pub fn feed(&mut self, input: &[u8], events: &mut Vec<Vec<u8>>) -> Result<(), FeedError> {
         let mut input = input;
@@ -84,7 +84,7 @@
     fn head(&mut self, line: &[u8]) -> Result<(), FeedError> {
         match self.step {
             Step::AttemptStatus => {
-                let code = line.split(|b| *b == b' ').nth(1).and_then(decimal);
+                let code = line.split(|b| *b == b' ').nth(1).and_then(parse_decimal);
                 if !line.starts_with(b"HTTP/1.") || code != Some(200) {
                     return Err(FeedError("the answer is not 200"));
                 }
--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -9,9 +9,9 @@
 #[error("{0}")]
 pub struct EventError(String);
 
-/// Names that the sockets use where the module has numbers.
+/// NameTables that the sockets use where the module has numbers.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct NameTables {
     /// Classes, by number.
     pub classes: Vec<String>,
     /// Zones, by number.
@@ -20,6 +20,15 @@
     pub kinds: Vec<String>,
 }
 
+/// A message of the feed.
+#[derive(Debug)]
+pub struct FeedMessage {
+    /// Its number; numbers only rise.
+    pub number: u64,
+    /// The event; none if this version does not know its kind.
+    pub event: Option<FeedEvent>,
+}
+
 #[derive(Deserialize)]
 struct Target {
     uid: String,
@@ -64,34 +73,34 @@
     Timestamp::from_micros(millis.saturating_mul(1_000))
 }
 
-impl Names {
+impl NameTables {
     /// A place in a list of names; an unknown name is like none of them.
     fn place(list: &[String], name: &str) -> u16 {
         list.iter().position(|n| n == name).and_then(|i| u16::try_from(i).ok()).unwrap_or(u16::MAX)
     }
 
     /// Reads one event: its number and what it tells.
-    pub fn event(&self, text: &[u8]) -> Result<(u64, Option<FeedEvent>), EventError> {
+    pub fn parse_event(&self, text: &[u8]) -> Result<FeedMessage, EventError> {
         serde_json::from_slice(text).map_err(|e| EventError(format!("event: {e}"))).and_then(|v| self.line(v))
     }
 
     /// Reads one event that was parsed as JSON before.
-    pub fn value(&self, event: serde_json::Value) -> Result<(u64, Option<FeedEvent>), EventError> {
+    pub fn parse_event_value(&self, event: serde_json::Value) -> Result<FeedMessage, EventError> {
         serde_json::from_value(event)
             .map_err(|e| EventError(format!("event: {e}")))
             .and_then(|v| self.line(v))
     }
 
-    fn line(&self, line: Line) -> Result<(u64, Option<FeedEvent>), EventError> {
+    fn line(&self, line: Line) -> Result<FeedMessage, EventError> {
         let bad = |what: &str| EventError(format!("event {}: {what}", line.n));
         if let Some(m) = line.members {
             let lines: Result<Vec<_>, _> = m.targets.into_iter().map(|t| self.member(t)).collect();
-            return Ok((
-                line.n,
-                Some(FeedEvent::Endpoints { all: m.all, lines: lines.map_err(|e| bad(&e))? }),
-            ));
+            return Ok(FeedMessage {
+                number: line.n,
+                event: Some(FeedEvent::Endpoints { all: m.all, lines: lines.map_err(|e| bad(&e))? }),
+            });
         }
-        let Some(p) = line.purge else { return Ok((line.n, None)) };
+        let Some(p) = line.purge else { return Ok(FeedMessage { number: line.n, event: None }) };
         let object = match p.key {
             Some(key) => Some(u64::from_str_radix(&key, 16).map_err(|_| bad("a key that is no number"))?),
             None => None,
@@ -100,7 +109,10 @@
             (None, None) => return Err(bad("a purge of nothing")),
             (_, group) => group.unwrap_or(0),
         };
-        Ok((line.n, Some(FeedEvent::Purge { object, group, at: unix_millis(p.at) })))
+        Ok(FeedMessage {
+            number: line.n,
+            event: Some(FeedEvent::Purge { object, group, at: unix_millis(p.at) }),
+        })
     }
 
     fn member(&self, t: Target) -> Result<ListedEndpoint, String> {
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether it stands inside an array.
-    pub fn midway(&self) -> bool {
+    pub fn is_mid_frame(&self) -> bool {
         !matches!(self.step, Step::Count) || !self.line.is_empty()
     }
 
@@ -141,7 +141,7 @@
             }
             if b == b'\n' {
                 let digits = self.line[1..].strip_suffix(b"\r\n").filter(|d| !d.is_empty());
-                let number = digits.and_then(decimal).ok_or(RespError::Malformed)?;
+                let number = digits.and_then(parse_decimal).ok_or(RespError::Malformed)?;
                 self.line.clear();
                 return usize::try_from(number).map(Some).map_err(|_| RespError::TooLong);
             }
@@ -150,30 +150,30 @@
     }
 }
 
-/// A number of decimal digits alone.
-pub fn decimal(digits: &[u8]) -> Option<u64> {
+/// A number of parse_decimal digits alone.
+pub fn parse_decimal(digits: &[u8]) -> Option<u64> {
     let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(digits).ok().filter(|_| plain)?.parse().ok()
 }
 
 /// Appends the head of an array of so many words.
-pub fn array(out: &mut Vec<u8>, words: usize) {
+pub fn push_array_header(out: &mut Vec<u8>, words: usize) {
     out.extend_from_slice(format!("*{words}\r\n").as_bytes());
 }
 
 /// Appends a bulk string.
-pub fn bulk(out: &mut Vec<u8>, word: &[u8]) {
-    bulk_head(out, word.len());
+pub fn push_bulk_string(out: &mut Vec<u8>, word: &[u8]) {
+    push_bulk_length(out, word.len());
     out.extend_from_slice(word);
     out.extend_from_slice(b"\r\n");
 }
 
 /// Appends the length line of a bulk string; its bytes and a line end follow.
-pub fn bulk_head(out: &mut Vec<u8>, len: usize) {
+pub fn push_bulk_length(out: &mut Vec<u8>, len: usize) {
     out.extend_from_slice(format!("${len}\r\n").as_bytes());
 }
 
 /// The value of a name in a list `name=value,name=value`.
-pub fn field<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
+pub fn find_field<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
     list.split(|b| *b == b',').find_map(|f| f.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
--- a/crates/server/src/clients.rs
+++ b/crates/server/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' connections.
 
 use super::*;
-use hollymux_protocol::client::{self, Call, Tags};
+use hollymux_protocol::client::{self, ClientCommand, UsedTags};
 use hollymux_protocol::resp::Decoder;
 use hollymux_router::buffers::Exhausted;
 use hollymux_router::{ClientHandle, ClientRequest, Reply};
@@ -42,7 +42,7 @@
     out: BufferChain,
     /// Tags whose answer is owed, and since when.
     owed: BTreeMap<u64, Timestamp>,
-    tags: Tags,
+    tags: UsedTags,
     used: Timestamp,
     /// Since when a message is waited for: the first one, or the rest of one that has begun.
     awaited: Option<Timestamp>,
@@ -63,7 +63,7 @@
 
     /// A message has begun to come, or bytes wait to be read that may be one.
     fn coming(&self) -> bool {
-        self.unread() || self.decoder.midway()
+        self.unread() || self.decoder.is_mid_frame()
     }
 
     /// Bytes have come that were not read yet.
@@ -114,7 +114,7 @@
                         decoder: client::decoder(&self.pool),
                         out: self.pool.chain(),
                         owed: BTreeMap::new(),
-                        tags: Tags::default(),
+                        tags: UsedTags::default(),
                         used: self.now,
                         awaited: Some(self.now),
                         waste: 0,
@@ -198,7 +198,7 @@
         loop {
             let call = match conn.decoder.feed(&mut bytes) {
                 Ok(None) => {
-                    if conn.decoder.midway() {
+                    if conn.decoder.is_mid_frame() {
                         conn.awaited = conn.awaited.or(Some(self.now));
                     }
                     // Refusals don't come by way of answers: whoever asks on and on would be met by a round's chance.
@@ -207,21 +207,22 @@
                     }
                     return Fate::Keep;
                 }
-                Ok(Some(frame)) => client::call(frame),
+                Ok(Some(frame)) => client::parse_command(frame),
                 Err(e) => Err(e),
             };
             (conn.awaited, conn.first) = (None, None);
             let said = match call {
-                Ok(Call::Ping(tag)) => {
-                    client::fit(&self.pool, tag, self.lifecycle.ready()).map(|c| conn.out.append(c))
+                Ok(ClientCommand::Ping { tag }) => {
+                    client::encode_ping_response(&self.pool, tag, self.lifecycle.ready())
+                        .map(|c| conn.out.append(c))
                 }
                 // A tag used twice: its answers could not be told apart, the client is out of step.
-                Ok(Call::Do(tag, _)) if !conn.tags.take(tag) => return Fate::QuotaShare,
-                Ok(Call::Do(tag, Err(class))) => {
-                    self.router.spoilt(&class);
+                Ok(ClientCommand::Request { tag, .. }) if !conn.tags.insert(tag) => return Fate::QuotaShare,
+                Ok(ClientCommand::Request { tag, request: Err(invalid) }) => {
+                    self.router.spoilt(&invalid.class);
                     self.say(conn, tag, Reply::Failed)
                 }
-                Ok(Call::Do(tag, Ok(ask))) => {
+                Ok(ClientCommand::Request { tag, request: Ok(ask) }) => {
                     let open = conn.owed.len() >= OPEN_MOST;
                     let serves = self.lifecycle.serves(self.now, self.longest());
                     if open || self.pool.fuller_than(CROWDED) || !serves {
@@ -238,7 +239,7 @@
                         Ok(())
                     }
                 }
-                Ok(Call::Undo(tag)) => {
+                Ok(ClientCommand::Cancel { tag }) => {
                     if let Some(since) = conn.owed.remove(&tag) {
                         conn.waste += u32::from(self.now < since + HASTE);
                         let client = ClientHandle { conn: key, tag };
@@ -279,7 +280,7 @@
     }
 
     fn say(&mut self, conn: &mut ClientConn, tag: u64, reply: Reply) -> Result<(), Exhausted> {
-        conn.out.append(client::reply(&self.pool, tag, reply)?);
+        conn.out.append(client::encode_reply(&self.pool, tag, reply)?);
         Ok(())
     }
 
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::renewal;
 use hollymux_decision::{parse_settings, Settings, SettingsError, SettingsMap};
-use hollymux_protocol::feed_events::Names;
+use hollymux_protocol::feed_events::NameTables;
 use hollymux_router::{FeedEvent, RouterOptions};
 use serde::Deserialize;
 use serde_json::Value;
@@ -73,7 +73,7 @@
     /// What the module works by.
     pub settings: Settings,
     /// Names of numbers.
-    pub names: Names,
+    pub names: NameTables,
     /// Requests that one connection to a shelf carries at a time.
     pub streams: usize,
     /// Connections idle for this long are closed by the other side.
@@ -159,7 +159,7 @@
         settings.check().map_err(|e| wrong(&e))?;
         let class = |i| p.read(&format!("classes.{i}.name")).map(Option::unwrap_or_default);
         let classes: Result<Vec<String>, _> = (0..settings.classes.len()).map(class).collect();
-        let names = Names {
+        let names = NameTables {
             classes: classes.map_err(|e| wrong(&e))?,
             zones: p.list("failureDomains").map_err(|e| wrong(&e))?,
             kinds: p.list("models").map_err(|e| wrong(&e))?,
@@ -169,7 +169,7 @@
         }
         let mut events = Vec::new();
         for event in file.known.events {
-            events.extend(names.value(event).map_err(|e| wrong(&e))?.1);
+            events.extend(names.parse_event_value(event).map_err(|e| wrong(&e))?.event);
         }
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| ConfigError(format!("seed: {:?} is not a hex number", file.seed)))?;
--- a/crates/server/src/dns.rs
+++ b/crates/server/src/dns.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use hollymux_decision::{Idempotency, RequestId};
-use hollymux_protocol::dns::{self, Answer, Framer, Name, Query, Rcode};
-use hollymux_protocol::dns_routing::{self, Place as At};
+use hollymux_protocol::dns::{self, MessageFramer, Name, Query, Rcode, Response, Transport};
+use hollymux_protocol::dns_routing::{self, NameKind};
 use hollymux_router::{LookupResult, RequestedObject};
 use rand_core::RngCore;
 use std::net::IpAddr;
@@ -22,7 +22,7 @@
 
 pub(super) struct DnsConn {
     pub(super) stream: Stream,
-    framer: Framer,
+    framer: MessageFramer,
     out: BufferChain,
     used: Timestamp,
 }
@@ -83,10 +83,10 @@
     }
 
     pub(super) fn on_dns_udp(&mut self, socket: &mut UdpSocket) -> Fate {
-        let mut buffer = [0; dns::QUERY_MOST];
+        let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..READS {
             let Ok((n, peer)) = socket.recv_from(&mut buffer) else { break };
-            if let Some(answer) = self.resolve(&buffer[..n], true) {
+            if let Some(answer) = self.resolve(&buffer[..n], Transport::Udp) {
                 // What the socket doesn't take now is lost, as any datagram may be.
                 let _sent = socket.send_to(&answer, peer);
             }
@@ -109,7 +109,7 @@
                     break;
                 }
             };
-            let (framer, out) = (Framer::default(), self.pool.chain());
+            let (framer, out) = (MessageFramer::default(), self.pool.chain());
             let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
             let conn = DnsConn { stream: Stream::new(socket, self.now), framer, out, used: self.now };
             if ready.and_then(|()| self.place(Role::DnsConn(conn))).is_ok() {
@@ -122,7 +122,7 @@
     pub(super) fn on_dns_conn(&mut self, key: Key, conn: &mut DnsConn, flags: EventFlags) -> Fate {
         let mut messages = Vec::new();
         if flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
-            let mut buffer = [0; dns::QUERY_MOST];
+            let mut buffer = [0; dns::MAX_QUERY_BYTES];
             match conn.stream.read(&mut buffer) {
                 Ok(Some(0)) | Err(_) => return Fate::Close,
                 Ok(Some(n)) if !conn.framer.feed(&buffer[..n], &mut messages) => return Fate::Close,
@@ -131,7 +131,7 @@
         }
         for message in messages {
             conn.used = self.now;
-            let Some(answer) = self.resolve(&message, false) else { return Fate::Close };
+            let Some(answer) = self.resolve(&message, Transport::Tcp) else { return Fate::Close };
             let len = (answer.len() as u16).to_be_bytes();
             let put = conn.out.extend(&len).and_then(|()| conn.out.extend(&answer));
             if put.is_err() || conn.out.len() > OUT_MOST {
@@ -151,38 +151,40 @@
     }
 
     /// The answer to a query; none if it gets none.
-    fn resolve(&mut self, bytes: &[u8], udp: bool) -> Option<Vec<u8>> {
-        let query = dns::query(bytes)?;
-        let answer = query.wrong.map_or_else(|| self.decide(&query), Answer::code);
-        Some(dns::answer(&query, &answer, udp))
+    fn resolve(&mut self, bytes: &[u8], transport: Transport) -> Option<Vec<u8>> {
+        let query = dns::parse_query(bytes)?;
+        let answer = query.error.map_or_else(|| self.decide(&query), Response::from_rcode);
+        Some(dns::encode_response(&query, &answer, transport))
     }
 
-    fn decide(&mut self, query: &Query) -> Answer {
+    fn decide(&mut self, query: &Query) -> Response {
         let zone = &self.zone;
-        let wanted = match dns_routing::place(&query.name, zone, self.router.classes()) {
-            At::Elsewhere => return Answer::code(Rcode::Refused),
-            At::Nowhere => return dns_routing::nothing(Rcode::NxDomain, zone),
-            At::Apex => return dns_routing::apex(query.kind, zone),
-            At::Between => return dns_routing::nothing(Rcode::NoError, zone),
-            At::Box(uid) => {
+        let wanted = match dns_routing::classify_name(&query.name, zone, self.router.classes()) {
+            NameKind::OutsideZone => return Response::from_rcode(Rcode::Refused),
+            NameKind::NotFound => return dns_routing::negative_response(Rcode::NxDomain, zone),
+            NameKind::Apex => return dns_routing::apex_response(query.record_type, zone),
+            NameKind::EmptyNonTerminal => return dns_routing::negative_response(Rcode::NoError, zone),
+            NameKind::Endpoint(uid) => {
                 return match self.router.ready_address(&uid) {
-                    Some(addr) => dns_routing::ready_address(query.kind, zone, addr),
-                    None => dns_routing::nothing(Rcode::NxDomain, zone),
+                    Some(addr) => dns_routing::endpoint_response(query.record_type, zone, addr),
+                    None => dns_routing::negative_response(Rcode::NxDomain, zone),
                 };
             }
-            At::RequestedObject(wanted) => wanted,
+            NameKind::Request(wanted) => wanted,
         };
-        if !dns_routing::answers(query.kind) {
-            return dns_routing::nothing(Rcode::NoError, zone);
+        if !dns_routing::is_routable_type(query.record_type) {
+            return dns_routing::negative_response(Rcode::NoError, zone);
         }
         let found = self.router.lookup(self.now, wanted, &mut self.commands);
         for command in std::mem::take(&mut self.commands) {
             self.carry_out(command);
         }
         match found {
-            LookupResult::Endpoint(target) => dns_routing::named(query.kind, &self.zone, &target),
-            LookupResult::Rejected => Answer::code(Rcode::Refused),
-            LookupResult::Failed => Answer::code(Rcode::ServFail),
+            LookupResult::Endpoint(target) => {
+                dns_routing::route_response(query.record_type, &self.zone, &target)
+            }
+            LookupResult::Rejected => Response::from_rcode(Rcode::Refused),
+            LookupResult::Failed => Response::from_rcode(Rcode::ServFail),
         }
     }
 
@@ -192,7 +194,7 @@
     pub(super) fn look(&mut self, request: RequestId, wanted: &RequestedObject) {
         let once = self.router.classes().idempotency(wanted.class) == Idempotency::NotIdempotent;
         let wanted = RequestedObject { rid: wanted.rid.filter(|_| once), ..wanted.clone() };
-        let name = dns_routing::name_of(&wanted, &self.zone, self.router.classes());
+        let name = dns_routing::encode_name(&wanted, &self.zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.asked.len() < ASKED_MOST) else {
             return self.inbox.push_back(Input::LookedUp(request, LookupResult::Failed));
         };
@@ -213,7 +215,7 @@
             return self.inbox.push_back(Input::LookedUp(request, LookupResult::Failed));
         }
         asked.times += 1;
-        let bytes = dns::ask(id, &asked.name);
+        let bytes = dns::encode_srv_query(id, &asked.name);
         if let Some(Role::Resolver(socket)) = self.resolver.key.and_then(|k| self.role(k)) {
             // What can't be sent now is sent again later.
             let _sent = socket.send(&bytes);
@@ -222,7 +224,7 @@
     }
 
     pub(super) fn on_resolver(&mut self, socket: &mut UdpSocket) -> Fate {
-        let mut buffer = [0; dns::QUERY_MOST];
+        let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..READS {
             let n = match socket.recv(&mut buffer) {
                 Ok(n) => n,
@@ -232,10 +234,11 @@
             };
             let Some(id) = buffer[..n].first_chunk::<2>().map(|b| u16::from_be_bytes(*b)) else { continue };
             let Some(asked) = self.resolver.asked.get(&id) else { continue };
-            let Some((code, pointed)) = dns::read_answer(&buffer[..n], id, &asked.name) else { continue };
+            let response = dns::parse_srv_response(&buffer[..n], id, &asked.name);
+            let Some(dns::SrvResponse { rcode: code, target: pointed }) = response else { continue };
             let request = asked.request;
             self.resolver.asked.remove(&id);
-            let hint = pointed.and_then(dns_routing::hint);
+            let hint = pointed.and_then(dns_routing::parse_routing_hint);
             let found = match (code == Rcode::Refused as u16, hint) {
                 (true, _) => LookupResult::Rejected,
                 (false, Some(hint)) if code == Rcode::NoError as u16 => LookupResult::Endpoint(hint),
--- a/crates/server/src/feed.rs
+++ b/crates/server/src/feed.rs
@@ -1,7 +1,8 @@
 //! The connection to the control feed.
 
 use super::*;
-use hollymux_protocol::endpoint_feed::{call, Reader};
+use hollymux_protocol::endpoint_feed::{encode_request, EndpointFeedReader};
+use hollymux_protocol::feed_events::FeedMessage;
 use rand_core::RngCore;
 
 /// A comment arrives every second; silence for this long means that the connection is dead. Each call adds a part of its
@@ -14,7 +15,7 @@
 
 pub(super) struct Feed {
     pub(super) stream: Stream,
-    reader: Reader,
+    reader: EndpointFeedReader,
     out: BufferChain,
     heard: Timestamp,
     /// The silence that is borne.
@@ -27,14 +28,20 @@
         if self.feed_key.is_some() {
             return;
         }
-        let call = call(&self.config.feed.to_string(), self.feed_at);
+        let call = encode_request(&self.config.feed.to_string(), self.feed_at);
         let mut out = self.pool.chain();
         let opened = out.extend(&call).map_err(|_| io::ErrorKind::OutOfMemory.into());
         let opened = opened.and_then(|()| dial(self.config.feed)).and_then(|socket| {
             let mut stream = Stream::new(socket, self.now);
             stream.waiting = true;
             let patience = SILENCE + Duration::from_micros(self.rng.next_u64() % whole_micros(SPREAD));
-            self.place(Role::Feed(Feed { stream, reader: Reader::default(), out, heard: self.now, patience }))
+            self.place(Role::Feed(Feed {
+                stream,
+                reader: EndpointFeedReader::default(),
+                out,
+                heard: self.now,
+                patience,
+            }))
         });
         match opened {
             Ok(key) => self.feed_key = Some(key),
@@ -77,12 +84,12 @@
             self.feed_told = self.now;
         }
         for event in events {
-            match self.config.names.event(&event) {
+            match self.config.names.parse_event(&event) {
                 // Told again after a new call: known already.
-                Ok((n, _)) if n <= self.feed_at => {}
-                Ok((n, told)) => {
-                    self.feed_at = n;
-                    told.into_iter().for_each(|t| self.tell(t));
+                Ok(FeedMessage { number, .. }) if number <= self.feed_at => {}
+                Ok(FeedMessage { number, event }) => {
+                    self.feed_at = number;
+                    event.into_iter().for_each(|t| self.tell(t));
                 }
                 Err(e) => warn!("control feed: {e}"),
             }
--- a/crates/server/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -5,7 +5,7 @@
 //! one has said `Yours`. Whatever fails on the way leaves the old one serving, or the new one starting from nothing.
 
 use super::*;
-use hollymux_protocol::handover::{Message, Reader};
+use hollymux_protocol::handover::{HandoverMessage, HandoverReader};
 use hollymux_router::handover_state::HandoverState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -39,7 +39,7 @@
     pub(super) listener: TcpListener,
     pub(super) legacy: Option<Box<HandoverState>>,
     socket: UnixStream,
-    reader: Reader,
+    reader: HandoverReader,
 }
 
 /// Calls the process that serves that address, if there is one. An error says why it could not be asked.
@@ -65,8 +65,10 @@
     let until = Instant::now() + ANSWER;
     socket.set_nonblocking(false).map_err(|e| e.to_string())?;
     socket.set_write_timeout(Some(ANSWER)).map_err(|e| e.to_string())?;
-    socket.write_all(&Message::Hello(listen.to_string()).bytes()).map_err(|e| format!("it hangs: {e}"))?;
-    let (mut reader, mut listener, mut bytes) = (Reader::default(), None, vec![0; 1 << 16]);
+    socket
+        .write_all(&HandoverMessage::Hello(listen.to_string()).encode())
+        .map_err(|e| format!("it hangs: {e}"))?;
+    let (mut reader, mut listener, mut bytes) = (HandoverReader::default(), None, vec![0; 1 << 16]);
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -89,8 +91,8 @@
             }
         }
         reader.feed(&bytes[..got]);
-        match reader.message().map_err(|e| e.to_string())? {
-            Some(Message::HandoverState(legacy)) => {
+        match reader.next_message().map_err(|e| e.to_string())? {
+            Some(HandoverMessage::State(legacy)) => {
                 let listener = TcpListener::from(listener.ok_or("it gave no listening socket")?);
                 if listener.local_addr().ok() != Some(listen) {
                     return Err("its listening socket is for another address".into());
@@ -98,7 +100,7 @@
                 socket.set_nonblocking(true).map_err(|e| e.to_string())?;
                 return Ok(Some(Heritage { listener, legacy, socket, reader }));
             }
-            Some(Message::No) => return Err("it is handing over to another process".into()),
+            Some(HandoverMessage::Declined) => return Err("it is handing over to another process".into()),
             Some(_) => return Err("it says what it can't mean".into()),
             None => {}
         }
@@ -108,7 +110,7 @@
 /// The other end of a handover: the process that takes over, or the one that gives.
 pub(super) struct Peer {
     pub(super) stream: Stream<UnixStream>,
-    reader: Reader,
+    reader: HandoverReader,
     out: Vec<u8>,
     /// The listening socket goes with the next byte.
     gives: bool,
@@ -120,7 +122,7 @@
 }
 
 impl Peer {
-    fn new(socket: UnixStream, reader: Reader, now: Timestamp) -> Peer {
+    fn new(socket: UnixStream, reader: HandoverReader, now: Timestamp) -> Peer {
         Peer {
             stream: Stream::new(socket, now),
             reader,
@@ -194,10 +196,10 @@
         while let Ok((mut socket, _)) = listener.accept() {
             let ready = socket.set_nonblocking(true).is_ok();
             if self.heir.is_some() || !ready || !self.lifecycle.accepts(self.now) {
-                let _told = socket.write(&Message::No.bytes());
+                let _told = socket.write(&HandoverMessage::Declined.encode());
                 continue;
             }
-            self.heir = self.place(Role::Heir(Peer::new(socket, Reader::default(), self.now))).ok();
+            self.heir = self.place(Role::Heir(Peer::new(socket, HandoverReader::default(), self.now))).ok();
         }
         Fate::Keep
     }
@@ -205,26 +207,26 @@
     /// The old process hears the new one.
     pub(super) fn on_heir(&mut self, key: Key, peer: &mut Peer, flags: EventFlags) -> Fate {
         self.on_peer(key, peer, flags, |driver, peer, message| match message {
-            Message::Hello(_) if !peer.greeted => {
+            HandoverMessage::Hello(_) if !peer.greeted => {
                 peer.greeted = true;
                 driver.share();
                 let mut legacy = driver.router.legacy();
                 legacy.zones.clone_from(&driver.config.names.zones);
                 legacy.kinds.clone_from(&driver.config.names.kinds);
                 peer.gives = true;
-                peer.out.extend(Message::HandoverState(Some(Box::new(legacy))).bytes());
+                peer.out.extend(HandoverMessage::State(Some(Box::new(legacy))).encode());
                 info!("another process takes over");
                 true
             }
-            Message::Take if peer.greeted => {
+            HandoverMessage::TakeOver if peer.greeted => {
                 peer.took = true;
                 driver.live(Event::Replaced);
                 let since = driver.router.take_new_pending_writes();
-                peer.out.extend(Message::Filings(since).bytes());
+                peer.out.extend(HandoverMessage::PendingWrites(since).encode());
                 if let Some((start, incarnation)) = driver.fleet_give() {
-                    peer.out.extend(Message::Fleet(start, incarnation).bytes());
+                    peer.out.extend(HandoverMessage::ClusterIncarnation { start, incarnation }.encode());
                 }
-                peer.out.extend(Message::Yours.bytes());
+                peer.out.extend(HandoverMessage::Released.encode());
                 true
             }
             _ => false,
@@ -234,15 +236,15 @@
     /// The new process hears the old one.
     pub(super) fn on_forebear(&mut self, key: Key, peer: &mut Peer, flags: EventFlags) -> Fate {
         self.on_peer(key, peer, flags, |driver, _, message| match message {
-            Message::Filings(filings) => {
+            HandoverMessage::PendingWrites(filings) => {
                 driver.router.restore_pending_writes(driver.now, &filings);
                 true
             }
-            Message::Fleet(start, incarnation) => {
+            HandoverMessage::ClusterIncarnation { start, incarnation } => {
                 driver.fleet_inherit(start, incarnation);
                 true
             }
-            Message::Yours => {
+            HandoverMessage::Released => {
                 driver.began();
                 true
             }
@@ -255,13 +257,13 @@
         key: Key,
         peer: &mut Peer,
         flags: EventFlags,
-        hear: fn(&mut Server, &mut Peer, Message) -> bool,
+        hear: fn(&mut Server, &mut Peer, HandoverMessage) -> bool,
     ) -> Fate {
         if flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
             let hand = |driver: &mut Server, peer: &mut Peer, bytes: &[u8]| {
                 peer.reader.feed(bytes);
                 loop {
-                    let message = match peer.reader.message() {
+                    let message = match peer.reader.next_message() {
                         Ok(None) => return Fate::Keep,
                         message => message.ok().flatten(),
                     };
@@ -323,7 +325,7 @@
             return;
         }
         if let Some(Role::Heir(mut peer)) = self.take(key) {
-            peer.out.extend(Message::Filings(filings).bytes());
+            peer.out.extend(HandoverMessage::PendingWrites(filings).encode());
             let fate = self.flush_peer(key, &mut peer);
             self.put_back(key, Role::Heir(peer), fate);
         }
@@ -373,7 +375,7 @@
         let Some(Role::Forebear(mut peer)) = self.take(key) else { return };
         if !peer.took {
             peer.took = true;
-            peer.out.extend(Message::Take.bytes());
+            peer.out.extend(HandoverMessage::TakeOver.encode());
             self.wheel.set(self.now + YOURS, Timer::Yours);
         }
         let fate = self.flush_peer(key, &mut peer);
--- a/crates/server/src/operations.rs
+++ b/crates/server/src/operations.rs
@@ -1,7 +1,9 @@
 //! Operators' connections: the second address of the configuration.
 
 use super::*;
-use hollymux_protocol::admin::{answer, answer_json, Asked, Call, Reader};
+use hollymux_protocol::admin::{
+    encode_json_response, encode_text_response, AdminOperation, AdminRequest, AdminRequestReader,
+};
 use hollymux_router::metrics::Gauges;
 use rustix::net::Shutdown;
 
@@ -12,7 +14,7 @@
 
 pub(super) struct DoorConn {
     pub(super) stream: Stream,
-    reader: Reader,
+    reader: AdminRequestReader,
     out: BufferChain,
     since: Timestamp,
     answered: bool,
@@ -57,7 +59,7 @@
             let ready = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true));
             let conn = DoorConn {
                 stream: Stream::new(socket, self.now),
-                reader: Reader::default(),
+                reader: AdminRequestReader::default(),
                 out: self.pool.chain(),
                 since: self.now,
                 answered: false,
@@ -82,7 +84,7 @@
         let answer = match conn.reader.feed(bytes) {
             None => return Fate::Keep,
             Some(Ok(asked)) => self.called(asked),
-            Some(Err(w)) => answer(w.status, w.allow, &format!("no: {}\n", w.status), false),
+            Some(Err(w)) => encode_text_response(w.status, w.allow, &format!("no: {}\n", w.status), false),
         };
         conn.answered = true;
         match conn.out.extend(&answer) {
@@ -91,21 +93,21 @@
         }
     }
 
-    fn called(&mut self, asked: Asked) -> Vec<u8> {
-        let done = match asked.call {
-            Call::Status => Ok(format!("{}\n", phase(self.lifecycle.phase()))),
-            Call::Metrics => Ok(self.figures() + &self.fleet_figures()),
-            Call::Fleet => return told(self.fleet_status(), "fleet", asked),
-            Call::Limits => return told(self.limits_status(), "fleet.limits", asked),
-            Call::Standby => self.change(Event::Standby),
-            Call::Active => self.change(Event::Active),
+    fn called(&mut self, asked: AdminRequest) -> Vec<u8> {
+        let done = match asked.operation {
+            AdminOperation::Status => Ok(format!("{}\n", phase(self.lifecycle.phase()))),
+            AdminOperation::Metrics => Ok(self.figures() + &self.fleet_figures()),
+            AdminOperation::ClusterStatus => return told(self.fleet_status(), "fleet", asked),
+            AdminOperation::LimitStatus => return told(self.limits_status(), "fleet.limits", asked),
+            AdminOperation::Standby => self.change(Event::Standby),
+            AdminOperation::Active => self.change(Event::Active),
         };
-        let status = match (&done, asked.call) {
+        let status = match (&done, asked.operation) {
             (Err(_), _) => 409,
-            (Ok(_), Call::Status) if !self.lifecycle.ready() => 503,
+            (Ok(_), AdminOperation::Status) if !self.lifecycle.ready() => 503,
             _ => 200,
         };
-        answer(status, None, &done.unwrap_or_else(|text| text), asked.head_only)
+        encode_text_response(status, None, &done.unwrap_or_else(|text| text), asked.head_only)
     }
 
     fn change(&mut self, event: Event) -> Result<String, String> {
@@ -156,9 +158,11 @@
 }
 
 /// What a router knows of others; 404 where that section of the operator's file is off.
-fn told(status: Option<serde_json::Value>, section: &str, asked: Asked) -> Vec<u8> {
+fn told(status: Option<serde_json::Value>, section: &str, asked: AdminRequest) -> Vec<u8> {
     match status {
-        Some(status) => answer_json(&status.to_string(), asked.head_only),
-        None => answer(404, None, &format!("no: the section {section} is off\n"), asked.head_only),
+        Some(status) => encode_json_response(&status.to_string(), asked.head_only),
+        None => {
+            encode_text_response(404, None, &format!("no: the section {section} is off\n"), asked.head_only)
+        }
     }
 }
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -184,14 +184,14 @@
 impl Dns {
     /// The zone as labels; empty if it is no name, which the check of the file rules out.
     pub fn name(&self) -> dns::Name {
-        dns::name(&self.zone).unwrap_or_default()
+        dns::parse_name(&self.zone).unwrap_or_default()
     }
 }
 
 impl Check for Operator {
     fn check(&self, faults: &mut Faults) {
         if let Some(d) = &self.dns {
-            faults.unless(dns::name(&d.zone).is_some(), "dns.zone", "is no domain name");
+            faults.unless(dns::parse_name(&d.zone).is_some(), "dns.zone", "is no domain name");
             let some = d.listen.is_some() || d.follow.is_some();
             faults.unless(some, "dns", "neither listen nor follow is given");
         }
--- a/crates/server/src/shelfs.rs
+++ b/crates/server/src/shelfs.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use hollymux_decision::Idempotency;
-use hollymux_protocol::endpoint;
+use hollymux_protocol::endpoint::{self, EndpointResponse};
 use hollymux_protocol::resp::{Decoder, RespError};
 use hollymux_router::metrics::CountedEvent;
 use hollymux_router::{AttemptFailure, AttemptRequest, AttemptResponse, ClientHandle};
@@ -144,7 +144,7 @@
     }
 
     fn try_send(&mut self, order: AttemptRequest) -> Result<(), AttemptFailure> {
-        let bytes = endpoint::ask(&self.pool, &order).map_err(|_| AttemptFailure::NotSent)?;
+        let bytes = endpoint::encode_attempt(&self.pool, &order).map_err(|_| AttemptFailure::NotSent)?;
         let rid = order.ask.rid.0.clone();
         let (endpoint, addr) = (order.target.endpoint, order.target.addr);
         let mut key = self.connection(endpoint, addr, &rid)?;
@@ -189,7 +189,7 @@
     pub(super) fn probe(&mut self, endpoint: EndpointId, addr: SocketAddr) {
         let now = self.now;
         let tag = format!("p{:x}", now.as_micros()).into_bytes();
-        let probe = endpoint::probe(&self.pool, &tag).ok();
+        let probe = endpoint::encode_probe(&self.pool, &tag).ok();
         let key = self.connection(endpoint, addr, &tag).ok();
         match (probe, key.and_then(|k| self.role(k))) {
             (Some(bytes), Some(Role::Shelf(conn))) => {
@@ -222,7 +222,7 @@
         let ended = (overdue || begun || again) && !conn.open.values().any(once);
         conn.leaving |= overdue;
         conn.spend(id.clone());
-        let fate = match endpoint::quit(&pool, &id) {
+        let fate = match endpoint::encode_cancel(&pool, &id) {
             Ok(bytes) if !ended => {
                 conn.queue(bytes, None, now);
                 Fate::Keep
@@ -269,7 +269,8 @@
 
     fn shelf_bytes(&mut self, conn: &mut ShelfConn, mut bytes: &[u8]) -> Result<(), RespError> {
         while let Some(frame) = conn.decoder.feed(&mut bytes)? {
-            let (id, said, note) = endpoint::said(frame)?;
+            let EndpointResponse { id, response: said, cache_status: note } =
+                endpoint::parse_response(frame)?;
             conn.used = self.now;
             match (conn.open.remove(&id), said) {
                 (Some(Sent::Probe), AttemptResponse::ProbeResult(well)) => {
@@ -295,7 +296,7 @@
 
     fn fits(&self, given: &Given, said: &AttemptResponse) -> bool {
         let writes = self.router.settings().classes.get(usize::from(given.class)).is_some_and(|c| c.write);
-        endpoint::fits(said, given.held.as_deref(), writes)
+        endpoint::response_allowed(said, given.held.as_deref(), writes)
     }
 
     fn write_shelf(&mut self, key: Key) {
--- a/crates/server/src/shelfs/dialing.rs
+++ b/crates/server/src/shelfs/dialing.rs
@@ -74,7 +74,7 @@
         let takes = |c: &ShelfConn| {
             let clear = !c.open.contains_key(id) && !c.spent.iter().any(|s| s == id);
             // One that still brings what nobody waits for holds up whatever comes behind.
-            let clear = clear && !(c.open.is_empty() && c.decoder.midway());
+            let clear = clear && !(c.open.is_empty() && c.decoder.is_mid_frame());
             let waiting: usize = c.queue.iter().map(|m| m.bytes.len()).sum();
             !c.leaving && clear && c.open.len() < self.config.streams && waiting <= OUT_MOST
         };
--- a/crates/simulation/src/sockets.rs
+++ b/crates/simulation/src/sockets.rs
@@ -10,7 +10,9 @@
 use crate::virtually::{age, Played};
 use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::{Time, MS, SEC};
-use hollymux_protocol::resp::{array, bulk, decimal, field, Decoder, Frame};
+use hollymux_protocol::resp::{
+    find_field, parse_decimal, push_array_header, push_bulk_string, Decoder, Frame,
+};
 use hollymux_router::buffers::BufferPool;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -602,16 +604,16 @@
                     b"NOOP" | b"INFO" => {
                         let well: &[u8] = if self.world.well(server) { b"well" } else { b"ill" };
                         let mut out = Vec::new();
-                        array(&mut out, 2);
-                        bulk(&mut out, &id);
-                        bulk(&mut out, well);
+                        push_array_header(&mut out, 2);
+                        push_bulk_string(&mut out, &id);
+                        push_bulk_string(&mut out, well);
                         self.write(token, &out);
                     }
                     _ => self.close(token),
                 }
             }
             Role::Client { open, .. } => {
-                let ask = decimal(word(0)).and_then(|tag| open.remove(&tag));
+                let ask = parse_decimal(word(0)).and_then(|tag| open.remove(&tag));
                 let Some(ask) = ask else {
                     // A second answer, unless the client has stopped waiting: that is told by UNDO.
                     return;
@@ -619,8 +621,10 @@
                 self.asked.remove(&ask);
                 let fields = word(2);
                 let got = match word(1) {
-                    b"good" => Got::Served(age(self.now, field(fields, "ver"))),
-                    b"refused" => Got::Refused(field(fields, "backoff").and_then(decimal).unwrap_or(0) * MS),
+                    b"good" => Got::Served(age(self.now, find_field(fields, "ver"))),
+                    b"refused" => {
+                        Got::Refused(find_field(fields, "backoff").and_then(parse_decimal).unwrap_or(0) * MS)
+                    }
                     _ => Got::Failed,
                 };
                 self.clients.answered(self.now, ask, got);
@@ -630,11 +634,12 @@
     }
 
     fn on_call(&mut self, token: usize, server: usize, id: Vec<u8>, fields: &[u8]) {
-        let text = |name| field(fields, name).and_then(|v| std::str::from_utf8(v).ok()).unwrap_or_default();
+        let text =
+            |name| find_field(fields, name).and_then(|v| std::str::from_utf8(v).ok()).unwrap_or_default();
         let class = self.day.classes.iter().position(|c| c.name == text("profile")).unwrap_or_default();
         let hex = |v: &str| u64::from_str_radix(v, 16).unwrap_or_default();
         let key = (hex(text("thing")), text("nth").parse().unwrap_or_default());
-        let source = field(fields, "parent").map(|_| text("parent"));
+        let source = find_field(fields, "parent").map(|_| text("parent"));
         let known = source.and_then(|uid| self.world.servers.iter().position(|s| s.uid == uid));
         let hints = text("hints");
         let told = |hint| hints.split('+').any(|h| h == hint);
@@ -696,12 +701,12 @@
                 "rid={:016x},budget={},obj={:016x},piece={},lot={}",
                 ask.rid, ask.budget_ms, ask.key.0, ask.key.1, ask.group
             );
-            array(&mut out, 5);
-            bulk(&mut out, b"DO");
-            bulk(&mut out, tag.to_string().as_bytes());
-            bulk(&mut out, self.day.classes[ask.class].name.as_bytes());
-            bulk(&mut out, fields.as_bytes());
-            bulk(&mut out, b"");
+            push_array_header(&mut out, 5);
+            push_bulk_string(&mut out, b"DO");
+            push_bulk_string(&mut out, tag.to_string().as_bytes());
+            push_bulk_string(&mut out, self.day.classes[ask.class].name.as_bytes());
+            push_bulk_string(&mut out, fields.as_bytes());
+            push_bulk_string(&mut out, b"");
         }
         self.write(token, &out);
         Ok(())
@@ -741,9 +746,9 @@
             for ask in undone {
                 let Some((token, tag)) = self.asked.remove(&ask) else { continue };
                 let mut out = Vec::new();
-                array(&mut out, 2);
-                bulk(&mut out, b"UNDO");
-                bulk(&mut out, tag.to_string().as_bytes());
+                push_array_header(&mut out, 2);
+                push_bulk_string(&mut out, b"UNDO");
+                push_bulk_string(&mut out, tag.to_string().as_bytes());
                 if let Some(Conn { role: Role::Client { open, .. }, .. }) = self.conns.get_mut(&token) {
                     open.remove(&tag);
                 }
@@ -766,11 +771,11 @@
                     Word::Failed => (&b"failed"[..], String::new()),
                 };
                 let mut out = Vec::new();
-                array(&mut out, 4);
-                bulk(&mut out, &id);
-                bulk(&mut out, said);
-                bulk(&mut out, fields.as_bytes());
-                hollymux_protocol::resp::bulk_head(&mut out, bytes as usize);
+                push_array_header(&mut out, 4);
+                push_bulk_string(&mut out, &id);
+                push_bulk_string(&mut out, said);
+                push_bulk_string(&mut out, fields.as_bytes());
+                hollymux_protocol::resp::push_bulk_length(&mut out, bytes as usize);
                 let mut left = bytes as usize;
                 while left > 0 {
                     let n = left.min(ZEROS.len());
--- a/crates/simulation/src/virtually.rs
+++ b/crates/simulation/src/virtually.rs
@@ -13,6 +13,7 @@
 use hollymux_cluster::view::{Change, Rank};
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::{EndpointId, QuotaScope, Timestamp};
+use hollymux_protocol::feed_events::FeedMessage;
 use hollymux_router::buffers::BufferPool;
 use hollymux_router::{
     AttemptFailure, AttemptId, AttemptRequest, AttemptResponse, ClientHandle, Command, FeedEvent, Input,
@@ -551,7 +552,8 @@
             Event::Lost(router, attempt, lost) => self.feed(router, Input::Failed(attempt, lost)),
             Event::Probe(router, host, well) => self.feed(router, Input::Probed(host, well)),
             Event::Told(router, text) => {
-                if let Ok((_, Some(told))) = self.configs[router].names.event(text.as_bytes()) {
+                let message = self.configs[router].names.parse_event(text.as_bytes());
+                if let Ok(FeedMessage { event: Some(told), .. }) = message {
                     self.tell(router, told);
                 }
             }
