--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -1,161 +1,271 @@
-//! Operators' calls over HTTP/1.1, one a connection: bytes in, a call or what is wrong with it out.
+//! The admin endpoint's HTTP/1.1, one request a connection: bytes in, a request or the reason for
+//! its rejection out; and the responses' bytes. What an operation does is the server's part.
 
-use std::fmt::Write;
+/// Longest head of a request, in bytes.
+pub const MAX_HEAD_BYTES: usize = 8_192;
+/// Most header lines of a request.
+pub const MAX_HEADER_LINES: usize = 64;
+/// Longest body of a request, in bytes. No operation needs one; a short one is read and discarded,
+/// since closing with unread bytes would reset the connection before the response arrives.
+const MAX_BODY_BYTES: usize = 4_096;
 
-/// A call's head may hold so many bytes...
-const HEAD_MOST: usize = 8_192;
-/// ...and so many lines.
-const LINES: usize = 64;
-/// No call needs a body; one that has a short one is read past it, so that the answer is not lost in a reset.
-const BODY_MOST: usize = 4_096;
-
-/// What an operator wants.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminOperation {
     /// Whether this process is ready to serve.
     Status,
-    /// The figures.
+    /// The metrics in the text exposition format.
     Metrics,
-    /// What is known of other routers.
+    /// The membership of the cluster as this router knows it.
     ClusterStatus,
-    /// Parts of the fleet's limits.
+    /// The leases of the cluster's limits.
     LimitStatus,
-    /// Empty the router.
+    /// Leave rotation.
     Standby,
-    /// Back to work.
+    /// Return to rotation.
     Active,
 }
 
-/// A call as it was read.
+impl AdminOperation {
+    fn from_path(path: &str) -> Option<AdminOperation> {
+        match path {
+            "/status" => Some(AdminOperation::Status),
+            "/status/metrics" => Some(AdminOperation::Metrics),
+            "/status/fleet" => Some(AdminOperation::ClusterStatus),
+            "/status/fleet/limits" => Some(AdminOperation::LimitStatus),
+            "/standby" => Some(AdminOperation::Standby),
+            "/active" => Some(AdminOperation::Active),
+            _ => None,
+        }
+    }
+
+    fn is_read_only(self) -> bool {
+        !matches!(self, AdminOperation::Standby | AdminOperation::Active)
+    }
+}
+
+/// A valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminRequest {
-    /// What is wanted.
+    /// What is asked for.
     pub operation: AdminOperation,
-    /// Only the head of the answer is.
+    /// Whether only the head of the response is to be sent, as `HEAD` asks.
     pub head_only: bool,
 }
 
-/// Why a call is not followed: HTTP's status, and the methods that would do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdminRequestError {
-    /// The status.
-    pub status: u16,
-    /// For 405.
-    pub allow: Option<&'static str>,
+/// Why a request is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum AdminRequestError {
+    /// It is no HTTP, or its length can't be known.
+    #[error("malformed request")]
+    Malformed,
+    /// There is no operation at that path.
+    #[error("unknown path")]
+    UnknownPath,
+    /// The operation has other methods.
+    #[error("method not allowed, only {allow}")]
+    MethodNotAllowed {
+        /// The methods that are allowed, as the `Allow` header has them.
+        allow: &'static str,
+    },
+    /// The body has no declared length.
+    #[error("body without a declared length")]
+    LengthRequired,
+    /// The body is longer than any that is read.
+    #[error("body too large")]
+    BodyTooLarge,
+    /// The head is longer than any that is read.
+    #[error("head too large")]
+    HeadTooLarge,
+    /// Another major version of HTTP.
+    #[error("unsupported HTTP version")]
+    UnsupportedVersion,
+}
+
+impl AdminRequestError {
+    /// The status code of the response.
+    pub fn status(self) -> u16 {
+        match self {
+            AdminRequestError::Malformed => 400,
+            AdminRequestError::UnknownPath => 404,
+            AdminRequestError::MethodNotAllowed { .. } => 405,
+            AdminRequestError::LengthRequired => 411,
+            AdminRequestError::BodyTooLarge => 413,
+            AdminRequestError::HeadTooLarge => 431,
+            AdminRequestError::UnsupportedVersion => 505,
+        }
+    }
+
+    /// The value of the response's `Allow` header, where there is one.
+    pub fn allow(self) -> Option<&'static str> {
+        match self {
+            AdminRequestError::MethodNotAllowed { allow } => Some(allow),
+            _ => None,
+        }
+    }
+}
+
+type ParsedRequest = Result<AdminRequest, AdminRequestError>;
+
+/// The end of a head, and what it says.
+struct Head {
+    /// Its length in bytes.
+    length: usize,
+    request: ParsedRequest,
+    /// Bytes of the body to discard before the response.
+    body_length: usize,
 }
 
-const fn wrong(status: u16) -> AdminRequestError {
-    AdminRequestError { status, allow: None }
+/// A request whose head is complete and whose body is not.
+#[derive(Clone, Copy, Debug)]
+struct PendingBody {
+    request: ParsedRequest,
+    remaining: usize,
 }
 
-/// Reads one call in pieces of any size; holds a head and the count of a body at most.
+/// Reads one request in pieces of any size.
 #[derive(Debug, Default)]
 pub struct AdminRequestReader {
     head: Vec<u8>,
-    /// The call, once its head is whole, and the bytes of its body that are still to come.
-    body: Option<(Result<AdminRequest, AdminRequestError>, usize)>,
+    pending_body: Option<PendingBody>,
 }
 
 impl AdminRequestReader {
-    /// Takes bytes; none: there are more to come. After an end further bytes mean nothing.
-    pub fn feed(&mut self, mut bytes: &[u8]) -> Option<Result<AdminRequest, AdminRequestError>> {
-        if self.body.is_none() {
-            let before = self.head.len();
-            // More than a whole head is not held, however much comes at once.
-            let part = bytes.len().min(HEAD_MOST + BODY_MOST - before);
-            self.head.extend_from_slice(&bytes[..part]);
-            let (ends, call, body) = match head(&self.head) {
-                Ok(Some(whole)) => whole,
-                Ok(None) if self.head.len() > HEAD_MOST => return Some(Err(wrong(431))),
+    /// Takes bytes; none if the request is not complete. Bytes after its end are ignored.
+    pub fn feed(&mut self, bytes: &[u8]) -> Option<ParsedRequest> {
+        let mut body = bytes;
+        if self.pending_body.is_none() {
+            let held = self.head.len();
+            // No more than the longest request is kept, however much arrives at once.
+            let taken = bytes.len().min(MAX_HEAD_BYTES + MAX_BODY_BYTES - held);
+            self.head.extend_from_slice(&bytes[..taken]);
+            let head = match parse_head(&self.head) {
+                Ok(Some(head)) => head,
+                Ok(None) if self.head.len() > MAX_HEAD_BYTES => {
+                    return Some(Err(AdminRequestError::HeadTooLarge));
+                }
                 Ok(None) => return None,
-                Err(wrong) => return Some(Err(wrong)),
+                Err(error) => return Some(Err(error)),
             };
-            self.body = Some((call, body));
-            bytes = &bytes[ends.saturating_sub(before).min(bytes.len())..];
+            let end_of_head = head.length.saturating_sub(held).min(bytes.len());
+            body = &bytes[end_of_head..];
+            self.pending_body = Some(PendingBody { request: head.request, remaining: head.body_length });
         }
-        let (call, left) = self.body.as_mut()?;
-        *left = left.saturating_sub(bytes.len());
-        (*left == 0).then_some(*call)
+        let pending = self.pending_body.as_mut()?;
+        pending.remaining = pending.remaining.saturating_sub(body.len());
+        (pending.remaining == 0).then_some(pending.request)
     }
-}
 
-/// A head: where it ends, what is asked, and how many bytes of a body follow. None: it is not whole.
-type Head = (usize, Result<AdminRequest, AdminRequestError>, usize);
+    /// Bytes of the head that are held.
+    pub fn buffered_bytes(&self) -> usize {
+        self.head.len()
+    }
+}
 
-fn head(bytes: &[u8]) -> Result<Option<Head>, AdminRequestError> {
-    let mut lines = [httparse::EMPTY_HEADER; LINES];
+/// Parses a head; none if it is not complete. An error means that the end of the request can't be
+/// known, so that nothing is left to wait for.
+fn parse_head(bytes: &[u8]) -> Result<Option<Head>, AdminRequestError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut request = httparse::Request::new(&mut lines);
-    let ends = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(ends)) if ends <= HEAD_MOST => ends,
-        Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => return Err(wrong(431)),
+    let length = match request.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => {
+            return Err(AdminRequestError::HeadTooLarge);
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::Version) => return Err(wrong(505)),
-        Err(_) => return Err(wrong(400)),
+        Err(httparse::Error::Version) => return Err(AdminRequestError::UnsupportedVersion),
+        Err(_) => return Err(AdminRequestError::Malformed),
     };
-    let (mut body, mut waits) = (0, false);
-    let mut told = false;
-    for line in request.headers.iter() {
-        let value = std::str::from_utf8(line.value).unwrap_or("").trim();
-        if line.name.eq_ignore_ascii_case("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            // Told twice, or no number: where the call ends can't be known.
-            let length = value.parse::<usize>().ok().filter(|_| digits && !told).ok_or(wrong(400))?;
-            (body, told) = (length, true);
-            if length > BODY_MOST {
-                return Err(wrong(413));
+    let body_length = body_length(request.headers)?;
+    let request = parse_request(request.method.unwrap_or(""), request.path.unwrap_or(""));
+    Ok(Some(Head { length, request, body_length }))
+}
+
+/// The length of the body that is to be read before the response.
+fn body_length(headers: &[httparse::Header]) -> Result<usize, AdminRequestError> {
+    let mut length = None;
+    let mut expects_continue = false;
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("content-length") {
+            // Declared twice, the end of the request can't be known.
+            if length.is_some() {
+                return Err(AdminRequestError::Malformed);
+            }
+            let declared = parse_content_length(header.value)?;
+            if declared > MAX_BODY_BYTES {
+                return Err(AdminRequestError::BodyTooLarge);
             }
-        } else if line.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(wrong(411));
-        } else if line.name.eq_ignore_ascii_case("expect") {
-            waits = true;
+            length = Some(declared);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Err(AdminRequestError::LengthRequired);
+        } else if header.name.eq_ignore_ascii_case("expect") {
+            expects_continue = true;
         }
     }
-    let asked = call(request.method.unwrap_or(""), request.path.unwrap_or(""));
-    // Who waits to be told to go on is told the end instead.
-    Ok(Some((ends, asked, if waits { 0 } else { body })))
+    // A client that waits for `100 Continue` sends no body before it, and gets the final response
+    // in its place.
+    Ok(if expects_continue { 0 } else { length.unwrap_or(0) })
 }
 
-fn call(method: &str, target: &str) -> Result<AdminRequest, AdminRequestError> {
-    // A target may be a whole URL.
-    let path = match target.split_once("://") {
-        Some((_, rest)) => rest.find('/').map_or("/", |at| &rest[at..]),
+fn parse_content_length(value: &[u8]) -> Result<usize, AdminRequestError> {
+    let digits = std::str::from_utf8(value).unwrap_or("").trim();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(AdminRequestError::Malformed);
+    }
+    digits.parse().map_err(|_| AdminRequestError::Malformed)
+}
+
+fn parse_request(method: &str, target: &str) -> ParsedRequest {
+    let path = path_of(target);
+    let operation = AdminOperation::from_path(path).ok_or(AdminRequestError::UnknownPath)?;
+    match (method, operation.is_read_only()) {
+        ("GET" | "HEAD", true) => Ok(AdminRequest { operation, head_only: method == "HEAD" }),
+        ("PUT", false) => Ok(AdminRequest { operation, head_only: false }),
+        (_, true) => Err(AdminRequestError::MethodNotAllowed { allow: "GET, HEAD" }),
+        (_, false) => Err(AdminRequestError::MethodNotAllowed { allow: "PUT" }),
+    }
+}
+
+/// The path of a request target without its query. The target may be an absolute URL.
+fn path_of(target: &str) -> &str {
+    let path_and_query = match target.split_once("://") {
+        Some((_, rest)) => rest.find('/').map_or("/", |start| &rest[start..]),
         None => target,
     };
-    let call = match path.split('?').next().unwrap_or(path) {
-        "/status" => AdminOperation::Status,
-        "/status/metrics" => AdminOperation::Metrics,
-        "/status/fleet" => AdminOperation::ClusterStatus,
-        "/status/fleet/limits" => AdminOperation::LimitStatus,
-        "/standby" => AdminOperation::Standby,
-        "/active" => AdminOperation::Active,
-        _ => return Err(wrong(404)),
-    };
-    let reads = matches!(
-        call,
-        AdminOperation::Status
-            | AdminOperation::Metrics
-            | AdminOperation::ClusterStatus
-            | AdminOperation::LimitStatus
-    );
-    match method {
-        "GET" | "HEAD" if reads => Ok(AdminRequest { operation: call, head_only: method == "HEAD" }),
-        "PUT" if !reads => Ok(AdminRequest { operation: call, head_only: false }),
-        _ => Err(AdminRequestError { status: 405, allow: Some(if reads { "GET, HEAD" } else { "PUT" }) }),
-    }
+    path_and_query.split('?').next().unwrap_or(path_and_query)
 }
 
-/// The bytes of an answer; the connection ends after it.
+/// A response with a text as its body; the connection ends after it.
 pub fn encode_text_response(status: u16, allow: Option<&str>, body: &str, head_only: bool) -> Vec<u8> {
-    typed(status, allow, "text/plain; charset=utf-8", body, head_only)
+    encode_response(status, allow, "text/plain; charset=utf-8", body, head_only)
 }
 
-/// A yes whose body is JSON.
+/// A response of status 200 with JSON as its body; the connection ends after it.
 pub fn encode_json_response(body: &str, head_only: bool) -> Vec<u8> {
-    typed(200, None, "application/json", body, head_only)
+    encode_response(200, None, "application/json", body, head_only)
 }
 
-fn typed(status: u16, allow: Option<&str>, kind: &str, body: &str, head_only: bool) -> Vec<u8> {
-    let reason = match status {
+fn encode_response(
+    status: u16,
+    allow: Option<&str>,
+    content_type: &str,
+    body: &str,
+    head_only: bool,
+) -> Vec<u8> {
+    let reason = reason_phrase(status);
+    let mut text = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\n");
+    if let Some(allow) = allow {
+        text.push_str(&format!("Allow: {allow}\r\n"));
+    }
+    text.push_str(&format!("Content-Length: {}\r\nConnection: close\r\n\r\n", body.len()));
+    if !head_only {
+        text.push_str(body);
+    }
+    text.into_bytes()
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
         200 => "OK",
         400 => "Bad Request",
         404 => "Not Found",
@@ -167,93 +277,5 @@
         503 => "Service Unavailable",
         505 => "HTTP Version Not Supported",
         _ => "Error",
-    };
-    let mut text = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {kind}\r\n");
-    if let Some(allow) = allow {
-        // A String takes whatever is written to it.
-        let _written = write!(text, "Allow: {allow}\r\n");
-    }
-    let _written = write!(text, "Content-Length: {}\r\nConnection: close\r\n\r\n", body.len());
-    if !head_only {
-        text.push_str(body);
-    }
-    text.into_bytes()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn whole(bytes: &[u8]) -> Option<Result<AdminRequest, AdminRequestError>> {
-        AdminRequestReader::default().feed(bytes)
-    }
-
-    fn asks(call: AdminOperation) -> Option<Result<AdminRequest, AdminRequestError>> {
-        Some(Ok(AdminRequest { operation: call, head_only: false }))
-    }
-
-    /// Guards against a call that is read otherwise because it came in pieces.
-    #[test]
-    fn every_call_is_the_same_in_any_two_pieces() {
-        let calls: [(&str, AdminOperation); 5] = [
-            ("GET /status HTTP/1.1\r\nHost: a\r\n\r\n", AdminOperation::Status),
-            ("GET http://a:1/status/metrics?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", AdminOperation::Metrics),
-            ("PUT /standby HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", AdminOperation::Standby),
-            ("PUT /active HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nagain", AdminOperation::Active),
-            ("GET /status HTTP/1.0\r\n\r\n", AdminOperation::Status),
-        ];
-        for (text, call) in calls {
-            assert_eq!(whole(text.as_bytes()), asks(call), "{text}");
-            for at in 1..text.len() {
-                let mut reader = AdminRequestReader::default();
-                assert_eq!(reader.feed(&text.as_bytes()[..at]), None, "{text} at {at}");
-                assert_eq!(reader.feed(&text.as_bytes()[at..]), asks(call), "{text} at {at}");
-            }
-        }
-    }
-
-    /// Guards against a yes to what is no call, and against calls that never end.
-    #[test]
-    fn what_is_no_call_is_told_so() {
-        let long = format!("GET /status HTTP/1.1\r\nx: {}", "y".repeat(HEAD_MOST));
-        let many = format!("GET /status HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(LINES + 1));
-        let cases = [
-            ("GET / HTTP/1.1\r\n\r\n", 404),
-            ("GET /status/ HTTP/1.1\r\n\r\n", 404),
-            ("POST /standby HTTP/1.1\r\n\r\n", 405),
-            ("GET /active HTTP/1.1\r\n\r\n", 405),
-            ("PUT /status HTTP/1.1\r\n\r\n", 405),
-            ("PUT /standby HTTP/1.1\r\nContent-Length: 4097\r\n\r\n", 413),
-            ("PUT /standby HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
-            ("PUT /standby HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
-            ("PUT /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 411),
-            ("*2\r\n$4\r\nPING\r\n$1\r\n1\r\n", 400),
-            ("GET /status HTTP/3.0\r\n\r\n", 505),
-            (&long, 431),
-            (&many, 431),
-        ];
-        for (text, status) in cases {
-            let got = whole(text.as_bytes()).expect("an end").expect_err(text);
-            assert_eq!(got.status, status, "{text}");
-            assert_eq!(got.allow.is_some(), status == 405, "{text}");
-        }
-    }
-
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
-
-        /// Guards against bytes that panic the reader or fill it.
-        #[test]
-        fn any_bytes_are_read_within_bounds(pieces in proptest::collection::vec(
-            proptest::collection::vec(any::<u8>(), 0..400), 0..60)) {
-            let mut reader = AdminRequestReader::default();
-            for piece in pieces {
-                if reader.feed(&piece).is_some() {
-                    break;
-                }
-                prop_assert!(reader.head.len() <= HEAD_MOST);
-            }
-        }
     }
 }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,30 +1,33 @@
-//! The clients' side of the platform's protocol: requests in, answers out.
+//! The client side of the platform's protocol: commands in, replies out.
 
 use crate::resp::{
-    find_field, parse_decimal, push_array_header, push_bulk_length, push_bulk_string, Decoder, Frame,
-    RespError,
+    encode_words, find_field, parse_decimal, parse_hex_u64, push_array_header, push_bulk_length,
+    push_bulk_string, Decoder, FieldList, Frame, RespError,
 };
+use crate::MAX_TAG_BYTES;
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{ClientRequest, Reply};
 
-/// A write carries at most so many bytes.
+/// Largest body of a request, in bytes: the platform's limit.
 pub const MAX_REQUEST_BODY_BYTES: usize = 48_000;
-/// The place of the body in `DO TAG CLASS FIELDS BODY`.
-const BODY_AT: usize = 4;
-/// No client waits longer than this, in milliseconds; more is no usable field. The core knows its class's limit.
-const BUDGET_MOST: u64 = 3_600_000;
+/// Position of the body in `DO TAG CLASS FIELDS BODY`.
+const BODY_INDEX: usize = 4;
+/// Longest time a client may ask to wait, in milliseconds. More is an invalid field; the limit of
+/// the request's class is the router's to apply.
+const MAX_TIMEOUT_MILLIS: u64 = 3_600_000;
+/// Groups are numbered below this.
+const GROUP_COUNT: u32 = 256;
+/// Most ranges kept in [`UsedTags`]; a client that counts upwards needs one.
+const MAX_TAG_RANGES: usize = 256;
 
-/// A copy's tag or an idempotency key holds at most so many bytes.
-const TAG_MOST: usize = 64;
-
-/// A client's message.
+/// A command of a client.
 #[derive(Debug)]
 pub enum ClientCommand {
-    /// `DO`: a request. Its answer carries the same tag.
+    /// `DO`: a request. Its reply carries the same tag.
     Request {
         /// Chosen by the client; unique on its connection.
         tag: u64,
-        /// The request, or the error if its fields cannot be used.
+        /// The request, or the error if its fields can't be used.
         request: Result<ClientRequest, InvalidRequest>,
     },
     /// `UNDO`: the client no longer waits for the request of that tag.
@@ -34,7 +37,7 @@
     },
     /// `PING`: asks whether this router accepts requests.
     Ping {
-        /// The answer carries the same tag.
+        /// The response carries the same tag.
         tag: u64,
     },
 }
@@ -47,28 +50,35 @@
     pub class: Vec<u8>,
 }
 
-/// Ranges of tags kept for one connection; a client that counts upwards needs one.
-const RANGES: usize = 256;
+/// Consecutive tags, both ends included.
+#[derive(Clone, Copy, Debug)]
+struct TagRange {
+    first: u64,
+    last: u64,
+}
 
-/// The tags that a connection has used, as ranges in order.
+/// The tags that a connection has used: disjoint ranges in ascending order, none adjacent.
 #[derive(Debug, Default)]
-pub struct UsedTags(Vec<(u64, u64)>);
+pub struct UsedTags {
+    ranges: Vec<TagRange>,
+}
 
 impl UsedTags {
-    /// Takes a tag; false if it was used before, or so many were left out that no more can be remembered.
+    /// Marks a tag as used. False if it was used before, or if the connection skipped so many tags
+    /// that no further range can be kept.
     pub fn insert(&mut self, tag: u64) -> bool {
-        let at = self.0.partition_point(|r| r.1 < tag);
-        if self.0.get(at).is_some_and(|r| r.0 <= tag) {
+        let next = self.ranges.partition_point(|range| range.last < tag);
+        if self.ranges.get(next).is_some_and(|range| range.first <= tag) {
             return false;
         }
-        let after = at > 0 && self.0[at - 1].1 + 1 == tag;
-        let before = self.0.get(at).is_some_and(|r| r.0 - 1 == tag);
-        match (after, before) {
-            (true, true) => self.0[at - 1].1 = self.0.remove(at).1,
-            (true, false) => self.0[at - 1].1 = tag,
-            (false, true) => self.0[at].0 = tag,
-            (false, false) if self.0.len() >= RANGES => return false,
-            (false, false) => self.0.insert(at, (tag, tag)),
+        let extends_previous = next > 0 && self.ranges[next - 1].last + 1 == tag;
+        let extends_next = self.ranges.get(next).is_some_and(|range| range.first - 1 == tag);
+        match (extends_previous, extends_next) {
+            (true, true) => self.ranges[next - 1].last = self.ranges.remove(next).last,
+            (true, false) => self.ranges[next - 1].last = tag,
+            (false, true) => self.ranges[next].first = tag,
+            (false, false) if self.ranges.len() >= MAX_TAG_RANGES => return false,
+            (false, false) => self.ranges.insert(next, TagRange { first: tag, last: tag }),
         }
         true
     }
@@ -76,13 +86,17 @@
 
 /// The decoder for a client's connection.
 pub fn decoder(pool: &BufferPool) -> Decoder {
-    Decoder::new(pool, BODY_AT, MAX_REQUEST_BODY_BYTES)
+    Decoder::new(pool, BODY_INDEX, MAX_REQUEST_BODY_BYTES)
 }
 
-/// Reads a message; an error means that the connection can't be understood.
+/// Parses a command.
+///
+/// # Errors
+/// The frame is no command. A request with unusable fields is no such error: its tag is known, so
+/// it can be answered, and the connection stays usable.
 pub fn parse_command(frame: Frame) -> Result<ClientCommand, RespError> {
-    let tag =
-        frame.words.get(1).and_then(|w| parse_decimal(w)).filter(|t| *t > 0).ok_or(RespError::Malformed)?;
+    let tag_word = frame.words.get(1).ok_or(RespError::Malformed)?;
+    let tag = parse_decimal(tag_word).filter(|tag| *tag > 0).ok_or(RespError::Malformed)?;
     match (frame.words[0].as_slice(), frame.words.len()) {
         (b"DO", 3..) => {
             let class = frame.words[2].clone();
@@ -95,78 +109,99 @@
     }
 }
 
-/// A number of 16 hex digits.
-pub fn parse_hex_u64(word: &[u8]) -> Option<u64> {
-    let plain = word.len() == 16 && word.iter().all(u8::is_ascii_hexdigit);
-    std::str::from_utf8(word).ok().filter(|_| plain).and_then(|w| u64::from_str_radix(w, 16).ok())
-}
-
 fn parse_request(mut frame: Frame) -> Option<ClientRequest> {
     let fields = frame.words.get(3).cloned().unwrap_or_default();
     let number = |name| find_field(&fields, name).and_then(parse_decimal);
-    let rid = find_field(&fields, "rid")?;
+    let request_id = find_field(&fields, "rid")?;
     let object = find_field(&fields, "obj")?;
-    // It is passed on as it came: a shelf must be able to read it.
-    let usable = |v: &[u8]| v.len() <= TAG_MOST && v.iter().all(u8::is_ascii_alphanumeric);
-    let tag = |name| find_field(&fields, name).filter(|v| !v.is_empty()).map(<[u8]>::to_vec);
-    let (held, key) = (tag("ver"), tag("token"));
-    if ![&held, &key].into_iter().flatten().all(|v| usable(v)) {
+    let timeout_millis = number("budget")?;
+    if !(1..=MAX_TIMEOUT_MILLIS).contains(&timeout_millis) {
         return None;
     }
     Some(ClientRequest {
-        rid: (rid.to_vec(), parse_hex_u64(rid)?),
+        rid: (request_id.to_vec(), parse_hex_u64(request_id)?),
         object: (object.to_vec(), parse_hex_u64(object)?),
         part: u32::try_from(number("piece")?).ok()?,
-        group: u32::try_from(number("lot")?).ok().filter(|g| *g < 256)?,
-        budget: number("budget").filter(|b| (1..=BUDGET_MOST).contains(b))?,
-        held,
-        key,
+        group: u32::try_from(number("lot")?).ok().filter(|group| *group < GROUP_COUNT)?,
+        budget: timeout_millis,
+        held: parse_optional_tag(&fields, "ver")?,
+        key: parse_optional_tag(&fields, "token")?,
         class: std::mem::take(&mut frame.words[2]),
         body: frame.body,
     })
 }
 
-/// The bytes of an answer.
+/// A field that is sent on to endpoints unchanged, so it must consist of what they can read. The
+/// inner option is none if the field is absent or empty, the outer one if it is invalid.
+fn parse_optional_tag(fields: &[u8], name: &str) -> Option<Option<Vec<u8>>> {
+    let value = find_field(fields, name).unwrap_or_default();
+    if value.is_empty() {
+        return Some(None);
+    }
+    let valid = value.len() <= MAX_TAG_BYTES && value.iter().all(u8::is_ascii_alphanumeric);
+    valid.then(|| Some(value.to_vec()))
+}
+
+/// A reply in the protocol's words.
+struct EncodedReply {
+    status: &'static [u8],
+    fields: FieldList,
+    body: Option<BufferChain>,
+}
+
+impl From<Reply> for EncodedReply {
+    fn from(reply: Reply) -> Self {
+        let mut fields = FieldList::default();
+        let (status, body): (&[u8], _) = match reply {
+            Reply::Served(digest, body) => {
+                if let Some(digest) = digest {
+                    fields.push("ver", &digest);
+                }
+                (b"good", Some(body))
+            }
+            Reply::NotModified(digest) => {
+                fields.push("unchanged", b"1");
+                fields.push("ver", &digest);
+                (b"good", None)
+            }
+            Reply::Rejected(retry_after_millis) => {
+                if retry_after_millis > 0 {
+                    fields.push("backoff", retry_after_millis.to_string().as_bytes());
+                }
+                (b"refused", None)
+            }
+            Reply::Failed => (b"broken", None),
+        };
+        EncodedReply { status, fields, body }
+    }
+}
+
+/// Encodes the reply to the request of that tag. The body's buffers are moved, not copied.
+///
+/// # Errors
+/// The pool has no buffer for the head.
 pub fn encode_reply(pool: &BufferPool, tag: u64, reply: Reply) -> Result<BufferChain, Exhausted> {
-    let (word, fields, body): (&[u8], _, _) = match reply {
-        Reply::Served(digest, body) => {
-            (b"good", digest.map(|d| name(b"ver=", &d)).unwrap_or_default(), Some(body))
-        }
-        Reply::NotModified(digest) => {
-            let mut fields = b"unchanged=1,".to_vec();
-            fields.extend(name(b"ver=", &digest));
-            (b"good", fields, None)
-        }
-        Reply::Rejected(0) => (b"refused", Vec::new(), None),
-        Reply::Rejected(wait) => (b"refused", format!("backoff={wait}").into_bytes(), None),
-        Reply::Failed => (b"broken", Vec::new(), None),
-    };
+    let reply = EncodedReply::from(reply);
     let mut head = Vec::with_capacity(96);
     push_array_header(&mut head, 4);
     push_bulk_string(&mut head, tag.to_string().as_bytes());
-    push_bulk_string(&mut head, word);
-    push_bulk_string(&mut head, &fields);
-    push_bulk_length(&mut head, body.as_ref().map_or(0, BufferChain::len));
-    let mut out = pool.chain();
-    out.extend(&head)?;
-    if let Some(body) = body {
-        out.append(body);
+    push_bulk_string(&mut head, reply.status);
+    push_bulk_string(&mut head, reply.fields.as_bytes());
+    push_bulk_length(&mut head, reply.body.as_ref().map_or(0, BufferChain::len));
+    let mut chain = pool.chain();
+    chain.extend(&head)?;
+    if let Some(body) = reply.body {
+        chain.append(body);
     }
-    out.extend(b"\r\n")?;
-    Ok(out)
-}
-
-fn name(name: &[u8], value: &[u8]) -> Vec<u8> {
-    [name, value].concat()
+    chain.extend(b"\r\n")?;
+    Ok(chain)
 }
 
-/// The answer to a check: whether the router may be sent work.
+/// Encodes the response to a ping: whether this router accepts requests.
+///
+/// # Errors
+/// The pool has no buffer for it.
 pub fn encode_ping_response(pool: &BufferPool, tag: u64, ready: bool) -> Result<BufferChain, Exhausted> {
-    let mut head = Vec::new();
-    push_array_header(&mut head, 2);
-    push_bulk_string(&mut head, tag.to_string().as_bytes());
-    push_bulk_string(&mut head, if ready { b"fit" } else { b"unfit" });
-    let mut out = pool.chain();
-    out.extend(&head)?;
-    Ok(out)
+    let status: &[u8] = if ready { b"fit" } else { b"unfit" };
+    encode_words(pool, &[tag.to_string().as_bytes(), status])
 }
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -4,10 +4,9 @@
 //! `g17.p3.7f3a9c21e0b4d655.docs-pages.route.example`. A class that may not be repeated needs the `r` label
 //! with the request's id, the others have none. Boxes stand at `UID.box.ZONE`.
 
-use crate::client::parse_hex_u64;
 use crate::dns::{self, Name, Rcode, Record, Response};
 use crate::endpoint::fill_hint_fields;
-use crate::resp::parse_decimal;
+use crate::resp::{parse_decimal, parse_hex_u64};
 use hollymux_decision::Idempotency;
 use hollymux_router::classes::Classes;
 use hollymux_router::{FillHint, RequestedObject, RoutingHint, Target};
@@ -140,7 +139,7 @@
     }
     let srv = Record { owner: None, record_type: dns::SRV, data: dns::srv(target.addr.port(), &owner) };
     let texts: Vec<String> =
-        fill_hint_fields(target).iter().map(|(name, value)| format!("{name}={value}")).collect();
+        fill_hint_fields(target).iter().map(|f| format!("{}={}", f.name, f.value)).collect();
     let mut additional = vec![address(Some(owner), target.addr)];
     match kind {
         dns::SRV | dns::ANY => {
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -1,39 +1,24 @@
-//! The shelfs' side of the platform's protocol: attempts out, answers in.
+//! The endpoint side of the platform's protocol: attempts out, responses in.
 
 use crate::resp::{
-    find_field, push_array_header, push_bulk_length, push_bulk_string, Decoder, Frame, RespError,
+    encode_words, find_field, push_array_header, push_bulk_length, push_bulk_string, Decoder, FieldList,
+    Frame, RespError,
 };
+use crate::MAX_TAG_BYTES;
 use hollymux_decision::CacheStatus;
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{AttemptRequest, AttemptResponse, Target};
 
-/// An object holds at most so many bytes.
+/// Largest object of a response, in bytes: the platform's limit.
 pub const MAX_OBJECT_BYTES: usize = 240_000;
-/// The place of the body in `ID WORD FIELDS BODY`.
-const BODY_AT: usize = 3;
+/// Position of the body in `ID STATUS FIELDS BODY`.
+const BODY_INDEX: usize = 3;
 
-/// A copy's tag holds at most so many bytes.
-const TAG_MOST: usize = 64;
-
-/// The decoder for a shelf's connection.
+/// The decoder for a connection to an endpoint.
 pub fn decoder(pool: &BufferPool) -> Decoder {
-    Decoder::new(pool, BODY_AT, MAX_OBJECT_BYTES)
+    Decoder::new(pool, BODY_INDEX, MAX_OBJECT_BYTES)
 }
 
-/// What an answer may say of its fill, in the order of the simulator's numbers.
-const CACHE_STATUS_WORDS: [(&[u8], CacheStatus); 10] = [
-    (b"TCP_HIT", CacheStatus::Hit),
-    (b"TCP_MISS", CacheStatus::Filled),
-    (b"TCP_MISS_ROOT", CacheStatus::FilledByOrigin),
-    (b"TCP_JOIN", CacheStatus::Joined),
-    (b"TCP_STALE", CacheStatus::Stale),
-    (b"PEER_DENY", CacheStatus::SourceRefused),
-    (b"PEER_DEAD", CacheStatus::SourceUnreachable),
-    (b"PEER_MISS", CacheStatus::SourceLacks),
-    (b"FILL_FULL", CacheStatus::NoFillPlace),
-    (b"ROOT_FAIL", CacheStatus::OriginFailed),
-];
-
 /// A response to an attempt or a probe.
 #[derive(Debug)]
 pub struct EndpointResponse {
@@ -41,22 +26,26 @@
     pub id: Vec<u8>,
     /// The result.
     pub response: AttemptResponse,
-    /// How the endpoint's cache served it, where the response says so.
+    /// How the endpoint's cache produced it, where the response says so in words known here.
     pub cache_status: Option<CacheStatus>,
 }
 
-/// Parses a response.
+/// Parses a response. Whether it fits what was sent is [`response_allowed`]'s to say.
+///
+/// # Errors
+/// The frame is no response.
 pub fn parse_response(mut frame: Frame) -> Result<EndpointResponse, RespError> {
     if frame.words.len() < 2 {
         return Err(RespError::Malformed);
     }
+    let id = std::mem::take(&mut frame.words[0]);
     let fields = frame.words.get(2).map_or(&[][..], Vec::as_slice);
-    let plain = |t: &&[u8]| (1..=TAG_MOST).contains(&t.len()) && t.iter().all(u8::is_ascii_graphic);
-    let digest = || find_field(fields, "digest").filter(plain).map(<[u8]>::to_vec);
-    let said = match frame.words[1].as_slice() {
-        b"data" => AttemptResponse::Data(digest(), frame.body),
+    let cache_status = find_field(fields, "remark").and_then(parse_cache_status);
+    let digest = parse_digest(fields);
+    let response = match frame.words[1].as_slice() {
+        b"data" => AttemptResponse::Data(digest, frame.body),
         b"unchanged" if frame.body.is_empty() => {
-            AttemptResponse::NotModified(digest().ok_or(RespError::Malformed)?)
+            AttemptResponse::NotModified(digest.ok_or(RespError::Malformed)?)
         }
         b"absent" => AttemptResponse::Absent,
         b"full" => AttemptResponse::AtCapacity,
@@ -66,16 +55,40 @@
         b"ill" => AttemptResponse::ProbeResult(false),
         _ => return Err(RespError::Malformed),
     };
-    let remark = find_field(fields, "remark");
-    let note = CACHE_STATUS_WORDS.iter().find(|(word, _)| remark == Some(word)).map(|(_, note)| *note);
-    Ok(EndpointResponse { id: std::mem::take(&mut frame.words[0]), response: said, cache_status: note })
+    Ok(EndpointResponse { id, response, cache_status })
+}
+
+/// The copy's version tag; none if it is absent or not printable.
+fn parse_digest(fields: &[u8]) -> Option<Vec<u8>> {
+    let digest = find_field(fields, "digest")?;
+    let valid = (1..=MAX_TAG_BYTES).contains(&digest.len()) && digest.iter().all(u8::is_ascii_graphic);
+    valid.then(|| digest.to_vec())
 }
 
-/// Whether that may be said of such a request: bytes of a copy come with its tag, only a copy that was asked about
-/// can be unchanged, and no request is answered as a probe is.
-pub fn response_allowed(said: &AttemptResponse, held: Option<&[u8]>, writes: bool) -> bool {
-    match said {
-        AttemptResponse::Data(digest, _) => writes || digest.is_some(),
+fn parse_cache_status(word: &[u8]) -> Option<CacheStatus> {
+    match word {
+        b"TCP_HIT" => Some(CacheStatus::Hit),
+        b"TCP_MISS" => Some(CacheStatus::Filled),
+        b"TCP_MISS_ROOT" => Some(CacheStatus::FilledByOrigin),
+        b"TCP_JOIN" => Some(CacheStatus::Joined),
+        b"TCP_STALE" => Some(CacheStatus::Stale),
+        b"PEER_DENY" => Some(CacheStatus::SourceRefused),
+        b"PEER_DEAD" => Some(CacheStatus::SourceUnreachable),
+        b"PEER_MISS" => Some(CacheStatus::SourceLacks),
+        b"FILL_FULL" => Some(CacheStatus::NoFillPlace),
+        b"ROOT_FAIL" => Some(CacheStatus::OriginFailed),
+        _ => None,
+    }
+}
+
+/// Whether a response may answer an attempt.
+///
+/// `held` is the version tag that the attempt offered for revalidation. Bytes of a copy must come
+/// with their tag, which the result of a write has not; only the copy that was offered can be
+/// unchanged; and no attempt is answered as a probe is.
+pub fn response_allowed(response: &AttemptResponse, held: Option<&[u8]>, is_write: bool) -> bool {
+    match response {
+        AttemptResponse::Data(digest, _) => is_write || digest.is_some(),
         AttemptResponse::NotModified(digest) => held == Some(digest.as_slice()),
         AttemptResponse::ProbeResult(_) => false,
         AttemptResponse::Absent
@@ -85,75 +98,104 @@
     }
 }
 
-/// The fill as fields of a request to a shelf.
-pub fn fill_hint_fields(target: &Target) -> Vec<(&'static str, String)> {
-    let f = &target.fill;
-    let hints =
-        [(f.coalesce, "coalesce"), (f.only_if_cached, "shallow"), (f.stale_while_revalidate, "freshen")];
-    let hints: Vec<&str> = hints.iter().filter(|h| h.0).map(|h| h.1).collect();
-    let parent = target.source.as_ref().map(|s| ("parent", s.to_string()));
-    let shelf = (f.retention > 0).then(|| ("shelf", f.retention.to_string()));
-    let accept = f.max_age.map(|a| ("accept", a.as_millis().max(1).to_string()));
-    let hints = (!hints.is_empty()).then(|| ("hints", hints.join("+")));
-    [parent, shelf, accept, hints].into_iter().flatten().collect()
+/// A field of an attempt.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Field {
+    /// Its name on the wire.
+    pub name: &'static str,
+    /// Its value.
+    pub value: String,
 }
 
-/// The bytes of an attempt.
-pub fn encode_attempt(pool: &BufferPool, order: &AttemptRequest) -> Result<BufferChain, Exhausted> {
-    let ask = &order.ask;
-    let mut fields = Vec::with_capacity(128);
-    let mut put = |name: &str, value: &[u8]| {
-        if !fields.is_empty() {
-            fields.push(b',');
-        }
-        fields.extend_from_slice(name.as_bytes());
-        fields.push(b'=');
-        fields.extend_from_slice(value);
-    };
-    put("profile", &ask.class);
-    put("thing", &ask.object.0);
-    put("nth", ask.part.to_string().as_bytes());
-    put("max", order.timeout.as_millis().max(1).to_string().as_bytes());
-    for (name, value) in fill_hint_fields(&order.target) {
-        put(name, value.as_bytes());
+impl Field {
+    fn new(name: &'static str, value: impl ToString) -> Field {
+        Field { name, value: value.to_string() }
     }
-    if let Some(held) = &ask.held {
-        put("got", held);
+}
+
+/// The fields that tell an endpoint how to fill and keep its copy.
+pub fn fill_hint_fields(target: &Target) -> Vec<Field> {
+    let fill = &target.fill;
+    let mut fields = Vec::new();
+    if let Some(source) = &target.source {
+        fields.push(Field::new("parent", source));
     }
-    if let Some(key) = &ask.key {
-        put("replay", key);
+    if fill.retention > 0 {
+        fields.push(Field::new("shelf", fill.retention));
     }
+    if let Some(max_age) = fill.max_age {
+        // 0 would be no bound at all.
+        fields.push(Field::new("accept", max_age.as_millis().max(1)));
+    }
+    let mut flags = Vec::new();
+    if fill.coalesce {
+        flags.push("coalesce");
+    }
+    if fill.only_if_cached {
+        flags.push("shallow");
+    }
+    if fill.stale_while_revalidate {
+        flags.push("freshen");
+    }
+    if !flags.is_empty() {
+        fields.push(Field::new("hints", flags.join("+")));
+    }
+    fields
+}
+
+/// Encodes an attempt. The request's body is copied, since a retry may need it again.
+///
+/// # Errors
+/// The pool has no buffers for it.
+pub fn encode_attempt(pool: &BufferPool, attempt: &AttemptRequest) -> Result<BufferChain, Exhausted> {
+    let request = &attempt.ask;
     let mut head = Vec::with_capacity(256);
     push_array_header(&mut head, 4);
     push_bulk_string(&mut head, b"ASK");
-    push_bulk_string(&mut head, &ask.rid.0);
-    push_bulk_string(&mut head, &fields);
-    push_bulk_length(&mut head, ask.body.len());
-    let mut out = pool.chain();
-    out.extend(&head)?;
-    for run in ask.body.runs() {
-        out.extend(run)?;
+    push_bulk_string(&mut head, &request.rid.0);
+    push_bulk_string(&mut head, attempt_fields(attempt).as_bytes());
+    push_bulk_length(&mut head, request.body.len());
+    let mut chain = pool.chain();
+    chain.extend(&head)?;
+    for run in request.body.runs() {
+        chain.extend(run)?;
     }
-    out.extend(b"\r\n")?;
-    Ok(out)
+    chain.extend(b"\r\n")?;
+    Ok(chain)
 }
 
-/// The bytes that call an attempt off.
-pub fn encode_cancel(pool: &BufferPool, rid: &[u8]) -> Result<BufferChain, Exhausted> {
-    words(pool, b"QUIT", rid)
+fn attempt_fields(attempt: &AttemptRequest) -> FieldList {
+    let request = &attempt.ask;
+    let timeout_millis = attempt.timeout.as_millis().max(1);
+    let mut fields = FieldList::default();
+    fields.push("profile", &request.class);
+    fields.push("thing", &request.object.0);
+    fields.push("nth", request.part.to_string().as_bytes());
+    fields.push("max", timeout_millis.to_string().as_bytes());
+    for field in fill_hint_fields(&attempt.target) {
+        fields.push(field.name, field.value.as_bytes());
+    }
+    if let Some(held) = &request.held {
+        fields.push("got", held);
+    }
+    if let Some(key) = &request.key {
+        fields.push("replay", key);
+    }
+    fields
 }
 
-/// The bytes of a probe.
-pub fn encode_probe(pool: &BufferPool, tag: &[u8]) -> Result<BufferChain, Exhausted> {
-    words(pool, b"NOOP", tag)
+/// Encodes the cancellation of the attempt that was sent under that id.
+///
+/// # Errors
+/// The pool has no buffer for it.
+pub fn encode_cancel(pool: &BufferPool, id: &[u8]) -> Result<BufferChain, Exhausted> {
+    encode_words(pool, &[b"QUIT", id])
 }
 
-fn words(pool: &BufferPool, verb: &[u8], id: &[u8]) -> Result<BufferChain, Exhausted> {
-    let mut head = Vec::new();
-    push_array_header(&mut head, 2);
-    push_bulk_string(&mut head, verb);
-    push_bulk_string(&mut head, id);
-    let mut out = pool.chain();
-    out.extend(&head)?;
-    Ok(out)
+/// Encodes a health probe.
+///
+/// # Errors
+/// The pool has no buffer for it.
+pub fn encode_probe(pool: &BufferPool, id: &[u8]) -> Result<BufferChain, Exhausted> {
+    encode_words(pool, &[b"NOOP", id])
 }
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,23 +1,28 @@
-//! RESP arrays of bulk strings: an incremental decoder with bounds, and an encoder.
+//! RESP arrays of bulk strings, the framing that clients and endpoints share: an incremental
+//! decoder with bounds, and functions that append to an encoded message.
+//!
+//! No command is known here; [`crate::client`] and [`crate::endpoint`] interpret the words.
 
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 
-/// A word that is not the body holds at most so many bytes.
-const WORD: usize = 1024;
-/// A length line holds at most so many digits.
-const DIGITS: usize = 9;
+/// Longest word other than the body, in bytes.
+const MAX_WORD_BYTES: usize = 1024;
+/// Most digits of a length line. Nine can't overflow a `usize`, and the bounds are far below.
+const MAX_LENGTH_DIGITS: usize = 9;
+/// Bytes of a length line besides its digits: the marker and the line end.
+const LENGTH_LINE_OVERHEAD: usize = 3;
 
 /// Why a connection's bytes can't be read any further.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RespError {
-    /// Not an array of bulk strings.
-    #[error("malformed RESP")]
+    /// The bytes are not an array of bulk strings, or not a message of this protocol.
+    #[error("malformed RESP message")]
     Malformed,
-    /// A length over the bound; nothing was allocated for it.
-    #[error("a length over the bound")]
+    /// A length exceeds its bound; nothing was allocated for it.
+    #[error("length in RESP message exceeds the bound")]
     TooLong,
-    /// No buffers left.
-    #[error("no buffers left")]
+    /// The buffer pool has no buffer left for the body.
+    #[error("buffer pool is exhausted")]
     Exhausted,
 }
 
@@ -27,138 +32,198 @@
     }
 }
 
-/// One array: its words, and the word in the place of the body.
+/// One array of bulk strings.
 #[derive(Debug)]
 pub struct Frame {
     /// All words before the body.
     pub words: Vec<Vec<u8>>,
-    /// The body; empty if it was empty or absent.
+    /// The word in the body's position; empty if the array has none.
     pub body: BufferChain,
 }
 
+/// What the next byte belongs to.
 #[derive(Debug)]
 enum Step {
-    Count,
-    Length,
-    Bytes(usize),
-    End(u8),
+    ArrayLength,
+    WordLength,
+    WordBytes { remaining: usize },
+    CarriageReturn,
+    LineFeed,
 }
 
-/// Reads arrays of at most `body_at` words and a body after them.
+/// Decodes arrays that arrive in pieces of any size.
+///
+/// Words before the body are small and are kept in vectors; the body goes to the buffer pool.
 #[derive(Debug)]
 pub struct Decoder {
     pool: BufferPool,
-    body_at: usize,
-    body_most: usize,
+    body_index: usize,
+    max_body_bytes: usize,
     step: Step,
+    /// The length line read so far.
     line: Vec<u8>,
-    left: usize,
+    remaining_words: usize,
+    word_index: usize,
     words: Vec<Vec<u8>>,
-    at: usize,
     body: Option<BufferChain>,
 }
 
 impl Decoder {
-    /// A decoder whose arrays have their body in that place, of that many bytes at most.
-    pub fn new(pool: &BufferPool, body_at: usize, body_most: usize) -> Decoder {
-        let (pool, line, words) = (pool.clone(), Vec::new(), Vec::new());
-        Decoder { pool, body_at, body_most, step: Step::Count, line, left: 0, words, at: 0, body: None }
+    /// A decoder for arrays whose word at `body_index`, and the last one possible, is the body.
+    pub fn new(pool: &BufferPool, body_index: usize, max_body_bytes: usize) -> Decoder {
+        Decoder {
+            pool: pool.clone(),
+            body_index,
+            max_body_bytes,
+            step: Step::ArrayLength,
+            line: Vec::new(),
+            remaining_words: 0,
+            word_index: 0,
+            words: Vec::new(),
+            body: None,
+        }
     }
 
-    /// Whether it stands inside an array.
+    /// Whether part of an array has been read.
     pub fn is_mid_frame(&self) -> bool {
-        !matches!(self.step, Step::Count) || !self.line.is_empty()
+        !matches!(self.step, Step::ArrayLength) || !self.line.is_empty()
     }
 
-    /// Takes bytes off the front of the input until an array is whole or the input is used up.
+    /// Takes bytes off the front of `input` until an array is complete or the input is used up.
+    ///
+    /// # Errors
+    /// The bytes can't be read; the decoder is of no further use then.
     pub fn feed(&mut self, input: &mut &[u8]) -> Result<Option<Frame>, RespError> {
-        while let Some(&first) = input.first() {
+        while let Some(&next_byte) = input.first() {
             match self.step {
-                Step::Count => {
-                    if let Some(n) = self.number(input, b'*')? {
-                        if n == 0 {
-                            return Err(RespError::Malformed);
-                        }
-                        if n > self.body_at + 1 {
-                            return Err(RespError::TooLong);
-                        }
-                        (self.left, self.at, self.step) = (n, 0, Step::Length);
+                Step::ArrayLength => {
+                    if let Some(count) = self.read_length(input, b'*')? {
+                        self.begin_array(count)?;
                     }
                 }
-                Step::Length => {
-                    if let Some(n) = self.number(input, b'$')? {
-                        let most = if self.at == self.body_at { self.body_most } else { WORD };
-                        if n > most {
-                            return Err(RespError::TooLong);
-                        }
-                        if self.at < self.body_at {
-                            self.words.push(Vec::with_capacity(n));
-                        }
-                        self.step = if n == 0 { Step::End(b'\r') } else { Step::Bytes(n) };
+                Step::WordLength => {
+                    if let Some(length) = self.read_length(input, b'$')? {
+                        self.begin_word(length)?;
                     }
                 }
-                Step::Bytes(want) => {
-                    let (now, rest) = input.split_at(want.min(input.len()));
-                    *input = rest;
-                    if self.at == self.body_at {
-                        self.body.get_or_insert_with(|| self.pool.chain()).extend(now)?;
-                    } else if let Some(word) = self.words.last_mut() {
-                        word.extend_from_slice(now);
-                    }
-                    let want = want - now.len();
-                    self.step = if want == 0 { Step::End(b'\r') } else { Step::Bytes(want) };
+                Step::WordBytes { remaining } => self.read_word(input, remaining)?,
+                Step::CarriageReturn if next_byte == b'\r' => {
+                    *input = &input[1..];
+                    self.step = Step::LineFeed;
                 }
-                Step::End(byte) => {
-                    if first != byte {
-                        return Err(RespError::Malformed);
-                    }
+                Step::LineFeed if next_byte == b'\n' => {
                     *input = &input[1..];
-                    if byte == b'\r' {
-                        self.step = Step::End(b'\n');
-                        continue;
-                    }
-                    (self.left, self.at) = (self.left - 1, self.at + 1);
-                    if self.left > 0 {
-                        self.step = Step::Length;
-                        continue;
+                    if let Some(frame) = self.end_word() {
+                        return Ok(Some(frame));
                     }
-                    self.step = Step::Count;
-                    let body = self.body.take().unwrap_or_else(|| self.pool.chain());
-                    return Ok(Some(Frame { words: std::mem::take(&mut self.words), body }));
                 }
+                Step::CarriageReturn | Step::LineFeed => return Err(RespError::Malformed),
             }
         }
         Ok(None)
     }
 
-    /// A line of a mark and a number, once it is whole.
-    fn number(&mut self, input: &mut &[u8], mark: u8) -> Result<Option<usize>, RespError> {
-        while let Some((&b, rest)) = input.split_first() {
+    /// Reads a line of `marker` and a decimal number; none until the line is complete.
+    fn read_length(&mut self, input: &mut &[u8], marker: u8) -> Result<Option<usize>, RespError> {
+        while let Some((&byte, rest)) = input.split_first() {
             *input = rest;
-            self.line.push(b);
-            if self.line[0] != mark || self.line.len() > DIGITS + 3 {
+            self.line.push(byte);
+            let too_long = self.line.len() > MAX_LENGTH_DIGITS + LENGTH_LINE_OVERHEAD;
+            if self.line[0] != marker || too_long {
                 return Err(RespError::Malformed);
             }
-            if b == b'\n' {
-                let digits = self.line[1..].strip_suffix(b"\r\n").filter(|d| !d.is_empty());
-                let number = digits.and_then(parse_decimal).ok_or(RespError::Malformed)?;
+            if byte == b'\n' {
+                let digits = self.line[1..].strip_suffix(b"\r\n").ok_or(RespError::Malformed)?;
+                let length = parse_decimal(digits).ok_or(RespError::Malformed)?;
                 self.line.clear();
-                return usize::try_from(number).map(Some).map_err(|_| RespError::TooLong);
+                return usize::try_from(length).map(Some).map_err(|_| RespError::TooLong);
             }
         }
         Ok(None)
     }
+
+    fn begin_array(&mut self, word_count: usize) -> Result<(), RespError> {
+        if word_count == 0 {
+            return Err(RespError::Malformed);
+        }
+        if word_count > self.body_index + 1 {
+            return Err(RespError::TooLong);
+        }
+        self.remaining_words = word_count;
+        self.word_index = 0;
+        self.step = Step::WordLength;
+        Ok(())
+    }
+
+    fn begin_word(&mut self, length: usize) -> Result<(), RespError> {
+        let max_length = if self.at_body() { self.max_body_bytes } else { MAX_WORD_BYTES };
+        if length > max_length {
+            return Err(RespError::TooLong);
+        }
+        if !self.at_body() {
+            self.words.push(Vec::with_capacity(length));
+        }
+        self.step = step_after_bytes(length);
+        Ok(())
+    }
+
+    fn read_word(&mut self, input: &mut &[u8], remaining: usize) -> Result<(), RespError> {
+        let (bytes, rest) = input.split_at(remaining.min(input.len()));
+        *input = rest;
+        if self.at_body() {
+            self.body.get_or_insert_with(|| self.pool.chain()).extend(bytes)?;
+        } else if let Some(word) = self.words.last_mut() {
+            word.extend_from_slice(bytes);
+        }
+        self.step = step_after_bytes(remaining - bytes.len());
+        Ok(())
+    }
+
+    /// Goes on to the next word; the frame if this was the last one.
+    fn end_word(&mut self) -> Option<Frame> {
+        self.remaining_words -= 1;
+        self.word_index += 1;
+        if self.remaining_words > 0 {
+            self.step = Step::WordLength;
+            return None;
+        }
+        self.step = Step::ArrayLength;
+        let body = self.body.take().unwrap_or_else(|| self.pool.chain());
+        Some(Frame { words: std::mem::take(&mut self.words), body })
+    }
+
+    fn at_body(&self) -> bool {
+        self.word_index == self.body_index
+    }
 }
 
-/// A number of parse_decimal digits alone.
+fn step_after_bytes(remaining: usize) -> Step {
+    if remaining == 0 {
+        Step::CarriageReturn
+    } else {
+        Step::WordBytes { remaining }
+    }
+}
+
+/// Parses a number of decimal digits alone: no sign, no spaces, at least one digit.
 pub fn parse_decimal(digits: &[u8]) -> Option<u64> {
-    let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(digits).ok().filter(|_| plain)?.parse().ok()
+    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
+        return None;
+    }
+    std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// Appends the head of an array of so many words.
-pub fn push_array_header(out: &mut Vec<u8>, words: usize) {
-    out.extend_from_slice(format!("*{words}\r\n").as_bytes());
+/// Parses a number of exactly 16 hexadecimal digits.
+pub fn parse_hex_u64(digits: &[u8]) -> Option<u64> {
+    if digits.len() != 16 || !digits.iter().all(u8::is_ascii_hexdigit) {
+        return None;
+    }
+    u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
+}
+
+/// Appends the head of an array of `word_count` words.
+pub fn push_array_header(out: &mut Vec<u8>, word_count: usize) {
+    out.extend_from_slice(format!("*{word_count}\r\n").as_bytes());
 }
 
 /// Appends a bulk string.
@@ -168,12 +233,45 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends the length line of a bulk string; its bytes and a line end follow.
-pub fn push_bulk_length(out: &mut Vec<u8>, len: usize) {
-    out.extend_from_slice(format!("${len}\r\n").as_bytes());
+/// Appends the length line of a bulk string; its bytes and a line end have to follow.
+pub fn push_bulk_length(out: &mut Vec<u8>, length: usize) {
+    out.extend_from_slice(format!("${length}\r\n").as_bytes());
 }
 
-/// The value of a name in a list `name=value,name=value`.
+/// An array of bulk strings as a chain from the pool.
+pub(crate) fn encode_words(pool: &BufferPool, words: &[&[u8]]) -> Result<BufferChain, Exhausted> {
+    let mut bytes = Vec::new();
+    push_array_header(&mut bytes, words.len());
+    for word in words {
+        push_bulk_string(&mut bytes, word);
+    }
+    let mut chain = pool.chain();
+    chain.extend(&bytes)?;
+    Ok(chain)
+}
+
+/// The value of the first field of that name in a list `name=value,name=value`.
 pub fn find_field<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
-    list.split(|b| *b == b',').find_map(|f| f.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
+    list.split(|byte| *byte == b',').find_map(|field| field.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
+}
+
+/// Builds a list `name=value,name=value`.
+#[derive(Debug, Default)]
+pub(crate) struct FieldList {
+    bytes: Vec<u8>,
+}
+
+impl FieldList {
+    pub(crate) fn push(&mut self, name: &str, value: &[u8]) {
+        if !self.bytes.is_empty() {
+            self.bytes.push(b',');
+        }
+        self.bytes.extend_from_slice(name.as_bytes());
+        self.bytes.push(b'=');
+        self.bytes.extend_from_slice(value);
+    }
+
+    pub(crate) fn as_bytes(&self) -> &[u8] {
+        &self.bytes
+    }
 }
--- a/crates/server/src/operations.rs
+++ b/crates/server/src/operations.rs
@@ -84,7 +84,7 @@
         let answer = match conn.reader.feed(bytes) {
             None => return Fate::Keep,
             Some(Ok(asked)) => self.called(asked),
-            Some(Err(w)) => encode_text_response(w.status, w.allow, &format!("no: {}\n", w.status), false),
+            Some(Err(e)) => encode_text_response(e.status(), e.allow(), &format!("no: {}\n", e.status()), false),
         };
         conn.answered = true;
         match conn.out.extend(&answer) {
