--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -1,137 +1,182 @@
-//! The control feed's events as JSON.
+//! The endpoint feed's events, as JSON: changes of the endpoint list, and purges.
 
 use hollymux_decision::{EndpointEntry, EndpointState, Timestamp};
 use hollymux_router::{endpoint_id, FeedEvent, ListedEndpoint};
 use serde::Deserialize;
 
-/// What is wrong with an event, in one line.
+/// Why an event can't be used. The feed stays usable: the events after it can be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}")]
-pub struct EventError(String);
+pub enum EventError {
+    /// It is no JSON, or not of an event's form.
+    #[error("event: {0}")]
+    Json(#[from] serde_json::Error),
+    /// An endpoint's state has a name that is not known.
+    #[error("event {number}: unknown state {state:?}")]
+    UnknownState {
+        /// The event's number.
+        number: u64,
+        /// The name.
+        state: String,
+    },
+    /// The key of a purged object is no hexadecimal number.
+    #[error("event {number}: purge key {key:?} is no hexadecimal number")]
+    InvalidPurgeKey {
+        /// The event's number.
+        number: u64,
+        /// The key.
+        key: String,
+    },
+    /// A purge gives neither an object nor a group.
+    #[error("event {number}: purge of neither an object nor a group")]
+    EmptyPurge {
+        /// The event's number.
+        number: u64,
+    },
+}
 
-/// NameTables that the sockets use where the module has numbers.
+/// The names that stand on the wire for what the decision module knows by number.
 #[derive(Clone, Debug)]
 pub struct NameTables {
-    /// Classes, by number.
+    /// Request classes, by number.
     pub classes: Vec<String>,
     /// Zones, by number.
     pub zones: Vec<String>,
-    /// Kinds of member, by number.
+    /// Kinds of endpoint, by number.
     pub kinds: Vec<String>,
 }
 
-/// A message of the feed.
+/// One message of the feed.
 #[derive(Debug)]
 pub struct FeedMessage {
-    /// Its number; numbers only rise.
+    /// Its number. The feed sends numbers in ascending order, but repeats some after a reconnect.
     pub number: u64,
-    /// The event; none if this version does not know its kind.
+    /// The event; none if it is of a kind that is not known here.
     pub event: Option<FeedEvent>,
 }
 
 #[derive(Deserialize)]
-struct Target {
-    uid: String,
-    #[serde(default)]
-    endpoint: String,
-    #[serde(default)]
-    az: String,
-    #[serde(default)]
-    model: String,
-    #[serde(default)]
-    pod_group: u16,
-    state: String,
-    #[serde(default)]
-    capacity_hint: f64,
-    #[serde(default)]
-    boot_ms: u64,
+struct WireMessage {
+    #[serde(rename = "n")]
+    number: u64,
+    #[serde(rename = "members")]
+    endpoints: Option<WireEndpointList>,
+    purge: Option<WirePurge>,
 }
 
 #[derive(Deserialize)]
-struct Members {
-    #[serde(default)]
-    all: bool,
-    targets: Vec<Target>,
+struct WireEndpointList {
+    /// Whether endpoints that are not listed are gone.
+    #[serde(default, rename = "all")]
+    is_complete: bool,
+    #[serde(rename = "targets")]
+    endpoints: Vec<WireEndpoint>,
 }
 
 #[derive(Deserialize)]
-struct PurgeLine {
-    key: Option<String>,
-    group: Option<u32>,
-    at: u64,
+struct WireEndpoint {
+    uid: String,
+    #[serde(default, rename = "endpoint")]
+    address: String,
+    #[serde(default, rename = "az")]
+    zone: String,
+    #[serde(default, rename = "model")]
+    kind: String,
+    #[serde(default, rename = "pod_group")]
+    cell: u16,
+    state: String,
+    #[serde(default, rename = "capacity_hint")]
+    weight: f64,
+    #[serde(default, rename = "boot_ms")]
+    started_unix_millis: u64,
 }
 
 #[derive(Deserialize)]
-struct Line {
-    n: u64,
-    members: Option<Members>,
-    purge: Option<PurgeLine>,
-}
-
-/// The feed tells times in milliseconds.
-fn unix_millis(millis: u64) -> Timestamp {
-    Timestamp::from_micros(millis.saturating_mul(1_000))
+struct WirePurge {
+    key: Option<String>,
+    group: Option<u32>,
+    #[serde(rename = "at")]
+    unix_millis: u64,
 }
 
 impl NameTables {
-    /// A place in a list of names; an unknown name is like none of them.
-    fn place(list: &[String], name: &str) -> u16 {
-        list.iter().position(|n| n == name).and_then(|i| u16::try_from(i).ok()).unwrap_or(u16::MAX)
+    /// Parses one event.
+    ///
+    /// # Errors
+    /// The event can't be used.
+    pub fn parse_event(&self, json: &[u8]) -> Result<FeedMessage, EventError> {
+        self.convert(serde_json::from_slice(json)?)
     }
 
-    /// Reads one event: its number and what it tells.
-    pub fn parse_event(&self, text: &[u8]) -> Result<FeedMessage, EventError> {
-        serde_json::from_slice(text).map_err(|e| EventError(format!("event: {e}"))).and_then(|v| self.line(v))
-    }
-
-    /// Reads one event that was parsed as JSON before.
+    /// Converts one event that has been parsed as JSON before.
+    ///
+    /// # Errors
+    /// The event can't be used.
     pub fn parse_event_value(&self, event: serde_json::Value) -> Result<FeedMessage, EventError> {
-        serde_json::from_value(event)
-            .map_err(|e| EventError(format!("event: {e}")))
-            .and_then(|v| self.line(v))
+        self.convert(serde_json::from_value(event)?)
     }
 
-    fn line(&self, line: Line) -> Result<FeedMessage, EventError> {
-        let bad = |what: &str| EventError(format!("event {}: {what}", line.n));
-        if let Some(m) = line.members {
-            let lines: Result<Vec<_>, _> = m.targets.into_iter().map(|t| self.member(t)).collect();
-            return Ok(FeedMessage {
-                number: line.n,
-                event: Some(FeedEvent::Endpoints { all: m.all, lines: lines.map_err(|e| bad(&e))? }),
-            });
-        }
-        let Some(p) = line.purge else { return Ok(FeedMessage { number: line.n, event: None }) };
-        let object = match p.key {
-            Some(key) => Some(u64::from_str_radix(&key, 16).map_err(|_| bad("a key that is no number"))?),
-            None => None,
-        };
-        let group = match (object, p.group) {
-            (None, None) => return Err(bad("a purge of nothing")),
-            (_, group) => group.unwrap_or(0),
+    fn convert(&self, message: WireMessage) -> Result<FeedMessage, EventError> {
+        let number = message.number;
+        let event = if let Some(list) = message.endpoints {
+            Some(self.endpoint_list(number, list)?)
+        } else if let Some(purge) = message.purge {
+            Some(purge_event(number, purge)?)
+        } else {
+            None
         };
-        Ok(FeedMessage {
-            number: line.n,
-            event: Some(FeedEvent::Purge { object, group, at: unix_millis(p.at) }),
-        })
+        Ok(FeedMessage { number, event })
     }
 
-    fn member(&self, t: Target) -> Result<ListedEndpoint, String> {
-        let state = match t.state.as_str() {
-            "ready" => EndpointState::Ready,
-            "draining" => EndpointState::Draining,
-            "gone" => EndpointState::Gone,
-            other => return Err(format!("unknown state {other:?}")),
-        };
+    fn endpoint_list(&self, number: u64, list: WireEndpointList) -> Result<FeedEvent, EventError> {
+        let endpoints = list.endpoints.into_iter().map(|endpoint| self.endpoint(number, endpoint));
+        Ok(FeedEvent::Endpoints { all: list.is_complete, lines: endpoints.collect::<Result<_, _>>()? })
+    }
+
+    fn endpoint(&self, number: u64, endpoint: WireEndpoint) -> Result<ListedEndpoint, EventError> {
         let entry = EndpointEntry {
-            id: endpoint_id(&t.uid),
-            cell: t.pod_group,
-            zone: Self::place(&self.zones, &t.az),
-            kind: Self::place(&self.kinds, &t.model),
-            weight: t.capacity_hint,
-            state,
-            started: unix_millis(t.boot_ms),
+            id: endpoint_id(&endpoint.uid),
+            cell: endpoint.cell,
+            zone: number_of(&self.zones, &endpoint.zone),
+            kind: number_of(&self.kinds, &endpoint.kind),
+            weight: endpoint.weight,
+            state: parse_state(number, endpoint.state)?,
+            started: timestamp(endpoint.started_unix_millis),
             in_place_of: None,
         };
-        Ok(ListedEndpoint { entry, addr: t.endpoint.parse().ok(), uid: t.uid })
+        Ok(ListedEndpoint { entry, addr: endpoint.address.parse().ok(), uid: endpoint.uid })
     }
 }
+
+/// The number of a name; all names that are not listed have the last one.
+fn number_of(names: &[String], name: &str) -> u16 {
+    let index = names.iter().position(|listed| listed == name);
+    index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX)
+}
+
+fn parse_state(number: u64, state: String) -> Result<EndpointState, EventError> {
+    match state.as_str() {
+        "ready" => Ok(EndpointState::Ready),
+        "draining" => Ok(EndpointState::Draining),
+        "gone" => Ok(EndpointState::Gone),
+        _ => Err(EventError::UnknownState { number, state }),
+    }
+}
+
+fn purge_event(number: u64, purge: WirePurge) -> Result<FeedEvent, EventError> {
+    if purge.key.is_none() && purge.group.is_none() {
+        return Err(EventError::EmptyPurge { number });
+    }
+    let object = match purge.key {
+        None => None,
+        Some(key) => match u64::from_str_radix(&key, 16) {
+            Ok(object) => Some(object),
+            Err(_) => return Err(EventError::InvalidPurgeKey { number, key }),
+        },
+    };
+    let group = purge.group.unwrap_or(0);
+    Ok(FeedEvent::Purge { object, group, at: timestamp(purge.unix_millis) })
+}
+
+fn timestamp(unix_millis: u64) -> Timestamp {
+    Timestamp::from_micros(unix_millis.saturating_mul(1_000))
+}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,5 @@
-//! Codecs of every protocol the router speaks, as state machines that take bytes and know no socket.
+//! Codecs of every protocol the router speaks, as state machines that take bytes and know no
+//! socket.
 //!
 //! Each module turns received bytes into types of the router package, or such types into bytes to
 //! send. None of them holds a connection, a clock or a retry: that is the server package's part.
--- a/crates/protocol/tests/handover_bytes.rs
+++ b/crates/protocol/tests/handover_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes of what is handed over: times are plain numbers of microseconds there, whatever types they have here.
+//! The bytes of the handed over state: a time is a plain number of microseconds, whatever its type
+//! in the program.
 
 use hollymux_decision::{DecisionSnapshot, EndpointSnapshot, Timestamp};
 use hollymux_router::handover_state::{EndpointRecord, PendingWrite};
@@ -7,7 +8,7 @@
 
 /// [`EndpointSnapshot`] with times as plain numbers.
 #[derive(Serialize)]
-struct PlainHost {
+struct PlainEndpointSnapshot {
     id: u64,
     cold_since: Option<u64>,
     blame: [f64; 3],
@@ -23,8 +24,8 @@
 
 /// [`DecisionSnapshot`] with times as plain numbers.
 #[derive(Serialize)]
-struct PlainMemory {
-    hosts: Vec<PlainHost>,
+struct PlainDecisionSnapshot {
+    hosts: Vec<PlainEndpointSnapshot>,
     classes: Vec<u8>,
     levels: Vec<(u64, u32, u64)>,
     rate: f64,
@@ -69,7 +70,7 @@
         lost: 0.01,
         ..DecisionSnapshot::default()
     };
-    let plain_host = PlainHost {
+    let plain_host = PlainEndpointSnapshot {
         id: 3,
         cold_since: Some(1_000_001),
         blame: [0.5, 0.25, 0.0],
@@ -82,7 +83,7 @@
         load: (1.5, 9),
         ledger: vec![(5, 0.2)],
     };
-    let plain = PlainMemory {
+    let plain = PlainDecisionSnapshot {
         hosts: vec![plain_host],
         classes: vec![],
         levels: vec![(8, 1, 300)],
--- a/crates/server/src/operations.rs
+++ b/crates/server/src/operations.rs
@@ -84,7 +84,9 @@
         let answer = match conn.reader.feed(bytes) {
             None => return Fate::Keep,
             Some(Ok(asked)) => self.called(asked),
-            Some(Err(e)) => encode_text_response(e.status(), e.allow(), &format!("no: {}\n", e.status()), false),
+            Some(Err(e)) => {
+                encode_text_response(e.status(), e.allow(), &format!("no: {}\n", e.status()), false)
+            }
         };
         conn.answered = true;
         match conn.out.extend(&answer) {
