--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -124,7 +124,7 @@
         fields.push(Field::new("shelf", fill.retention));
     }
     if let Some(max_age) = fill.max_age {
-        // 0 would be no bound at all.
+        // At least 1 ms, so that a bound below it is not sent as 0.
         fields.push(Field::new("accept", max_age.as_millis().max(1)));
     }
     let mut flags = Vec::new();
