--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -205,7 +205,7 @@
             RequestResult::Cancelled => End::Withdrawn,
             RequestResult::Named => End::Named,
         };
-        let reason = match e.why {
+        let reason = match e.reason {
             ResultReason::Completed => Reason::None,
             ResultReason::TableFull => Reason::NoRoom,
             ResultReason::InvalidRequest => Reason::Unusable,
@@ -225,15 +225,15 @@
         };
         Request {
             arrived: e.arrived.as_micros(),
-            class: e.wanted.class,
-            object: e.wanted.object,
-            part: e.wanted.part,
-            group: e.wanted.group,
+            class: e.requested.class,
+            object: e.requested.object,
+            part: e.requested.chunk,
+            group: e.requested.group,
             budget: whole_micros(e.budget),
             end,
             reason,
             bytes: e.bytes,
-            took: whole_micros(e.took),
+            took: whole_micros(e.duration),
             attempts: e.attempts,
             host,
             source,
--- a/crates/capture/tests/record.rs
+++ b/crates/capture/tests/record.rs
@@ -21,12 +21,18 @@
 fn ended(n: u64, host: &str) -> RequestSummary {
     RequestSummary {
         request: n as u32,
-        wanted: RequestedObject { class: 0, object: n * 7, part: n as u32 % 5, group: 3, rid: Some(n) },
+        requested: RequestedObject {
+            class: 0,
+            object: n * 7,
+            chunk: n as u32 % 5,
+            group: 3,
+            request_id: Some(n),
+        },
         arrived: Timestamp::from_micros(1_000_000 + n * 1_000),
         budget: Duration::from_millis(2_500),
-        took: Duration::from_micros(40_000 + n),
+        duration: Duration::from_micros(40_000 + n),
         result: if n.is_multiple_of(9) { RequestResult::Rejected } else { RequestResult::Served },
-        why: if n.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
+        reason: if n.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
         bytes: n * 3,
         attempts: 1,
         endpoint: Some(host.into()),
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::resp::{array, bulk, bulk_head, decimal, field, Decoder, Frame, RespError};
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
-use hollymux_router::{ClientRequest, Reply};
+use hollymux_router::{ClientRequest, ReceivedNumber, Reply};
 
 /// A write carries at most so many bytes.
 pub const WRITE_MOST: usize = 48_000;
@@ -90,13 +90,13 @@
         return None;
     }
     Some(ClientRequest {
-        rid: (rid.to_vec(), hex16(rid)?),
-        object: (object.to_vec(), hex16(object)?),
-        part: u32::try_from(number("piece")?).ok()?,
+        request_id: ReceivedNumber { text: rid.to_vec(), value: hex16(rid)? },
+        object: ReceivedNumber { text: object.to_vec(), value: hex16(object)? },
+        chunk: u32::try_from(number("piece")?).ok()?,
         group: u32::try_from(number("lot")?).ok().filter(|g| *g < 256)?,
-        budget: number("budget").filter(|b| (1..=BUDGET_MOST).contains(b))?,
-        held,
-        key,
+        budget_ms: number("budget").filter(|b| (1..=BUDGET_MOST).contains(b))?,
+        if_none_match: held,
+        idempotency_key: key,
         class: std::mem::take(&mut frame.words[2]),
         body: frame.body,
     })
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -75,18 +75,18 @@
     labels.next().is_none().then_some(Place::RequestedObject(RequestedObject {
         class,
         object,
-        part,
+        chunk: part,
         group,
-        rid,
+        request_id: rid,
     }))
 }
 
 /// The name that asks for that.
 pub fn name_of(w: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
     let class = classes.name(w.class).to_ascii_lowercase().into_bytes();
-    let mut name: Name = w.rid.iter().map(|r| format!("r{r:016x}").into_bytes()).collect();
+    let mut name: Name = w.request_id.iter().map(|r| format!("r{r:016x}").into_bytes()).collect();
     name.push(format!("g{}", w.group).into_bytes());
-    name.push(format!("p{}", w.part).into_bytes());
+    name.push(format!("p{}", w.chunk).into_bytes());
     name.push(format!("{:016x}", w.object).into_bytes());
     name.push(class);
     name.extend(zone.iter().cloned());
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -87,7 +87,7 @@
 
 /// The bytes of an attempt.
 pub fn ask(pool: &BufferPool, order: &AttemptRequest) -> Result<BufferChain, Exhausted> {
-    let ask = &order.ask;
+    let ask = &order.request;
     let mut fields = Vec::with_capacity(128);
     let mut put = |name: &str, value: &[u8]| {
         if !fields.is_empty() {
@@ -98,22 +98,22 @@
         fields.extend_from_slice(value);
     };
     put("profile", &ask.class);
-    put("thing", &ask.object.0);
-    put("nth", ask.part.to_string().as_bytes());
+    put("thing", &ask.object.text);
+    put("nth", ask.chunk.to_string().as_bytes());
     put("max", order.timeout.as_millis().max(1).to_string().as_bytes());
     for (name, value) in fill_fields(&order.target) {
         put(name, value.as_bytes());
     }
-    if let Some(held) = &ask.held {
+    if let Some(held) = &ask.if_none_match {
         put("got", held);
     }
-    if let Some(key) = &ask.key {
+    if let Some(key) = &ask.idempotency_key {
         put("replay", key);
     }
     let mut head = Vec::with_capacity(256);
     array(&mut head, 4);
     bulk(&mut head, b"ASK");
-    bulk(&mut head, &ask.rid.0);
+    bulk(&mut head, &ask.request_id.text);
     bulk(&mut head, &fields);
     bulk_head(&mut head, ask.body.len());
     let mut out = pool.chain();
--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -88,7 +88,7 @@
             let lines: Result<Vec<_>, _> = m.targets.into_iter().map(|t| self.member(t)).collect();
             return Ok((
                 line.n,
-                Some(FeedEvent::Endpoints { all: m.all, lines: lines.map_err(|e| bad(&e))? }),
+                Some(FeedEvent::Endpoints { is_full_list: m.all, endpoints: lines.map_err(|e| bad(&e))? }),
             ));
         }
         let Some(p) = line.purge else { return Ok((line.n, None)) };
--- a/crates/protocol/src/handover.rs
+++ b/crates/protocol/src/handover.rs
@@ -135,8 +135,12 @@
             started: Timestamp::from_micros(7),
         };
         let legacy = HandoverState {
-            members: vec![line],
-            filings: vec![(1, Timestamp::from_micros(2), Some(3))],
+            endpoints: vec![line],
+            pending_writes: vec![PendingWrite {
+                request_id: 1,
+                arrived: Timestamp::from_micros(2),
+                endpoint: Some(3),
+            }],
             ..HandoverState::default()
         };
         vec![
@@ -144,7 +148,11 @@
             Message::HandoverState(Some(Box::new(legacy))),
             Message::Take,
             Message::Yours,
-            Message::Filings(vec![(4, Timestamp::from_micros(5), None)]),
+            Message::Filings(vec![PendingWrite {
+                request_id: 4,
+                arrived: Timestamp::from_micros(5),
+                endpoint: None,
+            }]),
             Message::No,
         ]
     }
--- a/crates/protocol/tests/handover_bytes.rs
+++ b/crates/protocol/tests/handover_bytes.rs
@@ -98,7 +98,7 @@
     assert_eq!(written, bytes(&plain));
     assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&written).unwrap(), memory);
 
-    let filing: PendingWrite = (1, at(300), Some(2));
+    let filing = PendingWrite { request_id: 1, arrived: at(300), endpoint: Some(2) };
     assert_eq!(bytes(&filing), bytes(&(1u64, 300u64, Some(2u64))));
     let line = EndpointRecord {
         uid: "s-a".into(),
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -20,10 +20,10 @@
 pub enum FeedEvent {
     /// Lines of the member list.
     Endpoints {
-        /// The whole list.
-        all: bool,
-        /// The lines.
-        lines: Vec<ListedEndpoint>,
+        /// Whether `endpoints` is the complete list: endpoints that it leaves out are gone.
+        is_full_list: bool,
+        /// Their entries.
+        endpoints: Vec<ListedEndpoint>,
     },
     /// A purge.
     Purge {
--- a/crates/router/src/handover_state.rs
+++ b/crates/router/src/handover_state.rs
@@ -33,8 +33,16 @@
     pub started: Timestamp,
 }
 
-/// A request that may not be repeated: its id, when it came, and where a lookup sent it.
-pub type PendingWrite = (u64, Timestamp, Option<u64>);
+/// A non-idempotent request that may have run, as it is handed over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PendingWrite {
+    /// The client's request id.
+    pub request_id: u64,
+    /// When the request arrived.
+    pub arrived: Timestamp,
+    /// The endpoint that a lookup named for it; `None` if it was sent by this router itself.
+    pub endpoint: Option<u64>,
+}
 
 /// Everything that is handed over.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -43,28 +51,28 @@
     pub zones: Vec<String>,
     /// See `zones`.
     pub kinds: Vec<String>,
-    /// The names of the classes in `memory`, by number.
+    /// The names of the classes in `decision`, by number.
     pub classes: Vec<String>,
     /// The members.
-    pub members: Vec<EndpointRecord>,
+    pub endpoints: Vec<EndpointRecord>,
     /// Requests that may not be repeated.
-    pub filings: Vec<PendingWrite>,
+    pub pending_writes: Vec<PendingWrite>,
     /// What the decision module knows.
-    pub memory: DecisionSnapshot,
+    pub decision: DecisionSnapshot,
 }
 
 impl HandoverState {
     /// The list of members under the names of the router that takes over.
     pub fn told(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let lines = self.lines(zones, kinds);
-        FeedEvent::Endpoints { all: true, lines }
+        FeedEvent::Endpoints { is_full_list: true, endpoints: lines }
     }
 
     /// The members that drain: whatever an older list said, they take nothing new.
     pub fn drained(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let mut lines = self.lines(zones, kinds);
         lines.retain(|l| l.entry.state == EndpointState::Draining);
-        FeedEvent::Endpoints { all: false, lines }
+        FeedEvent::Endpoints { is_full_list: false, endpoints: lines }
     }
 
     fn lines(&self, zones: &[String], kinds: &[String]) -> Vec<ListedEndpoint> {
@@ -89,6 +97,6 @@
             uid: l.uid.clone(),
             addr: l.addr,
         };
-        self.members.iter().take(MEMBERS).filter(usable).map(line).collect()
+        self.endpoints.iter().take(MEMBERS).filter(usable).map(line).collect()
     }
 }
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -1,154 +1,164 @@
-//! What the router is to its clients at present: starting, ready, on standby, replaced or stopping. Signals, the
-//! operators' calls and a replacement are told here, and connections, requests and readiness ask here. What is open
-//! is not known to it: who has nothing open asks whether he may stay.
+//! The phases of the router process, from start to stop, and what is allowed in each: connections, requests,
+//! readiness. Signals, admin calls and the takeover by another process are its events. It doesn't know which
+//! requests are open: the owner of a connection asks whether a connection without any may stay open.
 
 use hollymux_decision::Timestamp;
 use std::time::Duration;
 
-/// New connections and requests are taken for this long after SIGTERM.
-pub const LINGER: Duration = Duration::from_millis(700);
-/// Clients whose connections are shut at the end have so long to close theirs: a process that ends over bytes that it
-/// has not read resets the connection, and an answer on its way with it.
-pub const FAREWELL: Duration = Duration::from_millis(250);
-/// A front that is told no sends nobody new 0.2 s later, and asks every 0.1 s: before that a connection that is
-/// closed only comes back.
-const NOTICE: Duration = Duration::from_millis(400);
-/// On standby a connection that never pauses is closed by refusing what comes on it from then on. What was taken
-/// before keeps its time.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// SIGKILL comes this long after the linger, or the longest deadline if that is less...
-const KILL_MOST: Duration = Duration::from_secs(3);
-/// ...and answers need so long to be on their way before it.
-const SPARE: Duration = Duration::from_millis(200);
-/// With less time than this before that a request is rather refused than begun.
-const WORTH: Duration = Duration::from_millis(700);
-/// Whoever connects to a router on standby has so long to begin his first request.
-const FIRST: Duration = Duration::from_millis(100);
-
-/// What the router is.
+/// New connections and requests are still accepted for this long after SIGTERM, as clients go on sending until
+/// they have noticed.
+pub const SHUTDOWN_LINGER: Duration = Duration::from_millis(700);
+/// How long clients have to close their connections after the router has shut down its side of them. A process
+/// that exits with unread bytes in a socket resets the connection, and a reply on its way is lost with it.
+pub const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long clients need to notice a standby: they poll readiness every 100 ms and open no new connection 200 ms
+/// after a "no". A connection that is closed before that is only opened again.
+const STANDBY_NOTICE_PERIOD: Duration = Duration::from_millis(400);
+/// After this long in standby new requests are rejected, which closes connections that are never idle. Requests
+/// accepted before keep their deadline.
+const STANDBY_ACCEPT_PERIOD: Duration = Duration::from_secs(2);
+/// SIGKILL follows the linger after the longest deadline, or after this if that is less.
+const MAX_SHUTDOWN_GRACE: Duration = Duration::from_secs(3);
+/// Time that replies need to reach their clients before SIGKILL.
+const REPLY_DELIVERY_MARGIN: Duration = Duration::from_millis(200);
+/// With less time left than this a request is rejected rather than begun.
+const MIN_REQUEST_TIME: Duration = Duration::from_millis(700);
+/// How long a new connection may take to send its first request while connections are being closed.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// The phase of the router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not everything that it needs is there.
+    /// Something that it needs in order to serve is missing.
     Starting,
-    /// Serves.
+    /// It serves.
     Ready,
-    /// Emptied, or being emptied.
+    /// Clients are being moved away from it, or have left.
     Standby,
-    /// Another process has the listening socket; this one serves who is connected.
+    /// Another process has the listening socket; this one serves the connections that it has.
     Replaced,
-    /// Ends as soon as what is open is finished.
+    /// It exits as soon as the open requests are finished.
     Stopping,
 }
 
-/// What happens to it.
+/// What can change the phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Everything that it needs is there.
+    /// Everything that it needs in order to serve is there.
     Began,
-    /// It is to be emptied.
+    /// Clients are to be moved away.
     Standby,
-    /// It is to work again.
+    /// It is to serve again after a standby.
     Active,
-    /// Another process takes new connections.
+    /// Another process accepts the new connections.
     Replaced,
-    /// The other process is gone.
+    /// The other process has exited.
     Alone,
-    /// It is to end.
+    /// It is to exit.
     Stop,
 }
 
-/// The state. Standby, replacement and the end are told apart, as each may come during another.
+/// The lifecycle of the router process. Standby, replacement and stop are kept apart, as each may begin while
+/// another one lasts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
-    began: bool,
-    standby: Option<Timestamp>,
+    started: bool,
+    standby_since: Option<Timestamp>,
     replaced: bool,
-    stopping: Option<Timestamp>,
+    stopping_since: Option<Timestamp>,
 }
 
 impl Lifecycle {
-    /// Takes an event; false if it can't be followed, which only the return from an end can't.
-    pub fn on(&mut self, now: Timestamp, event: Event) -> bool {
+    /// Applies an event. Returns whether it was accepted: a process that is stopping can't become active again.
+    pub fn apply(&mut self, now: Timestamp, event: Event) -> bool {
         match event {
-            Event::Began => self.began = true,
-            Event::Standby => self.standby = self.standby.or(Some(now)),
-            Event::Active if self.stopping.is_some() => return false,
-            Event::Active => self.standby = None,
+            Event::Began => self.started = true,
+            Event::Standby => self.standby_since = self.standby_since.or(Some(now)),
+            Event::Active if self.stopping_since.is_some() => return false,
+            Event::Active => self.standby_since = None,
             Event::Replaced => self.replaced = true,
             Event::Alone => self.replaced = false,
-            Event::Stop => self.stopping = self.stopping.or(Some(now)),
+            Event::Stop => self.stopping_since = self.stopping_since.or(Some(now)),
         }
         true
     }
 
-    /// What the router is; the later of two that hold at once in the order of [`Phase`].
+    /// The phase. Where several hold at once, it is the last of them in the order of [`Phase`].
     pub fn phase(&self) -> Phase {
         match self {
-            Lifecycle { stopping: Some(_), .. } => Phase::Stopping,
+            Lifecycle { stopping_since: Some(_), .. } => Phase::Stopping,
             Lifecycle { replaced: true, .. } => Phase::Replaced,
-            Lifecycle { standby: Some(_), .. } => Phase::Standby,
-            Lifecycle { began: false, .. } => Phase::Starting,
+            Lifecycle { standby_since: Some(_), .. } => Phase::Standby,
+            Lifecycle { started: false, .. } => Phase::Starting,
             _ => Phase::Ready,
         }
     }
 
-    /// Whether it says yes when asked if it is ready to serve.
+    /// The answer to a readiness check.
     pub fn ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
-    /// Whether another process has this one's addresses.
+    /// Whether another process has this one's listening socket.
     pub fn handed_over(&self) -> bool {
         self.replaced
     }
 
-    /// Whether new connections are taken. Standby takes them: a front sends some until it has noticed, and whom
-    /// nobody takes is lost.
+    /// Whether new connections are accepted. They are in standby too: clients open some until they have noticed,
+    /// and a connection that nobody accepts loses its requests.
     pub fn accepts(&self, now: Timestamp) -> bool {
-        self.began && !self.replaced && !self.lingered(now)
+        self.started && !self.replaced && !self.lingered(now)
     }
 
-    /// Whether a request that comes now is served; else it is refused at once. `longest` is the longest deadline of a
-    /// class.
+    /// Whether a request that arrives now is served; otherwise it is rejected at once. `longest` is the longest
+    /// deadline of any class.
     pub fn serves(&self, now: Timestamp, longest: Duration) -> bool {
-        let late = self.ends_by(longest).is_some_and(|by| now + longest.min(WORTH) >= by);
-        self.standby.is_none_or(|at| now < at + PATIENCE) && !late
+        let in_standby_for_long =
+            self.standby_since.is_some_and(|since| now >= since + STANDBY_ACCEPT_PERIOD);
+        let time_needed = longest.min(MIN_REQUEST_TIME);
+        let too_late_to_begin = self.ends_by(longest).is_some_and(|end| now + time_needed >= end);
+        !in_standby_for_long && !too_late_to_begin
     }
 
-    /// When a request that comes now has to be ended at the latest. The clients of a process that was replaced don't
-    /// know that it ends and go on as long as their connections do: what came later than 0.7 s and is open when the
-    /// process is killed is lost.
+    /// The latest end of a request that arrives now, if there is a limit. Clients of a replaced process don't know
+    /// that it is stopping and go on sending on their connections after [`SHUTDOWN_LINGER`]: a request that is
+    /// open when the process is killed gets no reply.
     pub fn ends_by(&self, longest: Duration) -> Option<Timestamp> {
-        let killed = |at| at + longest.min(KILL_MOST) + LINGER;
-        self.stopping.filter(|_| self.replaced).map(|at| killed(at) - SPARE)
+        let stopping_since = self.stopping_since.filter(|_| self.replaced)?;
+        let killed_at = stopping_since + longest.min(MAX_SHUTDOWN_GRACE) + SHUTDOWN_LINGER;
+        Some(killed_at - REPLY_DELIVERY_MARGIN)
     }
 
-    /// Whether a connection stays on which nothing is open. `fresh` since when it has waited for its first request,
-    /// if it does.
+    /// Whether a connection without open requests stays open. `fresh` is the time since which it has waited for
+    /// its first request, if none has come yet.
     pub fn stays(&self, now: Timestamp, fresh: Option<Timestamp>) -> bool {
-        let noticed = self.standby.is_some_and(|at| now >= at + NOTICE);
-        // Whoever is let go by a process that was replaced finds the other one.
-        let replaced = self.replaced && self.stopping.is_some();
-        let begins = fresh.is_some_and(|at| now < at + FIRST);
-        let lingered = self.lingered(now) && !self.replaced;
-        !lingered && (!noticed && !replaced || begins)
+        if self.lingered(now) && !self.replaced {
+            return false;
+        }
+        let standby_noticed = self.standby_since.is_some_and(|since| now >= since + STANDBY_NOTICE_PERIOD);
+        // A client whose connection is closed by a replaced process connects to the other process.
+        let moves_to_other_process = self.replaced && self.stopping_since.is_some();
+        let may_send_first_request = fresh.is_some_and(|since| now < since + FIRST_REQUEST_TIMEOUT);
+        may_send_first_request || !standby_noticed && !moves_to_other_process
     }
 
-    /// Whether it ends with connections still open on which nothing is: their clients know that it ends, and had time
-    /// to close them. Those of a process that was replaced are let go one by one.
+    /// Whether the process exits although connections without open requests are left: their clients know that it
+    /// stops and had time to close them. Connections of a replaced process are closed one by one instead.
     pub fn drops(&self, now: Timestamp) -> bool {
-        !self.replaced && self.stopping.is_some_and(|at| now >= at + LINGER + FAREWELL)
+        let close_timeout = SHUTDOWN_LINGER + CLIENT_CLOSE_TIMEOUT;
+        !self.replaced && self.stopping_since.is_some_and(|since| now >= since + close_timeout)
     }
 
-    /// From when on connections with nothing open are closed.
+    /// The time from which connections without open requests are closed.
     pub fn empties_at(&self) -> Option<Timestamp> {
-        let standby = self.standby.map(|at| at + NOTICE);
-        let stopping = self.stopping.map(|at| if self.replaced { at } else { at + LINGER });
-        standby.into_iter().chain(stopping).min()
+        let linger = if self.replaced { Duration::ZERO } else { SHUTDOWN_LINGER };
+        let by_standby = self.standby_since.map(|since| since + STANDBY_NOTICE_PERIOD);
+        let by_stop = self.stopping_since.map(|since| since + linger);
+        by_standby.into_iter().chain(by_stop).min()
     }
 
-    /// Whether it is to end and nothing new is taken any more: it ends when nothing is open.
+    /// Whether the process is stopping and accepts nothing new any more: it exits when no request is open.
     pub fn lingered(&self, now: Timestamp) -> bool {
-        self.stopping.is_some_and(|at| now >= at + LINGER)
+        self.stopping_since.is_some_and(|since| now >= since + SHUTDOWN_LINGER)
     }
 }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -52,12 +52,12 @@
     pub timeout: Duration,
     /// Its class by number.
     pub class: u16,
-    /// What is asked.
-    pub ask: Rc<ClientRequest>,
+    /// The client's request.
+    pub request: Rc<ClientRequest>,
     /// Who asks: nothing goes out for one who has left.
     pub client: ClientHandle,
     /// It may not go out after this: what may have run before is told apart as a repeat only for so long.
-    pub by: Option<Timestamp>,
+    pub send_before: Option<Timestamp>,
 }
 
 /// What a DNS answer told a follower: a box by name and address, and the fill as texts.
@@ -186,17 +186,17 @@
     /// The request; 0 if it was never opened.
     pub request: RequestId,
     /// What was asked for.
-    pub wanted: RequestedObject,
+    pub requested: RequestedObject,
     /// When it came.
     pub arrived: Timestamp,
     /// How long the client would wait.
     pub budget: Duration,
     /// How long it was open.
-    pub took: Duration,
+    pub duration: Duration,
     /// How it was closed.
     pub result: RequestResult,
     /// Why.
-    pub why: ResultReason,
+    pub reason: ResultReason,
     /// Bytes of the answer.
     pub bytes: u64,
     /// Attempts made.
@@ -219,7 +219,7 @@
     /// How it ended.
     pub status: AttemptStatus,
     /// How long it was out.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 /// What the core wants done.
@@ -227,12 +227,12 @@
 pub enum Command {
     /// Send an attempt.
     SendAttempt(AttemptRequest),
-    /// Give an attempt up; `again`: its request is still open and may be sent once more.
+    /// Give an attempt up; `may_retry` if its request is still open.
     CancelAttempt {
         /// Which attempt.
         attempt: AttemptId,
         /// A further attempt may follow.
-        again: bool,
+        may_retry: bool,
     },
     /// Give a client its final answer.
     Reply(ClientHandle, Reply),
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
     /// Served.
-    pub fulfilled: u64,
+    pub served: u64,
     /// Refused.
-    pub throttled: u64,
+    pub rejected: u64,
     /// Failed.
-    pub faulted: u64,
+    pub failed: u64,
     /// Attempts written whole to shelfs.
-    pub relayed: u64,
+    pub attempts_sent: u64,
 }
 
 /// One of them.
@@ -40,9 +40,9 @@
     /// Requests taken and not ended.
     pub open_requests: usize,
     /// Shelfs in the list, with parents and origin.
-    pub registry_entries: usize,
+    pub listed_endpoints: usize,
     /// Those among them that get no work now: they drain or are held to be out.
-    pub out_of_rotation: usize,
+    pub unavailable_endpoints: usize,
 }
 
 /// The numbers since the process started.
@@ -50,9 +50,9 @@
 pub struct Metrics {
     classes: Vec<(String, ClassCounters)>,
     /// Files taken at SIGHUP.
-    pub cfg_accepted: u64,
+    pub reloads_accepted: u64,
     /// Files turned down at SIGHUP.
-    pub cfg_invalid: u64,
+    pub reloads_rejected: u64,
 }
 
 impl Metrics {
@@ -74,10 +74,10 @@
     pub fn count(&mut self, place: usize, end: CountedEvent) {
         let Some((_, ends)) = self.classes.get_mut(place) else { return };
         *match end {
-            CountedEvent::Served => &mut ends.fulfilled,
-            CountedEvent::Rejected => &mut ends.throttled,
-            CountedEvent::Failed => &mut ends.faulted,
-            CountedEvent::AttemptSent => &mut ends.relayed,
+            CountedEvent::Served => &mut ends.served,
+            CountedEvent::Rejected => &mut ends.rejected,
+            CountedEvent::Failed => &mut ends.failed,
+            CountedEvent::AttemptSent => &mut ends.attempts_sent,
         } += 1;
     }
 
@@ -90,18 +90,18 @@
         };
         let mut relayed = 0;
         for (name, ends) in &self.classes {
-            line(&format!("operations.{name}.fulfilled"), ends.fulfilled);
-            line(&format!("operations.{name}.throttled"), ends.throttled);
-            line(&format!("operations.{name}.faulted"), ends.faulted);
-            line(&format!("operations.{name}.relayed"), ends.relayed);
-            relayed += ends.relayed;
+            line(&format!("operations.{name}.fulfilled"), ends.served);
+            line(&format!("operations.{name}.throttled"), ends.rejected);
+            line(&format!("operations.{name}.faulted"), ends.failed);
+            line(&format!("operations.{name}.relayed"), ends.attempts_sent);
+            relayed += ends.attempts_sent;
         }
         line("relayed", relayed);
         line("open_requests", gauges.open_requests as u64);
-        line("registry_entries", gauges.registry_entries as u64);
-        line("out_of_rotation", gauges.out_of_rotation as u64);
-        line("cfg_accepted", self.cfg_accepted);
-        line("cfg_invalid", self.cfg_invalid);
+        line("registry_entries", gauges.listed_endpoints as u64);
+        line("out_of_rotation", gauges.unavailable_endpoints as u64);
+        line("cfg_accepted", self.reloads_accepted);
+        line("cfg_invalid", self.reloads_rejected);
         text
     }
 }
@@ -132,7 +132,7 @@
         }
         // One that has vanished and comes back goes on counting.
         assert_eq!(figures.place("docs-pages"), docs);
-        let text = figures.lines(Gauges { open_requests: 3, registry_entries: 9, out_of_rotation: 1 });
+        let text = figures.lines(Gauges { open_requests: 3, listed_endpoints: 9, unavailable_endpoints: 1 });
         let value = |name: &str| {
             let mut named = text.lines().filter_map(|l| l.split_once('=')).filter(|l| l.0 == name);
             let value = named.next().unwrap_or_else(|| panic!("no {name}")).1.parse::<u64>().unwrap();
--- a/crates/router/src/pending_writes.rs
+++ b/crates/router/src/pending_writes.rs
@@ -44,7 +44,7 @@
             self.by_id.insert(rid, (now, endpoint));
             self.order.push_back((now, rid));
             if let Some(fresh) = &mut self.fresh {
-                fresh.push((rid, now, endpoint.map(|h| h.0)));
+                fresh.push(PendingWrite { request_id: rid, arrived: now, endpoint: endpoint.map(|id| id.0) });
             }
         }
         room
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -3,25 +3,34 @@
 
 use crate::buffers::BufferChain;
 
+/// A number of a client's request. Endpoints are sent the text, so that they see what the client sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedNumber {
+    /// The number as the client wrote it.
+    pub text: Vec<u8>,
+    /// What the text means.
+    pub value: u64,
+}
+
 /// What a client asks for, as it came.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The id, as it came, to be passed on like that, and as a number.
-    pub rid: (Vec<u8>, u64),
+    /// The request's id, unique among the open requests of all clients.
+    pub request_id: ReceivedNumber,
     /// The class by name.
     pub class: Vec<u8>,
-    /// The object, as it came and as a number.
-    pub object: (Vec<u8>, u64),
-    /// The part.
-    pub part: u32,
+    /// The object.
+    pub object: ReceivedNumber,
+    /// The chunk of the object.
+    pub chunk: u32,
     /// The group.
     pub group: u32,
     /// How long the client waits, in milliseconds.
-    pub budget: u64,
-    /// The tag of the copy that the client holds.
-    pub held: Option<Vec<u8>>,
+    pub budget_ms: u64,
+    /// The digest of the copy that the client holds: an unchanged object needs no bytes.
+    pub if_none_match: Option<Vec<u8>>,
     /// The idempotency key, where the class has one: endpoints tell repeats apart by it. It is passed on as it came.
-    pub key: Option<Vec<u8>>,
+    pub idempotency_key: Option<Vec<u8>>,
     /// The body of a write.
     pub body: BufferChain,
 }
@@ -29,8 +38,13 @@
 impl ClientRequest {
     /// What is wanted, of that class by number.
     pub fn wanted(&self, class: u16) -> RequestedObject {
-        let (object, part, group, rid) = (self.object.1, self.part, self.group, Some(self.rid.1));
-        RequestedObject { class, object, part, group, rid }
+        RequestedObject {
+            class,
+            object: self.object.value,
+            chunk: self.chunk,
+            group: self.group,
+            request_id: Some(self.request_id.value),
+        }
     }
 }
 
@@ -41,12 +55,12 @@
     pub class: u16,
     /// The object.
     pub object: u64,
-    /// The part.
-    pub part: u32,
+    /// The chunk of the object.
+    pub chunk: u32,
     /// The group.
     pub group: u32,
     /// The request's id, where the class needs it.
-    pub rid: Option<u64>,
+    pub request_id: Option<u64>,
 }
 
 /// A final answer.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -54,12 +54,12 @@
     ) -> Command {
         Command::RequestEnded(Box::new(RequestSummary {
             request,
-            wanted: self.wanted.clone(),
+            requested: self.wanted.clone(),
             arrived: self.arrived,
             budget: self.deadline.saturating_duration_since(self.arrived),
-            took: now.saturating_duration_since(self.arrived),
+            duration: now.saturating_duration_since(self.arrived),
             result,
-            why,
+            reason: why,
             bytes: bytes as u64,
             attempts: self.attempts,
             endpoint: self.tried.0.clone(),
@@ -108,21 +108,21 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     /// Requests taken.
-    pub taken: u64,
+    pub received: u64,
     /// Answered with what was asked for.
     pub served: u64,
     /// Refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Refused before they were opened: too much on their connection, in the buffers, or the router empties.
-    pub turned_away: u64,
+    pub shed: u64,
     /// Lookups answered.
     pub lookups: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Commands to something that has ended or may not be sent: never carried out.
-    pub broken: u64,
+    pub invariant_violations: u64,
 }
 
 /// What the core is started with.
@@ -163,7 +163,7 @@
     /// What has been counted so far.
     pub counters: Counters,
     /// What operators are shown.
-    pub figures: Metrics,
+    pub metrics: Metrics,
     /// The places of the classes' numbers there, by class.
     places: Vec<usize>,
 }
@@ -192,7 +192,7 @@
             out: BTreeMap::new(),
             next: 1,
             counters: Counters::default(),
-            figures,
+            metrics: figures,
             places,
         })
     }
@@ -210,16 +210,22 @@
     /// Counts an end of a request of a class, or an attempt.
     pub fn count(&mut self, class: u16, end: CountedEvent) {
         if let Some(place) = self.places.get(usize::from(class)) {
-            self.figures.count(*place, end);
+            self.metrics.count(*place, end);
         }
     }
 
     /// A request that is refused before it is opened; what there is to say of it.
     pub fn reject_unopened(&mut self, now: Timestamp, ask: &ClientRequest) -> Option<Command> {
-        self.counters.turned_away += 1;
+        self.counters.shed += 1;
         let class = self.classes.named(&ask.class)?;
         self.count(class, CountedEvent::Rejected);
-        Some(unopened(&ask.wanted(class), now, ask.budget, RequestResult::Rejected, ResultReason::Overloaded))
+        Some(unopened(
+            &ask.wanted(class),
+            now,
+            ask.budget_ms,
+            RequestResult::Rejected,
+            ResultReason::Overloaded,
+        ))
     }
 
     /// A request whose fields can't be used: it is failed.
@@ -331,7 +337,7 @@
     }
 
     fn quit(&self, attempt: AttemptId) -> Command {
-        Command::CancelAttempt { attempt, again: self.open.contains_key(&attempt.request) }
+        Command::CancelAttempt { attempt, may_retry: self.open.contains_key(&attempt.request) }
     }
 
     /// Answers whatever is open: nothing may be left when the router ends.
@@ -351,7 +357,7 @@
         ask: ClientRequest,
         commands: &mut Vec<Command>,
     ) {
-        self.counters.taken += 1;
+        self.counters.received += 1;
         let Some(class) = self.classes.named(&ask.class) else {
             self.counters.failed += 1;
             return commands.push(Command::Reply(client, Reply::Failed));
@@ -359,26 +365,27 @@
         let wanted = ask.wanted(class);
         // An id that is open can't be told from the first one at a shelf; nobody waits for longer than his class.
         let limit = self.settings.classes[usize::from(class)].deadline * PATIENCE;
-        let rid = ask.rid.1;
-        if self.open_ids.contains(&rid) || !limit.is_zero() && Duration::from_millis(ask.budget) > limit {
+        let rid = ask.request_id.value;
+        if self.open_ids.contains(&rid) || !limit.is_zero() && Duration::from_millis(ask.budget_ms) > limit {
             self.tally(class, &Reply::Failed);
             commands.push(unopened(
                 &wanted,
                 now,
-                ask.budget,
+                ask.budget_ms,
                 RequestResult::Failed,
                 ResultReason::InvalidRequest,
             ));
             return commands.push(Command::Reply(client, Reply::Failed));
         }
-        let once = wanted.rid.filter(|_| self.classes.idempotency(class) == Idempotency::NotIdempotent);
+        let once =
+            wanted.request_id.filter(|_| self.classes.idempotency(class) == Idempotency::NotIdempotent);
         if once.is_some_and(|rid| self.filings.by_id.contains_key(&rid)) {
             // It was taken before, or somebody was told where to go with it: it may have run.
             self.tally(class, &Reply::Failed);
             commands.push(unopened(
                 &wanted,
                 now,
-                ask.budget,
+                ask.budget_ms,
                 RequestResult::Failed,
                 ResultReason::MayHaveRun,
             ));
@@ -391,14 +398,14 @@
             commands.push(unopened(
                 &wanted,
                 now,
-                ask.budget,
+                ask.budget_ms,
                 RequestResult::Rejected,
                 ResultReason::TableFull,
             ));
             return commands.push(Command::Reply(client, refused));
         }
         let mind = if self.follow.is_some() { RoutingMode::FollowHint } else { RoutingMode::Decide };
-        let deadline = now + Duration::from_millis(ask.budget);
+        let deadline = now + Duration::from_millis(ask.budget_ms);
         self.begin(now, deadline, mind, wanted, Some((client, Rc::new(ask))), commands);
     }
 
@@ -406,7 +413,7 @@
     fn tally(&mut self, class: u16, reply: &Reply) {
         let (counter, end) = match reply {
             Reply::Served(..) | Reply::NotModified(_) => (&mut self.counters.served, CountedEvent::Served),
-            Reply::Rejected(_) => (&mut self.counters.refused, CountedEvent::Rejected),
+            Reply::Rejected(_) => (&mut self.counters.rejected, CountedEvent::Rejected),
             Reply::Failed => (&mut self.counters.failed, CountedEvent::Failed),
         };
         *counter += 1;
@@ -425,11 +432,11 @@
     ) -> RequestId {
         let id = self.next;
         self.next = self.next.wrapping_add(1).max(1);
-        let RequestedObject { class, object, part, group, .. } = wanted;
+        let RequestedObject { class, object, chunk: part, group, .. } = wanted;
         let request = Request { id, class, object, part, group, deadline, ..Request::default() };
         if let Some((client, _)) = &from {
             self.by_client.insert(*client, id);
-            self.open_ids.extend(wanted.rid);
+            self.open_ids.extend(wanted.request_id);
         }
         let (arrived, tried, last, ran) = (now, (None, None), None, None);
         self.open.insert(id, Open { mind, wanted, from, attempts: 0, arrived, deadline, tried, last, ran });
@@ -440,7 +447,7 @@
     fn withdraw(&mut self, now: Timestamp, client: ClientHandle, commands: &mut Vec<Command>) {
         if let Some(request) = self.by_client.remove(&client) {
             if let Some(open) = self.open.remove(&request) {
-                open.wanted.rid.map(|rid| self.open_ids.remove(&rid));
+                open.wanted.request_id.map(|rid| self.open_ids.remove(&rid));
                 commands.push(open.ended(request, now, RequestResult::Cancelled, open.why(), 0));
                 self.drive(now, open.mind, Event::Withdrawn { request }, commands);
             }
@@ -451,7 +458,7 @@
     fn reply(&mut self, now: Timestamp, request: RequestId, reply: Reply, commands: &mut Vec<Command>) {
         let Some(open) = self.open.remove(&request) else {
             // A second final answer would leave the client with an answer to nothing.
-            self.counters.broken += 1;
+            self.counters.invariant_violations += 1;
             debug_assert!(false, "a final answer after the end of request {request}");
             return;
         };
@@ -468,9 +475,9 @@
             return;
         };
         self.by_client.remove(&client);
-        open.wanted.rid.map(|rid| self.open_ids.remove(&rid));
+        open.wanted.request_id.map(|rid| self.open_ids.remove(&rid));
         let once = self.classes.idempotency(open.wanted.class) == Idempotency::NotIdempotent;
-        if let (Some(rid), Reply::Rejected(_), true) = (open.wanted.rid, &reply, once) {
+        if let (Some(rid), Reply::Rejected(_), true) = (open.wanted.request_id, &reply, once) {
             // Refused: it never ran, and may be asked for again.
             self.filings.by_id.remove(&rid);
         }
@@ -545,7 +552,13 @@
         let name = |id: EndpointId| self.members.get(&id).map(|m| m.0.clone());
         if let Some(endpoint) = name(out.endpoint).filter(|_| !out.named) {
             let (source, took) = (out.source.and_then(name), now.saturating_duration_since(out.sent));
-            commands.push(Command::AttemptEnded(AttemptSummary { attempt, endpoint, source, status, took }));
+            commands.push(Command::AttemptEnded(AttemptSummary {
+                attempt,
+                endpoint,
+                source,
+                status,
+                duration: took,
+            }));
         }
         Some(Event::AttemptOutcome(AttemptOutcome {
             request: attempt.request,
@@ -636,7 +649,7 @@
         let all = AttemptId { request, number: 0 }..=AttemptId { request, number: u16::MAX };
         let outstanding = self.out.range(all).next().is_some();
         let Some(open) = self.open.get_mut(&request).filter(|_| !outstanding) else {
-            self.counters.broken += 1;
+            self.counters.invariant_violations += 1;
             debug_assert!(false, "an attempt of request {request} that has ended or has one out");
             return None;
         };
@@ -669,9 +682,9 @@
                     target,
                     timeout,
                     class,
-                    ask,
+                    request: ask,
                     client,
-                    by,
+                    send_before: by,
                 }));
             }
             None => {
@@ -697,12 +710,12 @@
 ) -> Command {
     Command::RequestEnded(Box::new(RequestSummary {
         request: 0,
-        wanted: wanted.clone(),
+        requested: wanted.clone(),
         arrived,
         budget: Duration::from_millis(budget),
-        took: Duration::ZERO,
+        duration: Duration::ZERO,
         result,
-        why,
+        reason: why,
         bytes: 0,
         attempts: 0,
         endpoint: None,
--- a/crates/router/src/router/feed_events.rs
+++ b/crates/router/src/router/feed_events.rs
@@ -12,7 +12,7 @@
                 }
                 self.drive(now, RoutingMode::Decide, Event::Purged(purge), commands);
             }
-            FeedEvent::Endpoints { all, lines } => {
+            FeedEvent::Endpoints { is_full_list: all, endpoints: lines } => {
                 if all {
                     let named: Vec<EndpointId> = lines.iter().map(|m| m.entry.id).collect();
                     for (id, (_, m)) in self.members.iter_mut().filter(|(id, _)| !named.contains(id)) {
--- a/crates/router/src/router/handover.rs
+++ b/crates/router/src/router/handover.rs
@@ -18,15 +18,19 @@
         };
         let mut members: Vec<EndpointRecord> = self.members.values().map(line).collect();
         members.sort_by(|a, b| a.uid.cmp(&b.uid));
-        let filing = |(rid, f): (&u64, &(Timestamp, Option<EndpointId>))| (*rid, f.0, f.1.map(|h| h.0));
+        let filing = |(rid, f): (&u64, &(Timestamp, Option<EndpointId>))| PendingWrite {
+            request_id: *rid,
+            arrived: f.0,
+            endpoint: f.1.map(|h| h.0),
+        };
         let mut filings: Vec<PendingWrite> = self.filings.by_id.iter().map(filing).collect();
-        filings.sort_unstable_by_key(|f| (f.1, f.0));
+        filings.sort_unstable_by_key(|f| (f.arrived, f.request_id));
         self.filings.fresh = Some(Vec::new());
         HandoverState {
             classes: self.classes.names().map(str::to_string).collect(),
-            members,
-            filings,
-            memory: self.control.snapshot(),
+            endpoints: members,
+            pending_writes: filings,
+            decision: self.control.snapshot(),
             ..HandoverState::default()
         }
     }
@@ -43,15 +47,15 @@
 
     /// Requests that another router took and that may have run: they are never taken here.
     pub fn restore_pending_writes(&mut self, now: Timestamp, filings: &[PendingWrite]) {
-        for (rid, at, endpoint) in filings {
+        for PendingWrite { request_id: rid, arrived: at, endpoint } in filings {
             let _room = self.filings.add((*at).min(now), *rid, endpoint.map(EndpointId));
         }
     }
 
     /// Goes on with another router's legacy, after its list of members was told here.
     pub fn restore(&mut self, now: Timestamp, legacy: &HandoverState) {
-        self.restore_pending_writes(now, &legacy.filings);
-        let mut memory = legacy.memory.clone();
+        self.restore_pending_writes(now, &legacy.pending_writes);
+        let mut memory = legacy.decision.clone();
         let learnt = std::mem::take(&mut memory.classes);
         // The newest slot of a name comes last there.
         let by_name = |name: &str| legacy.classes.iter().zip(&learnt).rev().find(|(n, _)| *n == name);
@@ -71,7 +75,7 @@
         let named = names.iter().cloned().zip(settings.classes.iter().cloned()).collect();
         let ClassTable { classes, from } = self.classes.change(named, &self.settings.classes, &held);
         self.settings = Settings { classes, ..settings.clone() };
-        self.places = self.classes.names().map(|name| self.figures.place(name)).collect();
+        self.places = self.classes.names().map(|name| self.metrics.place(name)).collect();
         if let Some(follow) = &mut self.follow {
             follow.reconfigure(self.settings.clone());
         }
--- a/crates/router/src/router/lookups.rs
+++ b/crates/router/src/router/lookups.rs
@@ -35,7 +35,7 @@
         commands: &mut Vec<Command>,
     ) -> LookupResult<Target> {
         self.counters.lookups += 1;
-        let once = wanted.rid;
+        let once = wanted.request_id;
         if let Some(known) = once.and_then(|rid| self.filings.by_id.get(&rid)) {
             // One target for good: named again while it takes work, else nobody is.
             let endpoint = known.1.filter(|h| self.members.get(h).is_some_and(takes_work));
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -74,13 +74,13 @@
         let counted = &self.router.counters;
         format!(
             "counted taken={} served={} refused={} failed={} lookups={} attempts={} broken={} idle={}",
-            counted.taken,
+            counted.received,
             counted.served,
-            counted.refused,
+            counted.rejected,
             counted.failed,
             counted.lookups,
             counted.attempts,
-            counted.broken,
+            counted.invariant_violations,
             self.router.idle()
         )
     }
@@ -115,16 +115,16 @@
     }
 
     fn ask(&self, asked: Asked) -> ClientRequest {
-        let word = |number: u64| (format!("{number:016x}").into_bytes(), number);
+        let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         ClientRequest {
-            rid: word(asked.id),
+            request_id: word(asked.id),
             class: asked.class.into(),
             object: word(asked.object),
-            part: asked.part,
+            chunk: asked.part,
             group: asked.group,
-            budget: asked.budget_ms,
-            held: asked.holds_copy.then(|| b"held".to_vec()),
-            key: asked.has_key.then(|| b"key".to_vec()),
+            budget_ms: asked.budget_ms,
+            if_none_match: asked.holds_copy.then(|| b"held".to_vec()),
+            idempotency_key: asked.has_key.then(|| b"key".to_vec()),
             body: self.chain(asked.body),
         }
     }
@@ -146,7 +146,7 @@
         for line in &lines {
             self.names.insert(endpoint_id(&line.uid), line.uid.clone());
         }
-        FeedEvent::Endpoints { all, lines: lines.into_iter().map(member).collect() }
+        FeedEvent::Endpoints { is_full_list: all, endpoints: lines.into_iter().map(member).collect() }
     }
 
     fn lookup(
@@ -157,7 +157,7 @@
         commands: &mut Vec<Command>,
     ) -> Effect {
         let class = self.router.classes().named(class.as_bytes()).expect("a class in use");
-        let wanted = RequestedObject { class, object, part, group, rid: id };
+        let wanted = RequestedObject { class, object, chunk: part, group, request_id: id };
         match self.router.lookup(now, wanted, commands) {
             LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_words(&target)),
             LookupResult::Rejected => Effect::new("lookup refused", String::new()),
@@ -221,7 +221,7 @@
     fn effect(&mut self, command: Command) -> Option<Effect> {
         let idempotency = match command {
             Command::SendAttempt(order) => self.send(&order),
-            Command::CancelAttempt { attempt, again } => {
+            Command::CancelAttempt { attempt, may_retry: again } => {
                 Effect::new("cancel", format!("{} again={again}", attempt_words(attempt)))
             }
             Command::Reply(client, reply) => reply_effect(client, &reply),
@@ -251,10 +251,10 @@
             self.target_words(&order.target),
             whole_micros(order.timeout),
             order.class,
-            order.ask.rid.1,
+            order.request.request_id.value,
             order.client.conn,
             order.client.tag,
-            optional(order.by.map(Timestamp::as_micros))
+            optional(order.send_before.map(Timestamp::as_micros))
         );
         let kind = if order.attempt.number > 0 { "send again" } else { "send" };
         let sent =
@@ -383,8 +383,8 @@
 }
 
 fn wanted_words(wanted: &RequestedObject) -> String {
-    let id = optional(wanted.rid);
-    let RequestedObject { class, object, part, group, .. } = wanted;
+    let id = optional(wanted.request_id);
+    let RequestedObject { class, object, chunk: part, group, .. } = wanted;
     format!("class={class} object={object} part={part} group={group} id={id}")
 }
 
@@ -426,7 +426,7 @@
         tried.endpoint,
         tried.source.as_deref().unwrap_or("-"),
         status_word(tried.status),
-        whole_micros(tried.took)
+        whole_micros(tried.duration)
     );
     Effect::new("tried", line)
 }
@@ -440,7 +440,7 @@
         RequestResult::Cancelled => "ended withdrawn",
         RequestResult::Named => "ended named",
     };
-    let why = match ended.why {
+    let why = match ended.reason {
         ResultReason::Completed => "as-asked",
         ResultReason::TableFull => "no-room",
         ResultReason::InvalidRequest => "unusable",
@@ -452,10 +452,10 @@
     let line = format!(
         "request={} {} arrived={} budget={} took={} why={why} bytes={} attempts={} host={} source={}",
         ended.request,
-        wanted_words(&ended.wanted),
+        wanted_words(&ended.requested),
         ended.arrived.as_micros(),
         whole_micros(ended.budget),
-        whole_micros(ended.took),
+        whole_micros(ended.duration),
         ended.bytes,
         ended.attempts,
         ended.endpoint.as_deref().unwrap_or("-"),
@@ -477,10 +477,10 @@
         )
     };
     let once = |filing: &handover_state::PendingWrite| {
-        format!("{} {} {}", filing.0, filing.1.as_micros(), optional(filing.2))
+        format!("{} {} {}", filing.request_id, filing.arrived.as_micros(), optional(filing.endpoint))
     };
-    let members: Vec<String> = legacy.members.iter().map(member).collect();
-    let known: Vec<String> = legacy.filings.iter().map(once).collect();
+    let members: Vec<String> = legacy.endpoints.iter().map(member).collect();
+    let known: Vec<String> = legacy.pending_writes.iter().map(once).collect();
     let later: Vec<String> = later.iter().map(once).collect();
     let classes = legacy.classes.join(",");
     format!(
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -116,7 +116,7 @@
             answered: 0,
         };
         let lines = (0..UIDS.len()).map(|i| member(i, EndpointState::Ready)).collect();
-        world.feed(Input::Feed(FeedEvent::Endpoints { all: true, lines }));
+        world.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: true, endpoints: lines }));
         world
     }
 
@@ -140,16 +140,16 @@
                 match (EFFECTS[asked.class], asked.ran) {
                     (Idempotency::NotIdempotent, ran) => assert_eq!(ran, None, "it may have run"),
                     (Idempotency::WithKey, Some(ran)) => {
-                        let by = order.by.expect("a repeat has an end");
+                        let by = order.send_before.expect("a repeat has an end");
                         assert!(self.now <= by && by < ran + WINDOW, "a repeat after its window");
                     }
-                    _ => assert_eq!(order.by, None),
+                    _ => assert_eq!(order.send_before, None),
                 }
                 self.whose.insert(request, order.client);
                 self.out.insert(order.attempt, self.now);
             }
             // Written whole or not: it may have run.
-            Command::CancelAttempt { attempt, again } => {
+            Command::CancelAttempt { attempt, may_retry: again } => {
                 let client = self.whose[&attempt.request];
                 assert_eq!(
                     again,
@@ -187,16 +187,16 @@
     fn ask(&mut self, conn: u64, class: usize, object: u64) {
         self.serial += 1;
         let tag = self.serial as u64;
-        let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
+        let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         let ask = ClientRequest {
-            rid: word(tag),
+            request_id: word(tag),
             class: NAMES[class].into(),
             object: word(object),
-            part: 0,
+            chunk: 0,
             group: 1,
-            budget: 1_500,
-            held: None,
-            key: None,
+            budget_ms: 1_500,
+            if_none_match: None,
+            idempotency_key: None,
             body: self.pool.chain(),
         };
         let client = ClientHandle { conn, tag };
@@ -255,7 +255,7 @@
         } else {
             self.ready.remove(&id);
         }
-        self.feed(Input::Feed(FeedEvent::Endpoints { all: false, lines: vec![line] }));
+        self.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: false, endpoints: vec![line] }));
     }
 
     /// A client cancels its oldest request, or closes its connection.
@@ -317,7 +317,7 @@
         prop_assert!(world.owed.is_empty(), "{} clients without an answer", world.owed.len());
         prop_assert!(world.out.is_empty(), "attempts out that nobody waits for");
         prop_assert!(world.router.idle());
-        prop_assert_eq!(world.router.counters.broken, 0);
+        prop_assert_eq!(world.router.counters.invariant_violations, 0);
     }
 }
 
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What the router is to its clients, under any order of signals, calls and replacements.
+//! The phases of the router process under any order of signals, admin calls and takeovers.
 
 use hollymux_decision::Timestamp;
 use hollymux_router::lifecycle::*;
@@ -7,63 +7,106 @@
 
 const EVENTS: [Event; 6] =
     [Event::Began, Event::Standby, Event::Active, Event::Replaced, Event::Alone, Event::Stop];
+/// Times after an event at which the lifecycle is looked at: on both sides of each of its limits.
+const LOOK_AHEAD_MS: [u64; 8] = [0, 399, 400, 699, 700, 1_999, 2_000, 3_900];
+const LONGEST_DEADLINES: [Duration; 3] =
+    [Duration::from_micros(1), Duration::from_millis(500), Duration::from_secs(5)];
+const MAX_SHUTDOWN_GRACE: Duration = Duration::from_secs(3);
+
+/// What the events so far come to, kept apart from the lifecycle under test.
+#[derive(Default)]
+struct Expected {
+    started: bool,
+    standby_since: Option<Timestamp>,
+    replaced: bool,
+    stopping_since: Option<Timestamp>,
+}
+
+impl Expected {
+    fn apply(&mut self, now: Timestamp, event: Event, accepted: bool) {
+        match event {
+            Event::Began => self.started = true,
+            Event::Standby => self.standby_since = self.standby_since.or(Some(now)),
+            Event::Active if accepted => self.standby_since = None,
+            Event::Active => {}
+            Event::Replaced => self.replaced = true,
+            Event::Alone => self.replaced = false,
+            Event::Stop => self.stopping_since = self.stopping_since.or(Some(now)),
+        }
+    }
+
+    fn is_ready(&self) -> bool {
+        let undisturbed = self.standby_since.is_none() && !self.replaced && self.stopping_since.is_none();
+        self.started && undisturbed
+    }
+
+    fn killed_at(&self, longest: Duration) -> Option<Timestamp> {
+        let grace = longest.min(MAX_SHUTDOWN_GRACE) + Duration::from_millis(700);
+        self.stopping_since.map(|since| since + grace)
+    }
+}
+
+/// What must hold at a time, if no event comes until then.
+fn check_at(lifecycle: &Lifecycle, expected: &Expected, then: Timestamp) -> Result<(), TestCaseError> {
+    if lifecycle.ready() {
+        prop_assert!(
+            lifecycle.accepts(then)
+                && lifecycle.serves(then, Duration::from_secs(1))
+                && lifecycle.stays(then, None)
+        );
+    }
+    prop_assert!(
+        !(lifecycle.accepts(then) && expected.replaced),
+        "two processes accept the same connections"
+    );
+    // A client that connects is accepted by this process, by another one, or finds that it has exited.
+    let exited = expected.stopping_since.is_some_and(|since| then >= since + SHUTDOWN_LINGER);
+    prop_assert_eq!(lifecycle.accepts(then), expected.started && !expected.replaced && !exited);
+    if let Some(since) = expected.standby_since.filter(|since| then >= *since + Duration::from_secs(2)) {
+        let serves = lifecycle.serves(then, Duration::from_secs(1));
+        prop_assert!(!serves, "a connection that is never idle is held since {:?}", since);
+    }
+    if expected.standby_since.is_some_and(|since| then >= since + Duration::from_millis(400)) {
+        prop_assert!(!lifecycle.stays(then, None));
+        prop_assert!(!lifecycle.stays(then, Some(then.saturating_sub(Duration::from_millis(100)))));
+    }
+    if exited {
+        prop_assert!(!lifecycle.stays(then, None) && lifecycle.lingered(then));
+        // A request that is accepted late ends before the process can be killed.
+        for longest in LONGEST_DEADLINES {
+            let ends_by = lifecycle.ends_by(longest);
+            prop_assert_eq!(ends_by.is_some(), expected.replaced);
+            prop_assert!(ends_by < expected.killed_at(longest));
+            let too_late = ends_by.is_some_and(|end| then >= end);
+            prop_assert!(!(too_late && lifecycle.serves(then, longest)));
+        }
+    }
+    Ok(())
+}
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a yes from a router that is emptied, ends or takes nobody; against connections that it
-    /// neither serves nor lets go; and against a way back from an end.
+    /// Guards against readiness of a router that is in standby, stops or accepts nobody; against connections that
+    /// it neither serves nor closes; and against a way back from a stop.
     #[test]
-    fn no_state_says_yes_and_takes_nobody(steps in proptest::collection::vec((0usize..6, 0u64..3_000), 1..40)) {
-        let (mut life, mut now, mut began, mut stopped) = (Lifecycle::default(), Timestamp::from_micros(1), false, None);
-        let (mut standby, mut replaced) = (None, false);
-        for (event, wait) in steps {
-            now += Duration::from_millis(wait);
+    fn a_router_that_serves_nobody_is_never_ready(steps in proptest::collection::vec((0usize..6, 0u64..3_000), 1..40)) {
+        let mut lifecycle = Lifecycle::default();
+        let mut expected = Expected::default();
+        let mut now = Timestamp::from_micros(1);
+        for (event, wait_ms) in steps {
+            now += Duration::from_millis(wait_ms);
             let event = EVENTS[event];
-            let done = life.on(now, event);
-            prop_assert_eq!(done, event != Event::Active || stopped.is_none());
-            match event {
-                Event::Began => began = true,
-                Event::Standby => standby = standby.or(Some(now)),
-                Event::Active if done => standby = None,
-                Event::Active => {}
-                Event::Replaced => replaced = true,
-                Event::Alone => replaced = false,
-                Event::Stop => stopped = stopped.or(Some(now)),
-            }
-            let quiet = standby.is_none() && !replaced && stopped.is_none();
-            prop_assert_eq!(life.ready(), began && quiet);
-            for ahead in [0, 399, 400, 699, 700, 1_999, 2_000, 3_900] {
-                let then = now + Duration::from_millis(ahead);
-                if life.ready() {
-                    prop_assert!(life.accepts(then) && life.serves(then, Duration::from_secs(1)) && life.stays(then, None));
-                }
-                prop_assert!(!(life.accepts(then) && replaced), "two processes take the same connections");
-                // Whoever connects is taken by this process, by another one, or finds that it has ended.
-                let ended = stopped.is_some_and(|at| then >= at + LINGER);
-                prop_assert_eq!(life.accepts(then), began && !replaced && !ended);
-                if let Some(at) = standby.filter(|at| then >= *at + Duration::from_secs(2)) {
-                    prop_assert!(!life.serves(then, Duration::from_secs(1)), "a connection that never pauses is held from {:?}", at);
-                }
-                if standby.is_some_and(|at| then >= at + Duration::from_millis(400)) {
-                    prop_assert!(!life.stays(then, None));
-                    prop_assert!(!life.stays(then, Some(then.saturating_sub(Duration::from_millis(100)))));
-                }
-                if stopped.is_some_and(|at| then >= at + LINGER) {
-                    prop_assert!(!life.stays(then, None) && life.lingered(then));
-                    // What is taken late is ended before the process can be killed over it.
-                    let killed = |longest: Duration| stopped.map(|at| at + longest.min(Duration::from_secs(3)) + Duration::from_millis(700));
-                    for longest in [Duration::from_micros(1), Duration::from_millis(500), Duration::from_secs(5)] {
-                        let ends = life.ends_by(longest);
-                        prop_assert_eq!(ends.is_some(), replaced);
-                        prop_assert!(ends < killed(longest));
-                        let late = ends.is_some_and(|by| then >= by);
-                        prop_assert!(!(late && life.serves(then, longest)));
-                    }
-                }
+            let accepted = lifecycle.apply(now, event);
+            prop_assert_eq!(accepted, event != Event::Active || expected.stopping_since.is_none());
+            expected.apply(now, event, accepted);
+            prop_assert_eq!(lifecycle.ready(), expected.is_ready());
+            for ahead in LOOK_AHEAD_MS {
+                check_at(&lifecycle, &expected, now + Duration::from_millis(ahead))?;
             }
-            // There is a time at which it looks after those it has to let go.
-            prop_assert_eq!(life.empties_at().is_some(), standby.is_some() || stopped.is_some());
+            // There is a time at which connections are closed.
+            let closes_connections = expected.standby_since.is_some() || expected.stopping_since.is_some();
+            prop_assert_eq!(lifecycle.empties_at().is_some(), closes_connections);
         }
     }
 }
--- a/crates/server/src/clients.rs
+++ b/crates/server/src/clients.rs
@@ -260,7 +260,8 @@
     /// A request with no more time than this process has.
     fn in_time(&self, mut ask: ClientRequest) -> ClientRequest {
         if let Some(by) = self.lifecycle.ends_by(self.longest()) {
-            ask.budget = ask.budget.min(by.saturating_duration_since(self.now).as_millis() as u64).max(1);
+            ask.budget_ms =
+                ask.budget_ms.min(by.saturating_duration_since(self.now).as_millis() as u64).max(1);
         }
         ask
     }
@@ -289,7 +290,7 @@
         if conn.owed.remove(&client.tag).is_none() {
             // The client has stopped waiting, and the core hears of it next; else it would be a second answer.
             if !self.inbox.iter().any(|i| matches!(i, Input::Cancel(c) if *c == client)) {
-                self.router.counters.broken += 1;
+                self.router.counters.invariant_violations += 1;
                 debug_assert!(false, "an answer that is not owed");
             }
             return self.put_back(client.conn, Role::Client(conn), Fate::Keep);
--- a/crates/server/src/dns.rs
+++ b/crates/server/src/dns.rs
@@ -191,7 +191,7 @@
     /// Asks where a request is to go.
     pub(super) fn look(&mut self, request: RequestId, wanted: &RequestedObject) {
         let once = self.router.classes().idempotency(wanted.class) == Idempotency::NotIdempotent;
-        let wanted = RequestedObject { rid: wanted.rid.filter(|_| once), ..wanted.clone() };
+        let wanted = RequestedObject { request_id: wanted.request_id.filter(|_| once), ..wanted.clone() };
         let name = dns_routing::name_of(&wanted, &self.zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.asked.len() < ASKED_MOST) else {
             return self.inbox.push_back(Input::LookedUp(request, LookupResult::Failed));
--- a/crates/server/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -145,7 +145,7 @@
         info!(
             "replacing the process that serves this address{}",
             match &legacy {
-                Some(l) => format!(": {} members, {} filings", l.members.len(), l.filings.len()),
+                Some(l) => format!(": {} members, {} filings", l.endpoints.len(), l.pending_writes.len()),
                 None => ": it is of another version, only its listening socket is taken over".into(),
             }
         );
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -27,7 +27,7 @@
 use hollymux_protocol::dns::Name;
 use hollymux_router::buffers::{BufferChain, BufferPool, BUFFER};
 use hollymux_router::handover_state::HandoverState;
-use hollymux_router::lifecycle::{Event, Lifecycle, Phase, FAREWELL, LINGER};
+use hollymux_router::lifecycle::{Event, Lifecycle, Phase, CLIENT_CLOSE_TIMEOUT, SHUTDOWN_LINGER};
 use hollymux_router::{AttemptId, Command, FeedEvent, Input, RequestSummary, Router, Wake};
 use operations::DoorConn;
 use operator::Operator;
@@ -368,7 +368,7 @@
     /// Tells the lifecycle of an event and does what follows from it; false if it can't be followed.
     fn live(&mut self, event: Event) -> bool {
         let before = self.lifecycle.phase();
-        let done = self.lifecycle.on(self.now, event);
+        let done = self.lifecycle.apply(self.now, event);
         let after = self.lifecycle.phase();
         if let Some(at) = self.lifecycle.empties_at() {
             self.wheel.set(at, Timer::Empty);
@@ -404,7 +404,7 @@
         let c = self.router.counters;
         format!(
             "took {} requests: {} served, {} refused, {} failed; {} turned away; {} attempts, {} lookups; invariants broken: {}",
-            c.taken, c.served, c.refused, c.failed, c.turned_away, c.attempts, c.lookups, c.broken
+            c.received, c.served, c.rejected, c.failed, c.shed, c.attempts, c.lookups, c.invariant_violations
         )
     }
 
@@ -454,7 +454,7 @@
     fn carry_out(&mut self, command: Command) {
         match command {
             Command::SendAttempt(order) => self.send(order),
-            Command::CancelAttempt { attempt, again } => self.quit(attempt, again),
+            Command::CancelAttempt { attempt, may_retry: again } => self.quit(attempt, again),
             Command::Lookup(request, wanted) => self.look(request, &wanted),
             Command::Reply(client, reply) => self.answer(client, reply),
             Command::Wake(at, wake) => self.wheel.set(at, Timer::Core(wake)),
@@ -464,7 +464,7 @@
             Command::AttemptEnded(t) => {
                 let (request, number) = (t.attempt.request, t.attempt.number);
                 let (shelf, source) = (&*t.endpoint, t.source.as_deref());
-                let (status, took_us) = (t.status, whole_micros(t.took));
+                let (status, took_us) = (t.status, whole_micros(t.duration));
                 debug!(request, attempt = number, shelf, source, ?status, took_us, "attempt ended");
             }
             Command::RequestEnded(ended) => self.ended(&ended),
@@ -476,7 +476,9 @@
     fn tell(&mut self, told: FeedEvent) {
         if let Some(recorder) = &mut self.recorder {
             match &told {
-                FeedEvent::Endpoints { lines, .. } => recorder.members(self.now.as_micros(), lines),
+                FeedEvent::Endpoints { endpoints: lines, .. } => {
+                    recorder.members(self.now.as_micros(), lines)
+                }
                 FeedEvent::Purge { object, group, .. } => {
                     recorder.purge(self.now.as_micros(), *object, *group)
                 }
@@ -490,14 +492,14 @@
         if let Some(recorder) = &mut self.recorder {
             recorder.request(e);
         }
-        let class = self.router.classes().name(e.wanted.class);
+        let class = self.router.classes().name(e.requested.class);
         debug!(
             request = e.request,
-            rid = format_args!("{:016x}", e.wanted.rid.unwrap_or_default()),
+            rid = format_args!("{:016x}", e.requested.request_id.unwrap_or_default()),
             class,
             result = ?e.result,
-            reason = ?e.why,
-            took_us = whole_micros(e.took),
+            reason = ?e.reason,
+            took_us = whole_micros(e.duration),
             bytes = e.bytes,
             attempts = e.attempts,
             shelf = e.endpoint.as_deref(),
@@ -513,9 +515,9 @@
             self.read_again();
         } else if self.lifecycle.phase() != Phase::Stopping {
             self.live(Event::Stop);
-            self.wheel.set(self.now + self.longest() + LINGER + FINISH, Timer::Over);
-            self.wheel.set(self.now + LINGER, Timer::Empty);
-            self.wheel.set(self.now + LINGER + FAREWELL, Timer::Empty);
+            self.wheel.set(self.now + self.longest() + SHUTDOWN_LINGER + FINISH, Timer::Over);
+            self.wheel.set(self.now + SHUTDOWN_LINGER, Timer::Empty);
+            self.wheel.set(self.now + SHUTDOWN_LINGER + CLIENT_CLOSE_TIMEOUT, Timer::Empty);
             info!("SIGTERM: finishing what is open");
         }
         Fate::Keep
--- a/crates/server/src/operations.rs
+++ b/crates/server/src/operations.rs
@@ -120,10 +120,10 @@
 
     fn figures(&self) -> String {
         let rotation = self.router.rotation();
-        self.router.figures.lines(Gauges {
+        self.router.metrics.lines(Gauges {
             open_requests: self.router.owed(),
-            registry_entries: rotation.listed,
-            out_of_rotation: rotation.avoided,
+            listed_endpoints: rotation.listed,
+            unavailable_endpoints: rotation.avoided,
         })
     }
 
--- a/crates/server/src/reload.rs
+++ b/crates/server/src/reload.rs
@@ -14,7 +14,7 @@
         });
         match applied {
             Ok(new) => {
-                self.router.figures.cfg_accepted += 1;
+                self.router.metrics.reloads_accepted += 1;
                 info!("SIGHUP: {} classes; the control feed is at {}", new.names.classes.len(), new.feed);
                 let here = &mut self.config;
                 (here.feed, here.names) = (new.feed, new.names);
@@ -23,7 +23,7 @@
                 self.call_feed_anew();
             }
             Err(e) => {
-                self.router.figures.cfg_invalid += 1;
+                self.router.metrics.reloads_rejected += 1;
                 warn!("SIGHUP: the old configuration stays: {e}");
             }
         }
--- a/crates/server/src/shelfs.rs
+++ b/crates/server/src/shelfs.rs
@@ -145,7 +145,7 @@
 
     fn try_send(&mut self, order: AttemptRequest) -> Result<(), AttemptFailure> {
         let bytes = endpoint::ask(&self.pool, &order).map_err(|_| AttemptFailure::NotSent)?;
-        let rid = order.ask.rid.0.clone();
+        let rid = order.request.request_id.text.clone();
         let (endpoint, addr) = (order.target.endpoint, order.target.addr);
         let mut key = self.connection(endpoint, addr, &rid)?;
         // Its end may have come and not been read yet: what is written there may have run for all that is known.
@@ -154,9 +154,9 @@
         }
         let now = self.now;
         let Some(Role::Shelf(conn)) = self.role(key) else { return Err(AttemptFailure::NotSent) };
-        let (id, class, held) = (order.attempt, order.class, order.ask.held.clone());
+        let (id, class, held) = (order.attempt, order.class, order.request.if_none_match.clone());
         conn.open.insert(rid, Sent::Attempt(Given { id, class, held, since: now, whole: false }));
-        let (client, source, by) = (order.client, order.target.fill.source, order.by);
+        let (client, source, by) = (order.client, order.target.fill.source, order.send_before);
         conn.queue(bytes, Some(Errand { id, client, source, by }), now);
         self.attempts.insert(order.attempt, key);
         self.write_shelf(key);
--- a/crates/server/src/shelfs/tests.rs
+++ b/crates/server/src/shelfs/tests.rs
@@ -36,16 +36,17 @@
 fn send(driver: &mut Server, addr: SocketAddr, body: usize) {
     let mut chain = driver.pool.chain();
     chain.extend(&vec![b'x'; body]).unwrap();
-    let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
+    let word =
+        |value: u64| hollymux_router::ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
     let ask = ClientRequest {
-        rid: word(1),
+        request_id: word(1),
         class: b"cert-filing".to_vec(),
         object: word(2),
-        part: 0,
+        chunk: 0,
         group: 1,
-        budget: 1_500,
-        held: None,
-        key: None,
+        budget_ms: 1_500,
+        if_none_match: None,
+        idempotency_key: None,
         body: chain,
     };
     let fill = CacheFill {
@@ -63,9 +64,9 @@
         target,
         timeout: Duration::from_secs(1),
         class: 0,
-        ask: Rc::new(ask),
+        request: Rc::new(ask),
         client,
-        by: None,
+        send_before: None,
     });
 }
 
--- a/crates/simulation/src/virtually.rs
+++ b/crates/simulation/src/virtually.rs
@@ -307,16 +307,19 @@
 
     fn on_ask(&mut self, ask: &Ask) {
         let router = self.day.router(ask.office, ask.router);
-        let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
+        let word = |value: u64| hollymux_router::ReceivedNumber {
+            text: format!("{value:016x}").into_bytes(),
+            value,
+        };
         let asked = hollymux_router::ClientRequest {
-            rid: word(ask.rid),
+            request_id: word(ask.rid),
             class: self.day.classes[ask.class].name.clone().into_bytes(),
             object: word(ask.key.0),
-            part: ask.key.1,
+            chunk: ask.key.1,
             group: ask.group,
-            budget: ask.budget_ms,
-            held: None,
-            key: None,
+            budget_ms: ask.budget_ms,
+            if_none_match: None,
+            idempotency_key: None,
             body: self.pool.chain(),
         };
         self.open.insert(ask.id, (router, ask.rid));
@@ -327,7 +330,7 @@
         let now = self.now;
         let seat = self.seats[router];
         match &told {
-            FeedEvent::Endpoints { lines, .. } => (self.ended)(seat, &Heard::Members(now, lines)),
+            FeedEvent::Endpoints { endpoints: lines, .. } => (self.ended)(seat, &Heard::Members(now, lines)),
             FeedEvent::Purge { object, group, .. } => (self.ended)(seat, &Heard::Purge(now, *object, *group)),
         }
         self.feed(router, Input::Feed(told));
@@ -601,13 +604,13 @@
             return self.world.news.push(News::Answer(id, Word::Full, 0));
         }
         let class = usize::from(order.class);
-        let key = (order.ask.object.1, order.ask.part);
+        let key = (order.request.object.value, order.request.chunk);
         let call = Call {
             class,
             key,
-            group: order.ask.group,
+            group: order.request.group,
             bytes: self.clients.objects.bytes(class, key),
-            rid: order.ask.rid.1,
+            rid: order.request.request_id.value,
             accept: f.max_age.map(whole_micros),
             keep: f.retention,
             source: known,
