--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -59,7 +59,7 @@
 
     /// Takes classes by name in the place of those that are named now. `table` has the slots' present classes, `held`
     /// the slots that requests or attempts hold.
-    pub fn change(
+    pub fn replace(
         &mut self,
         named: Vec<(String, RequestClass)>,
         table: &[RequestClass],
@@ -124,7 +124,7 @@
                     named.into_iter().map(|(n, (d, e))| (format!("c{n}"), class(d, e))).collect();
                 let old: Vec<(String, Option<u16>)> =
                     (0..6).map(|n| format!("c{n}")).map(|n| (n.clone(), classes.named(n.as_bytes()))).collect();
-                let new = classes.change(named.clone(), &table, &held);
+                let new = classes.replace(named.clone(), &table, &held);
                 prop_assert_eq!(new.classes.len(), new.from.len());
                 for h in &held {
                     prop_assert_eq!(&new.classes[usize::from(*h)], &table[usize::from(*h)]);
--- a/crates/router/src/hint_follower.rs
+++ b/crates/router/src/hint_follower.rs
@@ -1,93 +1,133 @@
-//! Following DNS-based routing as a client: each request goes to the box that a lookup names, and to nothing
-//! else. It takes the module's events and gives its actions, so that the core treats both alike.
+//! Routing by DNS lookups at another router: each request goes to the endpoint that a lookup names, and nowhere
+//! else. The follower takes the events of the decision module and returns its actions, so that the router treats
+//! both alike.
 //!
-//! A lookup's answer is used at once or not at all. A request that may not be repeated is looked up and sent
-//! once: it fails if it may have run, and is refused if it can't have.
+//! The result of a lookup is used at once or not at all. A request that is not idempotent is looked up and sent
+//! once: it fails if it may have run, and is rejected if it can't have.
 
 use hollymux_decision::time::divide_to_micros;
-use hollymux_decision::*;
+use hollymux_decision::{
+    Action, AttemptOutcome, AttemptStatus, CacheFill, DecisionSnapshot, EndpointId, Event, Idempotency,
+    Purge, PurgeHistory, Request, RequestId, Settings, Timestamp,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The wait before a further lookup, times the attempts so far.
-const AGAIN: Duration = Duration::from_millis(25);
+/// The wait before a further lookup is this, times the attempts so far.
+const LOOKUP_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// Purges remembered.
-const PURGES: usize = 20_000;
-/// The bit of a timer's token that marks a further lookup rather than the deadline.
-const LOOKUP: u64 = 1;
+const MAX_PURGES: usize = 20_000;
 
 /// What a lookup came to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookupResult<T> {
-    /// A box, and what the fill is to be.
+    /// An endpoint and how it is to fill its cache.
     Endpoint(T),
-    /// Nothing may be named now.
+    /// No endpoint may be named now.
     Rejected,
-    /// No answer, or none that can be used.
+    /// No response, or none that can be used.
     Failed,
 }
 
+/// What a timer of the follower is for. The lowest bit of its token tells them apart, the others are the request.
+enum Timer {
+    Deadline(RequestId),
+    LookupRetry(RequestId),
+}
+
+impl Timer {
+    const LOOKUP_RETRY_BIT: u64 = 1;
+
+    fn token(&self) -> u64 {
+        match self {
+            Timer::Deadline(id) => u64::from(*id) << 1,
+            Timer::LookupRetry(id) => u64::from(*id) << 1 | Timer::LOOKUP_RETRY_BIT,
+        }
+    }
+
+    fn from_token(token: u64) -> Timer {
+        let id = (token >> 1) as RequestId;
+        if token & Timer::LOOKUP_RETRY_BIT != 0 {
+            Timer::LookupRetry(id)
+        } else {
+            Timer::Deadline(id)
+        }
+    }
+}
+
+/// What a request waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    /// The time of the next lookup.
+    Waiting,
+    /// The result of a lookup.
+    LookingUp,
+    /// The outcome of an attempt.
+    InFlight,
+}
+
 #[derive(Debug)]
 struct FollowedRequest {
-    r: Request,
-    once: bool,
+    request: Request,
+    /// Its class is not idempotent: it is sent once at most.
+    send_once: bool,
+    /// Lookups that ended; each but the rejected and failed ones led to an attempt.
     attempts: u32,
-    looking: bool,
-    out: bool,
-    ran: bool,
+    progress: Progress,
+    /// An attempt ended that may have run.
+    may_have_run: bool,
 }
 
-/// The requests that are followed by lookups.
+impl FollowedRequest {
+    /// Whether it can be rejected: if it was sent, repeating it does no harm.
+    fn is_safe_to_reject(&self) -> bool {
+        let may_run = self.may_have_run || self.progress == Progress::InFlight;
+        !self.send_once || !may_run
+    }
+}
+
+/// The requests that follow lookups.
 #[derive(Debug)]
 pub struct HintFollower {
     settings: Settings,
     purges: PurgeHistory,
     open: BTreeMap<RequestId, FollowedRequest>,
-    /// Requests to be looked up now.
-    pub wanted: Vec<RequestId>,
+    /// Requests whose lookup has not been taken by the router yet.
+    lookups: Vec<RequestId>,
 }
 
 impl HintFollower {
     /// A follower under these settings.
     pub fn new(settings: Settings) -> HintFollower {
-        HintFollower { settings, purges: PurgeHistory::default(), open: BTreeMap::new(), wanted: Vec::new() }
+        HintFollower { settings, purges: PurgeHistory::default(), open: BTreeMap::new(), lookups: Vec::new() }
     }
 
-    /// Takes the purges that another router knew.
-    pub fn restore(&mut self, now: Timestamp, memory: &DecisionSnapshot) {
-        self.purges.restore(now, &memory.purges, memory.floor, PURGES);
+    /// Adds the purges that another router knew.
+    pub fn restore(&mut self, now: Timestamp, snapshot: &DecisionSnapshot) {
+        self.purges.restore(now, &snapshot.purges, snapshot.floor, MAX_PURGES);
     }
 
-    /// Goes on under other settings, in which the classes of requests under way are the same.
+    /// Continues under other settings, in which the classes of open requests are the same.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Timestamp, event: Event, acts: &mut Vec<Action>) {
+    /// The requests that are to be looked up now, in order.
+    pub fn take_lookups(&mut self) -> Vec<RequestId> {
+        std::mem::take(&mut self.lookups)
+    }
+
+    /// Applies one event and appends what is to be done.
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Request(r) => {
-                let id = r.id;
-                let once = self.settings.class(&r).idempotency != Idempotency::Idempotent;
-                acts.push(Action::timer(r.deadline.saturating_duration_since(now), u64::from(id) << 1));
-                let f = FollowedRequest { r, once, attempts: 0, looking: false, out: false, ran: false };
-                self.open.insert(id, f);
-                self.look(now, id, acts);
-            }
-            Event::Timer { token } => {
-                let id = (token >> 1) as RequestId;
-                if token & LOOKUP != 0 {
-                    self.look(now, id, acts);
-                } else {
-                    self.end(now, id, acts);
-                }
-            }
-            Event::AttemptOutcome(out) => self.on_outcome(now, &out, acts),
-            Event::Withdrawn { request } => self.call_off(request, acts),
-            Event::Purged(p) => {
-                self.purges.forget(now.saturating_sub(self.settings.purge_life()));
-                self.purges.add(now, &p, PURGES);
-            }
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::Timer { token } => match Timer::from_token(token) {
+                Timer::LookupRetry(id) => self.look_up(now, id, actions),
+                Timer::Deadline(id) => self.give_up(now, id, actions),
+            },
+            Event::AttemptOutcome(outcome) => self.on_outcome(now, &outcome, actions),
+            Event::Withdrawn { request } => self.close(request, actions),
+            Event::Purged(purge) => self.on_purge(now, &purge),
             Event::EndpointList { .. }
             | Event::EndpointListFailed
             | Event::Started { .. }
@@ -95,86 +135,132 @@
         }
     }
 
-    fn look(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
-        let Some(f) = self.open.get_mut(&id).filter(|f| !f.out && !f.looking) else { return };
-        // What was sent and may have run is never looked up again.
-        if f.attempts >= self.settings.max_attempts || now >= f.r.deadline || f.once && f.attempts > 0 {
-            return self.end(now, id, acts);
+    /// The lookup of a request has ended.
+    pub fn on_lookup_result(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        result: LookupResult<(EndpointId, CacheFill)>,
+        actions: &mut Vec<Action>,
+    ) {
+        let followed = self.open.get_mut(&id);
+        let Some(followed) = followed.filter(|followed| followed.progress == Progress::LookingUp) else {
+            return;
+        };
+        followed.progress = Progress::Waiting;
+        if now >= followed.request.deadline {
+            return self.give_up(now, id, actions);
+        }
+        followed.attempts += 1;
+        match result {
+            LookupResult::Endpoint((endpoint, fill)) => self.send(now, id, endpoint, fill, actions),
+            LookupResult::Rejected => self.give_up(now, id, actions),
+            LookupResult::Failed => self.retry_later(now, id, actions),
         }
-        f.looking = true;
-        self.wanted.push(id);
     }
 
-    /// The lookup of a request has ended.
-    pub fn found(
+    fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let time_left = request.deadline.saturating_duration_since(now);
+        actions.push(Action::timer(time_left, Timer::Deadline(id).token()));
+        let followed = FollowedRequest {
+            send_once: self.settings.class(&request).idempotency != Idempotency::Idempotent,
+            request,
+            attempts: 0,
+            progress: Progress::Waiting,
+            may_have_run: false,
+        };
+        self.open.insert(id, followed);
+        self.look_up(now, id, actions);
+    }
+
+    fn look_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let followed = self.open.get_mut(&id);
+        let Some(followed) = followed.filter(|followed| followed.progress == Progress::Waiting) else {
+            return;
+        };
+        let has_attempts_left = followed.attempts < self.settings.max_attempts;
+        let is_over = now >= followed.request.deadline;
+        let was_sent_once = followed.send_once && followed.attempts > 0;
+        if !has_attempts_left || is_over || was_sent_once {
+            return self.give_up(now, id, actions);
+        }
+        followed.progress = Progress::LookingUp;
+        self.lookups.push(id);
+    }
+
+    fn send(
         &mut self,
         now: Timestamp,
         id: RequestId,
-        found: LookupResult<(EndpointId, CacheFill)>,
-        acts: &mut Vec<Action>,
+        endpoint: EndpointId,
+        mut fill: CacheFill,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(f) = self.open.get_mut(&id).filter(|f| f.looking) else { return };
-        f.looking = false;
-        if now >= f.r.deadline {
-            return self.end(now, id, acts);
+        let Some(followed) = self.open.get_mut(&id) else { return };
+        followed.progress = Progress::InFlight;
+        let purged = self.purges.latest(&followed.request);
+        if purged > Timestamp::ZERO {
+            let max_age = PurgeHistory::oldest_copy(now, purged);
+            fill.max_age = Some(fill.max_age.map_or(max_age, |age| age.min(max_age)));
         }
-        f.attempts += 1;
-        match found {
-            LookupResult::Endpoint((endpoint, mut fill)) => {
-                f.out = true;
-                let purged = self.purges.latest(&f.r);
-                if purged > Timestamp::ZERO {
-                    let bound = PurgeHistory::oldest_copy(now, purged);
-                    fill.max_age = Some(fill.max_age.map_or(bound, |a| a.min(bound)));
-                }
-                let timeout = f.r.deadline.duration_since(now);
-                acts.push(Action::Attempt { request: id, endpoint, timeout, fill });
-            }
-            LookupResult::Rejected => self.end(now, id, acts),
-            LookupResult::Failed => self.later(now, id, acts),
+        let timeout = followed.request.deadline.duration_since(now);
+        actions.push(Action::Attempt { request: id, endpoint, timeout, fill });
+    }
+
+    /// Looks the request up again after a while, if its class allows that.
+    fn retry_later(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(followed) = self.open.get(&id) else { return };
+        if followed.send_once {
+            return self.give_up(now, id, actions);
         }
+        let wait = LOOKUP_RETRY_INTERVAL * followed.attempts;
+        actions.push(Action::timer(wait, Timer::LookupRetry(id).token()));
     }
 
-    /// A further lookup after a while, where that is allowed.
-    fn later(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
-        match self.open.get(&id) {
-            Some(f) if f.once => self.end(now, id, acts),
-            Some(f) => {
-                acts.push(Action::timer(AGAIN * f.attempts, u64::from(id) << 1 | LOOKUP));
-            }
-            None => {}
+    fn on_outcome(&mut self, now: Timestamp, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(followed) = self.open.get_mut(&outcome.request) else { return };
+        if followed.progress == Progress::InFlight {
+            followed.progress = Progress::Waiting;
         }
+        followed.may_have_run |= !outcome.status.never_ran();
+        if outcome.ended || outcome.status == AttemptStatus::Ok {
+            self.open.remove(&outcome.request);
+        } else {
+            self.retry_later(now, outcome.request, actions);
+        }
+    }
+
+    fn on_purge(&mut self, now: Timestamp, purge: &Purge) {
+        self.purges.forget(now.saturating_sub(self.settings.purge_life()));
+        self.purges.add(now, purge, MAX_PURGES);
     }
 
-    fn on_outcome(&mut self, now: Timestamp, out: &AttemptOutcome, acts: &mut Vec<Action>) {
-        let Some(f) = self.open.get_mut(&out.request) else { return };
-        f.out = false;
-        f.ran |= !out.status.never_ran();
-        if out.ended || out.status == AttemptStatus::Ok {
-            self.open.remove(&out.request);
+    /// Gives a request its final answer. It is rejected if it can't have run twice by being sent again in time.
+    fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(followed) = self.open.get(&id) else { return };
+        if followed.is_safe_to_reject() && now < followed.request.deadline {
+            actions.push(Action::refuse(id, self.retry_after()));
         } else {
-            self.later(now, out.request, acts);
+            actions.push(Action::Fail { request: id });
         }
+        self.close(id, actions);
     }
 
-    /// The final answer, at once: a refusal where nothing can have run that may not be repeated.
-    fn end(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
-        let Some(f) = self.open.get(&id) else { return };
-        let harmless = !f.once || !(f.ran || f.out);
-        if harmless && now < f.r.deadline {
-            let half = divide_to_micros(self.settings.max_retry_after, 2);
-            let wait = if self.settings.retry_after { half } else { Duration::ZERO };
-            acts.push(Action::refuse(id, wait));
+    /// The advice to a rejected client: half of the longest one, if any is given.
+    fn retry_after(&self) -> Duration {
+        if self.settings.retry_after {
+            divide_to_micros(self.settings.max_retry_after, 2)
         } else {
-            acts.push(Action::Fail { request: id });
+            Duration::ZERO
         }
-        self.call_off(id, acts);
     }
 
-    /// Closes a request; an attempt that is still out is called off.
-    fn call_off(&mut self, id: RequestId, acts: &mut Vec<Action>) {
-        if let Some(f) = self.open.remove(&id).filter(|f| f.out) {
-            acts.push(Action::cancel(id, f.attempts as usize - 1));
+    /// Closes a request and cancels its attempt if one is in flight.
+    fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(closed) = self.open.remove(&id) else { return };
+        if closed.progress == Progress::InFlight {
+            actions.push(Action::cancel(id, closed.attempts as usize - 1));
         }
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,10 +1,12 @@
-//! The core of a request router: it owns the decision module, the open requests and attempts, and the member list.
-//! Timed events go in, commands come out; it knows no wire, no socket and no clock, and every front and every
-//! source of members passes through it.
+//! The core of a request router: it owns the decision module, the open requests and attempts, and the endpoint list.
+//! Timed events go in, commands come out; it knows no wire format, socket or clock. Every protocol that clients use
+//! and every source of endpoints goes through it.
 
 pub mod buffers;
 pub mod classes;
+mod counters;
 pub mod endpoint_list;
+mod endpoint_table;
 pub mod handover_state;
 pub mod hint_follower;
 pub mod lifecycle;
@@ -14,8 +16,9 @@
 pub mod request;
 pub mod router;
 
+pub use counters::Counters;
 pub use endpoint_list::{endpoint_id, FeedEvent, ListedEndpoint};
 pub use hint_follower::LookupResult;
 pub use messages::*;
 pub use request::*;
-pub use router::*;
+pub use router::{Router, RouterOptions};
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -57,7 +57,7 @@
 
 impl Metrics {
     /// The place of a class's numbers, by its name. A class that comes back finds what it had.
-    pub fn place(&mut self, name: &str) -> usize {
+    pub fn class_index(&mut self, name: &str) -> usize {
         let shown = shown(name);
         if let Some(at) = self.classes.iter().position(|c| c.0 == shown) {
             return at;
@@ -71,7 +71,7 @@
     }
 
     /// Counts one.
-    pub fn count(&mut self, place: usize, end: CountedEvent) {
+    pub fn record(&mut self, place: usize, end: CountedEvent) {
         let Some((_, ends)) = self.classes.get_mut(place) else { return };
         *match end {
             CountedEvent::Served => &mut ends.served,
@@ -121,17 +121,17 @@
     #[test]
     fn names_forge_no_lines_and_are_bounded() {
         let mut figures = Metrics::default();
-        let bad = figures.place("a=1\nsvc.open_requests");
-        figures.count(bad, CountedEvent::Failed);
-        let docs = figures.place("docs-pages");
-        figures.count(docs, CountedEvent::Served);
-        figures.count(docs, CountedEvent::AttemptSent);
+        let bad = figures.class_index("a=1\nsvc.open_requests");
+        figures.record(bad, CountedEvent::Failed);
+        let docs = figures.class_index("docs-pages");
+        figures.record(docs, CountedEvent::Served);
+        figures.record(docs, CountedEvent::AttemptSent);
         for i in 0..2 * NAMES {
-            let place = figures.place(&format!("class{i}"));
-            figures.count(place, CountedEvent::Rejected);
+            let place = figures.class_index(&format!("class{i}"));
+            figures.record(place, CountedEvent::Rejected);
         }
         // One that has vanished and comes back goes on counting.
-        assert_eq!(figures.place("docs-pages"), docs);
+        assert_eq!(figures.class_index("docs-pages"), docs);
         let text = figures.lines(Gauges { open_requests: 3, listed_endpoints: 9, unavailable_endpoints: 1 });
         let value = |name: &str| {
             let mut named = text.lines().filter_map(|l| l.split_once('=')).filter(|l| l.0 == name);
--- a/crates/router/src/pending_writes.rs
+++ b/crates/router/src/pending_writes.rs
@@ -1,52 +1,129 @@
-//! Requests that may not be repeated, remembered by id so that none runs twice.
+//! Non-idempotent requests, remembered by their id so that none runs twice.
 
 use crate::handover_state::PendingWrite;
 use hollymux_decision::{EndpointId, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Requests that may not be repeated are remembered for this long at least, up to so many.
-const FILING_KEPT: Duration = Duration::from_secs(3_600);
-const FILINGS: usize = 100_000;
-/// ...and up to so many for each MB of memory: one takes some 120 bytes.
-const FILINGS_PER_MB: usize = 1_000;
+/// How long a request is remembered at least.
+const RETENTION_PERIOD: Duration = Duration::from_secs(3_600);
+/// Bound of the table.
+const MAX_PENDING_WRITES: usize = 100_000;
+/// Bound of the table for each MB of the memory limit: an entry takes some 120 bytes.
+const MAX_PENDING_WRITES_PER_MB: usize = 1_000;
 
-/// Requests by their id that may not be repeated: when they came, and where a lookup sent them, or none if they
-/// were taken here.
+/// What is remembered of a non-idempotent request.
+#[derive(Clone, Copy, Debug)]
+struct Entry {
+    arrived: Timestamp,
+    /// The endpoint that a lookup named; `None` if this router sent the request itself.
+    endpoint: Option<EndpointId>,
+}
+
+/// An arrival in the order of the clock. Its request may have been forgotten or have arrived again since.
+#[derive(Debug)]
+struct Arrival {
+    arrived: Timestamp,
+    request_id: u64,
+}
+
+/// The table of non-idempotent requests that may have run. Its size is bounded; within the bound, entries are
+/// forgotten after [`RETENTION_PERIOD`] at the earliest.
 #[derive(Debug)]
 pub(crate) struct PendingWrites {
-    pub(crate) by_id: HashMap<u64, (Timestamp, Option<EndpointId>)>,
-    /// In the order in which they came, those among them that are no longer remembered too.
-    order: VecDeque<(Timestamp, u64)>,
-    pub(crate) most: usize,
-    /// Those that came since they were last asked for, if somebody is to hear of them.
-    pub(crate) fresh: Option<Vec<PendingWrite>>,
+    by_id: HashMap<u64, Entry>,
+    by_arrival: VecDeque<Arrival>,
+    max_entries: usize,
+    /// Entries added since they were last taken, while a successor is to be told of them.
+    untransferred: Option<Vec<PendingWrite>>,
 }
 
 impl PendingWrites {
+    /// An empty table for a process with that memory limit.
     pub(crate) fn new(memory_mb: u64) -> PendingWrites {
-        let most = usize::try_from(memory_mb).unwrap_or(FILINGS).saturating_mul(FILINGS_PER_MB).min(FILINGS);
-        PendingWrites { by_id: HashMap::new(), order: VecDeque::new(), most, fresh: None }
-    }
-
-    /// Remembers one; false if there is no room and nothing is old enough to be forgotten.
-    pub(crate) fn add(&mut self, now: Timestamp, rid: u64, endpoint: Option<EndpointId>) -> bool {
-        if self.by_id.len() >= self.most || self.order.len() >= 2 * self.most {
-            // Those that were refused must not take up the room of those that may have run.
-            let by_id = &self.by_id;
-            self.order.retain(|(at, rid)| by_id.get(rid).is_some_and(|f| f.0 == *at));
-            while self.order.front().is_some_and(|(at, _)| now >= *at + FILING_KEPT) {
-                self.order.pop_front().map(|(_, old)| self.by_id.remove(&old));
-            }
+        let by_memory = usize::try_from(memory_mb)
+            .unwrap_or(MAX_PENDING_WRITES)
+            .saturating_mul(MAX_PENDING_WRITES_PER_MB);
+        PendingWrites {
+            by_id: HashMap::new(),
+            by_arrival: VecDeque::new(),
+            max_entries: by_memory.min(MAX_PENDING_WRITES),
+            untransferred: None,
+        }
+    }
+
+    /// Whether the request may have run.
+    pub(crate) fn contains(&self, request_id: u64) -> bool {
+        self.by_id.contains_key(&request_id)
+    }
+
+    /// The endpoint that a lookup named for the request. The outer `None`: the request is not in the table; the
+    /// inner: this router sent it itself.
+    pub(crate) fn named_endpoint(&self, request_id: u64) -> Option<Option<EndpointId>> {
+        self.by_id.get(&request_id).map(|entry| entry.endpoint)
+    }
+
+    /// Whether lookups may add entries: clients that only look up must not fill the table for the others.
+    pub(crate) fn has_room_for_lookups(&self) -> bool {
+        self.by_id.len() < self.max_entries / 2
+    }
+
+    /// Remembers a request. Returns false if the table is full and no entry is old enough to be forgotten.
+    pub(crate) fn add(&mut self, now: Timestamp, request_id: u64, endpoint: Option<EndpointId>) -> bool {
+        if self.by_id.len() >= self.max_entries || self.by_arrival.len() >= 2 * self.max_entries {
+            self.forget_old(now);
         }
-        let room = self.by_id.len() < self.most;
-        if room {
-            self.by_id.insert(rid, (now, endpoint));
-            self.order.push_back((now, rid));
-            if let Some(fresh) = &mut self.fresh {
-                fresh.push(PendingWrite { request_id: rid, arrived: now, endpoint: endpoint.map(|id| id.0) });
+        if self.by_id.len() >= self.max_entries {
+            return false;
+        }
+        self.by_id.insert(request_id, Entry { arrived: now, endpoint });
+        self.by_arrival.push_back(Arrival { arrived: now, request_id });
+        if let Some(untransferred) = &mut self.untransferred {
+            untransferred.push(pending_write(request_id, &Entry { arrived: now, endpoint }));
+        }
+        true
+    }
+
+    /// Forgets a request that never ran: it may be sent again under the same id.
+    pub(crate) fn remove(&mut self, request_id: u64) {
+        self.by_id.remove(&request_id);
+    }
+
+    fn forget_old(&mut self, now: Timestamp) {
+        // Arrivals of removed entries must not take up the room of requests that may have run.
+        let by_id = &self.by_id;
+        let is_current = |arrival: &Arrival| {
+            by_id.get(&arrival.request_id).is_some_and(|entry| entry.arrived == arrival.arrived)
+        };
+        self.by_arrival.retain(is_current);
+        let is_old = |arrival: &Arrival| now >= arrival.arrived + RETENTION_PERIOD;
+        while self.by_arrival.front().is_some_and(is_old) {
+            if let Some(oldest) = self.by_arrival.pop_front() {
+                self.by_id.remove(&oldest.request_id);
             }
         }
-        room
     }
+
+    /// All entries by arrival. From now on [`PendingWrites::take_untransferred`] gives those that are added.
+    pub(crate) fn begin_transfer(&mut self) -> Vec<PendingWrite> {
+        self.untransferred = Some(Vec::new());
+        let mut entries: Vec<PendingWrite> =
+            self.by_id.iter().map(|(request_id, entry)| pending_write(*request_id, entry)).collect();
+        entries.sort_unstable_by_key(|entry| (entry.arrived, entry.request_id));
+        entries
+    }
+
+    /// The entries added since the last call, during a transfer.
+    pub(crate) fn take_untransferred(&mut self) -> Vec<PendingWrite> {
+        self.untransferred.as_mut().map(std::mem::take).unwrap_or_default()
+    }
+
+    /// Ends the transfer: there is no successor any more.
+    pub(crate) fn end_transfer(&mut self) {
+        self.untransferred = None;
+    }
+}
+
+fn pending_write(request_id: u64, entry: &Entry) -> PendingWrite {
+    PendingWrite { request_id, arrived: entry.arrived, endpoint: entry.endpoint.map(|id| id.0) }
 }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -36,8 +36,8 @@
 }
 
 impl ClientRequest {
-    /// What is wanted, of that class by number.
-    pub fn wanted(&self, class: u16) -> RequestedObject {
+    /// The object that is asked for, with the class by number.
+    pub fn requested_object(&self, class: u16) -> RequestedObject {
         RequestedObject {
             class,
             object: self.object.value,
--- a/crates/router/src/router/handover.rs
+++ b/crates/router/src/router/handover.rs
@@ -1,84 +1,56 @@
-//! What another router is handed to go on in this one's place, and going on under other settings.
+//! The state that a successor process is given, and continuing with the state of a predecessor.
 
-use super::*;
+use super::Router;
+use crate::handover_state::{HandoverState, PendingWrite};
+use hollymux_decision::{ClassSnapshot, EndpointId, Timestamp};
 
 impl Router {
-    /// What another router needs to go on in this one's place; the driver adds the names of zones and kinds. From
-    /// now on `new_filings` tells what comes.
+    /// The state for a successor, except the names of zones and kinds, which the caller adds. Pending writes that
+    /// come later are given by [`Router::take_new_pending_writes`].
     pub fn legacy(&mut self) -> HandoverState {
-        let line = |(uid, m): &(Rc<str>, ListedEndpoint)| EndpointRecord {
-            uid: uid.to_string(),
-            addr: m.addr,
-            zone: m.entry.zone,
-            kind: m.entry.kind,
-            cell: m.entry.cell,
-            weight: m.entry.weight,
-            draining: m.entry.state == EndpointState::Draining,
-            started: m.entry.started,
-        };
-        let mut members: Vec<EndpointRecord> = self.members.values().map(line).collect();
-        members.sort_by(|a, b| a.uid.cmp(&b.uid));
-        let filing = |(rid, f): (&u64, &(Timestamp, Option<EndpointId>))| PendingWrite {
-            request_id: *rid,
-            arrived: f.0,
-            endpoint: f.1.map(|h| h.0),
-        };
-        let mut filings: Vec<PendingWrite> = self.filings.by_id.iter().map(filing).collect();
-        filings.sort_unstable_by_key(|f| (f.arrived, f.request_id));
-        self.filings.fresh = Some(Vec::new());
         HandoverState {
             classes: self.classes.names().map(str::to_string).collect(),
-            endpoints: members,
-            pending_writes: filings,
-            decision: self.control.snapshot(),
+            endpoints: self.endpoints.records(),
+            pending_writes: self.pending_writes.begin_transfer(),
+            decision: self.decision.snapshot(),
             ..HandoverState::default()
         }
     }
 
-    /// The requests that may not be repeated and came since this was asked last, if a legacy was handed over.
+    /// The pending writes since the last call, if a successor was given the state.
     pub fn take_new_pending_writes(&mut self) -> Vec<PendingWrite> {
-        self.filings.fresh.as_mut().map(std::mem::take).unwrap_or_default()
+        self.pending_writes.take_untransferred()
     }
 
-    /// Nobody is to hear of new filings any more.
+    /// There is no successor any more that needs later pending writes.
     pub fn stop_tracking_pending_writes(&mut self) {
-        self.filings.fresh = None;
+        self.pending_writes.end_transfer();
     }
 
-    /// Requests that another router took and that may have run: they are never taken here.
-    pub fn restore_pending_writes(&mut self, now: Timestamp, filings: &[PendingWrite]) {
-        for PendingWrite { request_id: rid, arrived: at, endpoint } in filings {
-            let _room = self.filings.add((*at).min(now), *rid, endpoint.map(EndpointId));
+    /// Adds pending writes of a predecessor: they may have run, so they are not accepted here.
+    pub fn restore_pending_writes(&mut self, now: Timestamp, pending_writes: &[PendingWrite]) {
+        for write in pending_writes {
+            let arrived = write.arrived.min(now);
+            // One that finds no room is lost, as it would be here.
+            let _added = self.pending_writes.add(arrived, write.request_id, write.endpoint.map(EndpointId));
         }
     }
 
-    /// Goes on with another router's legacy, after its list of members was told here.
-    pub fn restore(&mut self, now: Timestamp, legacy: &HandoverState) {
-        self.restore_pending_writes(now, &legacy.pending_writes);
-        let mut memory = legacy.decision.clone();
-        let learnt = std::mem::take(&mut memory.classes);
-        // The newest slot of a name comes last there.
-        let by_name = |name: &str| legacy.classes.iter().zip(&learnt).rev().find(|(n, _)| *n == name);
-        memory.classes =
-            self.classes.names().map(|n| by_name(n).map(|l| l.1.clone()).unwrap_or_default()).collect();
-        self.control.restore(now, &memory);
-        if let Some(follow) = &mut self.follow {
-            follow.restore(now, &memory);
+    /// Continues with the state of a predecessor, whose endpoint list has been applied before.
+    pub fn restore(&mut self, now: Timestamp, state: &HandoverState) {
+        self.restore_pending_writes(now, &state.pending_writes);
+        let mut snapshot = state.decision.clone();
+        snapshot.classes = self.classes.names().map(|name| class_snapshot(state, name)).collect();
+        self.decision.restore(now, &snapshot);
+        if let Some(follower) = &mut self.hint_follower {
+            follower.restore(now, &snapshot);
         }
     }
+}
 
-    /// Goes on under other settings, whose classes have these names; what is impossible changes nothing.
-    pub fn reconfigure(&mut self, settings: &Settings, names: &[String]) -> Result<(), SettingsError> {
-        settings.check()?;
-        let open = self.open.values().map(|o| o.wanted.class);
-        let held: BTreeSet<u16> = open.chain(self.out.values().map(|o| o.class)).collect();
-        let named = names.iter().cloned().zip(settings.classes.iter().cloned()).collect();
-        let ClassTable { classes, from } = self.classes.change(named, &self.settings.classes, &held);
-        self.settings = Settings { classes, ..settings.clone() };
-        self.places = self.classes.names().map(|name| self.metrics.place(name)).collect();
-        if let Some(follow) = &mut self.follow {
-            follow.reconfigure(self.settings.clone());
-        }
-        self.control.reconfigure(self.settings.clone(), &from)
-    }
+/// What was learnt of the class of that name. Several slots may have had the name: the newest comes last.
+fn class_snapshot(state: &HandoverState, name: &str) -> ClassSnapshot {
+    let mut slots = state.classes.iter().zip(&state.decision.classes).rev();
+    let newest = slots.find(|(slot_name, _)| *slot_name == name);
+    newest.map(|(_, snapshot)| snapshot.clone()).unwrap_or_default()
 }
--- a/crates/router/src/router/lookups.rs
+++ b/crates/router/src/router/lookups.rs
@@ -1,128 +1,151 @@
-//! Lookups: boxes that are chosen for somebody who goes there himself, and lookups at another router that are followed.
+//! Lookups: endpoints that are named to somebody who sends the request himself, and the results of lookups at
+//! another router that this one follows.
 
-use super::*;
+use super::open_request::NewRequest;
+use super::{Router, MAX_OPEN_REQUESTS};
+use crate::hint_follower::LookupResult;
+use crate::messages::{Command, FillHint, RoutingHint, RoutingMode, Target};
+use crate::metrics::CountedEvent;
+use crate::request::RequestedObject;
+use hollymux_decision::{CacheFill, EndpointId, Event, RequestId, Timestamp};
+use std::net::SocketAddr;
 
 impl Router {
-    /// The address of a box that takes work, by its name in any case.
+    /// The address of a ready endpoint by its name, in upper or lower case.
     pub fn ready_address(&self, uid: &[u8]) -> Option<SocketAddr> {
-        let mut named = self.members.values().filter(|m| m.0.as_bytes().eq_ignore_ascii_case(uid));
-        named.find(|m| takes_work(m))?.1.addr
+        self.endpoints.address(self.endpoints.ready_by_name(uid)?)
     }
 
-    /// Chooses a box for somebody who will go there himself. It counts as sent until its aim has passed; what
-    /// becomes of it is not known and teaches nothing.
+    /// Chooses an endpoint for somebody who sends the request himself. The attempt counts as in flight until the
+    /// latency objective of its class has passed; how it ends is not known, and nothing is learnt from it.
     pub fn lookup(
         &mut self,
         now: Timestamp,
-        wanted: RequestedObject,
+        requested: RequestedObject,
         commands: &mut Vec<Command>,
     ) -> LookupResult<Target> {
-        let class = wanted.class;
-        let found = self.name(now, wanted, commands);
-        let end = match &found {
+        let class = requested.class;
+        self.counters.lookups += 1;
+        let result = self.look_up(now, requested, commands);
+        let event = match &result {
             LookupResult::Endpoint(_) => CountedEvent::Served,
             LookupResult::Rejected => CountedEvent::Rejected,
             LookupResult::Failed => CountedEvent::Failed,
         };
-        self.count(class, end);
-        found
+        self.count(class, event);
+        result
     }
 
-    fn name(
+    fn look_up(
         &mut self,
         now: Timestamp,
-        wanted: RequestedObject,
+        requested: RequestedObject,
         commands: &mut Vec<Command>,
     ) -> LookupResult<Target> {
-        self.counters.lookups += 1;
-        let once = wanted.request_id;
-        if let Some(known) = once.and_then(|rid| self.filings.by_id.get(&rid)) {
-            // One target for good: named again while it takes work, else nobody is.
-            let endpoint = known.1.filter(|h| self.members.get(h).is_some_and(takes_work));
-            return endpoint
-                .and_then(|h| self.filing_target(h))
-                .map_or(LookupResult::Rejected, LookupResult::Endpoint);
+        let write_id = requested.request_id;
+        if let Some(named) = write_id.and_then(|id| self.pending_writes.named_endpoint(id)) {
+            return self.name_again(named);
         }
-        // Lookups cost their sender nothing: they must not use up what requests on the other front need.
-        let room = self.out.len() < OPEN_MOST
-            && (once.is_none() || self.filings.by_id.len() < self.filings.most / 2);
-        if !room {
+        if !self.has_room_for_lookup(write_id) {
             return LookupResult::Rejected;
         }
-        let class = wanted.class;
-        let deadline = now + self.settings.classes[usize::from(class)].deadline;
-        let id = self.begin(now, deadline, RoutingMode::Decide, wanted, None, commands);
-        let found = self.found.take();
-        if self.open.remove(&id).is_some() || matches!(found, Some(LookupResult::Endpoint(_))) {
-            self.drive(now, RoutingMode::Decide, Event::Withdrawn { request: id }, commands);
-        }
-        let found = found.unwrap_or(LookupResult::Failed);
-        if let (Some(rid), LookupResult::Endpoint(target)) = (once, &found) {
-            if !self.filings.add(now, rid, Some(target.endpoint)) {
+        let result = self.choose_endpoint(now, requested, commands);
+        if let (Some(id), LookupResult::Endpoint(target)) = (write_id, &result) {
+            if !self.pending_writes.add(now, id, Some(target.endpoint)) {
                 return LookupResult::Rejected;
             }
         }
-        found
+        result
     }
 
-    /// The target of a request that may not be repeated: what it is and that it runs at the origin.
-    fn filing_target(&self, endpoint: EndpointId) -> Option<Target> {
-        let kind = self.settings.origin_kind;
-        let origin = self.members.iter().filter(|(_, m)| takes_work(m) && Some(m.1.entry.kind) == kind);
-        let source = origin.map(|(id, _)| *id).min();
+    /// A non-idempotent request has one endpoint for good: it is named again while it is ready, and no other is.
+    fn name_again(&self, named: Option<EndpointId>) -> LookupResult<Target> {
+        let target = named.and_then(|endpoint| self.write_target(endpoint));
+        target.map_or(LookupResult::Rejected, LookupResult::Endpoint)
+    }
+
+    /// Lookups cost their sender nothing: they must not use up the room of requests that are sent to this router.
+    fn has_room_for_lookup(&self, write_id: Option<u64>) -> bool {
+        let has_room_for_write = write_id.is_none() || self.pending_writes.has_room_for_lookups();
+        self.in_flight.len() < MAX_OPEN_REQUESTS && has_room_for_write
+    }
+
+    /// Opens a request without a client, for which the decision module names an endpoint or none.
+    fn choose_endpoint(
+        &mut self,
+        now: Timestamp,
+        requested: RequestedObject,
+        commands: &mut Vec<Command>,
+    ) -> LookupResult<Target> {
+        let deadline = now + self.settings.classes[usize::from(requested.class)].deadline;
+        let new = NewRequest { mode: RoutingMode::Decide, requested, client: None, deadline };
+        let request = self.open_request(now, new, commands);
+        let result = self.lookup_result.take();
+        let is_undecided = self.open_requests.remove(&request).is_some();
+        if is_undecided || matches!(result, Some(LookupResult::Endpoint(_))) {
+            self.decide(now, RoutingMode::Decide, Event::Withdrawn { request }, commands);
+        }
+        result.unwrap_or(LookupResult::Failed)
+    }
+
+    /// The target of a non-idempotent request that was named before: it runs at the origin, through that endpoint.
+    fn write_target(&self, endpoint: EndpointId) -> Option<Target> {
+        let origin = self.settings.origin_kind.and_then(|kind| self.endpoints.first_ready_of_kind(kind));
         let fill = CacheFill {
-            source,
+            source: origin,
             retention: 0,
             max_age: None,
             coalesce: self.settings.coalesce_fills,
             stale_while_revalidate: false,
             only_if_cached: false,
         };
-        self.target(endpoint, fill)
+        self.endpoints.target(endpoint, fill)
     }
 
-    /// The member list is asked right before sending: an answer that names what takes no work, or stands
-    /// elsewhere by now, is no answer.
-    pub(super) fn on_found(
+    /// A lookup at another router ended. Its endpoint is checked right before sending: one that is not ready, or is
+    /// at another address by now, counts as no result.
+    pub(super) fn on_lookup_result(
         &mut self,
         now: Timestamp,
-        id: RequestId,
-        found: LookupResult<RoutingHint>,
+        request: RequestId,
+        result: LookupResult<RoutingHint>,
         commands: &mut Vec<Command>,
     ) {
-        let found = match found {
+        let result = match result {
             LookupResult::Endpoint(hint) => {
-                self.heed(&hint).map_or(LookupResult::Failed, LookupResult::Endpoint)
+                self.resolve_hint(&hint).map_or(LookupResult::Failed, LookupResult::Endpoint)
             }
             LookupResult::Rejected => LookupResult::Rejected,
             LookupResult::Failed => LookupResult::Failed,
         };
-        let Some(follow) = &mut self.follow else { return };
+        let Some(follower) = &mut self.hint_follower else { return };
         let mut actions = Vec::new();
-        follow.found(now, id, found, &mut actions);
-        self.carry(now, RoutingMode::FollowHint, actions, commands);
+        follower.on_lookup_result(now, request, result, &mut actions);
+        self.execute_actions(now, RoutingMode::FollowHint, actions, commands);
     }
 
-    fn heed(&self, hint: &RoutingHint) -> Option<(EndpointId, CacheFill)> {
-        let by_name = |uid: &str| {
-            let mut members = self.members.iter().filter(|(_, m)| m.0.eq_ignore_ascii_case(uid));
-            members.find(|(_, m)| takes_work(m))
-        };
-        let (endpoint, _) = by_name(&hint.uid).filter(|(_, m)| m.1.addr == Some(hint.addr))?;
-        let told = &hint.fill;
-        let source = match &told.source {
-            Some(name) => Some(*by_name(name)?.0),
+    /// The endpoint that a hint names, if it is ready at that address, and the fill, if its source is ready.
+    fn resolve_hint(&self, hint: &RoutingHint) -> Option<(EndpointId, CacheFill)> {
+        let endpoint = self.endpoints.ready_by_name(hint.uid.as_bytes())?;
+        if self.endpoints.address(endpoint) != Some(hint.addr) {
+            return None;
+        }
+        let fill = self.resolve_fill(&hint.fill)?;
+        Some((endpoint, fill))
+    }
+
+    fn resolve_fill(&self, hint: &FillHint) -> Option<CacheFill> {
+        let source = match &hint.source {
+            Some(uid) => Some(self.endpoints.ready_by_name(uid.as_bytes())?),
             None => None,
         };
-        let coalesce = told.coalesce && self.settings.coalesce_fills;
-        let fill = CacheFill {
+        Some(CacheFill {
             source,
-            retention: told.retention,
-            max_age: told.max_age,
-            coalesce,
-            stale_while_revalidate: told.stale_while_revalidate,
-            only_if_cached: told.only_if_cached,
-        };
-        Some((*endpoint, fill))
+            retention: hint.retention,
+            max_age: hint.max_age,
+            coalesce: hint.coalesce && self.settings.coalesce_fills,
+            stale_while_revalidate: hint.stale_while_revalidate,
+            only_if_cached: hint.only_if_cached,
+        })
     }
 }
--- /dev/null
+++ b/crates/router/src/router/reconfiguration.rs
@@ -0,0 +1,29 @@
+//! A change of the settings while requests are open.
+
+use super::Router;
+use crate::classes::ClassTable;
+use hollymux_decision::{Settings, SettingsError};
+use std::collections::BTreeSet;
+
+impl Router {
+    /// Continues under other settings, whose classes have these names. Settings that can't be used change nothing.
+    pub fn reconfigure(&mut self, settings: &Settings, names: &[String]) -> Result<(), SettingsError> {
+        settings.check()?;
+        let named = names.iter().cloned().zip(settings.classes.iter().cloned()).collect();
+        let in_use = self.classes_in_use();
+        let ClassTable { classes, from } = self.classes.replace(named, &self.settings.classes, &in_use);
+        self.settings = Settings { classes, ..settings.clone() };
+        self.metric_indexes = self.classes.names().map(|name| self.metrics.class_index(name)).collect();
+        if let Some(follower) = &mut self.hint_follower {
+            follower.reconfigure(self.settings.clone());
+        }
+        self.decision.reconfigure(self.settings.clone(), &from)
+    }
+
+    /// The slots of the classes of open requests and of attempts in flight.
+    fn classes_in_use(&self) -> BTreeSet<u16> {
+        let of_requests = self.open_requests.values().map(|open| open.requested.class);
+        let of_attempts = self.in_flight.values().map(|attempt| attempt.class);
+        of_requests.chain(of_attempts).collect()
+    }
+}
--- /dev/null
+++ b/crates/router/src/router/replies.rs
@@ -0,0 +1,101 @@
+//! The end of a request: its one final reply, its cancellation, and what is counted.
+
+use super::Router;
+use crate::hint_follower::LookupResult;
+use crate::messages::{ClientHandle, Command, RequestResult, ResultReason};
+use crate::metrics::CountedEvent;
+use crate::request::Reply;
+use hollymux_decision::{Event, RequestId, Timestamp};
+
+impl Router {
+    /// Sends the final reply of a request and closes it.
+    pub(super) fn reply(
+        &mut self,
+        now: Timestamp,
+        request: RequestId,
+        reply: Reply,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.open_requests.remove(&request) else {
+            // The client would take a second reply for the reply to another request.
+            self.counters.invariant_violations += 1;
+            debug_assert!(false, "a final reply after the end of request {request}");
+            return;
+        };
+        let (result, reason, bytes) = match &reply {
+            Reply::Served(_, body) => (RequestResult::Served, ResultReason::Completed, body.len()),
+            Reply::NotModified(_) => (RequestResult::NotModified, ResultReason::Completed, 0),
+            Reply::Rejected(_) => (RequestResult::Rejected, open.failure_reason(), 0),
+            Reply::Failed => (RequestResult::Failed, open.failure_reason(), 0),
+        };
+        commands.push(open.summary(request, now, result, reason, bytes));
+        let Some(client) = open.client else {
+            self.lookup_result = Some(lookup_result(&reply));
+            return;
+        };
+        self.by_client.remove(&client.handle);
+        if let Some(client_id) = open.requested.request_id {
+            self.open_client_ids.remove(&client_id);
+            if result == RequestResult::Rejected && self.is_non_idempotent(open.requested.class) {
+                // It never ran, so the client may send it again.
+                self.pending_writes.remove(client_id);
+            }
+        }
+        self.count_reply(open.requested.class, &reply);
+        commands.push(Command::Reply(client.handle, reply));
+    }
+
+    /// Counts a final reply.
+    pub(super) fn count_reply(&mut self, class: u16, reply: &Reply) {
+        let (total, event) = match reply {
+            Reply::Served(..) | Reply::NotModified(_) => (&mut self.counters.served, CountedEvent::Served),
+            Reply::Rejected(_) => (&mut self.counters.rejected, CountedEvent::Rejected),
+            Reply::Failed => (&mut self.counters.failed, CountedEvent::Failed),
+        };
+        *total += 1;
+        self.count(class, event);
+    }
+
+    /// A client stopped waiting for a reply.
+    pub(super) fn cancel_request(
+        &mut self,
+        now: Timestamp,
+        client: ClientHandle,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(request) = self.by_client.remove(&client) else { return };
+        let Some(open) = self.open_requests.remove(&request) else { return };
+        if let Some(client_id) = open.requested.request_id {
+            self.open_client_ids.remove(&client_id);
+        }
+        commands.push(open.summary(request, now, RequestResult::Cancelled, open.failure_reason(), 0));
+        self.decide(now, open.mode, Event::Withdrawn { request }, commands);
+    }
+
+    /// A client's connection ended: nobody waits for the replies to its requests.
+    pub(super) fn on_client_closed(&mut self, now: Timestamp, connection: u64, commands: &mut Vec<Command>) {
+        let first = ClientHandle { conn: connection, tag: 0 };
+        let last = ClientHandle { conn: connection, tag: u64::MAX };
+        let waiting: Vec<ClientHandle> = self.by_client.range(first..=last).map(|(c, _)| *c).collect();
+        for client in waiting {
+            self.cancel_request(now, client, commands);
+        }
+    }
+
+    /// Fails the open requests of all clients: none may be left without a reply when the router ends.
+    pub(super) fn fail_open_requests(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
+        for request in std::mem::take(&mut self.by_client).into_values() {
+            let Some(mode) = self.open_requests.get(&request).map(|open| open.mode) else { continue };
+            self.reply(now, request, Reply::Failed, commands);
+            self.decide(now, mode, Event::Withdrawn { request }, commands);
+        }
+    }
+}
+
+/// What a lookup comes to whose request was closed without an endpoint.
+fn lookup_result<T>(reply: &Reply) -> LookupResult<T> {
+    match reply {
+        Reply::Rejected(_) => LookupResult::Rejected,
+        Reply::Served(..) | Reply::NotModified(_) | Reply::Failed => LookupResult::Failed,
+    }
+}
