--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -1,77 +1,84 @@
-//! Buffers of one size, used again from a pool, and chains of them for what is larger.
+//! Buffers of one size, reused from a bounded pool, and chains of them for what is larger.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// The size of every buffer.
+/// The size of every buffer, in bytes.
 pub const BUFFER: usize = 16 * 1024;
-/// This part of the buffers is kept for the next use when it is not in use.
-const KEPT: usize = 4;
+/// One in so many buffers of the pool's limit stays allocated for reuse.
+const LIMIT_PER_FREE_BUFFER: usize = 4;
 
-/// The pool has given out as much as it may.
+/// All buffers of the pool are in use.
 #[derive(Debug, PartialEq)]
 pub struct Exhausted;
 
 #[derive(Debug)]
-struct Inner {
+struct PoolState {
     free: Vec<Box<[u8]>>,
-    out: usize,
-    most: usize,
+    in_use: usize,
+    limit: usize,
 }
 
-/// Gives out buffers up to a bound and takes them back.
+impl PoolState {
+    fn max_free(&self) -> usize {
+        self.limit / LIMIT_PER_FREE_BUFFER
+    }
+}
+
+/// Lends buffers up to a limit. Clones share the buffers and the limit.
 #[derive(Clone, Debug)]
-pub struct BufferPool(Rc<RefCell<Inner>>);
+pub struct BufferPool(Rc<RefCell<PoolState>>);
 
 impl BufferPool {
-    /// A pool that has at most so many buffers out.
-    pub fn new(most: usize) -> BufferPool {
-        BufferPool(Rc::new(RefCell::new(Inner { free: Vec::new(), out: 0, most })))
+    /// A pool that lends so many buffers at most.
+    pub fn new(limit: usize) -> BufferPool {
+        BufferPool(Rc::new(RefCell::new(PoolState { free: Vec::new(), in_use: 0, limit })))
     }
 
-    /// An empty chain that draws on this pool.
+    /// An empty chain that takes its buffers from this pool.
     pub fn chain(&self) -> BufferChain {
         BufferChain { pool: self.clone(), segments: VecDeque::new(), len: 0 }
     }
 
-    /// Whether more than this part of the buffers is in use.
-    pub fn fuller_than(&self, part: f64) -> bool {
-        let inner = self.0.borrow();
-        inner.out as f64 > inner.most as f64 * part
+    /// Whether more than this share of the limit is in use.
+    pub fn fuller_than(&self, share: f64) -> bool {
+        let state = self.0.borrow();
+        state.in_use as f64 > state.limit as f64 * share
     }
 
-    /// Another bound. What is out stays out; nothing more is given until less than that is.
-    pub fn limit(&self, most: usize) {
-        let mut inner = self.0.borrow_mut();
-        inner.most = most.max(1);
-        let kept = inner.most / KEPT;
-        inner.free.truncate(kept);
+    /// Changes the limit. Buffers in use stay so; no more are lent until fewer than the limit are in use.
+    pub fn limit(&self, limit: usize) {
+        let mut state = self.0.borrow_mut();
+        state.limit = limit.max(1);
+        let max_free = state.max_free();
+        state.free.truncate(max_free);
     }
 
-    /// How many bytes it may have out.
+    /// The limit in bytes.
     pub fn bytes(&self) -> usize {
-        self.0.borrow().most * BUFFER
+        self.0.borrow().limit * BUFFER
     }
 
-    fn take(&self) -> Result<Box<[u8]>, Exhausted> {
-        let mut inner = self.0.borrow_mut();
-        if inner.out >= inner.most {
+    fn lend(&self) -> Result<Box<[u8]>, Exhausted> {
+        let mut state = self.0.borrow_mut();
+        if state.in_use >= state.limit {
             return Err(Exhausted);
         }
-        inner.out += 1;
-        Ok(inner.free.pop().unwrap_or_else(|| vec![0; BUFFER].into_boxed_slice()))
+        state.in_use += 1;
+        Ok(state.free.pop().unwrap_or_else(|| vec![0; BUFFER].into_boxed_slice()))
     }
 
-    fn give(&self, buffer: Box<[u8]>) {
-        let mut inner = self.0.borrow_mut();
-        inner.out -= 1;
-        if inner.free.len() < inner.most / KEPT {
-            inner.free.push(buffer);
+    fn give_back(&self, buffer: Box<[u8]>) {
+        let mut state = self.0.borrow_mut();
+        state.in_use -= 1;
+        if state.free.len() < state.max_free() {
+            state.free.push(buffer);
         }
     }
 }
 
+/// A buffer whose bytes from `start` to `end` are in use.
 #[derive(Debug)]
 struct Segment {
     buffer: Box<[u8]>,
@@ -79,7 +86,21 @@
     end: usize,
 }
 
-/// Bytes in pooled buffers, taken from the front and added at the back.
+impl Segment {
+    fn bytes(&self) -> &[u8] {
+        &self.buffer[self.start..self.end]
+    }
+
+    /// Copies as many of the bytes as have room; returns how many.
+    fn fill(&mut self, bytes: &[u8]) -> usize {
+        let copied = bytes.len().min(BUFFER - self.end);
+        self.buffer[self.end..self.end + copied].copy_from_slice(&bytes[..copied]);
+        self.end += copied;
+        copied
+    }
+}
+
+/// A queue of bytes in buffers of a pool.
 #[derive(Debug)]
 pub struct BufferChain {
     pool: BufferPool,
@@ -88,61 +109,59 @@
 }
 
 impl BufferChain {
-    /// How many bytes it holds.
+    /// The number of bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Whether there are no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Copies bytes to the back.
+    /// Copies bytes to the end. If the pool is exhausted, those that had room have been added.
     pub fn extend(&mut self, mut bytes: &[u8]) -> Result<(), Exhausted> {
         while !bytes.is_empty() {
-            if self.segments.back().is_none_or(|s| s.end == BUFFER) {
-                self.segments.push_back(Segment { buffer: self.pool.take()?, start: 0, end: 0 });
+            if self.segments.back().is_none_or(|segment| segment.end == BUFFER) {
+                self.segments.push_back(Segment { buffer: self.pool.lend()?, start: 0, end: 0 });
             }
-            if let Some(s) = self.segments.back_mut() {
-                let n = bytes.len().min(BUFFER - s.end);
-                s.buffer[s.end..s.end + n].copy_from_slice(&bytes[..n]);
-                s.end += n;
-                self.len += n;
-                bytes = &bytes[n..];
+            if let Some(segment) = self.segments.back_mut() {
+                let copied = segment.fill(bytes);
+                self.len += copied;
+                bytes = &bytes[copied..];
             }
         }
         Ok(())
     }
 
-    /// Moves all of another chain to the back.
+    /// Moves all bytes of another chain to the end.
     pub fn append(&mut self, mut other: BufferChain) {
         self.len += std::mem::take(&mut other.len);
         self.segments.append(&mut other.segments);
     }
 
-    /// The first run of bytes; empty only if the chain is.
+    /// The first bytes, as many as are in one piece; empty only if the chain is.
     pub fn front(&self) -> &[u8] {
-        self.segments.front().map_or(&[], |s| &s.buffer[s.start..s.end])
+        self.segments.front().map_or(&[], Segment::bytes)
     }
 
-    /// All runs of bytes in order.
+    /// All bytes in order, piece by piece.
     pub fn runs(&self) -> impl Iterator<Item = &[u8]> {
-        self.segments.iter().map(|s| &s.buffer[s.start..s.end])
-    }
-
-    /// Drops bytes from the front.
-    pub fn advance(&mut self, mut n: usize) {
-        debug_assert!(n <= self.len, "advanced past the end");
-        while n > 0 {
-            let Some(s) = self.segments.front_mut() else { return };
-            let step = n.min(s.end - s.start);
-            s.start += step;
-            self.len -= step;
-            n -= step;
-            if s.start == s.end {
-                if let Some(s) = self.segments.pop_front() {
-                    self.pool.give(s.buffer);
+        self.segments.iter().map(Segment::bytes)
+    }
+
+    /// Removes bytes from the front.
+    pub fn advance(&mut self, mut count: usize) {
+        debug_assert!(count <= self.len, "advanced past the end");
+        while count > 0 {
+            let Some(segment) = self.segments.front_mut() else { return };
+            let removed = count.min(segment.end - segment.start);
+            segment.start += removed;
+            self.len -= removed;
+            count -= removed;
+            if segment.start == segment.end {
+                if let Some(emptied) = self.segments.pop_front() {
+                    self.pool.give_back(emptied.buffer);
                 }
             }
         }
@@ -151,8 +170,8 @@
 
 impl Drop for BufferChain {
     fn drop(&mut self) {
-        for s in self.segments.drain(..) {
-            self.pool.give(s.buffer);
+        for segment in self.segments.drain(..) {
+            self.pool.give_back(segment.buffer);
         }
     }
 }
--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -1,6 +1,6 @@
-//! The classes of requests, by name and by number, over changes of the settings. A class is a slot in the module's
-//! table. One that changes gets a new slot, and requests under way keep the one that they were taken in, with its
-//! deadline and effect; a slot is used again when no request or attempt holds it.
+//! The classes of requests, by name and by number, across changes of the settings. The number of a class is a slot
+//! in the decision module's table. A class that changes gets another slot; open requests keep the slot that they
+//! were accepted in, with its deadline and idempotency. A slot is used again when no request or attempt needs it.
 
 use hollymux_decision::{Idempotency, RequestClass};
 use std::collections::BTreeSet;
@@ -9,142 +9,131 @@
 struct Slot {
     name: String,
     idempotency: Idempotency,
-    /// New requests of that name are taken in it.
-    live: bool,
+    /// New requests of that name are accepted in it.
+    is_current: bool,
 }
 
-/// The slots.
+/// The slots of the classes.
 #[derive(Debug, Default)]
-pub struct Classes(Vec<Slot>);
+pub struct Classes {
+    slots: Vec<Slot>,
+}
 
-/// A table of classes by slot, and for each slot the one from which it takes what was learnt.
+/// The table of classes by slot, for the decision module.
 #[derive(Debug, PartialEq)]
 pub struct ClassTable {
-    /// The classes.
+    /// The class in each slot.
     pub classes: Vec<RequestClass>,
-    /// For each, the earlier slot of its name.
+    /// For each slot, the earlier slot of the same name: what was learnt there is kept.
     pub from: Vec<Option<usize>>,
 }
 
+impl ClassTable {
+    /// A table in which no slot has changed.
+    fn unchanged(classes: &[RequestClass]) -> ClassTable {
+        ClassTable { classes: classes.to_vec(), from: (0..classes.len()).map(Some).collect() }
+    }
+}
+
 impl Classes {
-    /// The class that new requests of a name are taken in.
+    /// The slot in which new requests of a class are accepted, by its name.
     pub fn named(&self, name: &[u8]) -> Option<u16> {
-        self.find(|n| n == name)
+        self.current_slot(|slot_name| slot_name == name)
     }
 
-    /// The same, by a name in any case.
+    /// The same, by a name in upper or lower case.
     pub fn named_in_any_case(&self, name: &[u8]) -> Option<u16> {
-        self.find(|n| n.eq_ignore_ascii_case(name))
+        self.current_slot(|slot_name| slot_name.eq_ignore_ascii_case(name))
     }
 
-    fn find(&self, is: impl Fn(&[u8]) -> bool) -> Option<u16> {
-        let at = self.0.iter().position(|s| s.live && is(s.name.as_bytes()))?;
-        u16::try_from(at).ok()
-    }
-
-    /// The name of a slot's class.
+    /// The name of the class in a slot; empty if there is no such slot.
     pub fn name(&self, class: u16) -> &str {
-        self.0.get(usize::from(class)).map_or("", |s| &s.name)
+        self.slots.get(usize::from(class)).map_or("", |slot| &slot.name)
     }
 
-    /// The names of all slots.
+    /// The names of all slots, also of those that accept no new requests.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.0.iter().map(|s| s.name.as_str())
+        self.slots.iter().map(|slot| slot.name.as_str())
     }
 
-    /// How far the class of a slot may be repeated; what has no slot may not.
+    /// The idempotency of the class in a slot; not idempotent if there is no such slot.
     pub fn idempotency(&self, class: u16) -> Idempotency {
-        self.0.get(usize::from(class)).map_or(Idempotency::NotIdempotent, |s| s.idempotency)
+        let slot = self.slots.get(usize::from(class));
+        slot.map_or(Idempotency::NotIdempotent, |slot| slot.idempotency)
     }
 
-    /// Takes classes by name in the place of those that are named now. `table` has the slots' present classes, `held`
-    /// the slots that requests or attempts hold.
+    /// Replaces the classes by others, given with their names. `table` has the present classes by slot, `in_use` the
+    /// slots of open requests and attempts in flight.
     pub fn replace(
         &mut self,
         named: Vec<(String, RequestClass)>,
         table: &[RequestClass],
-        held: &BTreeSet<u16>,
+        in_use: &BTreeSet<u16>,
     ) -> ClassTable {
-        let mut classes = table.to_vec();
-        let mut from: Vec<Option<usize>> = (0..classes.len()).map(Some).collect();
-        let before: Vec<Option<String>> = self.0.iter().map(|s| s.live.then(|| s.name.clone())).collect();
-        // What stays as it is keeps its slot; all others are free for those that come, as soon as nothing holds them.
-        for (i, slot) in self.0.iter_mut().enumerate() {
-            slot.live &= named.iter().any(|(n, c)| *n == slot.name && classes.get(i) == Some(c));
-        }
+        let mut new_table = ClassTable::unchanged(table);
+        // A slot that was current until now is not overwritten at once: another one may still take what was learnt
+        // there.
+        let previous_names: Vec<Option<String>> = self.slots.iter().map(current_name).collect();
+        self.retire_changed(&named, table);
         for (name, class) in named {
             if self.named(name.as_bytes()).is_some() {
                 continue;
             }
-            let old = before.iter().position(|n| n.as_deref() == Some(name.as_str()));
-            // A slot whose name was live until now is not overwritten at once: another may still take what it learnt.
-            let free = |i: &usize| {
-                let held = u16::try_from(*i).is_ok_and(|c| held.contains(&c));
-                !self.0[*i].live && !held && before.get(*i).is_some_and(Option::is_none)
-            };
-            let slot = Slot { name, idempotency: class.idempotency, live: true };
-            match (0..self.0.len()).find(free) {
-                Some(i) => (self.0[i], classes[i], from[i]) = (slot, class, old),
-                None => {
-                    self.0.push(slot);
-                    classes.push(class);
-                    from.push(old);
-                }
-            }
+            let previous = previous_names.iter().position(|previous| previous.as_ref() == Some(&name));
+            let free = self.free_slot(&previous_names, in_use);
+            self.place(free, name, class, previous, &mut new_table);
         }
-        ClassTable { classes, from }
+        new_table
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use std::time::Duration;
+    fn current_slot(&self, has_name: impl Fn(&[u8]) -> bool) -> Option<u16> {
+        let is_match = |slot: &Slot| slot.is_current && has_name(slot.name.as_bytes());
+        let index = self.slots.iter().position(is_match)?;
+        u16::try_from(index).ok()
+    }
+
+    /// A class that is the same under the new settings keeps its slot; the other slots accept nothing new.
+    fn retire_changed(&mut self, named: &[(String, RequestClass)], table: &[RequestClass]) {
+        for (index, slot) in self.slots.iter_mut().enumerate() {
+            let old_class = table.get(index);
+            slot.is_current &=
+                named.iter().any(|(name, class)| *name == slot.name && old_class == Some(class));
+        }
+    }
 
-    fn class(deadline: u64, idempotency: u8) -> RequestClass {
-        let idempotency = if idempotency == 0 { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
-        RequestClass { deadline: Duration::from_micros(deadline), idempotency, ..RequestClass::default() }
+    /// A slot that can be overwritten.
+    fn free_slot(&self, previous_names: &[Option<String>], in_use: &BTreeSet<u16>) -> Option<usize> {
+        let is_in_use = |index: usize| u16::try_from(index).is_ok_and(|slot| in_use.contains(&slot));
+        let was_current = |index: usize| !previous_names.get(index).is_some_and(Option::is_none);
+        (0..self.slots.len())
+            .find(|index| !self.slots[*index].is_current && !is_in_use(*index) && !was_current(*index))
     }
 
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
-
-        /// Guards against a request under way whose class becomes another one, against a name that leads to other
-        /// than its newest class, and against a table that grows with every change.
-        #[test]
-        fn slots_that_are_held_never_change_and_names_lead_to_the_newest(
-            changes in proptest::collection::vec(
-                (proptest::collection::btree_map(0u8..6, (1u64..4, 0u8..2), 1..5), any::<u16>()), 1..40)) {
-            let mut classes = Classes::default();
-            let mut table: Vec<RequestClass> = Vec::new();
-            for (named, mask) in changes {
-                let held: BTreeSet<u16> = (0..table.len() as u16).filter(|i| mask >> (i % 16) & 1 == 1).collect();
-                let named: Vec<(String, RequestClass)> =
-                    named.into_iter().map(|(n, (d, e))| (format!("c{n}"), class(d, e))).collect();
-                let old: Vec<(String, Option<u16>)> =
-                    (0..6).map(|n| format!("c{n}")).map(|n| (n.clone(), classes.named(n.as_bytes()))).collect();
-                let new = classes.replace(named.clone(), &table, &held);
-                prop_assert_eq!(new.classes.len(), new.from.len());
-                for h in &held {
-                    prop_assert_eq!(&new.classes[usize::from(*h)], &table[usize::from(*h)]);
-                    prop_assert_eq!(new.from[usize::from(*h)], Some(usize::from(*h)));
-                }
-                for (name, was) in old {
-                    let now = classes.named(name.as_bytes());
-                    let wanted = named.iter().find(|(n, _)| *n == name).map(|(_, c)| c);
-                    prop_assert_eq!(now.map(|c| &new.classes[usize::from(c)]), wanted);
-                    prop_assert_eq!(now.map(|c| classes.idempotency(c)), wanted.map(|c| c.idempotency));
-                    // What was learnt follows the name.
-                    if let (Some(now), Some(was)) = (now, was) {
-                        prop_assert_eq!(new.from[usize::from(now)], Some(usize::from(was)));
-                    }
-                }
-                // The live ones, those that were live until now, and what requests hold.
-                prop_assert!(new.classes.len() <= 6 + 6 + 6 + held.len().max(table.len()));
-                table = new.classes;
+    /// Puts a class into a free slot, or into a new one.
+    fn place(
+        &mut self,
+        free: Option<usize>,
+        name: String,
+        class: RequestClass,
+        previous: Option<usize>,
+        table: &mut ClassTable,
+    ) {
+        let slot = Slot { name, idempotency: class.idempotency, is_current: true };
+        match free {
+            Some(index) => {
+                self.slots[index] = slot;
+                table.classes[index] = class;
+                table.from[index] = previous;
+            }
+            None => {
+                self.slots.push(slot);
+                table.classes.push(class);
+                table.from.push(previous);
             }
-            prop_assert!(table.len() <= 40, "{} slots", table.len());
         }
     }
 }
+
+fn current_name(slot: &Slot) -> Option<String> {
+    slot.is_current.then(|| slot.name.clone())
+}
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -1,42 +1,42 @@
-//! The member list's lines and what a control feed tells, as the core knows them.
+//! Entries of the endpoint list and events of the endpoint feed, as the router knows them.
 
 use hollymux_decision::{EndpointEntry, EndpointId, Timestamp};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A line of the member list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
-    /// What the module sees.
+    /// What the decision module needs of it.
     pub entry: EndpointEntry,
-    /// Its name on the sockets.
+    /// The endpoint's name in the endpoint protocol.
     pub uid: String,
-    /// Where it listens; none if not told.
+    /// Where it listens; `None` if the entry doesn't say.
     pub addr: Option<SocketAddr>,
 }
 
-/// An event of the control feed.
+/// An event of the endpoint feed.
 #[derive(Debug)]
 pub enum FeedEvent {
-    /// Lines of the member list.
+    /// Entries of the endpoint list.
     Endpoints {
         /// Whether `endpoints` is the complete list: endpoints that it leaves out are gone.
         is_full_list: bool,
-        /// Their entries.
+        /// The entries.
         endpoints: Vec<ListedEndpoint>,
     },
-    /// A purge.
+    /// Copies are invalid.
     Purge {
-        /// The object, or `None`: the group.
+        /// The object; `None`: all objects of the group.
         object: Option<u64>,
         /// The group.
         group: u32,
-        /// When it happened.
+        /// Copies from before this are invalid.
         at: Timestamp,
     },
 }
 
-/// The identity of a shelf in the module: the same at every request router.
+/// The identity of an endpoint in the decision module: the same at every router.
 pub fn endpoint_id(uid: &str) -> EndpointId {
     EndpointId(xxh3_64(uid.as_bytes()))
 }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,19 +1,19 @@
-//! What the core is told and what it wants done: its inputs and commands, and what they carry.
+//! The router's inputs and commands, and what they carry.
 
 use crate::endpoint_list::FeedEvent;
 use crate::hint_follower::LookupResult;
 use crate::request::{AttemptResponse, ClientRequest, Reply, RequestedObject};
-use hollymux_decision::*;
+use hollymux_decision::{AttemptStatus, CacheFill, CacheStatus, EndpointId, RequestId, Timestamp};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Who is owed an answer: a connection and the tag of a request on it. The core only gives it back.
+/// A client's request as its driver knows it: replies carry it back, the router doesn't interpret it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientHandle {
     /// The connection.
     pub conn: u64,
-    /// The tag.
+    /// The tag of the request, unique on its connection.
     pub tag: u64,
 }
 
@@ -22,67 +22,68 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Its number.
+    /// The number of the attempt, from 0.
     pub number: u16,
 }
 
-/// An endpoint that was chosen, and what it is told of the fill.
+/// An endpoint that was chosen, and how it is to fill its cache.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its name on the sockets.
+    /// Its name in the endpoint protocol.
     pub uid: Rc<str>,
     /// Its address.
     pub addr: SocketAddr,
-    /// The source of a fill by its name on the sockets.
+    /// The name of the fill's source; `None` if there is no source or it is the endpoint itself.
     pub source: Option<Rc<str>>,
-    /// Fill and keep.
+    /// How it is to fill its cache, and what it keeps.
     pub fill: CacheFill,
 }
 
-/// An attempt as it is to be sent.
+/// An attempt that is to be sent.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// Which attempt it is.
+    /// The attempt.
     pub attempt: AttemptId,
     /// Where it goes.
     pub target: Target,
-    /// Its time-out.
+    /// How long a response is waited for.
     pub timeout: Duration,
-    /// Its class by number.
+    /// The class of the request, by number.
     pub class: u16,
     /// The client's request.
     pub request: Rc<ClientRequest>,
-    /// Who asks: nothing goes out for one who has left.
+    /// The client: nothing is sent for one that has left.
     pub client: ClientHandle,
-    /// It may not go out after this: what may have run before is told apart as a repeat only for so long.
+    /// The attempt may not be sent after this, if it repeats one that may have run: endpoints recognise a repeat by
+    /// its idempotency key only until then.
     pub send_before: Option<Timestamp>,
 }
 
-/// What a DNS answer told a follower: a box by name and address, and the fill as texts.
+/// An endpoint that the DNS response of another router names, and how it is to fill its cache.
 #[derive(Debug)]
 pub struct RoutingHint {
-    /// The box's name on the sockets, in lower case.
+    /// The endpoint's name, in lower case.
     pub uid: String,
-    /// The box's address.
+    /// The endpoint's address.
     pub addr: SocketAddr,
     /// The fill.
     pub fill: FillHint,
 }
 
-/// A fill as a DNS answer tells it: the source is a name that may mean nothing here.
+/// A cache fill as a DNS response describes it. Its source is a name that may be unknown here.
 #[derive(Debug, Default)]
 pub struct FillHint {
-    /// The source by name; none: no fill.
+    /// The name of the source; `None`: no fill.
     pub source: Option<String>,
-    /// The rank at which the copy is kept, 0 to 3.
+    /// The retention priority of the copy, 0 to 3.
     pub retention: u8,
-    /// The oldest copy that will do.
+    /// The greatest age of a copy that may be served.
     pub max_age: Option<Duration>,
-    /// Join a fill under way.
+    /// Join a fill of the same object that is under way.
     pub coalesce: bool,
-    /// Serve an ageing copy and fetch it anew behind.
+    /// Serve a stale copy and revalidate it in the background.
     pub stale_while_revalidate: bool,
     /// The source gives only what it holds.
     pub only_if_cached: bool,
@@ -97,97 +98,97 @@
     FollowHint,
 }
 
-/// What wakes the core.
+/// What a timer of the router is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// A timer of the module or of the follower.
+    /// A timer of the decision module or of the hint follower, with its token.
     Decision(RoutingMode, u64),
-    /// An attempt's time-out.
+    /// The timeout of an attempt.
     Attempt(AttemptId),
 }
 
-/// Why an attempt ended with no answer.
+/// Why an attempt ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The endpoint refused a connection, so it never ran.
+    /// The endpoint refused a connection, so the attempt never ran.
     ConnectionRefused,
-    /// No connection came up while one was waited for, so it never ran.
+    /// No connection was established in time, so the attempt never ran.
     ConnectTimeout,
-    /// It was never written whole, so it never ran. That tells nothing of the endpoint.
+    /// It was not written completely, so it never ran. That says nothing about the endpoint.
     NotSent,
-    /// The connection ended after it was written whole.
+    /// The connection ended after the attempt was written completely.
     ConnectionLost,
 }
 
-/// What the core is told.
+/// An event for the router.
 #[derive(Debug)]
 pub enum Input {
-    /// A client asks.
+    /// A client sent a request.
     Request(ClientHandle, ClientRequest),
-    /// A client stops waiting.
+    /// A client cancelled its request.
     Cancel(ClientHandle),
     /// A client's connection ended.
     ClientClosed(u64),
-    /// A shelf answered an attempt, and what it said of the fill, if that is told.
+    /// An endpoint responded to an attempt, with the status of its cache if it reported one.
     Responded(AttemptId, AttemptResponse, Option<CacheStatus>),
-    /// An attempt ended with no answer.
+    /// An attempt ended without a response.
     Failed(AttemptId, AttemptFailure),
-    /// A probe ended; none: nothing came back.
+    /// A probe ended: whether the endpoint is healthy, or `None` without a response.
     Probed(EndpointId, Option<bool>),
     /// A lookup for a request ended.
     LookedUp(RequestId, LookupResult<RoutingHint>),
-    /// The control feed told something.
+    /// The endpoint feed sent an event.
     Feed(FeedEvent),
-    /// A timer is due.
+    /// A timer expired.
     Wake(Wake),
-    /// The router ends: whatever is open gets its answer now.
+    /// The process exits: open requests get their replies now.
     Shutdown,
 }
 
 /// How a request was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
-    /// Served with bytes.
+    /// Served with the bytes of the object.
     Served,
-    /// Served: the client's copy is the one.
+    /// Served: the client's copy is current.
     NotModified,
-    /// Refused: it never ran.
+    /// Rejected: it never ran.
     Rejected,
     /// Failed.
     Failed,
-    /// The client stopped waiting.
+    /// The client cancelled it.
     Cancelled,
-    /// A lookup was answered with a box.
+    /// A lookup was answered with an endpoint.
     Named,
 }
 
 /// Why a request was closed as it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultReason {
-    /// As it was asked.
+    /// It was served, or its lookup answered.
     Completed,
-    /// Too much is open, or no further filing can be remembered.
+    /// Too many requests are open, or the table of pending writes is full.
     TableFull,
-    /// Its class, id or budget can't be used.
+    /// Its id is in use or its budget too great.
     InvalidRequest,
-    /// A filing of that id may have run.
+    /// It is not idempotent, and a request of its id may have run.
     MayHaveRun,
-    /// No box could be asked.
+    /// There was no endpoint to send it to.
     NoEndpoint,
-    /// The last attempt ended like this.
+    /// Its last attempt ended like this.
     Attempt(AttemptStatus),
-    /// The client's connection or the buffers hold too much; it never came to a decision.
+    /// Too much is pending on the client's connection or in the buffers: it was not opened.
     Overloaded,
 }
 
-/// What became of a request; told once, when it is closed.
+/// What became of a request; reported once, when it is closed.
 #[derive(Clone, Debug)]
 pub struct RequestSummary {
     /// The request; 0 if it was never opened.
     pub request: RequestId,
-    /// What was asked for.
+    /// The object that was asked for.
     pub requested: RequestedObject,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Timestamp,
     /// How long the client would wait.
     pub budget: Duration,
@@ -197,59 +198,59 @@
     pub result: RequestResult,
     /// Why.
     pub reason: ResultReason,
-    /// Bytes of the answer.
+    /// The size of the reply's body.
     pub bytes: u64,
-    /// Attempts made.
+    /// The number of attempts.
     pub attempts: u16,
-    /// The box that was asked last, by name.
+    /// The endpoint of the last attempt, by name.
     pub endpoint: Option<Rc<str>>,
-    /// The source named with it, by name.
+    /// The fill source of the last attempt, by name.
     pub source: Option<Rc<str>>,
 }
 
 /// An attempt that has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptSummary {
-    /// Which it was.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// The box that was asked, by name.
+    /// Its endpoint, by name.
     pub endpoint: Rc<str>,
-    /// The source named with it, by name.
+    /// Its fill source, by name.
     pub source: Option<Rc<str>>,
     /// How it ended.
     pub status: AttemptStatus,
-    /// How long it was out.
+    /// How long it was in flight.
     pub duration: Duration,
 }
 
-/// What the core wants done.
+/// What the router wants done.
 #[derive(Debug)]
 pub enum Command {
     /// Send an attempt.
     SendAttempt(AttemptRequest),
-    /// Give an attempt up; `may_retry` if its request is still open.
+    /// Cancel an attempt.
     CancelAttempt {
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// A further attempt may follow.
+        /// Its request is still open, so a further attempt may follow.
         may_retry: bool,
     },
-    /// Give a client its final answer.
+    /// Send a client its final reply.
     Reply(ClientHandle, Reply),
-    /// Wake the core at that time.
+    /// Set a timer.
     Wake(Timestamp, Wake),
-    /// Look up where a request is to go.
+    /// Look up at another router where a request is to go.
     Lookup(RequestId, RequestedObject),
-    /// Probe an endpoint.
+    /// Probe the health of an endpoint.
     Probe(EndpointId, SocketAddr),
-    /// Close all connections to an endpoint: its process is no longer there.
+    /// Close all connections to an endpoint: its process is gone or has restarted.
     CloseConnections(EndpointId),
-    /// An endpoint takes nothing more: what has not gone out to it must not go.
+    /// Send nothing more to an endpoint, not even what was accepted for it but not sent yet.
     StopSending(EndpointId),
     /// An attempt has ended: for the log.
     AttemptEnded(AttemptSummary),
-    /// A request is closed: for the log and the recording.
+    /// A request was closed: for the log and the capture.
     RequestEnded(Box<RequestSummary>),
-    /// A line for the operator.
+    /// A message for the operator.
     Log(String),
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,102 +1,108 @@
-//! The numbers that operators are shown. Each is counted where it happens: an end when a request is closed, by the
-//! word that its client gets; an attempt when it has been written whole. Nothing is counted twice or taken back.
+//! The metrics that operators are shown. Each event is counted once, where it happens: the end of a request when it
+//! is closed, by the reply that its client gets; an attempt when it has been written completely.
 
 use std::fmt::Write;
 
-/// Names of classes that are told apart; what is counted under further ones is summed up.
-const NAMES: usize = 256;
-/// Stands for those. No name of a class is written like that.
-const FURTHER: &str = "%";
+/// Classes with counters of their own; those of further classes are summed up.
+const MAX_CLASSES: usize = 256;
+/// The name of the counters of further classes. No class is printed like that.
+const OTHER_CLASSES: &str = "%";
 
-/// What became of requests of a class.
+/// The counters of a class. They are printed as `fulfilled`, `throttled`, `faulted` and `relayed`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Attempts written whole to shelfs.
+    /// Attempts written completely to endpoints.
     pub attempts_sent: u64,
 }
 
-/// One of them.
+/// An event that is counted by class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedEvent {
-    /// Served.
+    /// A request was served.
     Served,
-    /// Refused.
+    /// A request was rejected.
     Rejected,
-    /// Failed.
+    /// A request failed.
     Failed,
-    /// An attempt was written whole.
+    /// An attempt was written completely.
     AttemptSent,
 }
 
-/// The present state, read when the numbers are asked for.
+/// State at the time when the metrics are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests without a final reply. Printed as `open_requests`.
     pub open_requests: usize,
-    /// Shelfs in the list, with parents and origin.
+    /// Endpoints of the list, with parent caches and origin. Printed as `registry_entries`.
     pub listed_endpoints: usize,
-    /// Those among them that get no work now: they drain or are held to be out.
+    /// Those among them that get no requests: they drain or are ejected. Printed as `out_of_rotation`.
     pub unavailable_endpoints: usize,
 }
 
-/// The numbers since the process started.
+#[derive(Clone, Debug)]
+struct NamedCounters {
+    /// The name of the class as it is printed.
+    name: String,
+    counters: ClassCounters,
+}
+
+/// The counters since the process started.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    classes: Vec<(String, ClassCounters)>,
-    /// Files taken at SIGHUP.
+    classes: Vec<NamedCounters>,
+    /// Configurations accepted at SIGHUP. Printed as `cfg_accepted`.
     pub reloads_accepted: u64,
-    /// Files turned down at SIGHUP.
+    /// Configurations rejected at SIGHUP. Printed as `cfg_invalid`.
     pub reloads_rejected: u64,
 }
 
 impl Metrics {
-    /// The place of a class's numbers, by its name. A class that comes back finds what it had.
+    /// The index of a class's counters, by its name. A class that comes back goes on with the counters it had.
     pub fn class_index(&mut self, name: &str) -> usize {
-        let shown = shown(name);
-        if let Some(at) = self.classes.iter().position(|c| c.0 == shown) {
-            return at;
+        let printed = printed_name(name);
+        if let Some(index) = self.classes.iter().position(|class| class.name == printed) {
+            return index;
         }
-        if self.classes.len() < NAMES {
-            self.classes.push((shown, ClassCounters::default()));
-        } else if self.classes.len() == NAMES {
-            self.classes.push((FURTHER.into(), ClassCounters::default()));
+        if self.classes.len() < MAX_CLASSES {
+            self.add_class(printed);
+        } else if self.classes.len() == MAX_CLASSES {
+            self.add_class(OTHER_CLASSES.to_string());
         }
         self.classes.len() - 1
     }
 
-    /// Counts one.
-    pub fn record(&mut self, place: usize, end: CountedEvent) {
-        let Some((_, ends)) = self.classes.get_mut(place) else { return };
-        *match end {
-            CountedEvent::Served => &mut ends.served,
-            CountedEvent::Rejected => &mut ends.rejected,
-            CountedEvent::Failed => &mut ends.failed,
-            CountedEvent::AttemptSent => &mut ends.attempts_sent,
-        } += 1;
+    /// Counts an event of the class at that index.
+    pub fn record(&mut self, class_index: usize, event: CountedEvent) {
+        let Some(class) = self.classes.get_mut(class_index) else { return };
+        let counter = match event {
+            CountedEvent::Served => &mut class.counters.served,
+            CountedEvent::Rejected => &mut class.counters.rejected,
+            CountedEvent::Failed => &mut class.counters.failed,
+            CountedEvent::AttemptSent => &mut class.counters.attempts_sent,
+        };
+        *counter += 1;
     }
 
-    /// The numbers as lines, `svc.NAME=VALUE`.
+    /// The metrics as lines, `svc.NAME=VALUE`.
     pub fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
-            // A String takes whatever is written to it.
+            // Writing to a String never fails.
             let _written = writeln!(text, "svc.{name}={value}");
         };
-        let mut relayed = 0;
-        for (name, ends) in &self.classes {
-            line(&format!("operations.{name}.fulfilled"), ends.served);
-            line(&format!("operations.{name}.throttled"), ends.rejected);
-            line(&format!("operations.{name}.faulted"), ends.failed);
-            line(&format!("operations.{name}.relayed"), ends.attempts_sent);
-            relayed += ends.attempts_sent;
+        for NamedCounters { name, counters } in &self.classes {
+            line(&format!("operations.{name}.fulfilled"), counters.served);
+            line(&format!("operations.{name}.throttled"), counters.rejected);
+            line(&format!("operations.{name}.faulted"), counters.failed);
+            line(&format!("operations.{name}.relayed"), counters.attempts_sent);
         }
-        line("relayed", relayed);
+        line("relayed", self.classes.iter().map(|class| class.counters.attempts_sent).sum());
         line("open_requests", gauges.open_requests as u64);
         line("registry_entries", gauges.listed_endpoints as u64);
         line("out_of_rotation", gauges.unavailable_endpoints as u64);
@@ -104,47 +110,21 @@
         line("cfg_invalid", self.reloads_rejected);
         text
     }
-}
 
-/// A class's name as a part of a line's name: what could end the name or the line is written as %XX.
-fn shown(name: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    let each = |b: u8| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") };
-    name.bytes().map(each).collect()
+    fn add_class(&mut self, name: String) {
+        self.classes.push(NamedCounters { name, counters: ClassCounters::default() });
+    }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a class whose name forges a line or takes another's, and against names without end.
-    #[test]
-    fn names_forge_no_lines_and_are_bounded() {
-        let mut figures = Metrics::default();
-        let bad = figures.class_index("a=1\nsvc.open_requests");
-        figures.record(bad, CountedEvent::Failed);
-        let docs = figures.class_index("docs-pages");
-        figures.record(docs, CountedEvent::Served);
-        figures.record(docs, CountedEvent::AttemptSent);
-        for i in 0..2 * NAMES {
-            let place = figures.class_index(&format!("class{i}"));
-            figures.record(place, CountedEvent::Rejected);
+/// A class's name as a part of a metric's name: bytes that could end the name or the line are printed as %XX.
+fn printed_name(name: &str) -> String {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    let printed = |byte: u8| {
+        if is_plain(byte) {
+            char::from(byte).to_string()
+        } else {
+            format!("%{byte:02X}")
         }
-        // One that has vanished and comes back goes on counting.
-        assert_eq!(figures.class_index("docs-pages"), docs);
-        let text = figures.lines(Gauges { open_requests: 3, listed_endpoints: 9, unavailable_endpoints: 1 });
-        let value = |name: &str| {
-            let mut named = text.lines().filter_map(|l| l.split_once('=')).filter(|l| l.0 == name);
-            let value = named.next().unwrap_or_else(|| panic!("no {name}")).1.parse::<u64>().unwrap();
-            assert!(named.next().is_none(), "{name} twice");
-            value
-        };
-        assert_eq!(value("svc.open_requests"), 3);
-        assert_eq!(value("svc.operations.a%3D1%0Asvc%2Eopen_requests.faulted"), 1);
-        assert_eq!(value("svc.operations.docs-pages.fulfilled"), 1);
-        assert_eq!(value("svc.operations.docs-pages.relayed"), 1);
-        assert_eq!(value("svc.relayed"), 1);
-        assert_eq!(value("svc.operations.%.throttled"), (NAMES + 2) as u64);
-        assert!(text.lines().all(|l| l.starts_with("svc.") && l.matches('=').count() == 1));
-    }
+    };
+    name.bytes().map(printed).collect()
 }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -1,35 +1,35 @@
-//! What a client asks for and is answered, and what a shelf says: the core's own words for them. The codecs turn
-//! bytes into these and back.
+//! Clients' requests and the replies to them, and the responses of endpoints. The codecs turn bytes into these and
+//! back.
 
 use crate::buffers::BufferChain;
 
-/// A number of a client's request. Endpoints are sent the text, so that they see what the client sent.
+/// A number in a client's request. Endpoints are sent the text, so that they see what the client wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNumber {
     /// The number as the client wrote it.
     pub text: Vec<u8>,
-    /// What the text means.
+    /// Its value.
     pub value: u64,
 }
 
-/// What a client asks for, as it came.
+/// A client's request.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The request's id, unique among the open requests of all clients.
     pub request_id: ReceivedNumber,
-    /// The class by name.
+    /// The name of its class.
     pub class: Vec<u8>,
     /// The object.
     pub object: ReceivedNumber,
     /// The chunk of the object.
     pub chunk: u32,
-    /// The group.
+    /// The object's group, which can be purged as a whole.
     pub group: u32,
     /// How long the client waits, in milliseconds.
     pub budget_ms: u64,
-    /// The digest of the copy that the client holds: an unchanged object needs no bytes.
+    /// The digest of the copy that the client holds: if that is current, the reply has no body.
     pub if_none_match: Option<Vec<u8>>,
-    /// The idempotency key, where the class has one: endpoints tell repeats apart by it. It is passed on as it came.
+    /// The idempotency key, if the class has one: endpoints recognise repeats by it. It is sent on unchanged.
     pub idempotency_key: Option<Vec<u8>>,
     /// The body of a write.
     pub body: BufferChain,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A part of an object that is asked for, by whichever front.
+/// A chunk of an object that is asked for, by a request or a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedObject {
     /// The class, by number.
@@ -57,40 +57,40 @@
     pub object: u64,
     /// The chunk of the object.
     pub chunk: u32,
-    /// The group.
+    /// The object's group.
     pub group: u32,
-    /// The request's id, where the class needs it.
+    /// The request's id. A lookup has one only if its class is not idempotent.
     pub request_id: Option<u64>,
 }
 
-/// A final answer.
+/// The final reply to a client.
 #[derive(Debug)]
 pub enum Reply {
-    /// Served: the tag of the copy, if it is one, and its bytes.
+    /// Served: the digest of the copy, except for a write, and the bytes.
     Served(Option<Vec<u8>>, BufferChain),
-    /// The copy that the client holds is the one.
+    /// The copy of that digest, which the client holds, is current.
     NotModified(Vec<u8>),
-    /// Refused, with the milliseconds to stay away; 0: no advice.
+    /// Rejected: it never ran. The client is advised to wait for so many milliseconds; 0: no advice.
     Rejected(u64),
-    /// Failed.
+    /// Failed: it may have run.
     Failed,
 }
 
-/// What a shelf says.
+/// The response of an endpoint.
 #[derive(Debug)]
 pub enum AttemptResponse {
-    /// The bytes and their tag; what was written has none.
+    /// The digest of the copy, except for a write, and the bytes.
     Data(Option<Vec<u8>>, BufferChain),
-    /// The client's copy, of that tag, is the one.
+    /// The client's copy, of that digest, is current.
     NotModified(Vec<u8>),
-    /// A miss: it never ran.
+    /// A cache miss: it never ran.
     Absent,
-    /// Full: it never ran.
+    /// The endpoint is at capacity: it never ran.
     AtCapacity,
     /// An error: it may have run.
     Failed,
-    /// Over already: it never ran.
+    /// It was cancelled before: it never ran.
     AlreadyCancelled,
-    /// A probe's answer: well or not.
+    /// The response to a probe: whether the endpoint is healthy.
     ProbeResult(bool),
 }
