--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -6,7 +6,7 @@
 };
 use crate::MAX_TAG_BYTES;
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
-use hollymux_router::{ClientRequest, Reply};
+use hollymux_router::{ClientRequest, ReceivedNumber, Reply};
 
 /// Largest body of a request, in bytes: the platform's limit.
 pub const MAX_REQUEST_BODY_BYTES: usize = 48_000;
@@ -119,13 +119,13 @@
         return None;
     }
     Some(ClientRequest {
-        rid: (request_id.to_vec(), parse_hex_u64(request_id)?),
-        object: (object.to_vec(), parse_hex_u64(object)?),
-        part: u32::try_from(number("piece")?).ok()?,
+        request_id: ReceivedNumber { text: request_id.to_vec(), value: parse_hex_u64(request_id)? },
+        object: ReceivedNumber { text: object.to_vec(), value: parse_hex_u64(object)? },
+        chunk: u32::try_from(number("piece")?).ok()?,
         group: u32::try_from(number("lot")?).ok().filter(|group| *group < GROUP_COUNT)?,
-        budget: timeout_millis,
-        held: parse_optional_tag(&fields, "ver")?,
-        key: parse_optional_tag(&fields, "token")?,
+        budget_ms: timeout_millis,
+        if_none_match: parse_optional_tag(&fields, "ver")?,
+        idempotency_key: parse_optional_tag(&fields, "token")?,
         class: std::mem::take(&mut frame.words[2]),
         body: frame.body,
     })
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -60,11 +60,11 @@
     let class = classes.named_in_any_case(labels.next()?)?;
     let Some(object_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
     let object = parse_hex_u64(object_label)?;
-    let Some(part_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
-    let part = parse_prefixed_number(part_label, b'p')?;
+    let Some(chunk_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
+    let chunk = parse_prefixed_number(chunk_label, b'p')?;
     let Some(group_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
     let group = parse_prefixed_number(group_label, b'g').filter(|group| *group < GROUP_COUNT)?;
-    let rid = if classes.idempotency(class) == Idempotency::NotIdempotent {
+    let request_id = if classes.idempotency(class) == Idempotency::NotIdempotent {
         let Some(request_id_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
         Some(parse_hex_u64(request_id_label.strip_prefix(b"r")?)?)
     } else {
@@ -73,7 +73,7 @@
     if labels.next().is_some() {
         return None;
     }
-    Some(NameKind::Request(RequestedObject { class, object, part, group, rid }))
+    Some(NameKind::Request(RequestedObject { class, object, chunk, group, request_id }))
 }
 
 /// A decimal number without leading zeros behind a letter.
@@ -88,11 +88,11 @@
 /// The name that stands for a request; none if it would be too long.
 pub fn encode_name(request: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
     let mut name = Name::new();
-    if let Some(request_id) = request.rid {
+    if let Some(request_id) = request.request_id {
         name.push(format!("r{request_id:016x}").into_bytes());
     }
     name.push(format!("g{}", request.group).into_bytes());
-    name.push(format!("p{}", request.part).into_bytes());
+    name.push(format!("p{}", request.chunk).into_bytes());
     name.push(format!("{:016x}", request.object).into_bytes());
     name.push(classes.name(request.class).to_ascii_lowercase().into_bytes());
     name.extend(zone.iter().cloned());
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -148,11 +148,11 @@
 /// # Errors
 /// The pool has no buffers for it.
 pub fn encode_attempt(pool: &BufferPool, attempt: &AttemptRequest) -> Result<BufferChain, Exhausted> {
-    let request = &attempt.ask;
+    let request = &attempt.request;
     let mut head = Vec::with_capacity(256);
     push_array_header(&mut head, 4);
     push_bulk_string(&mut head, b"ASK");
-    push_bulk_string(&mut head, &request.rid.0);
+    push_bulk_string(&mut head, &request.request_id.text);
     push_bulk_string(&mut head, attempt_fields(attempt).as_bytes());
     push_bulk_length(&mut head, request.body.len());
     let mut chain = pool.chain();
@@ -165,20 +165,20 @@
 }
 
 fn attempt_fields(attempt: &AttemptRequest) -> FieldList {
-    let request = &attempt.ask;
+    let request = &attempt.request;
     let timeout_millis = attempt.timeout.as_millis().max(1);
     let mut fields = FieldList::default();
     fields.push("profile", &request.class);
-    fields.push("thing", &request.object.0);
-    fields.push("nth", request.part.to_string().as_bytes());
+    fields.push("thing", &request.object.text);
+    fields.push("nth", request.chunk.to_string().as_bytes());
     fields.push("max", timeout_millis.to_string().as_bytes());
     for field in fill_hint_fields(&attempt.target) {
         fields.push(field.name, field.value.as_bytes());
     }
-    if let Some(held) = &request.held {
+    if let Some(held) = &request.if_none_match {
         fields.push("got", held);
     }
-    if let Some(key) = &request.key {
+    if let Some(key) = &request.idempotency_key {
         fields.push("replay", key);
     }
     fields
--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -129,7 +129,10 @@
 
     fn endpoint_list(&self, number: u64, list: WireEndpointList) -> Result<FeedEvent, EventError> {
         let endpoints = list.endpoints.into_iter().map(|endpoint| self.endpoint(number, endpoint));
-        Ok(FeedEvent::Endpoints { all: list.is_complete, lines: endpoints.collect::<Result<_, _>>()? })
+        Ok(FeedEvent::Endpoints {
+            is_full_list: list.is_complete,
+            endpoints: endpoints.collect::<Result<_, _>>()?,
+        })
     }
 
     fn endpoint(&self, number: u64, endpoint: WireEndpoint) -> Result<ListedEndpoint, EventError> {
--- a/crates/protocol/tests/handover.rs
+++ b/crates/protocol/tests/handover.rs
@@ -2,7 +2,7 @@
 
 use hollymux_decision::Timestamp;
 use hollymux_protocol::handover::{HandoverMessage, HandoverReader, MalformedMessage, VERSION};
-use hollymux_router::handover_state::{EndpointRecord, HandoverState};
+use hollymux_router::handover_state::{EndpointRecord, HandoverState, PendingWrite};
 use proptest::prelude::*;
 
 /// The kind of a message with the state of the predecessor.
@@ -20,8 +20,12 @@
         started: Timestamp::from_micros(7),
     };
     let state = HandoverState {
-        members: vec![endpoint],
-        filings: vec![(1, Timestamp::from_micros(2), Some(3))],
+        endpoints: vec![endpoint],
+        pending_writes: vec![PendingWrite {
+            request_id: 1,
+            arrived: Timestamp::from_micros(2),
+            endpoint: Some(3),
+        }],
         ..HandoverState::default()
     };
     vec![
@@ -29,7 +33,11 @@
         HandoverMessage::State(Some(Box::new(state))),
         HandoverMessage::TakeOver,
         HandoverMessage::Released,
-        HandoverMessage::PendingWrites(vec![(4, Timestamp::from_micros(5), None)]),
+        HandoverMessage::PendingWrites(vec![PendingWrite {
+            request_id: 4,
+            arrived: Timestamp::from_micros(5),
+            endpoint: None,
+        }]),
         HandoverMessage::Declined,
     ]
 }
