--- a/crates/cluster/src/envelope.rs
+++ b/crates/cluster/src/envelope.rs
@@ -4,25 +4,25 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// No datagram is longer: it fits a packet on any network in use, tunnels included.
-pub const DATAGRAM_MOST: usize = 1_400;
+pub const MAX_DATAGRAM_LEN: usize = 1_400;
 /// Bytes of the checksum.
 pub(crate) const CHECK: usize = 4;
 
 /// Why a datagram is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
+pub enum DatagramError {
     /// Too long, too short, or of another version.
     #[error("no datagram of this version")]
-    Form,
+    UnsupportedFormat,
     /// Its checksum does not fit.
     #[error("damaged")]
-    Damaged,
+    ChecksumMismatch,
     /// It can't be read, or holds what is out of bounds.
     #[error("unusable fields")]
-    Fields,
+    InvalidFields,
     /// It belongs to another fleet.
     #[error("of another fleet")]
-    Foreign,
+    OtherCluster,
 }
 
 /// A fleet's name in datagrams.
@@ -44,13 +44,13 @@
 }
 
 /// What is wrapped, if it is of that version and undamaged.
-pub(crate) fn open(version: u8, bytes: &[u8]) -> Result<&[u8], Unread> {
-    if bytes.len() > DATAGRAM_MOST || bytes.len() < 1 + CHECK || bytes[0] != version {
-        return Err(Unread::Form);
+pub(crate) fn open(version: u8, bytes: &[u8]) -> Result<&[u8], DatagramError> {
+    if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < 1 + CHECK || bytes[0] != version {
+        return Err(DatagramError::UnsupportedFormat);
     }
     let (text, sum) = bytes.split_at(bytes.len() - CHECK);
     if sum != check(text) {
-        return Err(Unread::Damaged);
+        return Err(DatagramError::ChecksumMismatch);
     }
     Ok(&text[1..])
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,14 +1,21 @@
-//! What request routers know and decide together. It does no I/O, reads no clock and draws no random numbers but those
-//! of the seed that it is given: datagrams, times and the local router's own events go in, datagrams, timers and
-//! changes come out. The same inputs give the same outputs. `docs/fleet.md` has the design and what is promised.
+//! What routers of one cluster know of each other and share: SWIM membership and leased quotas.
+//!
+//! The package does no I/O, reads no clock and draws random numbers only from the seed that it is given. Datagrams,
+//! points in time and events of the local router go in; datagrams, timeouts and changes come out. Equal inputs give
+//! equal outputs, so that the same code runs in the event loop, in virtual time and under a model checker.
+//! `docs/fleet.md` and `docs/fleet-limits.md` have the design and its guarantees.
 
+mod counters;
 mod envelope;
-pub mod limits;
-pub mod view;
+pub mod membership;
+pub mod quota;
+mod transmit;
 
-pub use envelope::{Unread, DATAGRAM_MOST};
+pub use counters::{DatagramCount, RejectedDatagrams, RouterCounts};
+pub use envelope::{DatagramError, MAX_DATAGRAM_LEN};
+pub use transmit::Transmit;
 
-/// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
+/// Microseconds: a point in time on the monotonic clock of the caller, or a span of time.
 pub type Time = u64;
 /// A millisecond as a [`Time`].
 pub const MS: Time = 1_000;
--- a/crates/cluster/src/view/message.rs
+++ b/crates/cluster/src/membership/message.rs
@@ -1,8 +1,8 @@
 //! Datagrams between routers: a version, a head, news, a checksum. Lengths are bounded before anything is read; a
 //! datagram that is not understood whole is none.
 
-use super::record::{Digests, Record};
-use crate::envelope::{self, Unread, CHECK, DATAGRAM_MOST};
+use super::record::{Digests, MemberRecord};
+use crate::envelope::{self, DatagramError, CHECK, MAX_DATAGRAM_LEN};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -33,7 +33,7 @@
     pub(crate) fleet: u64,
     /// The sender: the address that others send to.
     pub(crate) from: SocketAddr,
-    pub(crate) record: Record,
+    pub(crate) record: MemberRecord,
     /// Of the sender's whole view.
     pub(crate) digest: u64,
     pub(crate) body: Body,
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct News {
     pub(crate) of: SocketAddr,
-    pub(crate) record: Record,
+    pub(crate) record: MemberRecord,
     pub(crate) by: u32,
 }
 
@@ -59,7 +59,7 @@
         bytes.extend(postcard::to_stdvec(head).unwrap_or_default());
         for n in news {
             let Ok(text) = postcard::to_stdvec(n) else { break };
-            if bytes.len() + text.len() + CHECK > DATAGRAM_MOST {
+            if bytes.len() + text.len() + CHECK > MAX_DATAGRAM_LEN {
                 break;
             }
             bytes.extend(text);
@@ -70,35 +70,43 @@
 }
 
 /// Reads a datagram of this fleet.
-pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<News>), Unread> {
+pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<News>), DatagramError> {
     let text = envelope::open(VERSION, bytes)?;
-    let (head, mut rest) = postcard::take_from_bytes::<Head>(text).map_err(|_| Unread::Fields)?;
+    let (head, mut rest) =
+        postcard::take_from_bytes::<Head>(text).map_err(|_| DatagramError::InvalidFields)?;
     if head.fleet != fleet {
-        return Err(Unread::Foreign);
+        return Err(DatagramError::OtherCluster);
     }
     let mut news = Vec::new();
     while !rest.is_empty() {
-        let (n, left) = postcard::take_from_bytes::<News>(rest).map_err(|_| Unread::Fields)?;
+        let (n, left) = postcard::take_from_bytes::<News>(rest).map_err(|_| DatagramError::InvalidFields)?;
         rest = left;
         news.push(n);
     }
-    let usable = |r: &Record| r.usable();
+    let usable = |r: &MemberRecord| r.usable();
     if !usable(&head.record) || !news.iter().all(|n| usable(&n.record)) {
-        return Err(Unread::Fields);
+        return Err(DatagramError::InvalidFields);
     }
     Ok((head, news))
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::record::{Phase, Rank};
+    use super::super::record::{MemberState, RouterPhase};
     use super::*;
     use crate::envelope::fleet_hash;
     use proptest::prelude::*;
 
-    fn record(start: u64, name: &str) -> Record {
-        let (rank, phase) = (Rank::Suspect, Phase::Ready);
-        Record { start, incarnation: 3, rank, phase, name: name.into(), zone: "cairo".into() }
+    fn record(start: u64, name: &str) -> MemberRecord {
+        let (state, phase) = (MemberState::Suspect, RouterPhase::Ready);
+        MemberRecord {
+            generation: start,
+            incarnation: 3,
+            state,
+            phase,
+            name: name.into(),
+            zone: "cairo".into(),
+        }
     }
 
     fn head(body: Body) -> Head {
@@ -119,15 +127,18 @@
             .map(|i| News { of: of(i), record: record(u64::from(i) << 40, "a-router"), by: 5 })
             .collect();
         let (bytes, count) = write(&head(Body::Ping(u64::MAX)), news.iter());
-        assert!(bytes.len() <= DATAGRAM_MOST && count > 20, "{count} in {} bytes", bytes.len());
+        assert!(bytes.len() <= MAX_DATAGRAM_LEN && count > 20, "{count} in {} bytes", bytes.len());
         let (read_head, read_news) = read(&bytes, fleet_hash("f")).unwrap();
         assert_eq!((read_head, &read_news[..]), (head(Body::Ping(u64::MAX)), &news[..count]));
-        assert_eq!(read(&bytes, fleet_hash("g")).unwrap_err(), Unread::Foreign);
-        assert_eq!(read(&bytes[1..], fleet_hash("f")).unwrap_err(), Unread::Form);
-        assert_eq!(read(&bytes[..bytes.len() - 1], fleet_hash("f")).unwrap_err(), Unread::Damaged);
+        assert_eq!(read(&bytes, fleet_hash("g")).unwrap_err(), DatagramError::OtherCluster);
+        assert_eq!(read(&bytes[1..], fleet_hash("f")).unwrap_err(), DatagramError::UnsupportedFormat);
+        assert_eq!(
+            read(&bytes[..bytes.len() - 1], fleet_hash("f")).unwrap_err(),
+            DatagramError::ChecksumMismatch
+        );
         let long = News { of: of(1), record: record(1, &"n".repeat(33)), by: 0 };
         let (bytes, _) = write(&head(Body::Tell), [long].iter());
-        assert_eq!(read(&bytes, fleet_hash("f")).unwrap_err(), Unread::Fields);
+        assert_eq!(read(&bytes, fleet_hash("f")).unwrap_err(), DatagramError::InvalidFields);
     }
 
     proptest! {
@@ -146,7 +157,7 @@
             for bytes in [any.clone(), sealed(&any), sealed(&text), sealed(&text[..cut.min(text.len())])] {
                 if let Ok((head, news)) = read(&bytes, fleet_hash("f")) {
                     prop_assert!(head.record.usable() && news.iter().all(|n| n.record.usable()));
-                    prop_assert!(bytes.len() <= DATAGRAM_MOST);
+                    prop_assert!(bytes.len() <= MAX_DATAGRAM_LEN);
                 }
             }
         }
--- a/crates/cluster/src/view/probe.rs
+++ b/crates/cluster/src/membership/probe.rs
@@ -1,8 +1,8 @@
 //! Who answers: direct probes, probes by way of others, and suspicions that end in a loss unless they are refuted.
 
 use super::message::Body;
-use super::record::{Phase, Rank};
-use super::{Membership, Times};
+use super::record::{MemberState, RouterPhase};
+use super::{Membership, MembershipTimings};
 use crate::{Time, SEC};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -64,18 +64,18 @@
     }
 
     /// When the suspect is lost: the sooner the more confirm it (Lifeguard's logarithm).
-    pub(super) fn ends(&self, times: &Times) -> Time {
+    pub(super) fn ends(&self, timings: &MembershipTimings) -> Time {
         let confirmed = self.by.len().saturating_sub(1).min(CONFIRMED) as f64;
         let part = (confirmed + 1.0).ln() / (CONFIRMED as f64 + 1.0).ln();
-        let spread = times.suspect_most.saturating_sub(times.suspect_least) as f64;
-        self.since + times.suspect_most - (spread * part) as Time
+        let spread = timings.max_suspicion.saturating_sub(timings.min_suspicion) as f64;
+        self.since + timings.max_suspicion - (spread * part) as Time
     }
 }
 
 impl Membership {
     /// How long an answer may take.
     pub(super) fn patience(&self) -> Time {
-        self.setup.times.answer * Time::from(self.health + 1)
+        self.setup.timings.ack_timeout * Time::from(self.health + 1)
     }
 
     /// Ends the probe of the last turn and begins the next one.
@@ -84,13 +84,13 @@
             self.unanswered(&probe);
         }
         self.relays.retain(|_, r| r.until > self.now);
-        self.next_probe = self.now + self.setup.times.probe * Time::from(self.health + 1);
-        if self.record.rank == Rank::Left {
+        self.next_probe = self.now + self.setup.timings.probe_interval * Time::from(self.health + 1);
+        if self.record.state == MemberState::Left {
             return;
         }
         let Some(whom) = self.whose_turn() else { return };
         let number = self.number();
-        self.counts.probes.0 += 1;
+        self.counters.probes_sent += 1;
         self.probe = Some(Probe {
             number,
             whom,
@@ -115,7 +115,7 @@
                 self.turn = self.some(usize::MAX, &[]);
             }
             while let Some(next) = self.turn.pop() {
-                if self.members.get(&next).is_some_and(|m| m.record.rank <= Rank::Suspect) {
+                if self.members.get(&next).is_some_and(|m| m.record.state <= MemberState::Suspect) {
                     return Some(next);
                 }
             }
@@ -150,17 +150,17 @@
     /// Neither the router nor anybody asked about it has answered. Others that did not even say no point at this
     /// router's own links, so it doubts itself first.
     fn unanswered(&mut self, probe: &Probe) {
-        self.counts.probes.1 += 1;
+        self.counters.probes_failed += 1;
         let doubt = if probe.asked_any { probe.missing.min(1) } else { 1 };
         self.health = (self.health + doubt).min(HEALTH_MOST);
         self.misses = self.misses.saturating_add(1);
         self.judge();
         let alive = self.members.get(&probe.whom).map(|m| m.record.clone());
-        let me = super::message::by(self.setup.addr);
-        match alive.filter(|r| !self.deaf && r.rank <= Rank::Suspect) {
-            Some(record) if record.rank == Rank::Alive => {
-                self.counts.probes.2 += 1;
-                self.learn(probe.whom, record.ranked(Rank::Suspect), Some(me));
+        let me = super::message::by(self.setup.address);
+        match alive.filter(|r| !self.deaf && r.state <= MemberState::Suspect) {
+            Some(record) if record.state == MemberState::Alive => {
+                self.counters.suspicions_raised += 1;
+                self.learn(probe.whom, record.ranked(MemberState::Suspect), Some(me));
             }
             Some(record) => self.learn(probe.whom, record, Some(me)),
             None => {}
@@ -169,9 +169,10 @@
 
     /// Suspects that have not refuted it in time are lost.
     pub(super) fn expire(&mut self) {
-        let (now, times) = (self.now, self.setup.times);
-        let over = self.suspicions().filter(|(_, s)| now >= s.ends(&times)).map(|(of, _)| of);
-        let lost: Vec<_> = over.map(|of| (of, self.members[&of].record.ranked(Rank::Lost))).collect();
+        let (now, timings) = (self.now, self.setup.timings);
+        let over = self.suspicions().filter(|(_, s)| now >= s.ends(&timings)).map(|(of, _)| of);
+        let lost: Vec<_> =
+            over.map(|of| (of, self.members[&of].record.ranked(MemberState::Failed))).collect();
         for (addr, record) in lost {
             self.learn(addr, record, None);
         }
@@ -183,7 +184,7 @@
             Body::Ping(number) => self.send(from, Body::Ack(number)),
             Body::Ask(number, whom) => {
                 let known = self.members.contains_key(&whom) && self.relays.len() < RELAYS_MOST;
-                if known && whom != self.setup.addr {
+                if known && whom != self.setup.address {
                     let own = self.number();
                     let until = self.now + RELAYED;
                     self.relays.insert(own, Relay { from, number, until, nacked: false });
@@ -227,8 +228,8 @@
         if let Some(m) = self.members.get_mut(&from) {
             m.answered = Some(self.now);
         }
-        if self.record.phase == Phase::Joining {
-            self.speak(|r| r.phase = Phase::Ready);
+        if self.record.phase == RouterPhase::Joining {
+            self.speak(|r| r.phase = RouterPhase::Ready);
         }
     }
 
@@ -236,15 +237,16 @@
     /// is lost is tried too often.
     pub(super) fn retry(&mut self) {
         let reachable = self.within as u64 + 1;
-        let known = |s: &SocketAddr| *s == self.setup.addr || self.members.contains_key(s);
-        let lost = self.members.iter().filter(|(_, m)| m.record.rank == Rank::Lost).map(|(a, _)| *a);
+        let known = |s: &SocketAddr| *s == self.setup.address || self.members.contains_key(s);
+        let lost =
+            self.members.iter().filter(|(_, m)| m.record.state == MemberState::Failed).map(|(a, _)| *a);
         let mut tried: Vec<SocketAddr> = lost.collect();
         tried.extend(self.setup.seeds.iter().copied().filter(|s| !known(s)));
         tried.sort();
         let each = SEC * reachable / (RETRIES_PER_S * (tried.len() as u64).max(1));
-        let wait = self.setup.times.retry.max(each.min(60 * SEC));
+        let wait = self.setup.timings.reconnect_interval.max(each.min(60 * SEC));
         self.next_retry = self.now + wait / 2 + self.draw(wait);
-        if tried.is_empty() || self.record.rank == Rank::Left {
+        if tried.is_empty() || self.record.state == MemberState::Left {
             return;
         }
         // While nobody is known every seed is asked; later one after another.
--- a/crates/cluster/src/view/record.rs
+++ b/crates/cluster/src/membership/record.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The longest name of a router or an office, in bytes.
-pub const NAME_MOST: usize = 32;
+pub const MAX_NAME_LEN: usize = 32;
 /// No start is later than this: the next start must have a number as well.
 const START_MOST: u64 = 1 << 60;
 /// Nor is an incarnation: before it comes to that a router takes a new start's number.
@@ -14,20 +14,20 @@
 
 /// How a router stands, as far as others can tell; the later one holds within an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum MemberState {
     /// It answers somebody.
     Alive,
     /// A probe of it went unanswered, direct and by way of others.
     Suspect,
     /// Nobody reaches it: dead, cut off or slow.
-    Lost,
+    Failed,
     /// It said that it ends.
     Left,
 }
 
 /// What an alive router does, by its own word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Phase {
+pub enum RouterPhase {
     /// It has not heard from the fleet yet, or must hear from it anew.
     Joining,
     /// It serves.
@@ -40,53 +40,53 @@
     Stopping,
 }
 
-impl Rank {
+impl MemberState {
     /// Its name, the same in log, metrics, door and docs.
     pub fn name(self) -> &'static str {
         match self {
-            Rank::Alive => "alive",
-            Rank::Suspect => "suspect",
-            Rank::Lost => "lost",
-            Rank::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Failed => "lost",
+            MemberState::Left => "left",
         }
     }
 }
 
-impl Phase {
+impl RouterPhase {
     /// Its name, the same in log, metrics, door and docs.
     pub fn name(self) -> &'static str {
         match self {
-            Phase::Joining => "joining",
-            Phase::Ready => "ready",
-            Phase::Standby => "standby",
-            Phase::Replaced => "replaced",
-            Phase::Stopping => "stopping",
+            RouterPhase::Joining => "joining",
+            RouterPhase::Ready => "ready",
+            RouterPhase::Standby => "standby",
+            RouterPhase::Replaced => "replaced",
+            RouterPhase::Stopping => "stopping",
         }
     }
 }
 
 /// What is said of the router at an address. The fields are in the order by which two are compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// The number of its start: the next start at the address has a greater one.
-    pub start: u64,
+    pub generation: u64,
     /// Counted by the router itself, within a start.
     pub incarnation: u32,
     /// How it stands.
-    pub rank: Rank,
+    pub state: MemberState,
     /// What it does.
-    pub phase: Phase,
+    pub phase: RouterPhase,
     /// What people call it.
     pub name: String,
     /// Its office.
     pub zone: String,
 }
 
-impl Record {
+impl MemberRecord {
     /// Whether its fields are within bounds.
     pub(crate) fn usable(&self) -> bool {
-        let fits = |s: &str| s.len() <= NAME_MOST;
-        self.start <= START_MOST
+        let fits = |s: &str| s.len() <= MAX_NAME_LEN;
+        self.generation <= START_MOST
             && self.incarnation <= INCARNATION_MOST
             && !self.name.is_empty()
             && fits(&self.name)
@@ -94,15 +94,15 @@
     }
 
     /// The same router under another rank.
-    pub(crate) fn ranked(&self, rank: Rank) -> Record {
-        Record { rank, ..self.clone() }
+    pub(crate) fn ranked(&self, state: MemberState) -> MemberRecord {
+        MemberRecord { state, ..self.clone() }
     }
 
     /// What digests are made of. A suspicion is no fact yet and counts as alive: two views that differ in it alone
     /// are settled.
     pub(crate) fn digest(&self, addr: SocketAddr) -> u64 {
-        let rank = if self.rank == Rank::Suspect { Rank::Alive } else { self.rank };
-        let text = (addr, self.start, self.incarnation, rank, self.phase, &self.name, &self.zone);
+        let state = if self.state == MemberState::Suspect { MemberState::Alive } else { self.state };
+        let text = (addr, self.generation, self.incarnation, state, self.phase, &self.name, &self.zone);
         // Names are bounded, so that all of it fits.
         let mut bytes = [0; 192];
         postcard::to_slice(&text, &mut bytes).map_or(0, |bytes| xxh3_64_with_seed(bytes, 0))
@@ -126,7 +126,7 @@
     }
 
     /// A record came or went.
-    pub(crate) fn turn(&mut self, addr: SocketAddr, record: &Record) {
+    pub(crate) fn turn(&mut self, addr: SocketAddr, record: &MemberRecord) {
         self.parts[Digests::part(addr)] ^= record.digest(addr);
     }
 
--- a/crates/cluster/src/view/spread.rs
+++ b/crates/cluster/src/membership/spread.rs
@@ -2,9 +2,9 @@
 //! where digests differ.
 
 use super::message::{self, Body, Head, News};
-use super::record::{Digests, Rank, Record};
+use super::record::{Digests, MemberRecord, MemberState};
 use super::{Membership, OUT_MOST};
-use crate::envelope::DATAGRAM_MOST;
+use crate::envelope::MAX_DATAGRAM_LEN;
 use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
     fn head(&self, body: Body) -> Head {
         Head {
             fleet: self.fleet,
-            from: self.setup.addr,
+            from: self.setup.address,
             record: self.record.clone(),
             digest: self.digest(),
             body,
@@ -46,20 +46,22 @@
     }
 
     fn put(&mut self, to: SocketAddr, bytes: Vec<u8>) {
-        debug_assert!(bytes.len() <= DATAGRAM_MOST);
+        debug_assert!(bytes.len() <= MAX_DATAGRAM_LEN);
         if self.out.len() >= OUT_MOST {
-            self.counts.dropped += 1;
+            self.counters.dropped += 1;
             return;
         }
-        self.counts.sent.0 += 1;
-        self.counts.sent.1 += bytes.len() as u64;
+        self.counters.sent.add(bytes.len());
         self.out.push_back((to, bytes));
     }
 
     /// News for a receiver: that he is suspected or lost, so that he can refute it at once; then what was told least.
     fn pick(&self, to: SocketAddr) -> Vec<News> {
         let mut all = Vec::new();
-        let about = self.members.get(&to).filter(|m| matches!(m.record.rank, Rank::Suspect | Rank::Lost));
+        let about = self
+            .members
+            .get(&to)
+            .filter(|m| matches!(m.record.state, MemberState::Suspect | MemberState::Failed));
         if about.is_some() {
             all.extend(self.item(to));
         }
@@ -71,14 +73,14 @@
             .collect();
         waiting.sort();
         // More than this hardly ever fits.
-        let items = waiting.into_iter().take(DATAGRAM_MOST / 32).flat_map(|(_, of)| self.item(of));
+        let items = waiting.into_iter().take(MAX_DATAGRAM_LEN / 32).flat_map(|(_, of)| self.item(of));
         all.extend(items);
         all
     }
 
     /// What there is to say of a router; of a suspect once for each who suspects it.
     fn item(&self, of: SocketAddr) -> Vec<News> {
-        if of == self.setup.addr {
+        if of == self.setup.address {
             return vec![News { of, record: self.record.clone(), by: 0 }];
         }
         let Some(m) = self.members.get(&of) else { return Vec::new() };
@@ -91,7 +93,7 @@
 
     /// Tells news to a few.
     pub(super) fn tell(&mut self) {
-        self.next_tell = self.now + self.setup.times.tell;
+        self.next_tell = self.now + self.setup.timings.gossip_interval;
         if self.news.is_empty() {
             return;
         }
@@ -142,7 +144,13 @@
             own[part] != theirs[part]
         };
         // A suspicion goes on as news, with who has it; here only what it is about.
-        let said = |r: &Record| if r.rank == Rank::Suspect { r.ranked(Rank::Alive) } else { r.clone() };
+        let said = |r: &MemberRecord| {
+            if r.state == MemberState::Suspect {
+                r.ranked(MemberState::Alive)
+            } else {
+                r.clone()
+            }
+        };
         let here = self.members.iter().filter(|(of, _)| differs(of));
         let items: Vec<News> = here.map(|(of, m)| News { of: *of, record: said(&m.record), by: 0 }).collect();
         let head = self.head(Body::Tell);
--- a/crates/cluster/src/limits/ledger.rs
+++ b/crates/cluster/src/quota/ledger.rs
@@ -5,14 +5,14 @@
 //! clock. What is lost on the way is void until then; what comes twice is the same lot.
 
 use super::message::GIFTS_MOST;
-use super::{LeaseHolder, LeaseTimings, WHOLE};
+use super::{LeaseHolder, LeaseTimings, WHOLE_QUOTA};
 use crate::Time;
 use std::collections::BTreeMap;
 
 /// Lots that are held, and given, of one limit at most; what is beyond is refused, and stays void until it ends.
 const LOTS_MOST: usize = 256;
 /// Nothing smaller is given: it would cost more words than it serves requests.
-const LEAST: u32 = WHOLE / 4_096;
+const LEAST: u32 = WHOLE_QUOTA / 4_096;
 
 /// Parts from another router, for a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -52,8 +52,8 @@
     /// Forgets what has ended.
     pub(crate) fn expire(&mut self, now: Time, terms: &LeaseTimings) {
         self.held.retain(|_, h| h.ends > now);
-        self.lent.retain(|_, l| l.until + terms.tail() > now);
-        self.fading.retain(|f| f.1 + terms.tail() > now);
+        self.lent.retain(|_, l| l.until + terms.expiry_delay() > now);
+        self.fading.retain(|f| f.1 + terms.expiry_delay() > now);
     }
 
     /// Whether nothing is held or lent.
@@ -68,7 +68,7 @@
 
     /// Parts that others may use, or have used within the window before that time.
     pub(crate) fn lent(&self, at: Time, terms: &LeaseTimings) -> u32 {
-        self.out().filter(|l| l.1 + terms.tail() > at).fold(0, |sum, l| sum.saturating_add(l.0))
+        self.out().filter(|l| l.1 + terms.expiry_delay() > at).fold(0, |sum, l| sum.saturating_add(l.0))
     }
 
     /// All that was given: how many parts, and until when they may be used.
@@ -94,14 +94,14 @@
 
     /// When the next lot that was given is back.
     pub(crate) fn back(&self, now: Time, terms: &LeaseTimings) -> Option<Time> {
-        self.out().map(|l| l.1 + terms.tail()).filter(|b| *b > now).min()
+        self.out().map(|l| l.1 + terms.expiry_delay()).filter(|b| *b > now).min()
     }
 
     /// Takes a lot. `ends` is counted from when its giver was asked, by the own clock, so it is over here before it is
     /// over there. The same lot again is longer, never more.
     pub(crate) fn take(&mut self, now: Time, from: LeaseHolder, gift: &LeaseTransfer, ends: Time) {
         let room = self.held.len() < LOTS_MOST || self.held.contains_key(&(from, gift.lot));
-        if ends <= now || gift.parts == 0 || gift.parts > WHOLE || !room {
+        if ends <= now || gift.parts == 0 || gift.parts > WHOLE_QUOTA || !room {
             return;
         }
         let held = self.held.entry((from, gift.lot)).or_insert(Held { parts: gift.parts, ends });
@@ -123,7 +123,7 @@
         next: &mut u64,
     ) -> Vec<LeaseTransfer> {
         self.expire(now, terms);
-        let until = now + terms.held_back(long);
+        let until = now + terms.with_drift_margin(long);
         let mut gifts = Vec::new();
         let mut total = 0;
         let mut live: Vec<u64> =
@@ -188,15 +188,20 @@
     fn a_part_is_back_a_window_after_the_slowest_clock_has_ended_it() {
         let terms = LeaseTimings::default();
         let (mut giver, mut taker) = (LeaseLedger::default(), LeaseLedger::default());
-        let gifts = giver.give(0, holder(2), WHOLE / 2, terms.lease, WHOLE, 0, &terms, &mut 0);
+        let gifts =
+            giver.give(0, holder(2), WHOLE_QUOTA / 2, terms.lease_duration, WHOLE_QUOTA, 0, &terms, &mut 0);
         assert_eq!(gifts.len(), 1);
-        taker.take(0, holder(1), &gifts[0], terms.lease);
-        let drift = terms.drift as f64 / 1_000.0;
+        taker.take(0, holder(1), &gifts[0], terms.lease_duration);
+        let drift = terms.max_clock_drift_per_mille as f64 / 1_000.0;
         let by = |t: u64, rate: f64| (t as f64 * (1.0 + rate)) as Time;
         let last = (0..9_000).rfind(|t| taker.has(by(t * MS, -drift), 0, &terms) > 0).unwrap();
-        let back = (0..9_000).find(|t| giver.has(by(t * MS, drift), WHOLE, &terms) == WHOLE).unwrap();
-        assert!(back * MS >= last * MS + terms.window, "back after {back} ms, last used after {last} ms");
-        assert!(back * MS <= terms.over() + 100 * MS, "back after {back} ms only");
+        let back =
+            (0..9_000).find(|t| giver.has(by(t * MS, drift), WHOLE_QUOTA, &terms) == WHOLE_QUOTA).unwrap();
+        assert!(
+            back * MS >= last * MS + terms.usage_window,
+            "back after {back} ms, last used after {last} ms"
+        );
+        assert!(back * MS <= terms.max_claim_lifetime() + 100 * MS, "back after {back} ms only");
     }
 
     /// Guards against a broker that passes on for longer what it has for a while.
@@ -204,13 +209,13 @@
     fn what_is_passed_on_ends_before_what_was_passed() {
         let terms = LeaseTimings::default();
         let mut broker = LeaseLedger::default();
-        broker.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE / 2, long: SEC }, SEC);
-        assert!(broker.give(0, holder(3), WHOLE, SEC, 0, 0, &terms, &mut 0).is_empty());
-        let gifts = broker.give(0, holder(3), WHOLE, 900 * MS, 0, 0, &terms, &mut 0);
-        assert_eq!(gifts.iter().map(|g| g.parts).sum::<u32>(), WHOLE / 2);
+        broker.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE_QUOTA / 2, long: SEC }, SEC);
+        assert!(broker.give(0, holder(3), WHOLE_QUOTA, SEC, 0, 0, &terms, &mut 0).is_empty());
+        let gifts = broker.give(0, holder(3), WHOLE_QUOTA, 900 * MS, 0, 0, &terms, &mut 0);
+        assert_eq!(gifts.iter().map(|g| g.parts).sum::<u32>(), WHOLE_QUOTA / 2);
         // Later in the lease the same lot can't be renewed for as long.
-        assert!(broker.give(500 * MS, holder(3), WHOLE, 900 * MS, 0, 0, &terms, &mut 1).is_empty());
-        assert_eq!(broker.lent(500 * MS, &terms), WHOLE / 2);
+        assert!(broker.give(500 * MS, holder(3), WHOLE_QUOTA, 900 * MS, 0, 0, &terms, &mut 1).is_empty());
+        assert_eq!(broker.lent(500 * MS, &terms), WHOLE_QUOTA / 2);
     }
 
     /// Guards against a lot that is counted twice, or that grows or lives on by an older word.
@@ -236,7 +241,7 @@
             book.take(0, holder(1), &LeaseTransfer { lot, parts: 1, long: SEC }, SEC);
         }
         assert_eq!(book.held(1), LOTS_MOST as u32);
-        book.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE + 1, long: SEC }, SEC);
+        book.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE_QUOTA + 1, long: SEC }, SEC);
         assert_eq!(book.held(1), LOTS_MOST as u32);
     }
 }
--- a/crates/cluster/src/limits/message.rs
+++ b/crates/cluster/src/quota/message.rs
@@ -2,14 +2,14 @@
 //! are bounded before anything is read; a datagram that is not understood whole is none.
 
 use super::ledger::LeaseTransfer;
-use crate::envelope::{self, Unread};
+use crate::envelope::{self, DatagramError};
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// The first byte of a datagram of this kind.
 pub(crate) const VERSION: u8 = 0x40;
-/// Limits in a datagram, and gifts of one limit: more go into the next.
+/// QuotaManager in a datagram, and gifts of one limit: more go into the next.
 pub(crate) const ITEMS_MOST: usize = 7;
 pub(crate) const GIFTS_MOST: usize = 8;
 
@@ -55,16 +55,16 @@
 }
 
 /// Reads a word of this fleet.
-pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<LimitEntry>), Unread> {
+pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<LimitEntry>), DatagramError> {
     let text = envelope::open(VERSION, bytes)?;
-    let ((head, items), rest) =
-        postcard::take_from_bytes::<(Head, Vec<LimitEntry>)>(text).map_err(|_| Unread::Fields)?;
+    let ((head, items), rest) = postcard::take_from_bytes::<(Head, Vec<LimitEntry>)>(text)
+        .map_err(|_| DatagramError::InvalidFields)?;
     let bounded = items.len() <= ITEMS_MOST && items.iter().all(|i| i.gifts.len() <= GIFTS_MOST);
     if !rest.is_empty() || !bounded {
-        return Err(Unread::Fields);
+        return Err(DatagramError::InvalidFields);
     }
     if head.fleet != fleet {
-        return Err(Unread::Foreign);
+        return Err(DatagramError::OtherCluster);
     }
     Ok((head, items))
 }
--- a/crates/cluster/src/limits/mod.rs
+++ b/crates/cluster/src/quota/mod.rs
@@ -1,8 +1,8 @@
-//! Limits of the whole fleet that must never be exceeded, as parts on lease: what a server that has just started bears,
+//! QuotaManager of the whole fleet that must never be exceeded, as parts on lease: what a server that has just started bears,
 //! shared by all routers that send to it. It decides how much of each limit this router may use now and until when, and
 //! what it gives to whom; what a limit is worth, and what is done with it, is the decision module's.
 //!
-//! Every limit is [`WHOLE`] parts that exist once. A router's *home* is its even share, by the number of routers that may
+//! Every limit is [`WHOLE_QUOTA`] parts that exist once. A router's *home* is its even share, by the number of routers that may
 //! be at work; parts of it move by lots on lease, counted out before they are told. Homes are even
 //! shares only as long as everybody divides by enough: a router that starts uses none until all others have said that
 //! they count it, and that all they ever gave fits under that.
@@ -12,9 +12,17 @@
 
 mod ledger;
 mod message;
+mod options;
+mod peers;
+mod status;
 
-use crate::envelope::{fleet_hash, DATAGRAM_MOST};
-use crate::view::{Membership, Rank};
+pub use options::{LeaseTimings, QuotaOptions};
+pub use peers::{ActivePeers, QuotaPeer};
+pub use status::{LeaseStatus, OwnShareStatus, QuotaAllocation, QuotaCounters};
+
+use crate::counters::RouterCounts;
+use crate::envelope::{fleet_hash, MAX_DATAGRAM_LEN};
+use crate::transmit::Transmit;
 use crate::{Time, MS};
 use hollymux_decision::{EndpointId, QuotaScope, QuotaShare, Timestamp, WarmUpDemand};
 use ledger::LeaseLedger;
@@ -24,9 +32,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Parts of a limit.
-pub const WHOLE: u32 = 1 << 20;
-/// Limits that are looked after at once; routers divide any further ones evenly.
-pub const LIMITS_MOST: usize = 512;
+pub const WHOLE_QUOTA: u32 = 1 << 20;
+/// QuotaManager that are looked after at once; routers divide any further ones evenly.
+pub const MAX_LIMITS: usize = 512;
 /// Datagrams that wait to be taken; what is beyond is as if the network had lost it.
 const OUT_MOST: usize = 512;
 /// Routers that are asked in one turn whether they count this one.
@@ -40,73 +48,7 @@
 
 /// A router in one of its lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LeaseHolder(pub SocketAddr, pub u64);
-
-/// Times that the bounds follow from. Every one has its reason in `docs/fleet-limits.md`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseTimings {
-    /// A lot is given for so long, from when its taker asked.
-    pub lease: Time,
-    /// What a broker gives on is given for so long.
-    pub onward: Time,
-    /// From one word to the broker to the next.
-    pub turn: Time,
-    /// The window over which use of a limit counts: so much later a part that is back may be used again.
-    pub window: Time,
-    /// The most that a router's clock runs fast or slow, as so many in 1000.
-    pub drift: Time,
-}
-
-impl Default for LeaseTimings {
-    fn default() -> LeaseTimings {
-        LeaseTimings { lease: 2_500 * MS, onward: 1_200 * MS, turn: 400 * MS, window: 1_500 * MS, drift: 10 }
-    }
-}
-
-impl LeaseTimings {
-    /// How long a giver holds back what it gave for so long. By true time the taker's end comes `long / (1 - drift)`
-    /// after it asked at the latest, and the giver, which was asked later, counts at most `1 + drift` times as much.
-    pub fn held_back(&self, long: Time) -> Time {
-        long + (long * 3 * self.drift).div_ceil(1_000)
-    }
-
-    /// What was used counts for so long, by any clock.
-    pub fn tail(&self) -> Time {
-        self.held_back(self.window)
-    }
-
-    /// When all that a router has given, used or held is over, from when it stopped.
-    pub fn over(&self) -> Time {
-        self.held_back(self.lease.max(self.onward)) + self.tail()
-    }
-}
-
-/// Another router, as the view has it: all that may be at work.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Member {
-    /// Its address.
-    pub addr: SocketAddr,
-    /// Whether it is of the own office.
-    pub here: bool,
-    /// Whether it can be reached, as far as the view can tell: to save words by, nothing else.
-    pub reachable: bool,
-}
-
-/// Everybody else who may be at work by a view, and how many it had no room for.
-pub fn members(view: &Membership) -> (Vec<Member>, u32) {
-    let zone = &view.own().1.zone;
-    let deaf = view.deaf();
-    let others = view.others().filter(|s| s.record.rank != Rank::Left);
-    let members: Vec<Member> = others
-        .map(|s| Member {
-            addr: s.addr,
-            here: s.record.zone == *zone,
-            reachable: s.record.rank <= Rank::Suspect && !deaf,
-        })
-        .collect();
-    let beyond = view.at_work(None).saturating_sub(members.len() as u32 + 1);
-    (members, beyond)
-}
+pub(crate) struct LeaseHolder(pub(crate) SocketAddr, pub(crate) u64);
 
 /// What is known of another router.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -155,75 +97,14 @@
     fn needs(&self, now: Time) -> u32 {
         let wants = self.wants(now).max(self.used);
         // A tenth of a request is the rest of one that was wanted long ago.
-        wants.saturating_sub(self.unit / 10).div_ceil(self.unit).saturating_mul(self.unit).min(WHOLE)
+        wants.saturating_sub(self.unit / 10).div_ceil(self.unit).saturating_mul(self.unit).min(WHOLE_QUOTA)
     }
 }
 
-/// What a limit stands at, for operators.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeaseStatus {
-    /// The limit, and who shares it.
-    pub limit: u64,
-    /// See `limit`.
-    pub sharers: QuotaScope,
-    /// Parts that may be used here now.
-    pub has: u32,
-    /// The own even share, what is held from others, and what others have or had within a window.
-    pub home: u32,
-    /// See `home`.
-    pub held: u32,
-    /// See `home`.
-    pub lent: u32,
-    /// Used within the last window, and wanted.
-    pub used: u32,
-    /// See `used`.
-    pub wanted: u32,
-    /// When the next lot that is held ends, and when the next one that was given is back, by the own clock.
-    pub ends: Option<Time>,
-    /// See `ends`.
-    pub back: Option<Time>,
-    /// Where too much and too little meet; none: here.
-    pub broker: Option<SocketAddr>,
-}
-
-/// Counts for operators.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Words read and sent, and their bytes.
-    pub received: (u64, u64),
-    /// See `received`.
-    pub sent: (u64, u64),
-    /// Datagrams that are none: form, damage, fields, another fleet's.
-    pub unread: [u64; 4],
-    /// Words for, or from, another life.
-    pub stale: u64,
-    /// Lots given and taken, and those that came too late to be used.
-    pub given: u64,
-    /// See `given`.
-    pub taken: u64,
-    /// See `given`.
-    pub late: u64,
-}
-
-/// What a router is set up with.
-#[derive(Clone, Debug)]
-pub struct Setup {
-    /// The fleet's name: words of others are dropped.
-    pub fleet: String,
-    /// The address that others send to.
-    pub addr: SocketAddr,
-    /// The number of this life of the process: no other one of this address has had it.
-    pub life: u64,
-    /// Routers that are configured, in all and in the own office: nobody divides by fewer.
-    pub configured: (u32, u32),
-    /// Times.
-    pub terms: LeaseTimings,
-}
-
 /// One router's parts of the fleet's limits.
 #[derive(Clone, Debug)]
-pub struct Limits {
-    setup: Setup,
+pub struct QuotaManager {
+    setup: QuotaOptions,
     fleet: u64,
     now: Time,
     began: Time,
@@ -243,16 +124,16 @@
     next_turn: Time,
     next_asked: usize,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Counts.
-    pub counts: Counts,
+    /// QuotaCounters.
+    pub counters: QuotaCounters,
 }
 
-impl Limits {
+impl QuotaManager {
     /// A router that has just started: it has nothing.
-    pub fn new(setup: Setup, now: Time) -> Limits {
-        let among = (setup.configured.0.max(1), setup.configured.1.max(1));
-        let mut limits = Limits {
-            fleet: fleet_hash(&setup.fleet),
+    pub fn new(setup: QuotaOptions, now: Time) -> QuotaManager {
+        let among = (setup.configured_routers.all.max(1), setup.configured_routers.own_zone.max(1));
+        let mut limits = QuotaManager {
+            fleet: fleet_hash(&setup.cluster_name),
             now,
             began: now,
             peers: BTreeMap::new(),
@@ -267,7 +148,7 @@
             next_turn: now,
             next_asked: 0,
             out: VecDeque::new(),
-            counts: Counts::default(),
+            counters: QuotaCounters::default(),
             setup,
         };
         limits.digest = limits.digest_of(&BTreeSet::new());
@@ -277,15 +158,16 @@
     // ---- what goes in ----
 
     /// Everybody else who may be at work, by the view's second set, and how many there was no room for.
-    pub fn members(&mut self, now: Time, members: impl IntoIterator<Item = Member>, beyond: u32) {
+    pub fn update_peers(&mut self, now: Time, active: &ActivePeers) {
         self.pass(now);
+        let beyond = active.unlisted;
         let mut named = BTreeSet::new();
         let mut here = 1;
-        for m in members {
-            here += u32::from(m.here);
-            named.insert(m.addr);
-            let peer = self.peers.entry(m.addr).or_insert(Peer {
-                here: m.here,
+        for m in &active.peers {
+            here += u32::from(m.same_zone);
+            named.insert(m.address);
+            let peer = self.peers.entry(m.address).or_insert(Peer {
+                here: m.same_zone,
                 reachable: m.reachable,
                 life: 0,
                 stamp: 0,
@@ -295,7 +177,7 @@
                 knew: false,
                 uses: false,
             });
-            (peer.here, peer.reachable) = (m.here, m.reachable);
+            (peer.here, peer.reachable) = (m.same_zone, m.reachable);
         }
         self.peers.retain(|addr, _| named.contains(addr));
         let digest = self.digest_of(&named).wrapping_add(u64::from(beyond));
@@ -305,7 +187,7 @@
             self.shrunk = self.now;
         }
         let all = named.len() as u32 + 1 + beyond;
-        let (of_all, of_here) = self.setup.configured;
+        let RouterCounts { all: of_all, own_zone: of_here } = self.setup.configured_routers;
         let among = (all.max(of_all).max(1), (here + beyond).max(of_here).max(1));
         // Larger divisors bind at once; smaller ones when those who left, and what they gave, are over.
         let bound = (self.among.0.max(among.0), self.among.1.max(among.1));
@@ -313,16 +195,16 @@
         self.grows = match self.grows {
             _ if among == bound => None,
             Some((at, then)) if then == among => Some((at, among)),
-            _ => Some((self.now + self.setup.terms.over(), among)),
+            _ => Some((self.now + self.setup.timings.max_claim_lifetime(), among)),
         };
     }
 
     /// What is asked for here now, in place of what was before.
-    pub fn demand(&mut self, now: Time, demands: &[WarmUpDemand]) {
+    pub fn update_demand(&mut self, now: Time, demands: &[WarmUpDemand]) {
         self.pass(now);
         self.limits.values_mut().for_each(|l| (l.asked, l.used) = (false, 0));
-        let parts = |f: f64| (f.clamp(0.0, 1.0) * f64::from(WHOLE)).ceil() as u32;
-        for d in demands.iter().take(LIMITS_MOST) {
+        let parts = |f: f64| (f.clamp(0.0, 1.0) * f64::from(WHOLE_QUOTA)).ceil() as u32;
+        for d in demands.iter().take(MAX_LIMITS) {
             let l = self.limits.entry(d.endpoint.0).or_insert_with(|| Limit {
                 sharers: d.sharers,
                 used: 0,
@@ -336,7 +218,7 @@
             l.unit = parts(d.unit).max(1);
             l.wanted = (parts(d.wanted).max(l.wants(now)), now);
         }
-        let terms = self.setup.terms;
+        let terms = self.setup.timings;
         self.limits.retain(|_, l| {
             l.book.expire(now, &terms);
             l.asked || !l.book.idle()
@@ -344,23 +226,22 @@
     }
 
     /// A datagram of this kind came. What can't be read is counted; nothing of it is believed.
-    pub fn datagram(&mut self, now: Time, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) {
         self.pass(now);
-        self.counts.received.0 += 1;
-        self.counts.received.1 += bytes.len() as u64;
+        self.counters.received.add(bytes.len());
         match message::read(bytes, self.fleet) {
             Ok((head, items)) => self.on_word(&head, &items),
-            Err(e) => self.counts.unread[e as usize] += 1,
+            Err(e) => self.counters.rejected.count(e),
         }
     }
 
-    /// Time has passed; to be called when [`Limits::due`] says so, with [`Limits::demand`] before it.
-    pub fn tick(&mut self, now: Time) {
+    /// Time has passed; to be called when [`QuotaManager::next_timeout`] says so, with [`QuotaManager::update_demand`] before it.
+    pub fn handle_timeout(&mut self, now: Time) {
         self.pass(now);
         if self.stopped || self.now < self.next_turn {
             return;
         }
-        self.next_turn = self.now + self.setup.terms.turn;
+        self.next_turn = self.now + self.setup.timings.exchange_interval;
         self.try_open();
         self.ask_whether_counted();
         self.deal();
@@ -374,24 +255,25 @@
 
     // ---- what comes out ----
 
-    /// When [`Limits::tick`] is to be called.
-    pub fn due(&self) -> Time {
+    /// When [`QuotaManager::handle_timeout`] is to be called.
+    pub fn next_timeout(&self) -> Time {
         self.next_turn
     }
 
     /// The next datagram to send.
-    pub fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop_front()
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+        let (destination, payload) = self.out.pop_front()?;
+        Some(Transmit { destination, payload })
     }
 
     /// What may be used of a limit here; the own even share if nothing was asked for yet.
-    pub fn part(&self, now: Time, limit: u64, sharers: QuotaScope) -> QuotaShare {
-        let part = |parts: u32| f64::from(parts) / f64::from(WHOLE);
+    pub fn usable_share(&self, now: Time, limit: u64, sharers: QuotaScope) -> QuotaShare {
+        let part = |parts: u32| f64::from(parts) / f64::from(WHOLE_QUOTA);
         let home = self.home(sharers);
         let Some(l) = self.limits.get(&limit).filter(|_| !self.stopped) else {
             return QuotaShare { now: part(home), until: Timestamp::MAX, after: part(home) };
         };
-        let terms = &self.setup.terms;
+        let terms = &self.setup.timings;
         let has = part(l.book.has(now, home, terms));
         // When the first lot ends, all of them count as ended: the next word says more.
         let after = part(home.saturating_sub(l.book.lent(now, terms)));
@@ -401,50 +283,57 @@
     }
 
     /// Whether this router's even share is in use, and by how many the whole is divided, in all and here.
-    pub fn homes(&self) -> (bool, u32, u32) {
-        (self.open, self.among.0, self.among.1)
+    pub fn own_share_status(&self) -> OwnShareStatus {
+        OwnShareStatus {
+            in_use: self.open,
+            divisors: RouterCounts { all: self.among.0, own_zone: self.among.1 },
+        }
     }
 
     /// Times.
-    pub fn terms(&self) -> &LeaseTimings {
-        &self.setup.terms
+    pub fn timings(&self) -> &LeaseTimings {
+        &self.setup.timings
     }
 
     /// Others who have not said that they count this router.
-    pub fn not_counted_by(&self) -> Vec<SocketAddr> {
+    pub fn unacknowledged_by(&self) -> Vec<SocketAddr> {
         let not = self.peers.iter().filter(|(_, p)| p.counts != self.digest);
         not.map(|(addr, _)| *addr).collect()
     }
 
-    /// Limits that are asked for, or of which something is held or lent.
-    pub fn standings(&self) -> Vec<LeaseStatus> {
-        let terms = &self.setup.terms;
+    /// QuotaManager that are asked for, or of which something is held or lent.
+    pub fn lease_statuses(&self) -> Vec<LeaseStatus> {
+        let terms = &self.setup.timings;
         let one = |(id, l): (&u64, &Limit)| LeaseStatus {
-            limit: *id,
-            sharers: l.sharers,
-            has: l.book.has(self.now, self.home(l.sharers), terms),
-            home: self.home(l.sharers),
-            held: l.book.held(self.now),
+            limit_id: *id,
+            scope: l.sharers,
+            usable: l.book.has(self.now, self.home(l.sharers), terms),
+            own_share: self.home(l.sharers),
+            borrowed: l.book.held(self.now),
             lent: l.book.lent(self.now, terms),
             used: l.used,
-            wanted: l.wants(self.now),
-            ends: l.book.ends(self.now),
-            back: l.book.back(self.now, terms),
+            demand: l.wants(self.now),
+            next_expiry: l.book.ends(self.now),
+            next_reclaim: l.book.back(self.now, terms),
             broker: self.broker(*id, l.sharers),
         };
         self.limits.iter().map(one).collect()
     }
 
-    /// What the decision module is told: the own share of a limit that all share, and of one of the office, as parts of
-    /// the whole; and what is said of each limit that is in use.
-    pub fn use_at(&self, now: Time) -> ((f64, f64), BTreeMap<EndpointId, QuotaShare>) {
+    /// What the decision module may use now.
+    pub fn allocation(&self, now: Time) -> QuotaAllocation {
         let share = |among: u32| if self.open { 1.0 / f64::from(among) } else { 0.0 };
-        let parts = self.limits.iter().map(|(id, l)| (EndpointId(*id), self.part(now, *id, l.sharers)));
-        ((share(self.among.0), share(self.among.1)), parts.collect())
+        let parts =
+            self.limits.iter().map(|(id, l)| (EndpointId(*id), self.usable_share(now, *id, l.sharers)));
+        QuotaAllocation {
+            share_of_all: share(self.among.0),
+            share_of_own_zone: share(self.among.1),
+            endpoints: parts.collect(),
+        }
     }
 
     /// Whether a datagram is of this kind, by its first byte.
-    pub fn is_for(bytes: &[u8]) -> bool {
+    pub fn is_quota_datagram(bytes: &[u8]) -> bool {
         bytes.first() == Some(&message::VERSION)
     }
 
@@ -459,7 +348,7 @@
 
     fn digest_of(&self, others: &BTreeSet<SocketAddr>) -> u64 {
         let mut all: Vec<String> = others.iter().map(SocketAddr::to_string).collect();
-        all.push(self.setup.addr.to_string());
+        all.push(self.setup.address.to_string());
         all.sort();
         xxh3_64_with_seed(all.join(" ").as_bytes(), 6) | 1
     }
@@ -468,15 +357,15 @@
     fn home(&self, sharers: QuotaScope) -> u32 {
         match sharers {
             _ if !self.open => 0,
-            QuotaScope::All => WHOLE / self.among.0,
-            QuotaScope::Zone => WHOLE / self.among.1,
+            QuotaScope::All => WHOLE_QUOTA / self.among.0,
+            QuotaScope::Zone => WHOLE_QUOTA / self.among.1,
             QuotaScope::Elsewhere => 0,
         }
     }
 
     /// The set that all this router uses and has given fits under: everything older has ended.
     fn fits(&self) -> u64 {
-        if self.now >= self.shrunk + self.setup.terms.over() {
+        if self.now >= self.shrunk + self.setup.timings.max_claim_lifetime() {
             self.digest
         } else {
             0
@@ -486,7 +375,7 @@
     /// Begins to use the own share: what an earlier life of this address gave or used is over, and everybody else who may
     /// be at work says that he counts this one, or somebody knows that an earlier life of it was counted so.
     fn try_open(&mut self) {
-        if self.open || self.now < self.began + self.setup.terms.over() {
+        if self.open || self.now < self.began + self.setup.timings.max_claim_lifetime() {
             return;
         }
         let counted = self.peers.values().all(|p| p.counts == self.digest);
@@ -515,8 +404,8 @@
         let Some(peer) = self.peers.get(&to) else { return };
         let head = Head {
             fleet: self.fleet,
-            from: self.setup.addr,
-            start: self.setup.life,
+            from: self.setup.address,
+            start: self.setup.instance_id,
             to: peer.life,
             stamp: self.now,
             echo: peer.stamp,
@@ -526,20 +415,19 @@
             answer,
         };
         let bytes = message::write(&head, &items);
-        debug_assert!(bytes.len() <= DATAGRAM_MOST, "a word of {} bytes", bytes.len());
+        debug_assert!(bytes.len() <= MAX_DATAGRAM_LEN, "a word of {} bytes", bytes.len());
         if self.out.len() < OUT_MOST {
-            self.counts.sent.0 += 1;
-            self.counts.sent.1 += bytes.len() as u64;
+            self.counters.sent.add(bytes.len());
             self.out.push_back((to, bytes));
         }
     }
 
     fn on_word(&mut self, head: &Head, items: &[LimitEntry]) {
-        let me = self.setup.life;
+        let me = self.setup.instance_id;
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(&head.from) else { return self.counts.stale += 1 };
+        let Some(peer) = self.peers.get_mut(&head.from) else { return self.counters.stale_messages += 1 };
         if head.to != me && head.to != 0 || head.echo > now {
-            return self.counts.stale += 1;
+            return self.counters.stale_messages += 1;
         }
         if peer.life != head.start {
             (peer.life, peer.stamp) = (head.start, 0);
@@ -557,8 +445,8 @@
             }
             if let Some(peer) = self.peers.get_mut(&head.from) {
                 let known = peer.wants.contains_key(&item.limit);
-                if !head.answer && (known || peer.wants.len() < LIMITS_MOST) {
-                    peer.wants.insert(item.limit, (item.want.min(WHOLE), item.unit.max(1), now));
+                if !head.answer && (known || peer.wants.len() < MAX_LIMITS) {
+                    peer.wants.insert(item.limit, (item.want.min(WHOLE_QUOTA), item.unit.max(1), now));
                 }
             }
         }
@@ -576,12 +464,12 @@
             return;
         };
         for gift in &item.gifts {
-            let ends = asked.saturating_add(gift.long.min(self.setup.terms.lease));
+            let ends = asked.saturating_add(gift.long.min(self.setup.timings.lease_duration));
             if asked == 0 || ends <= now {
-                self.counts.late += 1;
+                self.counters.leases_expired_in_transit += 1;
                 continue;
             }
-            self.counts.taken += 1;
+            self.counters.leases_accepted += 1;
             l.book.take(now, from, gift, ends);
         }
     }
@@ -593,8 +481,8 @@
         let draw = |a: &SocketAddr| (xxh3_64_with_seed(a.to_string().as_bytes(), limit), *a);
         let fits = |p: &Peer| p.reachable && (sharers != QuotaScope::Zone || p.here);
         let others = self.peers.iter().filter(|(_, p)| fits(p)).map(|(a, _)| *a);
-        let best = others.chain([self.setup.addr]).max_by_key(draw)?;
-        Some(best).filter(|b| *b != self.setup.addr)
+        let best = others.chain([self.setup.address]).max_by_key(draw)?;
+        Some(best).filter(|b| *b != self.setup.address)
     }
 
     /// Tells each broker what is wanted, and gives it what is not.
@@ -630,9 +518,18 @@
             }
             let mut gifts = Vec::new();
             if peer.life != 0 {
-                let terms = self.setup.terms;
-                gifts = l.book.give(self.now, to, spare, terms.lease, home, l.used, &terms, &mut self.lot);
-                self.counts.given += gifts.len() as u64;
+                let terms = self.setup.timings;
+                gifts = l.book.give(
+                    self.now,
+                    to,
+                    spare,
+                    terms.lease_duration,
+                    home,
+                    l.used,
+                    &terms,
+                    &mut self.lot,
+                );
+                self.counters.leases_granted += gifts.len() as u64;
             }
             words.entry(broker).or_default().push(LimitEntry { limit: id, want, unit, gifts });
         }
@@ -645,14 +542,15 @@
 
     /// What one who asks gets of a limit, if it is asked for here as well.
     fn serve(&mut self, to: LeaseHolder, item: &LimitEntry) -> Option<LimitEntry> {
-        let (now, terms) = (self.now, self.setup.terms);
+        let (now, terms) = (self.now, self.setup.timings);
         let sharers = self.limits.get(&item.limit)?.sharers;
         let home = self.home(sharers);
         let l = self.limits.get_mut(&item.limit)?;
         let mut asks: Vec<Ask> = Vec::new();
         for (addr, p) in &self.peers {
             let Some((want, unit, since)) = p.wants.get(&item.limit).copied() else { continue };
-            let fresh = now < since + WANTED * terms.turn && (sharers != QuotaScope::Zone || p.here);
+            let fresh =
+                now < since + WANTED * terms.exchange_interval && (sharers != QuotaScope::Zone || p.here);
             let has = l.book.lent_to(&LeaseHolder(*addr, p.life), now);
             if fresh && want > 0 || has > 0 {
                 let draw = xxh3_64_with_seed(addr.to_string().as_bytes(), item.limit);
@@ -667,8 +565,9 @@
         let free = l.book.has(now, home, &terms).saturating_sub(needs).min(most.saturating_sub(lent));
         let target = share_out(free, most, &mut asks).get(&to.0).copied().unwrap_or(0);
         let used = l.used;
-        let gifts = l.book.give(now, to, target, terms.onward, home, used, &terms, &mut self.lot);
-        self.counts.given += gifts.len() as u64;
+        let gifts =
+            l.book.give(now, to, target, terms.broker_lease_duration, home, used, &terms, &mut self.lot);
+        self.counters.leases_granted += gifts.len() as u64;
         Some(LimitEntry { limit: item.limit, want: 0, unit: l.unit, gifts })
     }
 }
--- a/crates/cluster/tests/datagram_bytes.rs
+++ b/crates/cluster/tests/datagram_bytes.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::addr;
-use hollymux_cluster::limits::{self, LeaseTimings, Limits};
-use hollymux_cluster::view::{self, Membership, Phase, Times};
-use hollymux_cluster::{Time, MS, SEC};
+use hollymux_cluster::membership::{Membership, MembershipOptions, MembershipTimings, RouterPhase};
+use hollymux_cluster::quota::{ActivePeers, LeaseTimings, QuotaManager, QuotaOptions};
+use hollymux_cluster::{RouterCounts, Time, Transmit, MS, SEC};
 use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 /// Routers on sound links that deliver every datagram one step later.
 struct Cluster {
     now: Time,
-    members: Vec<Option<(Membership, Limits)>>,
-    in_flight: VecDeque<(SocketAddr, Vec<u8>)>,
+    members: Vec<Option<(Membership, QuotaManager)>>,
+    in_flight: VecDeque<Transmit>,
     membership_bytes: Xxh3,
     quota_bytes: Xxh3,
     datagrams: usize,
@@ -41,24 +41,25 @@
     }
 
     fn start(&mut self, router: usize) {
-        let membership = view::Setup {
-            fleet: "bytes".into(),
-            name: format!("n{router}"),
+        let membership = MembershipOptions {
+            cluster_name: "bytes".into(),
+            router_name: format!("n{router}"),
             zone: format!("z{}", router % 2),
-            addr: addr(router),
+            address: addr(router),
             seeds: vec![addr(0), addr(1)],
-            start: self.now + router as Time,
-            times: Times::default(),
-            seed: router as u64,
+            generation: self.now + router as Time,
+            timings: MembershipTimings::default(),
+            random_seed: router as u64,
         };
-        let quota = limits::Setup {
-            fleet: "bytes".into(),
-            addr: addr(router),
-            life: self.now + router as Time,
-            configured: (3, 2),
-            terms: LeaseTimings::default(),
+        let quota = QuotaOptions {
+            cluster_name: "bytes".into(),
+            address: addr(router),
+            instance_id: self.now + router as Time,
+            configured_routers: RouterCounts { all: 3, own_zone: 2 },
+            timings: LeaseTimings::default(),
         };
-        self.members[router] = Some((Membership::new(membership, self.now), Limits::new(quota, self.now)));
+        self.members[router] =
+            Some((Membership::new(membership, self.now), QuotaManager::new(quota, self.now)));
     }
 
     fn demands(&self, router: usize) -> [WarmUpDemand; 2] {
@@ -73,8 +74,8 @@
         let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
-            for (to, bytes) in std::mem::take(&mut self.in_flight) {
-                self.deliver(to, &bytes);
+            for transmit in std::mem::take(&mut self.in_flight) {
+                self.deliver(transmit.destination, &transmit.payload);
             }
             for router in 0..ROUTERS {
                 self.turn(router);
@@ -86,11 +87,11 @@
         let Some(router) = (0..ROUTERS).find(|router| addr(*router) == to) else { return };
         let demands = self.demands(router);
         let Some((membership, limits)) = &mut self.members[router] else { return };
-        if Limits::is_for(bytes) {
-            limits.demand(self.now, &demands);
-            limits.datagram(self.now, bytes);
+        if QuotaManager::is_quota_datagram(bytes) {
+            limits.update_demand(self.now, &demands);
+            limits.handle_datagram(self.now, bytes);
         } else {
-            membership.datagram(self.now, bytes);
+            membership.handle_datagram(self.now, bytes);
         }
     }
 
@@ -98,24 +99,23 @@
         let demands = self.demands(router);
         let now = self.now;
         let Some((membership, limits)) = &mut self.members[router] else { return };
-        if now >= membership.due() {
-            membership.tick(now);
+        if now >= membership.next_timeout() {
+            membership.handle_timeout(now);
         }
-        let (others, beyond) = limits::members(membership);
-        limits.members(now, others, beyond);
-        if now >= limits.due() {
-            limits.demand(now, &demands);
-            limits.tick(now);
+        limits.update_peers(now, &ActivePeers::from_membership(membership));
+        if now >= limits.next_timeout() {
+            limits.update_demand(now, &demands);
+            limits.handle_timeout(now);
         }
-        while membership.change().is_some() {}
-        while let Some((to, bytes)) = membership.outgoing() {
-            self.membership_bytes.update(&bytes);
-            self.in_flight.push_back((to, bytes));
+        while membership.poll_change().is_some() {}
+        while let Some(transmit) = membership.poll_transmit() {
+            self.membership_bytes.update(&transmit.payload);
+            self.in_flight.push_back(transmit);
             self.datagrams += 1;
         }
-        while let Some((to, bytes)) = limits.outgoing() {
-            self.quota_bytes.update(&bytes);
-            self.in_flight.push_back((to, bytes));
+        while let Some(transmit) = limits.poll_transmit() {
+            self.quota_bytes.update(&transmit.payload);
+            self.in_flight.push_back(transmit);
             self.datagrams += 1;
         }
     }
@@ -131,14 +131,15 @@
     cluster.start(3);
     cluster.run(12 * SEC);
     if let Some((membership, limits)) = &mut cluster.members[4] {
-        membership.phase(cluster.now, Phase::Standby);
+        membership.set_phase(cluster.now, RouterPhase::Standby);
         membership.leave(cluster.now);
         limits.stop(cluster.now);
     }
     cluster.run(2 * SEC);
     cluster.members[4] = None;
     cluster.run(10 * SEC);
-    let granted: u64 = cluster.members.iter().flatten().map(|(_, limits)| limits.counts.given).sum();
+    let granted: u64 =
+        cluster.members.iter().flatten().map(|(_, limits)| limits.counters.leases_granted).sum();
     assert!(granted > 100, "only {granted} leases were granted");
     let digests = (cluster.membership_bytes.digest(), cluster.quota_bytes.digest(), cluster.datagrams);
     assert_eq!(digests, (11_513_440_271_994_169_250, 15_986_201_213_975_458_030, 3_004));
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/membership_model.rs
@@ -8,8 +8,10 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_cluster::view::{Membership, Rank, Record, Setup, Times};
-use hollymux_cluster::{Time, SEC};
+use hollymux_cluster::membership::{
+    MemberRecord, MemberState, Membership, MembershipOptions, MembershipTimings,
+};
+use hollymux_cluster::{Time, Transmit, SEC};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
@@ -20,17 +22,17 @@
 const FAIR: Time = 60 * SEC;
 
 fn view(i: usize, now: Time, start: u64) -> Membership {
-    let setup = Setup {
-        fleet: "model".into(),
-        name: format!("n{i}"),
+    let options = MembershipOptions {
+        cluster_name: "model".into(),
+        router_name: format!("n{i}"),
         zone: String::new(),
-        addr: addr(i),
+        address: addr(i),
         seeds: (0..ROUTERS).map(addr).collect(),
-        start,
-        times: Times::default(),
-        seed: i as u64,
+        generation: start,
+        timings: MembershipTimings::default(),
+        random_seed: i as u64,
     };
-    Membership::new(setup, now)
+    Membership::new(options, now)
 }
 
 #[derive(Clone, Debug)]
@@ -42,7 +44,7 @@
     /// Crashes, cuts and repetitions that are left.
     left: [u8; 3],
     starts: u64,
-    last: BTreeMap<(usize, usize), Record>,
+    last: BTreeMap<(usize, usize), MemberRecord>,
     went_back: bool,
 }
 
@@ -65,27 +67,27 @@
     /// Takes what a router sends, and looks whether what it says has gone back.
     fn after(&mut self, i: usize) {
         let Some(view) = &mut self.views[i] else { return };
-        while view.change().is_some() {}
-        while let Some((to, bytes)) = view.outgoing() {
-            if let Some(to) = (0..ROUTERS).find(|j| addr(*j) == to && *j != i) {
-                self.flight.push((i, to, bytes));
+        while view.poll_change().is_some() {}
+        while let Some(Transmit { destination, payload }) = view.poll_transmit() {
+            if let Some(to) = (0..ROUTERS).find(|j| addr(*j) == destination && *j != i) {
+                self.flight.push((i, to, payload));
             }
         }
         let more = self.flight.len().saturating_sub(FLIGHT);
         self.flight.drain(..more);
-        for s in view.others() {
-            let key = (i, (0..ROUTERS).find(|j| addr(*j) == s.addr).unwrap_or(0));
+        for s in view.members() {
+            let key = (i, (0..ROUTERS).find(|j| addr(*j) == s.address).unwrap_or(0));
             let before = self.last.insert(key, s.record.clone());
             self.went_back |= before.is_some_and(|b| b > s.record);
         }
     }
 
     fn step(&mut self, i: usize) {
-        let due = self.views[i].as_ref().map_or(0, Membership::due);
+        let due = self.views[i].as_ref().map_or(0, Membership::next_timeout);
         self.clocks[i] = self.clocks[i].max(due);
         let now = self.clocks[i];
         if let Some(view) = &mut self.views[i] {
-            view.tick(now);
+            view.handle_timeout(now);
         }
         self.after(i);
     }
@@ -97,7 +99,7 @@
         }
         let now = self.clocks[to];
         if let Some(view) = &mut self.views[to] {
-            view.datagram(now, &bytes);
+            view.handle_datagram(now, &bytes);
         }
         self.after(to);
     }
@@ -116,7 +118,7 @@
             if holds(self) {
                 return true;
             }
-            let next = (0..ROUTERS).filter_map(|i| Some((self.views[i].as_ref()?.due(), i))).min();
+            let next = (0..ROUTERS).filter_map(|i| Some((self.views[i].as_ref()?.next_timeout(), i))).min();
             let Some((at, i)) = next.filter(|n| n.0 < until) else { return false };
             self.clocks.iter_mut().for_each(|c| *c = (*c).max(at));
             self.step(i);
@@ -136,7 +138,7 @@
         let up: Vec<usize> = (0..ROUTERS).filter(|i| self.views[*i].is_some()).collect();
         let view = |i: usize| self.views[i].as_ref();
         let alive = |by: usize, of: usize| {
-            view(by).and_then(|v| v.record(addr(of))).is_some_and(|r| r.rank <= Rank::Suspect)
+            view(by).and_then(|v| v.record_of(addr(of))).is_some_and(|r| r.state <= MemberState::Suspect)
         };
         let all = up.iter().all(|by| up.iter().all(|of| of == by || alive(*by, *of)));
         all && up.windows(2).all(|w| view(w[0]).map(Membership::digest) == view(w[1]).map(Membership::digest))
@@ -146,7 +148,7 @@
     fn counts_all(&self) -> bool {
         self.views.iter().enumerate().all(|(by, v)| {
             let known = self.last.keys().filter(|(b, _)| *b == by).count() as u32;
-            v.as_ref().is_none_or(|v| v.at_work(None) == known + 1)
+            v.as_ref().is_none_or(|v| v.possibly_active_count(None) == known + 1)
         })
     }
 }
@@ -185,8 +187,8 @@
                 s.left[1] = 0;
             }
             s.run(long);
-            let said = s.views[0].as_ref().and_then(|v| v.record(addr(2))).map(|r| r.rank);
-            assert_eq!(said == Some(Rank::Lost), long > 10 * SEC, "{said:?}");
+            let said = s.views[0].as_ref().and_then(|v| v.record_of(addr(2))).map(|r| r.state);
+            assert_eq!(said == Some(MemberState::Failed), long > 10 * SEC, "{said:?}");
             all.push(s);
         }
         all
@@ -196,7 +198,7 @@
         let slowest = (0..ROUTERS).filter(|i| s.views[*i].is_some()).map(|i| s.clocks[i]).min().unwrap_or(0);
         for i in 0..ROUTERS {
             match &s.views[i] {
-                Some(v) if v.due() <= slowest + APART => actions.push(Action::Step(i)),
+                Some(v) if v.next_timeout() <= slowest + APART => actions.push(Action::Step(i)),
                 Some(_) => {}
                 None => actions.push(Action::Start(i)),
             }
--- a/crates/cluster/tests/limits_model.rs
+++ b/crates/cluster/tests/quota_model.rs
@@ -8,8 +8,10 @@
 mod common;
 
 use common::{addr, by_text};
-use hollymux_cluster::limits::{LeaseStatus, LeaseTimings, Limits, Member, Setup};
-use hollymux_cluster::{Time, MS, SEC};
+use hollymux_cluster::quota::{
+    ActivePeers, LeaseStatus, LeaseTimings, QuotaManager, QuotaOptions, QuotaPeer,
+};
+use hollymux_cluster::{RouterCounts, Time, Transmit, MS, SEC};
 use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
 use stateright::{Checker, Model, Property};
 
@@ -23,7 +25,7 @@
 struct State {
     /// True time, and who stands still.
     now: Time,
-    routers: Vec<Option<Limits>>,
+    routers: Vec<Option<QuotaManager>>,
     still: [bool; ROUTERS],
     wants: [f64; ROUTERS],
     flight: Vec<(usize, usize, Vec<u8>)>,
@@ -66,33 +68,35 @@
 
     fn start(&mut self, i: usize) {
         self.life += 1;
-        let setup = Setup {
-            fleet: "model".into(),
-            addr: addr(i),
-            life: self.life,
-            configured: (ROUTERS as u32, ROUTERS as u32),
-            terms: LeaseTimings::default(),
+        let options = QuotaOptions {
+            cluster_name: "model".into(),
+            address: addr(i),
+            instance_id: self.life,
+            configured_routers: RouterCounts { all: ROUTERS as u32, own_zone: ROUTERS as u32 },
+            timings: LeaseTimings::default(),
         };
         let now = self.clock(i);
-        let mut limits = Limits::new(setup, now);
+        let mut limits = QuotaManager::new(options, now);
         let others = (0..ROUTERS).filter(|o| *o != i);
-        limits.members(now, others.map(|o| Member { addr: addr(o), here: true, reachable: true }), 0);
+        let peers =
+            others.map(|o| QuotaPeer { address: addr(o), same_zone: true, reachable: true }).collect();
+        limits.update_peers(now, &ActivePeers { peers, unlisted: 0 });
         self.routers[i] = Some(limits);
         self.still[i] = false;
     }
 
     /// What a router used within a window of its own clock, which runs as fast or slow as it does.
     fn used_by(&self, i: usize) -> f64 {
-        let window = LeaseTimings::default().tail() as i64 * 1_000 / (1_000 + FAST[i]);
+        let window = LeaseTimings::default().expiry_delay() as i64 * 1_000 / (1_000 + FAST[i]);
         let since = self.now.saturating_sub(window as Time);
         self.used.iter().filter(|u| u.0 == i && u.1 > since).map(|u| u.2).sum()
     }
 
     /// Before a router decides anything it is told what is wanted there now.
-    fn ask(&mut self, i: usize, act: impl FnOnce(&mut Limits, Time)) {
+    fn ask(&mut self, i: usize, act: impl FnOnce(&mut QuotaManager, Time)) {
         let (now, used, wanted) = (self.clock(i), self.used_by(i), self.wants[i]);
         let Some(limits) = self.routers[i].as_mut().filter(|_| !self.still[i]) else { return };
-        limits.demand(
+        limits.update_demand(
             now,
             &[WarmUpDemand {
                 endpoint: EndpointId(LIMIT),
@@ -103,9 +107,9 @@
             }],
         );
         act(limits, now);
-        while let Some((to, bytes)) = limits.outgoing() {
-            if let Some(to) = (0..ROUTERS).find(|j| addr(*j) == to) {
-                self.flight.push((i, to, bytes));
+        while let Some(Transmit { destination, payload }) = limits.poll_transmit() {
+            if let Some(to) = (0..ROUTERS).find(|j| addr(*j) == destination) {
+                self.flight.push((i, to, payload));
             }
         }
         let more = self.flight.len().saturating_sub(FLIGHT);
@@ -115,19 +119,19 @@
     fn pass(&mut self, long: Time) {
         self.now += long;
         for i in 0..ROUTERS {
-            let due = self.routers[i].as_ref().is_some_and(|l| l.due() <= self.clock(i));
+            let due = self.routers[i].as_ref().is_some_and(|l| l.next_timeout() <= self.clock(i));
             if due {
-                self.ask(i, |l, now| l.tick(now));
+                self.ask(i, |l, now| l.handle_timeout(now));
             }
         }
-        let since = self.now.saturating_sub(2 * LeaseTimings::default().window);
+        let since = self.now.saturating_sub(2 * LeaseTimings::default().usage_window);
         self.used.retain(|u| u.1 > since);
     }
 
     /// True time until the first of those moments, which each router tells by its own clock.
     fn until(&self, moment: impl Fn(&LeaseStatus) -> Option<Time>) -> Option<Time> {
         let one = |i: usize| {
-            let at = self.routers[i].as_ref()?.standings().iter().filter_map(&moment).min()?;
+            let at = self.routers[i].as_ref()?.lease_statuses().iter().filter_map(&moment).min()?;
             let left = at.checked_sub(self.clock(i))? as i64 * 1_000;
             Some((left / (1_000 + FAST[i])) as Time)
         };
@@ -138,19 +142,19 @@
         let (from, to, bytes) = if again { self.flight[n].clone() } else { self.flight.remove(n) };
         // A process that stands still reads what came when it goes on; here it is lost, which is no better.
         if !self.cut.is_some_and(|c| c == from || c == to) {
-            self.ask(to, |l, now| l.datagram(now, &bytes));
+            self.ask(to, |l, now| l.handle_datagram(now, &bytes));
         }
     }
 
     fn consume(&mut self, i: usize) {
         let (now, used) = (self.clock(i), self.used_by(i));
         let Some(limits) = self.routers[i].as_ref().filter(|_| !self.still[i]) else { return };
-        let part = limits.part(now, LIMIT, QuotaScope::All);
+        let part = limits.usable_share(now, LIMIT, QuotaScope::All);
         let free = if now < part.until.as_micros() { part.now } else { part.after } - used;
         if free > 0.0 {
             self.used.push((i, self.now, free));
         }
-        let since = self.now.saturating_sub(LeaseTimings::default().window);
+        let since = self.now.saturating_sub(LeaseTimings::default().usage_window);
         let all: f64 = self.used.iter().filter(|u| u.1 > since).map(|u| u.2).sum();
         self.too_much |= all > 1.0 + 1e-6;
     }
@@ -193,16 +197,17 @@
         };
         (0..ROUTERS).for_each(|i| s.start(i));
         s.run(10 * SEC);
-        assert!(s.routers.iter().flatten().all(|l| l.homes().0));
+        assert!(s.routers.iter().flatten().all(|l| l.own_share_status().in_use));
         // The router whose clock is fast passes parts on: its time for them is over first.
-        assert!(s.routers.iter().flatten().skip(1).all(|l| l.standings()[0].broker == Some(addr(0))));
+        assert!(s.routers.iter().flatten().skip(1).all(|l| l.lease_statuses()[0].broker == Some(addr(0))));
         // Parts are away at one of them, and have been for a while; or load has just moved to another one.
         let away = |at: usize| {
             let mut s = s.clone();
             s.load(at);
             // Until lots are as they stay.
             s.run(60 * SEC);
-            let part = s.routers[at].as_ref().map(|l| l.part(s.clock(at), LIMIT, QuotaScope::All).now);
+            let part =
+                s.routers[at].as_ref().map(|l| l.usable_share(s.clock(at), LIMIT, QuotaScope::All).now);
             assert!(part.is_some_and(|p| p > 0.6), "{part:?}");
             s
         };
@@ -210,7 +215,7 @@
         moved.load(1);
         // No word comes any more, and what the slow clock holds is about to end.
         let mut late = away(2);
-        let held = |s: &State| s.routers[2].as_ref().map_or(0, |l| l.standings()[0].held);
+        let held = |s: &State| s.routers[2].as_ref().map_or(0, |l| l.lease_statuses()[0].borrowed);
         loop {
             let mut next = late.clone();
             next.pass(2 * MS);
@@ -263,8 +268,8 @@
         let mut s = s.clone();
         match action {
             Action::Pass(long) => s.pass(long),
-            Action::ToEnd => s.pass(s.until(|l| l.ends)? - MS),
-            Action::ToBack => s.pass(s.until(|l| l.back)? + MS),
+            Action::ToEnd => s.pass(s.until(|l| l.next_expiry)? - MS),
+            Action::ToBack => s.pass(s.until(|l| l.next_reclaim)? + MS),
             Action::Deliver(n) => s.deliver(n, false),
             Action::Twice(n) => {
                 s.left[2] -= 1;
--- a/crates/cluster/tests/limits.rs
+++ b/crates/cluster/tests/quota_safety.rs
@@ -2,8 +2,8 @@
 //! what all of them together used within a window is never more than the whole. Every router uses at once all that it
 //! may, which is the worst that it could do.
 
-use hollymux_cluster::limits::{LeaseTimings, Limits, Member, Setup};
-use hollymux_cluster::{Time, MS, SEC};
+use hollymux_cluster::quota::{ActivePeers, LeaseTimings, QuotaManager, QuotaOptions, QuotaPeer};
+use hollymux_cluster::{RouterCounts, Time, Transmit, MS, SEC};
 use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
@@ -19,7 +19,7 @@
 }
 
 struct Router {
-    limits: Option<Limits>,
+    limits: Option<QuotaManager>,
     paused: bool,
     waiting: VecDeque<Vec<u8>>,
     /// Its clock: this much ahead, and so many in a thousand fast.
@@ -97,17 +97,17 @@
     }
 
     fn start(&mut self, r: usize) {
-        let setup = Setup {
-            fleet: "test".into(),
-            addr: addr(r),
-            life: self.rng.next_u64() | 1,
-            configured: (self.configured, self.configured),
-            terms: self.terms,
+        let options = QuotaOptions {
+            cluster_name: "test".into(),
+            address: addr(r),
+            instance_id: self.rng.next_u64() | 1,
+            configured_routers: RouterCounts { all: self.configured, own_zone: self.configured },
+            timings: self.terms,
         };
         let now = self.clock(r);
         self.left.remove(&r);
         let router = &mut self.routers[r];
-        (router.limits, router.paused) = (Some(Limits::new(setup, now)), false);
+        (router.limits, router.paused) = (Some(QuotaManager::new(options, now)), false);
         router.waiting.clear();
         router.used.clear();
         router.knows = BTreeSet::from([r]);
@@ -166,7 +166,7 @@
             for r in 0..self.routers.len() {
                 self.turn(r);
             }
-            let since = self.now.saturating_sub(self.terms.window);
+            let since = self.now.saturating_sub(self.terms.usage_window);
             while self.all.front().is_some_and(|u| u.0 <= since) {
                 self.all.pop_front();
             }
@@ -178,7 +178,7 @@
 
     fn turn(&mut self, r: usize) {
         let now = self.clock(r);
-        let window = self.terms.tail();
+        let window = self.terms.expiry_delay();
         let router = &mut self.routers[r];
         if router.paused || router.limits.is_none() {
             if router.limits.is_none() {
@@ -192,8 +192,10 @@
         }
         let used: f64 = router.used.iter().map(|u| u.1).sum();
         let others = router.knows.iter().filter(|k| **k != r);
-        limits.members(now, others.map(|k| Member { addr: addr(*k), here: true, reachable: true }), 0);
-        limits.demand(
+        let peers =
+            others.map(|k| QuotaPeer { address: addr(*k), same_zone: true, reachable: true }).collect();
+        limits.update_peers(now, &ActivePeers { peers, unlisted: 0 });
+        limits.update_demand(
             now,
             &[WarmUpDemand {
                 endpoint: EndpointId(LIMIT),
@@ -204,12 +206,12 @@
             }],
         );
         for bytes in std::mem::take(&mut router.waiting) {
-            limits.datagram(now, &bytes);
+            limits.handle_datagram(now, &bytes);
         }
-        if now >= limits.due() {
-            limits.tick(now);
+        if now >= limits.next_timeout() {
+            limits.handle_timeout(now);
         }
-        let part = limits.part(now, LIMIT, QuotaScope::All);
+        let part = limits.usable_share(now, LIMIT, QuotaScope::All);
         let free =
             (if now < part.until.as_micros() { part.now } else { part.after }).min(router.wants) - used;
         // Whole requests only.
@@ -219,11 +221,11 @@
             self.all.push_back((self.now, free));
         }
         let mut out = Vec::new();
-        while let Some(sent) = limits.outgoing() {
+        while let Some(sent) = limits.poll_transmit() {
             out.push(sent);
         }
-        for (to, bytes) in out {
-            let to = usize::from(match to.ip() {
+        for Transmit { destination, payload } in out {
+            let to = usize::from(match destination.ip() {
                 std::net::IpAddr::V4(ip) => ip.octets()[3],
                 std::net::IpAddr::V6(_) => 0,
             });
@@ -233,13 +235,13 @@
             for _ in 0..1 + u64::from(self.rng.next_u64() % 100 < self.twice) {
                 let way = MS + self.rng.next_u64() % (20 * MS + self.late);
                 self.seq += 1;
-                self.flying.insert((self.now + way, self.seq), (r, to, bytes.clone()));
+                self.flying.insert((self.now + way, self.seq), (r, to, payload.clone()));
             }
         }
     }
 
     fn open(&self) -> usize {
-        self.routers.iter().filter(|r| r.limits.as_ref().is_some_and(|l| l.homes().0)).count()
+        self.routers.iter().filter(|r| r.limits.as_ref().is_some_and(|l| l.own_share_status().in_use)).count()
     }
 
     fn never_more_than_the_whole(&self) {
@@ -285,7 +287,7 @@
     (3..30).for_each(|r| w.leave(r));
     w.run(10 * SEC);
     w.never_more_than_the_whole();
-    assert_eq!(w.routers[0].limits.as_ref().unwrap().homes().1, 3);
+    assert_eq!(w.routers[0].limits.as_ref().unwrap().own_share_status().divisors.all, 3);
 }
 
 /// Guards against a part that is there twice because its giver was killed, restarted or cut off while it was away.
@@ -361,7 +363,7 @@
     w.routers[3].knows.extend([0, 1, 2]);
     w.run(15 * SEC);
     w.never_more_than_the_whole();
-    assert!(!w.routers[3].limits.as_ref().unwrap().homes().0);
+    assert!(!w.routers[3].limits.as_ref().unwrap().own_share_status().in_use);
     w.cut.clear();
     w.run(15 * SEC);
     w.never_more_than_the_whole();
--- a/crates/server/src/fleet.rs
+++ b/crates/server/src/fleet.rs
@@ -4,9 +4,14 @@
 use super::*;
 use crate::operator::Section;
 use crate::shelfs::UNSENT;
-use hollymux_cluster::limits::{self, LeaseStatus, LeaseTimings, Limits, WHOLE};
-use hollymux_cluster::view::{Change, Membership, Phase as Doing, Rank, Record, Seen, Setup, Times};
-use hollymux_cluster::DATAGRAM_MOST;
+use hollymux_cluster::membership::{
+    MemberRecord, MemberState, MemberStatus, Membership, MembershipChange, MembershipOptions,
+    MembershipTimings, RouterPhase,
+};
+use hollymux_cluster::quota::{
+    ActivePeers, LeaseStatus, LeaseTimings, OwnShareStatus, QuotaManager, QuotaOptions, WHOLE_QUOTA,
+};
+use hollymux_cluster::{RouterCounts, MAX_DATAGRAM_LEN};
 use hollymux_decision::time::MICROSECOND;
 use hollymux_decision::EndpointId;
 use serde_json::{json, Value};
@@ -26,11 +31,11 @@
     /// The timer that is set; those set for later are passed over.
     planned: Timestamp,
     /// What the core was told last: routers in all, and in this office.
-    told: (u32, u32),
+    told: RouterCounts,
     /// Datagrams that the socket did not take.
     unsent: u64,
     /// Parts of limits, where they are on lease; and whether others have heard that this router's share is in use.
-    limits: Option<Limits>,
+    limits: Option<QuotaManager>,
     open: bool,
 }
 
@@ -39,31 +44,31 @@
     pub(super) fn new(section: &Section, config: &Config, now: Timestamp) -> Fleet {
         let zone = config.names.zones.get(usize::from(config.settings.zone));
         let ms = |v: u64| v * MICROS_PER_MILLI;
-        let setup = Setup {
-            fleet: section.name.clone(),
-            name: config.name.clone(),
+        let options = MembershipOptions {
+            cluster_name: section.name.clone(),
+            router_name: config.name.clone(),
             zone: zone.cloned().unwrap_or_default(),
-            addr: section.advertised(),
+            address: section.advertised(),
             seeds: section.seeds.clone(),
-            start: now.as_micros(),
-            times: Times {
-                probe: ms(section.probe_ms),
-                answer: ms(section.answer_ms),
-                tell: ms(section.tell_ms),
-                suspect_least: ms(section.suspect_least_ms),
-                suspect_most: ms(section.suspect_most_ms),
-                retry: ms(section.retry_ms),
+            generation: now.as_micros(),
+            timings: MembershipTimings {
+                probe_interval: ms(section.probe_ms),
+                ack_timeout: ms(section.answer_ms),
+                gossip_interval: ms(section.tell_ms),
+                min_suspicion: ms(section.suspect_least_ms),
+                max_suspicion: ms(section.suspect_most_ms),
+                reconnect_interval: ms(section.retry_ms),
             },
-            seed: config.seed ^ now.as_micros(),
+            random_seed: config.seed ^ now.as_micros(),
         };
-        let view = Membership::new(setup, now.as_micros());
+        let view = Membership::new(options, now.as_micros());
         let section = section.clone();
         Fleet {
             section,
             view,
             socket: None,
             planned: Timestamp::ZERO,
-            told: (0, 0),
+            told: RouterCounts::default(),
             unsent: 0,
             limits: None,
             open: false,
@@ -77,30 +82,29 @@
         let s = &config.settings;
         let here = s.router_count_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
         let terms = LeaseTimings {
-            lease: ms(leases.lease_ms),
-            onward: ms(leases.onward_ms),
-            turn: ms(leases.turn_ms),
+            lease_duration: ms(leases.lease_ms),
+            broker_lease_duration: ms(leases.onward_ms),
+            exchange_interval: ms(leases.turn_ms),
             // What is decided now may be written so much later.
-            window: whole_micros(s.overload_window + UNSENT),
+            usage_window: whole_micros(s.overload_window + UNSENT),
             ..LeaseTimings::default()
         };
-        let setup = limits::Setup {
-            fleet: self.section.name.clone(),
-            addr: self.section.advertised(),
+        let options = QuotaOptions {
+            cluster_name: self.section.name.clone(),
+            address: self.section.advertised(),
             // Processes that have one address one after another differ in one of them.
-            life: now.as_micros().rotate_left(20) ^ u64::from(std::process::id()) | 1,
-            configured: (s.router_count, here),
-            terms,
+            instance_id: now.as_micros().rotate_left(20) ^ u64::from(std::process::id()) | 1,
+            configured_routers: RouterCounts { all: s.router_count, own_zone: here },
+            timings: terms,
         };
-        self.limits = Some(Limits::new(setup, now.as_micros()));
+        self.limits = Some(QuotaManager::new(options, now.as_micros()));
         self.tell_limits(now);
     }
 
     /// Tells the limits who may be at work.
     fn tell_limits(&mut self, now: Timestamp) {
         let Some(limits) = &mut self.limits else { return };
-        let (members, beyond) = limits::members(&self.view);
-        limits.members(now.as_micros(), members, beyond);
+        limits.update_peers(now.as_micros(), &ActivePeers::from_membership(&self.view));
     }
 }
 
@@ -116,7 +120,7 @@
                 info!("other routers are heard on {addr}");
                 if let Some(fleet) = &mut self.fleet {
                     fleet.socket = Some(key);
-                    fleet.view.begin(self.now.as_micros());
+                    fleet.view.join(self.now.as_micros());
                     fleet.begin_limits(&self.config, self.now);
                 }
                 self.fleet_turn();
@@ -128,19 +132,19 @@
     pub(super) fn on_fleet(&mut self, socket: &mut UdpSocket) -> Fate {
         let Some(mut fleet) = self.fleet.take() else { return Fate::Close };
         // One byte more than is ever read shows what is too long.
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         // Nothing is sent to servers while these are read: what is asked for stays the same.
         let mut demands = None;
         for _ in 0..TURN {
             match socket.recv(&mut bytes) {
-                Ok(n) if Limits::is_for(&bytes[..n]) => {
+                Ok(n) if QuotaManager::is_quota_datagram(&bytes[..n]) => {
                     if let Some(limits) = &mut fleet.limits {
                         let demands = demands.get_or_insert_with(|| self.router.warm_up_demands(self.now));
-                        limits.demand(self.now.as_micros(), demands);
-                        limits.datagram(self.now.as_micros(), &bytes[..n]);
+                        limits.update_demand(self.now.as_micros(), demands);
+                        limits.handle_datagram(self.now.as_micros(), &bytes[..n]);
                     }
                 }
-                Ok(n) => fleet.view.datagram(self.now.as_micros(), &bytes[..n]),
+                Ok(n) => fleet.view.handle_datagram(self.now.as_micros(), &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 // A datagram that could not be delivered somewhere is told here; it ends nothing.
                 Err(_) => {}
@@ -154,12 +158,12 @@
     /// The view's timer is due.
     pub(super) fn fleet_turn(&mut self) {
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.socket.is_some()) else { return };
-        if self.now.as_micros() >= fleet.view.due() {
-            fleet.view.tick(self.now.as_micros());
+        if self.now.as_micros() >= fleet.view.next_timeout() {
+            fleet.view.handle_timeout(self.now.as_micros());
         }
-        if let Some(limits) = fleet.limits.as_mut().filter(|l| self.now.as_micros() >= l.due()) {
-            limits.demand(self.now.as_micros(), &self.router.warm_up_demands(self.now));
-            limits.tick(self.now.as_micros());
+        if let Some(limits) = fleet.limits.as_mut().filter(|l| self.now.as_micros() >= l.next_timeout()) {
+            limits.update_demand(self.now.as_micros(), &self.router.warm_up_demands(self.now));
+            limits.handle_timeout(self.now.as_micros());
         }
         if self.now >= fleet.planned {
             fleet.planned = Timestamp::ZERO;
@@ -178,17 +182,18 @@
         if let Some(socket) = socket.or(placed) {
             for sent in 0.. {
                 more = sent == TURN;
-                let next = |f: &mut Fleet| f.view.outgoing().or_else(|| f.limits.as_mut()?.outgoing());
-                let Some((to, bytes)) = Some(()).filter(|()| !more).and_then(|()| next(&mut fleet)) else {
+                let next =
+                    |f: &mut Fleet| f.view.poll_transmit().or_else(|| f.limits.as_mut()?.poll_transmit());
+                let Some(transmit) = Some(()).filter(|()| !more).and_then(|()| next(&mut fleet)) else {
                     break;
                 };
-                if socket.send_to(&bytes, to).is_err() {
+                if socket.send_to(&transmit.payload, transmit.destination).is_err() {
                     fleet.unsent += 1;
                 }
             }
         }
         let mut changed = false;
-        while let Some(change) = fleet.view.change() {
+        while let Some(change) = fleet.view.poll_change() {
             changed = true;
             say(&change);
         }
@@ -196,16 +201,17 @@
             fleet.tell_limits(self.now);
         }
         self.use_parts(&mut fleet);
-        let told = fleet.view.shared_by(self.router.settings());
+        let told = fleet.view.quota_divisors(self.router.settings());
         if told != fleet.told {
             info!(
                 "{} routers may be at work, {} of them in this office: limits are divided by that",
-                told.0, told.1
+                told.all, told.own_zone
             );
             fleet.told = told;
-            self.router.count_routers(told.0, told.1);
+            self.router.count_routers(told.all, told.own_zone);
         }
-        let due = fleet.limits.as_ref().map_or(u64::MAX, Limits::due).min(fleet.view.due());
+        let due =
+            fleet.limits.as_ref().map_or(u64::MAX, QuotaManager::next_timeout).min(fleet.view.next_timeout());
         let due = if more { self.now } else { Timestamp::from_micros(due) };
         if fleet.planned == Timestamp::ZERO || due < fleet.planned {
             fleet.planned = due.max(self.now + MICROSECOND);
@@ -222,7 +228,8 @@
     /// Hands the core its parts of what cold servers bear.
     fn use_parts(&mut self, fleet: &mut Fleet) {
         let Some(limits) = &fleet.limits else { return };
-        let (open, all, here) = limits.homes();
+        let OwnShareStatus { in_use: open, divisors: RouterCounts { all, own_zone: here } } =
+            limits.own_share_status();
         if open != fleet.open {
             fleet.open = open;
             match open {
@@ -232,23 +239,24 @@
                 false => info!("limits: this router has no share of its own any more"),
             }
         }
-        let (homes, parts) = limits.use_at(self.now.as_micros());
-        self.router.lease(homes, parts);
+        let allocation = limits.allocation(self.now.as_micros());
+        let homes = (allocation.share_of_all, allocation.share_of_own_zone);
+        self.router.lease(homes, allocation.endpoints);
     }
 
     /// What this router does has changed.
     pub(super) fn fleet_phase(&mut self) {
         let doing = match self.lifecycle.phase() {
             Phase::Starting => return,
-            Phase::Ready => Doing::Ready,
-            Phase::Standby => Doing::Standby,
-            Phase::Replaced => Doing::Replaced,
-            Phase::Stopping => Doing::Stopping,
+            Phase::Ready => RouterPhase::Ready,
+            Phase::Standby => RouterPhase::Standby,
+            Phase::Replaced => RouterPhase::Replaced,
+            Phase::Stopping => RouterPhase::Stopping,
         };
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.socket.is_some()) else { return };
-        let joining = fleet.view.own().1.phase == Doing::Joining && doing == Doing::Ready;
+        let joining = fleet.view.own_record().phase == RouterPhase::Joining && doing == RouterPhase::Ready;
         if !joining {
-            fleet.view.phase(self.now.as_micros(), doing);
+            fleet.view.set_phase(self.now.as_micros(), doing);
             self.fleet_after(None);
         }
     }
@@ -266,8 +274,8 @@
     pub(super) fn fleet_give(&mut self) -> Option<(u64, u32)> {
         let fleet = self.fleet.as_mut()?;
         let key = fleet.socket.take()?;
-        let record = fleet.view.own().1;
-        let identity = (record.start, record.incarnation);
+        let record = fleet.view.own_record();
+        let identity = (record.generation, record.incarnation);
         if let Some(limits) = &mut fleet.limits {
             limits.stop(self.now.as_micros());
             self.router.lease((0.0, 0.0), Default::default());
@@ -279,7 +287,7 @@
     /// Goes on under the identity of the process that had the address: nobody sees it go or come.
     pub(super) fn fleet_inherit(&mut self, start: u64, incarnation: u32) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.view.succeed(self.now.as_micros(), start, incarnation);
+            fleet.view.take_over_incarnation(self.now.as_micros(), start, incarnation);
         }
         self.open_fleet();
     }
@@ -288,37 +296,36 @@
     pub(super) fn fleet_status(&self) -> Option<Value> {
         let fleet = self.fleet.as_ref()?;
         let view = &fleet.view;
-        let (addr, own) = view.own();
-        let (settled, since) = view.settled();
-        let shown = |addr: SocketAddr, r: &Record| {
-            json!({"address": addr.to_string(), "name": r.name, "office": r.zone, "state": r.rank.name(),
-                   "doing": r.phase.name(), "start": r.start, "incarnation": r.incarnation})
+        let shown = |addr: SocketAddr, r: &MemberRecord| {
+            json!({"address": addr.to_string(), "name": r.name, "office": r.zone, "state": r.state.name(),
+                   "doing": r.phase.name(), "start": r.generation, "incarnation": r.incarnation})
         };
         let seconds = |micros: u64| micros as f64 / 1e6;
-        let other = |s: Seen| {
-            let mut line = shown(s.addr, &s.record);
-            line["for_s"] = json!(seconds(s.age));
-            line["answered_s_ago"] = json!(s.answered.map(seconds));
-            line["agrees"] = json!(s.agrees);
+        let other = |s: MemberStatus| {
+            let mut line = shown(s.address, &s.record);
+            line["for_s"] = json!(seconds(s.unchanged_for));
+            line["answered_s_ago"] = json!(s.last_ack_age.map(seconds));
+            line["agrees"] = json!(s.digest_matches);
             line
         };
-        let c = view.counts;
+        let c = view.counters;
         Some(json!({
             "fleet": fleet.section.name,
-            "own": shown(addr, own),
+            "own": shown(view.address(), view.own_record()),
             "heard": fleet.socket.is_some(),
-            "settled": settled,
-            "settled_or_not_for_s": seconds(since),
-            "deaf": view.deaf(),
-            "health": view.health(),
+            "settled": view.is_converged(),
+            "settled_or_not_for_s": seconds(view.time_since_difference()),
+            "deaf": view.is_isolated(),
+            "health": view.local_health(),
             "digest": format!("{:016x}", view.digest()),
-            "reachable": view.reachable() + 1,
-            "at_work_perhaps": view.at_work(None),
-            "limits_divided_by": fleet.told.0,
-            "limits_divided_here_by": fleet.told.1,
-            "datagrams": {"received": c.received.0, "sent": c.sent.0, "unread": c.unread, "unsent": fleet.unsent,
+            "reachable": view.reachable_count() + 1,
+            "at_work_perhaps": view.possibly_active_count(None),
+            "limits_divided_by": fleet.told.all,
+            "limits_divided_here_by": fleet.told.own_zone,
+            "datagrams": {"received": c.received.datagrams, "sent": c.sent.datagrams,
+                          "unread": c.rejected.by_cause(), "unsent": fleet.unsent,
                           "dropped": c.dropped},
-            "others": view.others().map(other).collect::<Vec<Value>>(),
+            "others": view.members().map(other).collect::<Vec<Value>>(),
         }))
     }
 
@@ -326,58 +333,66 @@
     pub(super) fn limits_status(&self) -> Option<Value> {
         let fleet = self.fleet.as_ref()?;
         let limits = fleet.limits.as_ref()?;
-        let (open, all, here) = limits.homes();
-        let part = |parts: u32| f64::from(parts) / f64::from(WHOLE);
+        let OwnShareStatus { in_use: open, divisors: RouterCounts { all, own_zone: here } } =
+            limits.own_share_status();
+        let part = |parts: u32| f64::from(parts) / f64::from(WHOLE_QUOTA);
         let line = |s: LeaseStatus| {
-            json!({"server": self.router.uid(EndpointId(s.limit)).map(str::to_string), "limit": format!("{:016x}", s.limit),
-                   "shared_by": s.sharers.name(), "share": part(s.home), "held": part(s.held), "lent": part(s.lent),
-                   "may_use": part(s.has), "used": part(s.used), "wanted": part(s.wanted),
+            json!({"server": self.router.uid(EndpointId(s.limit_id)).map(str::to_string), "limit": format!("{:016x}", s.limit_id),
+                   "shared_by": s.scope.name(), "share": part(s.own_share), "held": part(s.borrowed), "lent": part(s.lent),
+                   "may_use": part(s.usable), "used": part(s.used), "wanted": part(s.demand),
                    "broker": s.broker.map_or("this router".to_string(), |b| b.to_string())})
         };
-        let terms = limits.terms();
+        let terms = limits.timings();
         let seconds = |micros: u64| micros as f64 / 1e6;
-        let c = limits.counts;
+        let c = limits.counters;
         Some(json!({
             "share_in_use": open,
             "divided_by": all,
             "divided_here_by": here,
-            "not_counted_by": limits.not_counted_by().iter().map(ToString::to_string).collect::<Vec<String>>(),
+            "not_counted_by": limits.unacknowledged_by().iter().map(ToString::to_string).collect::<Vec<String>>(),
             "bounds": {
-                "lease_s": seconds(terms.lease),
-                "onward_s": seconds(terms.onward),
+                "lease_s": seconds(terms.lease_duration),
+                "onward_s": seconds(terms.broker_lease_duration),
                 "sum_when_links_work": 1.0,
                 "sum_when_links_fail": 1.0,
                 "more_for_each_that_nobody_counted": 1.0 / f64::from(all),
-                "lots_back_after_s": seconds(terms.over()),
+                "lots_back_after_s": seconds(terms.max_claim_lifetime()),
             },
-            "limits": limits.standings().into_iter().map(line).collect::<Vec<Value>>(),
-            "words": {"received": c.received.0, "sent": c.sent.0, "unread": c.unread, "stale": c.stale},
-            "lots": {"given": c.given, "taken": c.taken, "late": c.late},
+            "limits": limits.lease_statuses().into_iter().map(line).collect::<Vec<Value>>(),
+            "words": {"received": c.received.datagrams, "sent": c.sent.datagrams,
+                      "unread": c.rejected.by_cause(), "stale": c.stale_messages},
+            "lots": {"given": c.leases_granted, "taken": c.leases_accepted,
+                     "late": c.leases_expired_in_transit},
         }))
     }
 
     /// The same in numbers.
-    fn limits_figures(limits: &Limits) -> String {
-        let (open, all, here) = limits.homes();
+    fn limits_figures(limits: &QuotaManager) -> String {
+        let OwnShareStatus { in_use: open, divisors: RouterCounts { all, own_zone: here } } =
+            limits.own_share_status();
         let sum = |f: fn(&LeaseStatus) -> u32| {
-            limits.standings().iter().map(|s| u64::from(f(s)) * 1_000 / u64::from(WHOLE)).sum::<u64>()
+            limits
+                .lease_statuses()
+                .iter()
+                .map(|s| u64::from(f(s)) * 1_000 / u64::from(WHOLE_QUOTA))
+                .sum::<u64>()
         };
-        let c = limits.counts;
+        let c = limits.counters;
         let lines = [
             ("open", u64::from(open)),
             ("divided_by", u64::from(all)),
             ("divided_here_by", u64::from(here)),
-            ("servers", limits.standings().len() as u64),
-            ("held_thousandths", sum(|s| s.held)),
+            ("servers", limits.lease_statuses().len() as u64),
+            ("held_thousandths", sum(|s| s.borrowed)),
             ("lent_thousandths", sum(|s| s.lent)),
-            ("given", c.given),
-            ("taken", c.taken),
-            ("late", c.late),
-            ("stale", c.stale),
-            ("sent", c.sent.0),
-            ("sent_bytes", c.sent.1),
-            ("received", c.received.0),
-            ("unread", c.unread.iter().sum()),
+            ("given", c.leases_granted),
+            ("taken", c.leases_accepted),
+            ("late", c.leases_expired_in_transit),
+            ("stale", c.stale_messages),
+            ("sent", c.sent.datagrams),
+            ("sent_bytes", c.sent.bytes),
+            ("received", c.received.datagrams),
+            ("unread", c.rejected.total()),
         ];
         lines.iter().map(|(name, value)| format!("svc.limits_{name}={value}\n")).collect()
     }
@@ -386,25 +401,25 @@
     pub(super) fn fleet_figures(&self) -> String {
         let Some(fleet) = &self.fleet else { return String::new() };
         let view = &fleet.view;
-        let ranked = |rank| view.others().filter(|s| s.record.rank == rank).count() as u64;
-        let c = view.counts;
+        let ranked = |rank| view.members().filter(|s| s.record.state == rank).count() as u64;
+        let c = view.counters;
         let lines = [
-            ("reachable", view.reachable() as u64 + 1),
-            ("at_work_perhaps", u64::from(view.at_work(None))),
-            ("divided_by", u64::from(fleet.told.0)),
-            ("divided_here_by", u64::from(fleet.told.1)),
-            ("suspect", ranked(Rank::Suspect)),
-            ("lost", ranked(Rank::Lost)),
-            ("left", ranked(Rank::Left)),
-            ("settled", u64::from(view.settled().0)),
-            ("deaf", u64::from(view.deaf())),
-            ("health", u64::from(view.health())),
-            ("refuted", c.refuted),
-            ("received", c.received.0),
-            ("received_bytes", c.received.1),
-            ("sent", c.sent.0),
-            ("sent_bytes", c.sent.1),
-            ("unread", c.unread.iter().sum()),
+            ("reachable", view.reachable_count() as u64 + 1),
+            ("at_work_perhaps", u64::from(view.possibly_active_count(None))),
+            ("divided_by", u64::from(fleet.told.all)),
+            ("divided_here_by", u64::from(fleet.told.own_zone)),
+            ("suspect", ranked(MemberState::Suspect)),
+            ("lost", ranked(MemberState::Failed)),
+            ("left", ranked(MemberState::Left)),
+            ("settled", u64::from(view.is_converged())),
+            ("deaf", u64::from(view.is_isolated())),
+            ("health", u64::from(view.local_health())),
+            ("refuted", c.refutations),
+            ("received", c.received.datagrams),
+            ("received_bytes", c.received.bytes),
+            ("sent", c.sent.datagrams),
+            ("sent_bytes", c.sent.bytes),
+            ("unread", c.rejected.total()),
             ("unsent", fleet.unsent),
         ];
         let view: String = lines.iter().map(|(name, value)| format!("svc.fleet_{name}={value}\n")).collect();
@@ -413,40 +428,46 @@
 }
 
 /// One line for each change, once, with its cause.
-fn say(change: &Change) {
+fn say(change: &MembershipChange) {
     match change {
-        Change::Router(of, None, r) => {
-            info!("fleet: {} at {of} is {}, {}", r.name, r.rank.name(), r.phase.name())
+        MembershipChange::Updated { address: of, previous: None, record: r } => {
+            info!("fleet: {} at {of} is {}, {}", r.name, r.state.name(), r.phase.name())
         }
-        Change::Router(of, Some(old), r) if old.rank == r.rank => {
+        MembershipChange::Updated { address: of, previous: Some(old), record: r } if old.state == r.state => {
             debug!("fleet: {} at {of} is {}, incarnation {}", r.name, r.phase.name(), r.incarnation);
         }
-        Change::Router(of, Some(_), r) => match r.rank {
-            Rank::Alive => info!("fleet: {} at {of} is alive: it has refuted what was said", r.name),
-            Rank::Suspect => info!("fleet: {} at {of} is suspect: a probe went unanswered", r.name),
-            Rank::Lost => {
+        MembershipChange::Updated { address: of, previous: Some(_), record: r } => match r.state {
+            MemberState::Alive => info!("fleet: {} at {of} is alive: it has refuted what was said", r.name),
+            MemberState::Suspect => info!("fleet: {} at {of} is suspect: a probe went unanswered", r.name),
+            MemberState::Failed => {
                 warn!("fleet: {} at {of} is lost: it did not refute that in time; it may be at work", r.name)
             }
-            Rank::Left => info!("fleet: {} at {of} has left, by its own word", r.name),
+            MemberState::Left => info!("fleet: {} at {of} has left, by its own word", r.name),
         },
-        Change::Restarted(of, r) => info!("fleet: {} at {of} has started anew", r.name),
-        Change::NameTwice(name, a, b) => {
+        MembershipChange::Restarted { address: of, record: r } => {
+            info!("fleet: {} at {of} has started anew", r.name)
+        }
+        MembershipChange::DuplicateName { name, first: a, second: b } => {
             warn!("fleet: {a} and {b} are both called {name}: both are counted; was a configuration copied?");
         }
-        Change::Refuted(rank) => info!("fleet: others held this router to be {}; refuted", rank.name()),
-        Change::Superseded(start) => {
+        MembershipChange::Refuted(state) => {
+            info!("fleet: others held this router to be {}; refuted", state.name())
+        }
+        MembershipChange::GenerationRaised(start) => {
             info!("fleet: a start of this address was known that is not before this one; now start {start}");
         }
-        Change::Stalled(long) => {
+        MembershipChange::ProcessPaused(long) => {
             warn!(
                 "fleet: this process stood still for {} ms; what it held is asked for anew",
                 long / MICROS_PER_MILLI
             );
         }
-        Change::Deaf(true) => warn!("fleet: nobody answers this router: what it says of others is old"),
-        Change::Deaf(false) => info!("fleet: others answer again"),
-        Change::Settled(true) => info!("fleet: the view is settled"),
-        Change::Settled(false) => debug!("fleet: the view is not settled"),
-        Change::Full(of) => warn!("fleet: no room to remember {of}; it is only counted"),
+        MembershipChange::Isolated => {
+            warn!("fleet: nobody answers this router: what it says of others is old")
+        }
+        MembershipChange::IsolationEnded => info!("fleet: others answer again"),
+        MembershipChange::Converged => info!("fleet: the view is settled"),
+        MembershipChange::Diverged => debug!("fleet: the view is not settled"),
+        MembershipChange::TableFull(of) => warn!("fleet: no room to remember {of}; it is only counted"),
     }
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -2,8 +2,11 @@
 //! directed link between them. The same seed gives the same run, to the byte.
 
 use crate::{Time, MS, SEC};
-use hollymux_cluster::limits::{self, LeaseTimings, Limits};
-use hollymux_cluster::view::{Change, Membership, Phase, Rank, Setup, Times};
+use hollymux_cluster::membership::{
+    MemberState, Membership, MembershipChange, MembershipOptions, MembershipTimings, RouterPhase,
+};
+use hollymux_cluster::quota::{ActivePeers, LeaseTimings, QuotaManager, QuotaOptions};
+use hollymux_cluster::{RouterCounts, Transmit};
 use hollymux_decision::WarmUpDemand;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -39,7 +42,7 @@
 /// A router's place: what runs there now, if anything does.
 struct Place {
     view: Option<Membership>,
-    limits: Option<Limits>,
+    limits: Option<QuotaManager>,
     /// What its cold servers are asked for.
     demands: Vec<WarmUpDemand>,
     /// Routers that its settings name, in all and at its office.
@@ -61,7 +64,7 @@
     pub now: Time,
     rng: Pcg64Mcg,
     seed: u64,
-    times: Times,
+    timings: MembershipTimings,
     places: Vec<Place>,
     /// Faults by directed link; others are sound.
     pub links: BTreeMap<(usize, usize), Link>,
@@ -76,7 +79,7 @@
     /// Routers whose parts may have changed.
     pub touched: BTreeSet<usize>,
     /// Of all routers so far: what operators were told, by router.
-    pub told: Vec<(Time, usize, Change)>,
+    pub told: Vec<(Time, usize, MembershipChange)>,
     /// Datagrams and bytes that were sent, over all routers.
     pub sent: (u64, u64),
 }
@@ -114,7 +117,7 @@
             now: BEGIN,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x666c_6565),
             seed,
-            times: Times::default(),
+            timings: MembershipTimings::default(),
             places: (0..routers).map(place).collect(),
             links: BTreeMap::new(),
             every: Link::default(),
@@ -161,33 +164,34 @@
     }
 
     /// A router's parts of limits, if they are on lease.
-    pub fn limits(&self, router: usize) -> Option<&Limits> {
+    pub fn limits(&self, router: usize) -> Option<&QuotaManager> {
         self.places[router].limits.as_ref()
     }
 
     /// Starts a router, or starts it anew.
     pub fn start(&mut self, router: usize) {
         let unix = 1_760_000_000 * SEC as i64 + self.now as i64 + self.places[router].clock;
-        let setup = Setup {
-            fleet: self.places[router].fleet.clone().unwrap_or_else(|| "lab".into()),
-            name: self.places[router].name.clone().unwrap_or_else(|| format!("n{}", router + 1)),
+        let options = MembershipOptions {
+            cluster_name: self.places[router].fleet.clone().unwrap_or_else(|| "lab".into()),
+            router_name: self.places[router].name.clone().unwrap_or_else(|| format!("n{}", router + 1)),
             zone: self.places[router].zone.clone().unwrap_or_else(|| format!("z{}", router % 4)),
-            addr: addr(router),
+            address: addr(router),
             seeds: self.seeds.clone(),
-            start: unix.max(1) as u64,
-            times: self.times,
-            seed: self.seed ^ (router as u64) << 20 ^ self.now,
+            generation: unix.max(1) as u64,
+            timings: self.timings,
+            random_seed: self.seed ^ (router as u64) << 20 ^ self.now,
         };
-        let limits = self.lease.map(|terms| limits::Setup {
-            fleet: setup.fleet.clone(),
-            addr: setup.addr,
-            life: setup.start,
-            configured: self.places[router].configured,
-            terms,
+        let (all, own_zone) = self.places[router].configured;
+        let limits = self.lease.map(|timings| QuotaOptions {
+            cluster_name: options.cluster_name.clone(),
+            address: options.address,
+            instance_id: options.generation,
+            configured_routers: RouterCounts { all, own_zone },
+            timings,
         });
         let place = &mut self.places[router];
-        (place.paused, place.view) = (false, Some(Membership::new(setup, self.now)));
-        place.limits = limits.map(|setup| Limits::new(setup, self.now));
+        (place.paused, place.view) = (false, Some(Membership::new(options, self.now)));
+        place.limits = limits.map(|options| QuotaManager::new(options, self.now));
         place.waiting.clear();
         self.after(router);
     }
@@ -203,7 +207,7 @@
     pub fn leave(&mut self, router: usize) {
         let now = self.now;
         if let Some(view) = &mut self.places[router].view {
-            view.phase(now, Phase::Stopping);
+            view.set_phase(now, RouterPhase::Stopping);
             view.leave(now);
         }
         self.after(router);
@@ -222,7 +226,7 @@
         // The driver looks at its timers and its socket in one turn.
         let now = self.now;
         if let Some(view) = &mut self.places[router].view {
-            view.tick(now);
+            view.handle_timeout(now);
         }
         waiting.iter().for_each(|bytes| self.hear(router, bytes));
         self.after(router);
@@ -232,12 +236,12 @@
     fn hear(&mut self, router: usize, bytes: &[u8]) {
         let now = self.now;
         let place = &mut self.places[router];
-        if !Limits::is_for(bytes) {
-            return place.view.iter_mut().for_each(|v| v.datagram(now, bytes));
+        if !QuotaManager::is_quota_datagram(bytes) {
+            return place.view.iter_mut().for_each(|v| v.handle_datagram(now, bytes));
         }
         if let Some(limits) = &mut place.limits {
-            limits.demand(now, &place.demands);
-            limits.datagram(now, bytes);
+            limits.update_demand(now, &place.demands);
+            limits.handle_datagram(now, bytes);
         }
     }
 
@@ -344,10 +348,10 @@
                     return;
                 }
                 let Some(view) = &mut place.view else { return };
-                view.tick(now);
-                if let Some(limits) = place.limits.as_mut().filter(|l| now >= l.due()) {
-                    limits.demand(now, &place.demands);
-                    limits.tick(now);
+                view.handle_timeout(now);
+                if let Some(limits) = place.limits.as_mut().filter(|l| now >= l.next_timeout()) {
+                    limits.update_demand(now, &place.demands);
+                    limits.handle_timeout(now);
                 }
                 self.after(router);
             }
@@ -371,30 +375,31 @@
         let place = &mut self.places[router];
         let Some(view) = &mut place.view else { return };
         let mut out = Vec::new();
-        while let Some(datagram) = view.outgoing() {
+        while let Some(datagram) = view.poll_transmit() {
             out.push(datagram);
         }
         let mut changed = false;
-        while let Some(change) = view.change() {
+        while let Some(change) = view.poll_change() {
             changed = true;
             self.told.push((self.now, router, change));
         }
-        let mut due = view.due();
+        let mut due = view.next_timeout();
         if let Some(limits) = &mut place.limits {
             if changed {
-                let (members, beyond) = limits::members(view);
-                limits.members(self.now, members, beyond);
+                limits.update_peers(self.now, &ActivePeers::from_membership(view));
             }
-            while let Some(datagram) = limits.outgoing() {
+            while let Some(datagram) = limits.poll_transmit() {
                 out.push(datagram);
             }
-            due = due.min(limits.due());
+            due = due.min(limits.next_timeout());
             self.touched.insert(router);
         }
         place.turn += 1;
         let (due, turn) = (due.max(self.now), place.turn);
         self.at(due, Event::Tick(router, turn));
-        out.into_iter().for_each(|(to, bytes)| self.send(router, to, bytes));
+        for Transmit { destination, payload } in out {
+            self.send(router, destination, payload);
+        }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, mut bytes: Vec<u8>) {
@@ -419,12 +424,12 @@
     // ---- what is looked at ----
 
     /// What a router says of another.
-    pub fn rank(&self, of: usize, by: usize) -> Option<Rank> {
-        Some(self.view(by)?.record(addr(of))?.rank)
+    pub fn rank(&self, of: usize, by: usize) -> Option<MemberState> {
+        Some(self.view(by)?.record_of(addr(of))?.state)
     }
 
     /// The part of those routers who say that of another.
-    pub fn say(&self, by: &[usize], of: usize, rank: Rank) -> f64 {
+    pub fn say(&self, by: &[usize], of: usize, rank: MemberState) -> f64 {
         let agree = by.iter().filter(|b| **b != of && self.rank(of, **b) == Some(rank)).count();
         agree as f64 / by.iter().filter(|b| **b != of).count().max(1) as f64
     }
@@ -433,20 +438,21 @@
     pub fn same(&self, who: &[usize]) -> bool {
         let mut digests = who.iter().map(|i| self.view(*i).map(Membership::digest));
         let first = digests.next().flatten();
-        let there = |by: usize, of: &usize| self.rank(*of, by).is_some_and(|r| r <= Rank::Suspect);
+        let there = |by: usize, of: &usize| self.rank(*of, by).is_some_and(|r| r <= MemberState::Suspect);
         let Some(one) = who.first().filter(|_| first.is_some()) else { return false };
         digests.all(|d| d == first) && who[1..].iter().all(|of| there(*one, of))
     }
 
     /// The least number of routers that any of those holds to be at work, perhaps.
     pub fn least_at_work(&self, who: &[usize]) -> u32 {
-        who.iter().filter_map(|i| Some(self.view(*i)?.at_work(None))).min().unwrap_or(0)
+        who.iter().filter_map(|i| Some(self.view(*i)?.possibly_active_count(None))).min().unwrap_or(0)
     }
 
     /// How often a router that ran all the time was called lost, by anybody.
     pub fn called_lost(&self, since: Time) -> usize {
-        let lost = |c: &&(Time, usize, Change)| {
-            c.0 >= since && matches!(&c.2, Change::Router(_, _, r) if r.rank == Rank::Lost)
+        let lost = |c: &&(Time, usize, MembershipChange)| {
+            c.0 >= since
+                && matches!(&c.2, MembershipChange::Updated { record, .. } if record.state == MemberState::Failed)
         };
         self.told.iter().filter(lost).count()
     }
--- a/crates/simulation/src/measure.rs
+++ b/crates/simulation/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{Fleet, Link};
 use crate::{Time, SEC};
-use hollymux_cluster::view::Rank;
+use hollymux_cluster::membership::MemberState;
 use rayon::prelude::*;
 use serde::Serialize;
 use std::time::Instant;
@@ -99,16 +99,16 @@
     }
     let falsely_lost = (lost, (f.now - since) as f64 / 60e6);
     let memory_kb =
-        all.iter().filter_map(|r| Some(f.view(*r)?.memory() as f64)).sum::<f64>() / n as f64 / 1e3;
+        all.iter().filter_map(|r| Some(f.view(*r)?.memory_bytes() as f64)).sum::<f64>() / n as f64 / 1e3;
     let mut crash = [Some(0.0); 3];
     let mut join = crash;
     for i in 0..CRASHES {
         let who = n - 1 - i * n / 7 % n;
         let rest: Vec<usize> = all.iter().copied().filter(|r| *r != who).collect();
         f.kill(who);
-        crash = worst(crash, known(&mut f, |f| f.say(&rest, who, Rank::Lost)));
+        crash = worst(crash, known(&mut f, |f| f.say(&rest, who, MemberState::Failed)));
         f.start(who);
-        join = worst(join, known(&mut f, |f| f.say(&rest, who, Rank::Alive)));
+        join = worst(join, known(&mut f, |f| f.say(&rest, who, MemberState::Alive)));
         f.run(10 * SEC);
         f.told.clear();
     }
@@ -118,7 +118,7 @@
     f.heal();
     let (from, mut sent, mut bytes_s_most) = (f.now, f.sent.1, 0.0f64);
     let one = *b.first().unwrap_or(&0);
-    let heal = known(&mut f, |f| f.say(a, one, Rank::Alive).min(f.say(b, 0, Rank::Alive)));
+    let heal = known(&mut f, |f| f.say(a, one, MemberState::Alive).min(f.say(b, 0, MemberState::Alive)));
     let mut healed_s = None;
     while healed_s.is_none() && f.now < from + MOST {
         healed_s = f.until(SEC, |f| f.same(&all)).map(|_| (f.now - from) as f64 / 1e6);
--- a/crates/simulation/src/virtually.rs
+++ b/crates/simulation/src/virtually.rs
@@ -9,8 +9,8 @@
 use crate::together::{judge, links, places, quiet_from, Watch};
 use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::{Time, MS, SEC};
-use hollymux_cluster::limits::LeaseTimings;
-use hollymux_cluster::view::{Change, Rank};
+use hollymux_cluster::membership::{MemberState, MembershipChange};
+use hollymux_cluster::quota::LeaseTimings;
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::{EndpointId, QuotaScope, Timestamp};
 use hollymux_router::buffers::BufferPool;
@@ -343,7 +343,8 @@
                 let here = s.router_count_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
                 fleet.configure(seat.number, s.router_count, here);
                 let window = whole_micros(s.overload_window);
-                fleet.lease = self.day.limits.then(|| LeaseTimings { window, ..LeaseTimings::default() });
+                fleet.lease =
+                    self.day.limits.then(|| LeaseTimings { usage_window: window, ..LeaseTimings::default() });
                 fleet.start(seat.number);
             }
         }
@@ -367,24 +368,25 @@
         }
         fleet.run((self.now - START + BEGIN).saturating_sub(fleet.now));
         for (_, by, change) in std::mem::take(&mut fleet.told) {
-            if let Change::Router(of, _, r) = &change {
-                if r.rank == Rank::Lost {
+            if let MembershipChange::Updated { address: of, record: r, .. } = &change {
+                if r.state == MemberState::Failed {
                     self.watch.lost.extend(place_at(*of).map(|of| (now_s, by, of)));
                 }
             }
             if let (Some(view), Process::Runs) = (fleet.view(by), &self.stands[by]) {
-                let (all, here) = view.shared_by(&self.configs[by].settings);
-                self.routers[by].count_routers(all, here);
+                let divisors = view.quota_divisors(&self.configs[by].settings);
+                self.routers[by].count_routers(divisors.all, divisors.own_zone);
             }
         }
         for r in std::mem::take(&mut fleet.touched) {
             if let Some(limits) = fleet.limits(r).filter(|_| matches!(self.stands[r], Process::Runs)) {
                 // The cores' clock is ahead of the views'.
-                let (homes, mut parts) = limits.use_at(fleet.now);
-                for part in parts.values_mut().filter(|p| p.until != Timestamp::MAX) {
+                let mut allocation = limits.allocation(fleet.now);
+                for part in allocation.endpoints.values_mut().filter(|p| p.until != Timestamp::MAX) {
                     part.until = Timestamp::from_micros(part.until.as_micros() - BEGIN + START);
                 }
-                self.routers[r].lease(homes, parts);
+                let homes = (allocation.share_of_all, allocation.share_of_own_zone);
+                self.routers[r].lease(homes, allocation.endpoints);
             }
         }
         if self.watch.agreed.is_none() && now_s > quiet_from(&self.day) && fleet.same(&fleet.up()) {
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time: what is promised of their views under every fault, and the same run twice.
 
-use hollymux_cluster::view::{Change, Rank, MEMBERS_MOST};
-use hollymux_cluster::DATAGRAM_MOST;
+use hollymux_cluster::membership::{MemberState, MembershipChange, MAX_MEMBERS};
+use hollymux_cluster::MAX_DATAGRAM_LEN;
 use hollymux_simulation::fleet::{addr, Fleet, Link};
 use hollymux_simulation::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
 }
 
 fn lost(f: &mut Fleet, by: &[usize], of: usize, within: Time) {
-    let known = f.until(within, |f| f.say(by, of, Rank::Lost) == 1.0);
+    let known = f.until(within, |f| f.say(by, of, MemberState::Failed) == 1.0);
     assert!(known.is_some(), "{of} is not known to be lost within {} ms", within / MS);
 }
 
@@ -63,11 +63,14 @@
         assert_eq!(f.least_at_work(&rest), 5, "a lost router may be at work");
         f.start(4);
         settles(&mut f, &all(5), 4 * SEC);
-        assert!(all(5).iter().all(|r| f.view(*r).unwrap().at_work(None) == 5));
+        assert!(all(5).iter().all(|r| f.view(*r).unwrap().possibly_active_count(None) == 5));
     }
     f.leave(4);
-    assert!(f.until(4 * SEC, |f| f.say(&rest, 4, Rank::Left) == 1.0).is_some());
-    assert!(rest.iter().all(|r| f.view(*r).unwrap().at_work(None) == 4), "who left in words is counted out");
+    assert!(f.until(4 * SEC, |f| f.say(&rest, 4, MemberState::Left) == 1.0).is_some());
+    assert!(
+        rest.iter().all(|r| f.view(*r).unwrap().possibly_active_count(None) == 4),
+        "who left in words is counted out"
+    );
 }
 
 #[test]
@@ -76,7 +79,9 @@
     f.part(&[0, 1, 2], &[3, 4]);
     f.run(20 * SEC);
     assert!(f.same(&[0, 1, 2]) && f.same(&[3, 4]), "each side agrees");
-    assert!(f.say(&[0, 1, 2], 3, Rank::Lost) == 1.0 && f.say(&[3, 4], 0, Rank::Lost) == 1.0);
+    assert!(
+        f.say(&[0, 1, 2], 3, MemberState::Failed) == 1.0 && f.say(&[3, 4], 0, MemberState::Failed) == 1.0
+    );
     assert_eq!(f.least_at_work(&all(5)), 5, "no side may take the other's part");
     f.heal();
     f.run(300 * MS);
@@ -101,13 +106,15 @@
         }
         lost(&mut f, &rest, 5, 10 * SEC);
         f.run(20 * SEC);
-        let wrongly = |c: &&(Time, usize, Change)| match &c.2 {
-            Change::Router(of, _, r) => c.0 > since && c.1 != 5 && *of != addr(5) && r.rank == Rank::Lost,
+        let wrongly = |c: &&(Time, usize, MembershipChange)| match &c.2 {
+            MembershipChange::Updated { address: of, record: r, .. } => {
+                c.0 > since && c.1 != 5 && *of != addr(5) && r.state == MemberState::Failed
+            }
             _ => false,
         };
         assert_eq!(f.told.iter().filter(wrongly).count(), 0, "hears {hears}: others are condemned");
-        assert!(f.view(5).unwrap().deaf(), "it knows that nobody answers it");
-        assert_eq!(f.view(5).unwrap().reachable(), 0);
+        assert!(f.view(5).unwrap().is_isolated(), "it knows that nobody answers it");
+        assert_eq!(f.view(5).unwrap().reachable_count(), 0);
         f.heal();
         settles(&mut f, &all(6), 6 * SEC);
     }
@@ -131,13 +138,15 @@
         // What it sends arrives 10 s late.
         f.fault(&[2], &rest, Link { delay: (10 * SEC, 0), ..Link::default() });
         if suspected {
-            assert!(f.until(5 * SEC, |f| f.say(&rest, 2, Rank::Suspect) > 0.0).is_some());
+            assert!(f.until(5 * SEC, |f| f.say(&rest, 2, MemberState::Suspect) > 0.0).is_some());
         }
         f.kill(2);
         f.heal();
         f.start(2);
         settles(&mut f, &all(5), 4 * SEC);
-        let start = |f: &Fleet| f.view(0).unwrap().others().find(|s| s.addr == addr(2)).unwrap().record.start;
+        let start = |f: &Fleet| {
+            f.view(0).unwrap().members().find(|s| s.address == addr(2)).unwrap().record.generation
+        };
         let new = start(&f);
         let since = f.now;
         f.run(12 * SEC);
@@ -161,11 +170,13 @@
         lost(&mut f, &others(5, 1), 1, 8 * SEC);
         f.run(7 * SEC);
         f.resume(1);
-        assert!(!f.view(1).unwrap().settled().0, "what it held must be heard anew");
+        assert!(!f.view(1).unwrap().is_converged(), "what it held must be heard anew");
         let before = f.now;
         settles(&mut f, &all(5), 2 * SEC);
-        let condemned = |c: &&(Time, usize, Change)| {
-            c.0 >= before && c.1 == 1 && matches!(&c.2, Change::Router(_, _, r) if r.rank >= Rank::Suspect)
+        let condemned = |c: &&(Time, usize, MembershipChange)| {
+            c.0 >= before
+                && c.1 == 1
+                && matches!(&c.2, MembershipChange::Updated { record: r, .. } if r.state >= MemberState::Suspect)
         };
         assert_eq!(f.told.iter().filter(condemned).count(), 0, "it blames nobody for its own pause");
     }
@@ -180,12 +191,20 @@
     settles(&mut f, &all(5), 10 * SEC);
     let since = f.now;
     f.run(30 * SEC);
-    let told = |f: &Fleet, what: &dyn Fn(&Change) -> bool| f.told.iter().filter(|c| what(&c.2)).count();
-    assert!(all(5).iter().all(|r| f.view(*r).unwrap().at_work(None) == 5), "both are counted");
-    assert_eq!(told(&f, &|c| matches!(c, Change::NameTwice(n, ..) if n == "n1")), 5, "each says so once");
+    let told =
+        |f: &Fleet, what: &dyn Fn(&MembershipChange) -> bool| f.told.iter().filter(|c| what(&c.2)).count();
+    assert!(all(5).iter().all(|r| f.view(*r).unwrap().possibly_active_count(None) == 5), "both are counted");
+    assert_eq!(
+        told(&f, &|c| matches!(c, MembershipChange::DuplicateName { name, .. } if name == "n1")),
+        5,
+        "each says so once"
+    );
     assert_eq!(f.told.iter().filter(|c| c.0 > since + 5 * SEC).count(), 0, "and they don't flap");
-    assert_eq!(f.view(5).unwrap().at_work(None), 1);
-    assert!(f.view(0).unwrap().counts.unread[3] > 0, "what another fleet says is counted and dropped");
+    assert_eq!(f.view(5).unwrap().possibly_active_count(None), 1);
+    assert!(
+        f.view(0).unwrap().counters.rejected.other_cluster > 0,
+        "what another fleet says is counted and dropped"
+    );
 }
 
 #[test]
@@ -194,7 +213,7 @@
     f.seeds(&[0]);
     all(6)[1..].iter().for_each(|r| f.start(*r));
     f.run(20 * SEC);
-    assert!((1..6).all(|r| f.view(r).unwrap().at_work(None) == 1), "nobody knows anybody");
+    assert!((1..6).all(|r| f.view(r).unwrap().possibly_active_count(None) == 1), "nobody knows anybody");
     f.start(0);
     settles(&mut f, &all(6), 6 * SEC);
 }
@@ -208,8 +227,10 @@
         f.fault(&others(8, 7), &[7], bad);
         let since = f.now;
         f.run(120 * SEC);
-        let condemned = |c: &&(Time, usize, Change)| match &c.2 {
-            Change::Router(of, _, r) => c.0 > since && *of != addr(7) && r.rank == Rank::Lost,
+        let condemned = |c: &&(Time, usize, MembershipChange)| match &c.2 {
+            MembershipChange::Updated { address: of, record: r, .. } => {
+                c.0 > since && *of != addr(7) && r.state == MemberState::Failed
+            }
             _ => false,
         };
         assert_eq!(f.told.iter().filter(condemned).count(), 0, "seed {seed}");
@@ -223,18 +244,19 @@
     let mut f = started(5, 8);
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     let mut real = f.view(1).unwrap().clone();
-    real.tick(f.now + 20 * SEC);
-    let real: Vec<Vec<u8>> = std::iter::from_fn(|| real.outgoing()).map(|d| d.1).collect();
+    real.handle_timeout(f.now + 20 * SEC);
+    let real: Vec<Vec<u8>> =
+        std::iter::from_fn(|| real.poll_transmit()).map(|transmit| transmit.payload).collect();
     assert!(!real.is_empty());
     let digest = f.view(0).unwrap().digest();
-    let (since, before) = (f.now, f.view(0).unwrap().counts);
+    let (since, before) = (f.now, f.view(0).unwrap().counters);
     for _ in 0..40 {
         for n in 0..500 {
             let mut bytes = real[n % real.len()].clone();
             match n % 5 {
                 0 => bytes = (0..rng.random_range(0..200)).map(|_| rng.random()).collect(),
                 1 => bytes.truncate(rng.random_range(0..bytes.len())),
-                2 => bytes = vec![1; DATAGRAM_MOST + rng.random_range(1..60_000)],
+                2 => bytes = vec![1; MAX_DATAGRAM_LEN + rng.random_range(1..60_000)],
                 3 => {
                     let bit = rng.random_range(0..bytes.len() * 8);
                     bytes[bit / 8] ^= 1 << (bit % 8);
@@ -248,26 +270,29 @@
     f.run(3 * SEC);
     assert_eq!(f.view(0).unwrap().digest(), digest);
     assert_eq!(f.called_lost(since), 0);
-    let after = f.view(0).unwrap().counts;
-    assert!(after.unread.iter().sum::<u64>() - before.unread.iter().sum::<u64>() >= 15_000);
-    assert!(after.sent.0 - before.sent.0 < 300 + after.received.0 - before.received.0 - 15_000);
+    let after = f.view(0).unwrap().counters;
+    assert!(after.rejected.total() - before.rejected.total() >= 15_000);
+    assert!(
+        after.sent.datagrams - before.sent.datagrams
+            < 300 + after.received.datagrams - before.received.datagrams - 15_000
+    );
     assert!(f.same(&all(5)));
 }
 
 /// Guards against a table that grows without end, and against one that forgets who may be at work.
 #[test]
 fn a_full_table_counts_whom_it_can_not_remember() {
-    let mut f = Fleet::new(MEMBERS_MOST + 41, 10);
+    let mut f = Fleet::new(MAX_MEMBERS + 41, 10);
     f.seeds(&[0]);
     f.start(0);
-    for r in 1..MEMBERS_MOST + 41 {
+    for r in 1..MAX_MEMBERS + 41 {
         f.start(r);
         f.run(MS);
         f.kill(r);
     }
     f.run(SEC);
-    assert!(f.view(0).unwrap().others().count() <= MEMBERS_MOST);
-    assert_eq!(f.view(0).unwrap().at_work(None) as usize, MEMBERS_MOST + 41);
+    assert!(f.view(0).unwrap().members().count() <= MAX_MEMBERS);
+    assert_eq!(f.view(0).unwrap().possibly_active_count(None) as usize, MAX_MEMBERS + 41);
 }
 
 #[test]
@@ -299,7 +324,7 @@
     // Seven in ten die at once.
     let (dead, left): (Vec<usize>, Vec<usize>) = all(N).into_iter().partition(|r| r % 10 < 7);
     dead.iter().for_each(|r| f.kill(*r));
-    let known = f.until(40 * SEC, |f| dead.iter().all(|d| f.say(&left, *d, Rank::Lost) == 1.0));
+    let known = f.until(40 * SEC, |f| dead.iter().all(|d| f.say(&left, *d, MemberState::Failed) == 1.0));
     assert!(known.is_some(), "all the dead are known to be lost");
     assert!(f.same(&left) && f.least_at_work(&left) == N as u32);
 }
@@ -352,9 +377,9 @@
             for by in f.up() {
                 let view = f.view(by).unwrap();
                 for of in others(n, by) {
-                    let record = view.record(addr(of));
+                    let record = view.record_of(addr(of));
                     if knows[by].contains(&of) {
-                        let counted = record.is_some_and(|r| r.rank != Rank::Left);
+                        let counted = record.is_some_and(|r| r.state != MemberState::Left);
                         assert!(counted || left[of], "seed {seed}: {by} does not count {of}");
                     }
                     if let Some(record) = record {
