--- /dev/null
+++ b/crates/hollymux/src/capture/mod.rs
@@ -0,0 +1,35 @@
+//! `hollymux capture`: what recorded traffic holds, and what is missing from it.
+
+mod summary;
+mod text;
+
+use crate::error::CommandError;
+use crate::output;
+use std::path::PathBuf;
+use summary::CaptureSummary;
+
+/// What to read from recorded traffic.
+#[derive(clap::Subcommand)]
+pub enum Command {
+    /// Summarise recordings, and report what is missing from them
+    Info {
+        /// Recordings, of one router or several
+        #[arg(value_name = "FILE", required = true)]
+        files: Vec<PathBuf>,
+        /// Print the summary as JSON
+        #[arg(long)]
+        json: bool,
+    },
+}
+
+/// Reads the recordings and prints their summary.
+pub fn run(command: Command) -> Result<(), CommandError> {
+    let Command::Info { files, json } = command;
+    let recording = hollymux_capture::load(&files).map_err(CommandError::InvalidFile)?;
+    let summary = CaptureSummary::of(&recording);
+    if json {
+        output::print_json(&summary)
+    } else {
+        output::print(&text::render(&summary))
+    }
+}
--- a/crates/hollymux/src/check.rs
+++ b/crates/hollymux/src/check.rs
@@ -1,9 +1,11 @@
-//! `hollymux check`: an operator's file, fault by fault.
+//! `hollymux check`: reads an operator's file and reports every error in it.
 
-use crate::{operator, put, Fail};
+use crate::error::CommandError;
+use crate::output;
 use hollymux_server::operator::Operator;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
+/// Options of the sub-command.
 #[derive(clap::Args)]
 pub struct Options {
     /// The operator's file (JSON5)
@@ -14,11 +16,15 @@
     schema: bool,
 }
 
-pub fn run(options: &Options) -> Result<(), Fail> {
-    let Some(file) = &options.file else {
-        return put(&(hollymux_config_file::schema::<Operator>() + "\n"));
-    };
-    let read = operator(file)?;
-    // What is on, with every default written out.
-    put(&(serde_json::to_string_pretty(&read).map_err(Fail::ran)? + "\n"))
+/// Prints the effective settings, with every default written out, or all errors of the file.
+pub fn run(options: &Options) -> Result<(), CommandError> {
+    match &options.file {
+        Some(file) => output::print_json(&load_operator_file(file)?),
+        None => output::print(&(hollymux_config_file::schema::<Operator>() + "\n")),
+    }
+}
+
+/// Reads an operator's file; the error holds a line for each fault in it.
+pub fn load_operator_file(path: &Path) -> Result<Operator, CommandError> {
+    hollymux_config_file::load(path).map_err(CommandError::InvalidFile)
 }
--- a/crates/hollymux/src/logs.rs
+++ b/crates/hollymux/src/logging.rs
@@ -1,6 +1,6 @@
 //! The log: lines of text or JSON on standard error.
 
-use crate::Fail;
+use crate::error::CommandError;
 use std::io;
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::SubscriberExt;
@@ -13,23 +13,26 @@
     Json,
 }
 
+/// Options of the log.
 #[derive(clap::Args)]
 pub struct Options {
-    /// What is logged: a level (error, warn, info, debug, trace), or a filter as in `info,hollymux_server=debug`
+    /// Log level (error, warn, info, debug, trace), or a filter such as `info,hollymux_server=debug`
     #[arg(long, global = true, value_name = "FILTER", default_value = "info")]
     log: Targets,
-    /// How it is written
+    /// Log format
     #[arg(long, global = true, value_name = "FORMAT", value_enum, default_value = "text")]
     log_format: Format,
 }
 
-/// Starts logging. A line that can't be written is lost: it must neither end the program nor be told of on the
-/// same stream, which is why internal errors are not logged.
-pub fn start(options: &Options) -> Result<(), Fail> {
+/// Starts logging. A line that can't be written is lost: it must neither end the program nor be reported on the same
+/// stream, which is why internal errors of the logger are not logged.
+pub fn start(options: &Options) -> Result<(), CommandError> {
     let lines = fmt::layer().with_writer(io::stderr).log_internal_errors(false).with_ansi(false);
     let layer = match options.log_format {
         Format::Text => lines.with_target(false).boxed(),
         Format::Json => lines.json().flatten_event(true).boxed(),
     };
-    tracing_subscriber::registry().with(layer.with_filter(options.log.clone())).try_init().map_err(Fail::ran)
+    let filtered = layer.with_filter(options.log.clone());
+    tracing_subscriber::registry().with(filtered).try_init()?;
+    Ok(())
 }
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -1,94 +1,132 @@
-//! `hollymux plan`: recorded load and a fleet in, a plan out.
+//! `hollymux plan`: capacity planning from recorded traffic and a description of the cluster.
 
-use crate::{put, Fail};
+use crate::error::CommandError;
+use crate::output;
+use hollymux_capture::{Loss, Recording};
 use hollymux_planner::trace::Trace;
-use hollymux_planner::{plan, Fleet, Question};
+use hollymux_planner::{plan, Answer, Fleet, Question};
 use std::path::PathBuf;
 
+/// Options of the sub-command.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Recorded load, of one router or several
+    /// Recorded traffic, of one router or several
     #[arg(long, value_name = "FILE", num_args = 1.., required_unless_present = "schema")]
     load: Vec<PathBuf>,
-    /// The fleet (JSON5)
+    /// The cluster: its sites and their links (JSON5)
     #[arg(long, value_name = "FILE", required_unless_present = "schema")]
     fleet: Option<PathBuf>,
-    /// The part of worth to be served in time
+    /// The share of priority weight to be served in time
     #[arg(long, value_name = "PERCENT", default_value = "95%", value_parser = percent)]
     goal: f64,
     /// The load to plan for, in multiples of the recorded one
     #[arg(long, value_name = "TIMES", default_value_t = 1.0)]
     scale: f64,
-    /// Servers lost together, beside the losses of single ones: a hub or OFFICE-N, several with commas
+    /// Endpoints lost together, beside the losses of single ones: a parent cache or SITE-N, several
+    /// with commas
     #[arg(long, value_name = "NAME,...")]
     lose: Vec<String>,
-    /// The first seconds of the recording fill the caches and are not counted [default: a quarter of it]
+    /// Seconds at the start of the recording that fill the caches and are not counted [default: a
+    /// quarter of it]
     #[arg(long, value_name = "SECONDS")]
     warm: Option<f64>,
-    /// Leave unusually large objects out
+    /// Leave out unusually large objects
     #[arg(long)]
     without_large: bool,
-    /// All caches are empty when the load begins, as after a loss of everything
+    /// Begin with empty caches, as after the loss of all of them
     #[arg(long)]
     empty: bool,
-    /// For random numbers
+    /// Seed of random numbers
     #[arg(long, value_name = "N", default_value_t = 1)]
     seed: u64,
     /// Print the plan as JSON
     #[arg(long)]
     json: bool,
-    /// Draw worth against load into this file
+    /// Plot priority weight against load into this file
     #[arg(long, value_name = "FILE.svg")]
     plot: Option<PathBuf>,
-    /// Print the JSON Schema of fleets instead
+    /// Print the JSON Schema of cluster descriptions instead
     #[arg(long)]
     schema: bool,
 }
 
-fn percent(text: &str) -> Result<f64, String> {
-    let wrong = || format!("{text:?} is no part such as 95%");
-    let value: f64 = text.trim_end_matches('%').parse().map_err(|_| wrong())?;
-    let part = if text.ends_with('%') || value > 1.0 { value / 100.0 } else { value };
-    if part > 0.0 && part < 1.0 {
-        Ok(part)
+/// Why an option is no share of a whole.
+#[derive(Debug, thiserror::Error)]
+enum InvalidShare {
+    #[error("{0:?} is no part such as 95%")]
+    NotANumber(String),
+    #[error("a goal lies above 0% and below 100%")]
+    OutOfRange,
+}
+
+/// Reads `95%`, `95` or `0.95` as 0.95.
+fn percent(text: &str) -> Result<f64, InvalidShare> {
+    let digits = text.trim_end_matches('%');
+    let value: f64 = digits.parse().map_err(|_| InvalidShare::NotANumber(text.to_string()))?;
+    let is_percentage = text.ends_with('%') || value > 1.0;
+    let share = if is_percentage { value / 100.0 } else { value };
+    if share > 0.0 && share < 1.0 {
+        Ok(share)
     } else {
-        Err("a goal lies above 0% and below 100%".into())
+        Err(InvalidShare::OutOfRange)
     }
 }
 
-pub fn run(options: &Options) -> Result<(), Fail> {
-    let Some(fleet) = options.fleet.as_ref().filter(|_| !options.schema) else {
-        return put(&(hollymux_config_file::schema::<Fleet>() + "\n"));
-    };
-    let fleet: Fleet = hollymux_config_file::load(fleet).map_err(Fail::Unusable)?;
-    let recording = hollymux_capture::load(&options.load).map_err(Fail::Unusable)?;
-    let mut missing = Vec::new();
-    if !recording.loss.none() {
-        let l = recording.loss;
-        missing.push(format!(
-            "the recording lacks {} bytes, {} blocks and {} entries: rates are too low by as much",
-            l.bytes, l.blocks, l.dropped
-        ));
+impl Options {
+    fn question(&self) -> Question {
+        let names = |list: &String| list.split(',').map(str::to_string).collect();
+        Question {
+            goal: self.goal,
+            scale: self.scale,
+            lose: self.lose.iter().map(names).collect(),
+            warm_s: self.warm,
+            without_large: self.without_large,
+            empty: self.empty,
+            seed: self.seed,
+        }
     }
-    let trace = Trace::new(&recording).map_err(Fail::unusable)?;
-    drop(recording);
-    let question = Question {
-        goal: options.goal,
-        scale: options.scale,
-        lose: options.lose.iter().map(|l| l.split(',').map(str::to_string).collect()).collect(),
-        warm_s: options.warm,
-        without_large: options.without_large,
-        empty: options.empty,
-        seed: options.seed,
+}
+
+/// Makes a plan and prints it.
+pub fn run(options: &Options) -> Result<(), CommandError> {
+    let Some(fleet) = options.fleet.as_ref().filter(|_| !options.schema) else {
+        return output::print(&(hollymux_config_file::schema::<Fleet>() + "\n"));
     };
-    let mut answer = plan(&trace, &fleet, &question).map_err(Fail::unusable)?;
-    answer.quality.doubts.extend(missing);
+    let fleet: Fleet = hollymux_config_file::load(fleet).map_err(CommandError::InvalidFile)?;
+    let recording = hollymux_capture::load(&options.load).map_err(CommandError::InvalidFile)?;
+    let answer = make_plan(recording, &fleet, &options.question())?;
     if let Some(path) = &options.plot {
-        std::fs::write(path, answer.plot().map_err(Fail::ran)?).map_err(Fail::ran)?;
+        let chart = answer.plot().map_err(|error| CommandError::Chart(error.to_string()))?;
+        std::fs::write(path, chart)?;
     }
-    put(&if options.json {
-        serde_json::to_string_pretty(&answer).map_err(Fail::ran)? + "\n"
+    if options.json {
+        output::print_json(&answer)
     } else {
-        answer.text()
+        output::print(&answer.text())
+    }
+}
+
+fn make_plan(recording: Recording, fleet: &Fleet, question: &Question) -> Result<Answer, CommandError> {
+    let loss_warning = loss_warning(recording.loss);
+    let trace = Trace::new(&recording).map_err(invalid_plan)?;
+    // Planning takes long and the recording much memory; the trace holds what is needed of it.
+    drop(recording);
+    let mut answer = plan(&trace, fleet, question).map_err(invalid_plan)?;
+    answer.quality.doubts.extend(loss_warning);
+    Ok(answer)
+}
+
+fn invalid_plan(error: impl std::error::Error + Send + Sync + 'static) -> CommandError {
+    CommandError::InvalidPlan(Box::new(error))
+}
+
+/// What the plan has to say of data missing from the recording, if any is.
+fn loss_warning(loss: Loss) -> Option<String> {
+    let Loss { bytes, blocks, dropped } = loss;
+    (!loss.none()).then(|| {
+        format!(
+            "the recording lacks {bytes} bytes, {blocks} blocks and {dropped} entries: \
+             rates are too low by as much"
+        )
     })
 }
--- a/crates/hollymux/src/serve.rs
+++ b/crates/hollymux/src/serve.rs
@@ -1,38 +1,60 @@
-//! `hollymux serve`: one request router.
+//! `hollymux serve`: runs one request router until it is told to stop.
 
-use crate::{operator, Fail};
+use crate::check::load_operator_file;
+use crate::error::CommandError;
 use hollymux_server::config::Config;
 use hollymux_server::operator::Operator;
 use hollymux_server::Server;
 use std::path::PathBuf;
 use tracing::info;
 
+/// Names the platform's configuration if `--config` does not.
+const CONFIG_VARIABLE: &str = "NODE_CONFIG";
+
+/// Options of the sub-command.
 #[derive(clap::Args, Default)]
 pub struct Options {
-    /// The operator's file (JSON5): what is on beyond the platform's protocol
+    /// The operator's file (JSON5): features beyond the platform's protocol
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// The platform's configuration (JSON)
-    #[arg(long, value_name = "FILE", env = "NODE_CONFIG")]
+    #[arg(long, value_name = "FILE", env = CONFIG_VARIABLE)]
     config: Option<PathBuf>,
-    /// End when the process that started this one ends
+    /// Exit when the process that started this one exits
     #[arg(long, hide = true)]
     with_parent: bool,
 }
 
-pub fn run(options: &Options) -> Result<(), Fail> {
-    let operator = options.operator.as_deref().map_or(Ok(Operator::default()), operator)?;
-    // Without a sub-command the platform's variable is all there is.
-    let path = options.config.clone().or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
-    let path = path.ok_or_else(|| Fail::unusable("NODE_CONFIG names no configuration"))?;
+impl Options {
+    /// The path of the platform's configuration.
+    fn config_path(&self) -> Result<PathBuf, CommandError> {
+        // Without a sub-command no options are parsed, so the variable has to be read here too.
+        let from_environment = || std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from);
+        self.config.clone().or_else(from_environment).ok_or(CommandError::NoConfiguration)
+    }
+
+    fn operator_settings(&self) -> Result<Operator, CommandError> {
+        self.operator.as_deref().map_or(Ok(Operator::default()), load_operator_file)
+    }
+}
+
+/// Serves until the router ends by a signal or by replacement.
+pub fn run(options: &Options) -> Result<(), CommandError> {
+    let operator = options.operator_settings()?;
+    let config_path = options.config_path()?;
     if options.with_parent {
-        let signal = rustix::process::Signal::KILL;
-        rustix::process::set_parent_process_death_signal(Some(signal)).map_err(Fail::ran)?;
+        exit_with_parent()?;
     }
-    let config = Config::load(&path).map_err(Fail::unusable)?;
-    let mut driver = Server::new(config, path, operator).map_err(Fail::ran)?;
-    info!("listening on {}", driver.listens_at().map_err(Fail::ran)?);
-    driver.run().map_err(Fail::ran)?;
-    info!("{}", driver.summary());
+    let config = Config::load(&config_path)?;
+    let mut server = Server::new(config, config_path, operator)?;
+    info!("listening on {}", server.listens_at()?);
+    server.run()?;
+    info!("{}", server.summary());
+    Ok(())
+}
+
+fn exit_with_parent() -> Result<(), CommandError> {
+    let signal = rustix::process::Signal::KILL;
+    rustix::process::set_parent_process_death_signal(Some(signal))?;
     Ok(())
 }
--- a/crates/hollymux/tests/common/mod.rs
+++ b/crates/hollymux/tests/common/mod.rs
@@ -185,8 +185,15 @@
         let (tx, lines) = channel();
         thread::spawn(move || stderr.lines().map_while(Result::ok).all(|l| tx.send(l).is_ok()));
         let (mut addr, mut answers, mut door, mut heard) = (None, None, None, None);
+        let mut written = Vec::new();
         while addr.is_none() {
-            let line = lines.recv_timeout(LONG).expect("the program says where it listens");
+            let line = lines.recv_timeout(LONG).unwrap_or_else(|error| {
+                let ended = child.try_wait();
+                panic!(
+                    "the program does not say where it listens: {error}, {ended:?}, it wrote: {written:#?}"
+                )
+            });
+            written.push(line.clone());
             // Behind the words in text, up to the quote in JSON.
             let word = |words: &str| {
                 let rest = line.split_once(words)?.1;
--- a/crates/hollymux/tests/line.rs
+++ b/crates/hollymux/tests/line.rs
@@ -89,3 +89,41 @@
     assert_eq!(closed["reason"], "Completed");
     assert_eq!((closed["bytes"].as_u64(), closed["attempts"].as_u64()), (Some(5), Some(1)));
 }
+
+/// Scripts use the earlier names of sub-commands and options.
+#[test]
+fn earlier_names_of_commands_and_options_are_hidden_aliases_of_the_new_ones() {
+    let same_help: [(&[&str], &[&str]); 8] = [
+        (&["lab", "--help"], &["simulate", "--help"]),
+        (&["lab", "run", "--help"], &["simulate", "run", "--help"]),
+        (&["lab", "fleet", "--help"], &["simulate", "cluster", "--help"]),
+        (&["lab", "sweep", "--help"], &["simulate", "sweep", "--help"]),
+        (&["fleet", "--help"], &["cluster", "--help"]),
+        (&["fleet", "limits", "--help"], &["cluster", "limits", "--help"]),
+        (&["record", "--help"], &["capture", "--help"]),
+        (&["record", "info", "--help"], &["capture", "info", "--help"]),
+    ];
+    for (earlier, new) in same_help {
+        let help = run(new);
+        assert_eq!(help.0, 0, "{new:?}: {}", help.2);
+        assert_eq!(run(earlier), help, "{earlier:?} and {new:?}");
+    }
+    assert_eq!(run(&["lab", "schema"]), run(&["simulate", "schema"]));
+    // Nothing serves there: both connect, and fail alike.
+    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    for words in [vec!["cluster"], vec!["cluster", "limits"]] {
+        let call = |option: &str| run(&[&words[..1], &[option, &closed], &words[1..]].concat());
+        let (code, out, err) = call("--admin");
+        assert_eq!((code, out.as_str()), (1, ""));
+        assert!(err.contains(&closed), "{err}");
+        assert_eq!(call("--door"), (code, out, err));
+    }
+    let help = run(&["--help"]).1;
+    for new in ["simulate", "cluster", "capture"] {
+        assert!(help.lines().any(|line| line.trim_start().starts_with(new)), "{new}: {help}");
+    }
+    for earlier in ["lab", "fleet", "record"] {
+        assert!(!help.lines().any(|line| line.trim_start().starts_with(earlier)), "{earlier}: {help}");
+    }
+    assert!(!run(&["cluster", "--help"]).1.contains("--door"));
+}
