--- a/crates/hollymux/tests/common/mod.rs
+++ b/crates/hollymux/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub mod puppets;
+pub mod reserved_address;
 mod standins;
 
 pub use standins::*;
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -2,6 +2,7 @@
 
 mod common;
 
+use common::reserved_address::ReservedAddress;
 use common::*;
 use hollymux_simulation::fleet::Link;
 use hollymux_simulation::relay::Relay;
@@ -362,8 +363,9 @@
     let mut f = Fleet::new(5);
     // The address that others are heard at goes over too, so it is one of the system's choice that is free again.
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (heard, clients) =
-        (free(), std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap());
+    let heard = free();
+    let reserved = ReservedAddress::new();
+    let clients = reserved.addr;
     let dir = file("nothing", "").parent().unwrap().to_path_buf();
     let section = f.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
     let listen = format!("\"listen\":\"{clients}\"");
--- a/crates/hollymux/tests/handover_bytes.rs
+++ b/crates/hollymux/tests/handover_bytes.rs
@@ -4,6 +4,7 @@
 
 mod common;
 
+use common::reserved_address::ReservedAddress;
 use common::*;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -213,6 +214,8 @@
     /// Clients' address, the same for all processes.
     addr: SocketAddr,
     folder: PathBuf,
+    /// Keeps `addr` from others, where no listener of the test does.
+    _reserved: Option<ReservedAddress>,
 }
 
 /// Routers that know each other hand over their identity too.
@@ -220,10 +223,12 @@
 
 impl Bed {
     fn new() -> Bed {
-        // A port that is free again by now, at a loopback address of this process: no other test takes it meanwhile.
+        // A loopback address of this process: no other test takes its ports meanwhile.
         let [.., high, low] = std::process::id().to_be_bytes();
-        let own = Ipv4Addr::new(127, 77, high, low.max(1));
-        Bed::at(TcpListener::bind((own, 0)).unwrap().local_addr().unwrap())
+        let reserved = ReservedAddress::at(Ipv4Addr::new(127, 77, high, low.max(1)));
+        let mut bed = Bed::at(reserved.addr);
+        bed._reserved = Some(reserved);
+        bed
     }
 
     fn at(addr: SocketAddr) -> Bed {
@@ -232,7 +237,7 @@
         let endpoints = [data.clone(), data.clone(), data].map(Shelf::start);
         feed.members(true, &listed(&endpoints));
         let folder = file("nothing", "").parent().unwrap().to_path_buf();
-        Bed { feed, endpoints, addr, folder }
+        Bed { feed, endpoints, addr, folder, _reserved: None }
     }
 
     fn config(&self) -> String {
--- a/crates/hollymux/tests/replacement.rs
+++ b/crates/hollymux/tests/replacement.rs
@@ -2,9 +2,10 @@
 
 mod common;
 
+use common::reserved_address::ReservedAddress;
 use common::*;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,6 +18,7 @@
     shelfs: [Shelf; 3],
     /// Clients' address, the same for all processes.
     addr: SocketAddr,
+    _reserved: ReservedAddress,
     /// Where processes meet.
     dir: PathBuf,
 }
@@ -26,10 +28,9 @@
         let feed = Feed::start();
         let shelfs = [does.clone(), does.clone(), does].map(Shelf::start);
         feed.members(true, &listed(&shelfs));
-        // A port of the system's choice that is free again by now.
-        let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let reserved = ReservedAddress::new();
         let dir = file("nothing", "").parent().unwrap().to_path_buf();
-        Bed { feed, shelfs, addr, dir }
+        Bed { feed, shelfs, addr: reserved.addr, _reserved: reserved, dir }
     }
 
     /// A process for that address, once it says yes.
--- a/crates/hollymux/tests/together.rs
+++ b/crates/hollymux/tests/together.rs
@@ -3,8 +3,9 @@
 mod common;
 
 use common::puppets::{Held, Puppets};
+use common::reserved_address::ReservedAddress;
 use common::*;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
@@ -87,11 +88,12 @@
 #[test]
 fn restarted_processes_are_ready_though_the_feed_is_silent() {
     let feeds = [Feed::start()];
-    let at = |config: &String| {
-        let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{addr}\""))
+    let configs = configs(&feeds, 20);
+    let reserved: Vec<ReservedAddress> = configs.iter().map(|_| ReservedAddress::new()).collect();
+    let at = |(config, reserved): (&String, &ReservedAddress)| {
+        config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", reserved.addr))
     };
-    let configs: Vec<String> = configs(&feeds, 20).iter().map(at).collect();
+    let configs: Vec<String> = configs.iter().zip(&reserved).map(at).collect();
     let mut nodes = Node::all(&configs);
     // The front asks on a connection that it keeps.
     let held: Vec<Client> = nodes.iter().map(|n| Client::connect(n.addr)).collect();
@@ -234,7 +236,8 @@
     let feed = Feed::start();
     let [a, b] = [(); 2].map(|()| Shelf::start(Does::Data(b"some bytes".to_vec())));
     feed.members(true, &[line("s-a", a.addr, "std", "ready"), line("s-b", b.addr, "std", "ready")]);
-    let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let reserved = ReservedAddress::new();
+    let addr = reserved.addr;
     let dir = file("nothing", "").parent().unwrap().to_path_buf();
     let config = with_door(&config(feed.addr))
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{addr}\""))
