--- a/crates/hollymux/tests/crossings.rs
+++ b/crates/hollymux/tests/crossings.rs
@@ -1,5 +1,5 @@
 //! Two events that cross, each order forced: the process is stopped while both come, or a stand-in holds one back.
-//! docs/crossings.md has the table of states and events that these belong to.
+//! docs/races.md has the table of states and events that these belong to.
 
 mod common;
 
