--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,6 +1,6 @@
 //! Recorded load: what a router was asked, what became of it, and what it was told of members and purges.
 //!
-//! `docs/recording.md` has the format. A file stands for itself: a head that names the router and its classes, then
+//! `docs/capture.md` has the format. A file stands for itself: a head that names the router and its classes, then
 //! blocks, each with a mark, a length and a checksum, so that damage costs the blocks that it touches and no more.
 
 mod read;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,6 +1,6 @@
 //! What request routers know and decide together. It does no I/O, reads no clock and draws no random numbers but those
 //! of the seed that it is given: datagrams, times and the local router's own events go in, datagrams, timers and
-//! changes come out. The same inputs give the same outputs. `docs/fleet.md` has the design and what is promised.
+//! changes come out. The same inputs give the same outputs. `docs/cluster.md` has the design and what is promised.
 
 mod envelope;
 pub mod limits;
--- a/crates/cluster/src/limits/mod.rs
+++ b/crates/cluster/src/limits/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseHolder(pub SocketAddr, pub u64);
 
-/// Times that the bounds follow from. Every one has its reason in `docs/fleet-limits.md`.
+/// Times that the bounds follow from. Every one has its reason in `docs/quota-leases.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
     /// A lot is given for so long, from when its taker asked.
--- a/crates/cluster/src/view/mod.rs
+++ b/crates/cluster/src/view/mod.rs
@@ -36,7 +36,7 @@
 /// Asked for its timers so much later than it wanted, the process itself stood still.
 const STALL: Time = 700 * MS;
 
-/// Times that trade speed for datagrams. Every one has its reason in `docs/fleet.md`.
+/// Times that trade speed for datagrams. Every one has its reason in `docs/cluster.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// From one probe to the next.
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -19,7 +19,7 @@
     pub fleet: Option<Section>,
 }
 
-/// Routers that know each other (docs/fleet.md has the reasons for the times).
+/// Routers that know each other (docs/cluster.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -56,7 +56,7 @@
     pub limits: Option<Leases>,
 }
 
-/// Parts of limits on lease (docs/fleet-limits.md has the reasons for the times).
+/// Parts of limits on lease (docs/quota-leases.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
--- a/crates/simulation/examples/foca.rs
+++ b/crates/simulation/examples/foca.rs
@@ -1,4 +1,4 @@
-//! `foca`, the library that was weighed against an own core (docs/fleet.md), on the same links in virtual time: the
+//! `foca`, the library that was weighed against an own core (docs/cluster.md), on the same links in virtual time: the
 //! figures of `hollymux lab fleet` for it, by its own settings for a site and by those of `hollymux_cluster::view::Times`.
 //!
 //!     cargo run --release -p hollymux-simulation --example foca -- 100 0.01 60
