--- a/crates/hollymux/src/capture/summary.rs
+++ b/crates/hollymux/src/capture/summary.rs
@@ -18,9 +18,9 @@
 pub struct CaptureSummary {
     /// The routers that recorded.
     pub routers: Vec<String>,
-    /// Their sites, each once.
+    /// Their zones, each once.
     #[serde(rename = "offices")]
-    pub sites: Vec<String>,
+    pub zones: Vec<String>,
     /// From the first request's arrival to the last one's.
     pub seconds: f64,
     /// Requests in all.
@@ -77,7 +77,7 @@
         let attempts: u64 = recording.rows.iter().map(|row| u64::from(row.attempts)).sum();
         CaptureSummary {
             routers: recording.heads.iter().map(|head| head.router.clone()).collect(),
-            sites: sites(recording),
+            zones: zones(recording),
             seconds,
             requests,
             per_second: if seconds > 0.0 { requests as f64 / seconds } else { 0.0 },
@@ -105,11 +105,11 @@
     }
 }
 
-fn sites(recording: &Recording) -> Vec<String> {
-    let mut sites: Vec<String> = recording.heads.iter().map(|head| head.office.clone()).collect();
-    sites.sort();
-    sites.dedup();
-    sites
+fn zones(recording: &Recording) -> Vec<String> {
+    let mut zones: Vec<String> = recording.heads.iter().map(|head| head.office.clone()).collect();
+    zones.sort();
+    zones.dedup();
+    zones
 }
 
 fn requests_by_endpoint(recording: &Recording) -> Counts {
--- a/crates/hollymux/src/capture/text.rs
+++ b/crates/hollymux/src/capture/text.rs
@@ -24,7 +24,7 @@
         summary.per_second,
         summary.attempts,
         summary.routers.join(", "),
-        summary.sites.join(", ")
+        summary.zones.join(", ")
     )
 }
 
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -13,7 +13,7 @@
     /// Recorded traffic, of one router or several
     #[arg(long, value_name = "FILE", num_args = 1.., required_unless_present = "schema")]
     load: Vec<PathBuf>,
-    /// The cluster: its sites and their links (JSON5)
+    /// The cluster: its zones and their links (JSON5)
     #[arg(long, value_name = "FILE", required_unless_present = "schema")]
     fleet: Option<PathBuf>,
     /// The share of priority weight to be served in time
@@ -22,7 +22,7 @@
     /// The load to plan for, in multiples of the recorded one
     #[arg(long, value_name = "TIMES", default_value_t = 1.0)]
     scale: f64,
-    /// Endpoints lost together, beside the losses of single ones: a parent cache or SITE-N, several
+    /// Endpoints lost together, beside the losses of single ones: a parent cache or ZONE-N, several
     /// with commas
     #[arg(long, value_name = "NAME,...")]
     lose: Vec<String>,
