--- a/crates/hollymux/src/lab.rs
+++ b/crates/hollymux/src/lab.rs
@@ -2,11 +2,11 @@
 
 use crate::{put, Fail};
 use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
-use hollymux_simulation::day::Day;
-use hollymux_simulation::platform::Seat;
 use hollymux_simulation::report::report;
-use hollymux_simulation::virtually::Heard;
-use hollymux_simulation::{measure, sockets, sweep, virtually};
+use hollymux_simulation::router_config::Seat;
+use hollymux_simulation::scenario::Day;
+use hollymux_simulation::virtual_time::Heard;
+use hollymux_simulation::{cluster_benchmark, multi_process, sweep, virtual_time};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -75,9 +75,9 @@
             "2 to 2000 routers, a loss of 0 to 1 and 0 to 600 minutes can be measured",
         ));
     }
-    let rows = measure::table(&options.routers, &options.loss, options.seed, options.minutes);
+    let rows = cluster_benchmark::table(&options.routers, &options.loss, options.seed, options.minutes);
     let json = || serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n";
-    put(&if options.json { json() } else { measure::text(&rows) })
+    put(&if options.json { json() } else { cluster_benchmark::text(&rows) })
 }
 
 #[derive(clap::Args)]
@@ -120,12 +120,12 @@
     let played = if options.virtually {
         virtual_day(&day, &options, &mut reasons)?
     } else {
-        let start = sockets::Start {
+        let start = multi_process::Start {
             program: std::env::current_exe().map_err(Fail::ran)?,
             dir: kept.map_or(scratch.path(), PathBuf::as_path).to_path_buf(),
             record: std::path::absolute(&record).map_err(Fail::ran)?,
         };
-        let played = sockets::play(&day, options.seed, &start).map_err(Fail::ran)?;
+        let played = multi_process::play(&day, options.seed, &start).map_err(Fail::ran)?;
         told_reasons(&day, &record, played.start, &mut reasons)?;
         played
     };
@@ -166,10 +166,10 @@
 }
 
 /// Plays in virtual time, each router's load going to a recording of its own where that is wanted.
-fn virtual_day(day: &Day, options: &Run, reasons: &mut Reasons) -> Result<virtually::Played, Fail> {
+fn virtual_day(day: &Day, options: &Run, reasons: &mut Reasons) -> Result<virtual_time::Played, Fail> {
     let mut recorders = Vec::new();
     if let Some(dir) = &options.record {
-        for (name, config) in virtually::configs(day, options.seed).map_err(Fail::ran)? {
+        for (name, config) in virtual_time::configs(day, options.seed).map_err(Fail::ran)? {
             let n = &config.names;
             let head = Head::new(&name, &n.zones, &n.kinds, &n.classes, &config.settings);
             let sink = Sink::new(dir, head, FILE_BYTES, FILES).map_err(Fail::ran)?;
@@ -188,5 +188,5 @@
             Heard::Purge(now, object, group) => recorder.purge(*now, *object, *group),
         }
     };
-    virtually::play(day, options.seed, &mut heard).map_err(Fail::ran)
+    virtual_time::play(day, options.seed, &mut heard).map_err(Fail::ran)
 }
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hollymux_simulation::fleet::Link;
+use hollymux_simulation::cluster::Link;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
--- a/crates/simulation/src/measure.rs
+++ b/crates/simulation/src/cluster_benchmark.rs
@@ -1,7 +1,7 @@
 //! What a fleet's view comes to, by size and loss: how soon a crash, a join and a heal are known, who is falsely lost,
 //! and what it costs. All in virtual time; only the cost is the machine's.
 
-use crate::fleet::{Fleet, Link};
+use crate::cluster::{Fleet, Link};
 use crate::{Time, SEC};
 use hollymux_cluster::view::Rank;
 use rayon::prelude::*;
--- a/crates/simulation/src/together.rs
+++ b/crates/simulation/src/cluster_report.rs
@@ -1,7 +1,7 @@
 //! Days on which routers know each other: which of the day's faults concern them, and what the fleet's view came to.
 
-use crate::day::{Day, Fault, What};
-use crate::fleet::Link;
+use crate::cluster::Link;
+use crate::scenario::{Day, Fault, What};
 use crate::MS;
 use serde::Serialize;
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,24 +1,24 @@
 //! The laboratory: stand-in fleets, load and faults for the request router. One fleet model is played in two ways:
-//! on real sockets against real router processes ([`sockets`]), and in virtual time round the routers' cores
-//! ([`virtually`]). It shares nothing with the planner but file formats.
+//! on real sockets against real router processes ([`multi_process`]), and in virtual time round the routers' cores
+//! ([`virtual_time`]). It shares nothing with the planner but file formats.
 
-pub mod cache;
-pub mod day;
-pub mod fleet;
+pub mod cluster;
+pub mod cluster_benchmark;
+pub mod cluster_report;
 pub mod load;
-pub mod measure;
-pub mod pipe;
-pub mod platform;
+pub mod lru_cache;
+pub mod model;
+pub mod multi_process;
 pub mod relay;
 pub mod report;
-pub mod sockets;
+pub mod router_config;
+pub mod scenario;
+pub mod shared_link;
 pub mod sweep;
-pub mod together;
-pub mod virtually;
-pub mod world;
+pub mod virtual_time;
 
-use day::{Day, What};
-use world::secs;
+use model::secs;
+use scenario::{Day, What};
 
 /// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
 pub type Time = u64;
--- a/crates/simulation/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -1,9 +1,9 @@
 //! Clients: what they ask for and when, how they try again, and what their answers were worth. Arrivals don't wait
 //! for answers, and time to an answer counts from when the first try was to be sent, whatever happened since.
 
-use crate::cache::Key;
-use crate::day::{Class, Day, What};
-use crate::world::secs;
+use crate::lru_cache::Key;
+use crate::model::secs;
+use crate::scenario::{Class, Day, What};
 use crate::{Time, MS};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -4,9 +4,9 @@
 //! A transfer runs over each of its links at once and has ended when all of them have carried it; what passes on a
 //! fill starts when the fill's first byte is there and ends no sooner than the fill.
 
-use crate::cache::{Cache, Key};
-use crate::day::{Day, What};
-use crate::pipe::Pipe;
+use crate::lru_cache::{Cache, Key};
+use crate::scenario::{Day, What};
+use crate::shared_link::Pipe;
 use crate::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -341,7 +341,7 @@
         }
         let l = &day.library;
         put("library", Kind::Library, l.link_flows, FILL_PACE * flow, 0, l.workers as f64, 0);
-        let inlet = |o: &crate::day::Office| Pipe::new(o.link_in_flows * flow, FILL_PACE * flow);
+        let inlet = |o: &crate::scenario::Office| Pipe::new(o.link_in_flows * flow, FILL_PACE * flow);
         let inlets: Vec<Pipe> = day.offices.iter().map(inlet).collect();
         let pipes = engines.len() + inlets.len();
         let mut world = World {
--- a/crates/simulation/src/sockets.rs
+++ b/crates/simulation/src/multi_process/mod.rs
@@ -1,14 +1,14 @@
 //! A day on real sockets: stand-in servers and control feeds on loopback, real router processes, clients whose
 //! arrivals wait for nothing. One thread plays all of it and ends it by itself.
 
-use crate::day::{Day, What};
+use crate::cluster_report::{judge, links, places, quiet_from, Watch};
 use crate::load::{Ask, Clients, Got};
-use crate::platform::{config, line, seats};
+use crate::model::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::relay::Relay;
 use crate::report::Counted;
-use crate::together::{judge, links, places, quiet_from, Watch};
-use crate::virtually::{age, Played};
-use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
+use crate::router_config::{config, line, seats};
+use crate::scenario::{Day, What};
+use crate::virtual_time::{age, Played};
 use crate::{Time, MS, SEC};
 use hollymux_protocol::resp::{array, bulk, decimal, field, Decoder, Frame};
 use hollymux_router::buffers::BufferPool;
@@ -422,7 +422,7 @@
     fn count_cores(&mut self) {
         let span = self.day.seconds - self.day.warm_s;
         let per_s = rustix::param::clock_ticks_per_second() as f64;
-        let of = |(i, n): (usize, &Node)| crate::world::Use {
+        let of = |(i, n): (usize, &Node)| crate::model::Use {
             name: format!("n{} core", i + 1),
             part: ticks(n.child.id()).saturating_sub(n.ticks) as f64 / per_s / span,
             bytes: None,
--- a/crates/simulation/src/relay.rs
+++ b/crates/simulation/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay for routers' datagrams on loopback: each router advertises one of its addresses, and every directed link has
 //! the faults of [`Link`]. Which router sent a datagram is told by the address that it came from.
 
-use crate::fleet::Link;
+use crate::cluster::Link;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{Rng, SeedableRng};
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,9 +1,9 @@
 //! What a day came to: figures for people, JSON for programs, a page with plots.
 
-use crate::day::Day;
+use crate::cluster_report::FleetReport;
 use crate::load::{Done, Got};
-use crate::together::FleetReport;
-use crate::world::{Broken, ColdUse, World};
+use crate::model::{Broken, ColdUse, World};
+use crate::scenario::Day;
 use crate::{Time, SEC};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
@@ -99,7 +99,7 @@
 
 /// Adds up what clients saw after the warm-up and what the servers counted.
 pub fn report(day: &Day, start: Time, done: &[Done], world: &World, counted: &Counted) -> Report {
-    let counts_from = start + crate::world::secs(day.warm_s);
+    let counts_from = start + crate::model::secs(day.warm_s);
     let span = (day.seconds - day.warm_s).max(1e-9);
     let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
     let counted_ones: Vec<&Done> = done.iter().filter(|d| d.meant >= counts_from).collect();
--- a/crates/simulation/src/platform.rs
+++ b/crates/simulation/src/router_config.rs
@@ -1,7 +1,7 @@
 //! What a router of the day is told: its configuration, as the platform would give it.
 
-use crate::day::Day;
-use crate::world::{secs, Kind, Server, World, COLD, COLD_HUB, PURGED, PUSHED};
+use crate::model::{secs, Kind, Server, World, COLD, COLD_HUB, PURGED, PUSHED};
+use crate::scenario::Day;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -61,7 +61,7 @@
                    "lateShare": c.late_worth, "worth": c.worth, "stream": false})
         })
         .collect();
-    let all = |f: fn(&crate::day::Class) -> Value| -> Vec<Value> { day.classes.iter().map(f).collect() };
+    let all = |f: fn(&crate::scenario::Class) -> Value| -> Vec<Value> { day.classes.iter().map(f).collect() };
     let lines: Vec<Value> =
         world.servers.iter().zip(endpoints).map(|(s, e)| line(day, s, *e, "ready")).collect();
     let flow = day.flow_bytes_per_s;
--- a/crates/simulation/src/sweep.rs
+++ b/crates/simulation/src/sweep.rs
@@ -1,9 +1,9 @@
 //! A matrix of outages in virtual time: every combination of what is lost, for how long, under how much load, with how
 //! many routers. Days are played side by side on all cores; the same file gives the same figures.
 
-use crate::day::{Day, Fault, What};
 use crate::report::{report, Report};
-use crate::virtually::play;
+use crate::scenario::{Day, Fault, What};
+use crate::virtual_time::play;
 use hollymux_config_file::{Check, Faults};
 use rayon::prelude::*;
 use schemars::JsonSchema;
@@ -173,7 +173,7 @@
         // Each office has a router as long as there are enough; the rest goes by boxes, as evenly as numbers allow.
         day.offices.iter_mut().for_each(|o| o.routers = 1);
         for _ in day.offices.len()..row.routers {
-            let least = |o: &&mut crate::day::Office| (o.routers * 1_000) / o.boxes;
+            let least = |o: &&mut crate::scenario::Office| (o.routers * 1_000) / o.boxes;
             if let Some(o) = day.offices.iter_mut().filter(|o| o.routers < 50).min_by_key(least) {
                 o.routers += 1;
             }
--- a/crates/simulation/src/virtually.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -1,13 +1,13 @@
 //! A day in virtual time: the same servers and clients, round the routers' sans-I/O cores, without sockets. The
 //! same seed gives the same day, to the byte.
 
-use crate::day::{Day, What};
-use crate::fleet::{place_at, Fleet, BEGIN};
+use crate::cluster::{place_at, Fleet, BEGIN};
+use crate::cluster_report::{judge, links, places, quiet_from, Watch};
 use crate::load::{Ask, Clients, Done, Got};
-use crate::platform::{config, line, seats, Seat};
+use crate::model::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
 use crate::report::Counted;
-use crate::together::{judge, links, places, quiet_from, Watch};
-use crate::world::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
+use crate::router_config::{config, line, seats, Seat};
+use crate::scenario::{Day, What};
 use crate::{Time, MS, SEC};
 use hollymux_cluster::limits::LeaseTimings;
 use hollymux_cluster::view::{Change, Rank};
@@ -275,7 +275,7 @@
             // What was sent before all knew broke no limit, and counts for a window.
             let since = *self.known.entry(host).or_insert(self.now);
             let account = &mut self.counted.accounts[kind];
-            if self.now >= since + crate::world::PUSHED {
+            if self.now >= since + crate::model::PUSHED {
                 account.worst = account.worst.max(used);
             }
             if wanted >= 1.0 {
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 use hollymux_cluster::view::{Change, Rank, MEMBERS_MOST};
 use hollymux_cluster::DATAGRAM_MOST;
-use hollymux_simulation::fleet::{addr, Fleet, Link};
+use hollymux_simulation::cluster::{addr, Fleet, Link};
 use hollymux_simulation::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -2,10 +2,10 @@
 //! played is refused field by field.
 
 use hollymux_config_file::Fault;
-use hollymux_simulation::day::Day;
 use hollymux_simulation::report::{report, Report};
+use hollymux_simulation::scenario::Day;
 use hollymux_simulation::sweep::{sweep, Sweep};
-use hollymux_simulation::virtually::play;
+use hollymux_simulation::virtual_time::play;
 
 const FLEET: &str = r#"
  seconds: 40, warm_s: 8, rate_per_s: 110, purges_per_s: 1,
