--- a/crates/hollymux/src/lab.rs
+++ b/crates/hollymux/src/lab.rs
@@ -3,9 +3,9 @@
 use crate::{put, Fail};
 use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
 use hollymux_simulation::report::report;
-use hollymux_simulation::router_config::Seat;
-use hollymux_simulation::scenario::Day;
-use hollymux_simulation::virtual_time::Heard;
+use hollymux_simulation::router_config::RouterSlot;
+use hollymux_simulation::scenario::Scenario;
+use hollymux_simulation::virtual_time::RouterRecord;
 use hollymux_simulation::{cluster_benchmark, multi_process, sweep, virtual_time};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -104,12 +104,12 @@
 
 pub fn run(command: Command) -> Result<(), Fail> {
     let options = match command {
-        Command::Schema => return put(&(hollymux_config_file::schema::<Day>() + "\n")),
+        Command::Schema => return put(&(hollymux_config_file::schema::<Scenario>() + "\n")),
         Command::Fleet(options) => return fleet_table(&options),
         Command::Sweep(options) => return sweep_days(&options),
         Command::Run(options) => options,
     };
-    let day: Day = hollymux_config_file::load(&options.day).map_err(Fail::Unusable)?;
+    let day: Scenario = hollymux_config_file::load(&options.day).map_err(Fail::Unusable)?;
     let kept = options.report.as_ref();
     if let Some(dir) = kept {
         std::fs::create_dir_all(dir).map_err(Fail::ran)?;
@@ -146,7 +146,7 @@
 /// Requests that were not served, by class, end and reason.
 type Reasons = BTreeMap<String, u64>;
 
-fn count(day: &Day, reasons: &mut Reasons, class: usize, end: End, reason: Reason) {
+fn count(day: &Scenario, reasons: &mut Reasons, class: usize, end: End, reason: Reason) {
     if !matches!(end, End::Served | End::Unchanged | End::Named) {
         let class = day.classes.get(class).map_or("", |c| c.name.as_str());
         let name = format!("{class} {end:?} {reason:?}").to_lowercase();
@@ -155,7 +155,7 @@
 }
 
 /// What the routers of a day on sockets recorded of why they did not serve.
-fn told_reasons(day: &Day, dir: &Path, start: u64, reasons: &mut Reasons) -> Result<(), Fail> {
+fn told_reasons(day: &Scenario, dir: &Path, start: u64, reasons: &mut Reasons) -> Result<(), Fail> {
     let files = std::fs::read_dir(dir).map_err(Fail::ran)?.filter_map(Result::ok).map(|e| e.path());
     let recording =
         hollymux_capture::load(&files.collect::<Vec<_>>()).map_err(|e| Fail::ran(e.join("; ")))?;
@@ -166,7 +166,11 @@
 }
 
 /// Plays in virtual time, each router's load going to a recording of its own where that is wanted.
-fn virtual_day(day: &Day, options: &Run, reasons: &mut Reasons) -> Result<virtual_time::Played, Fail> {
+fn virtual_day(
+    day: &Scenario,
+    options: &Run,
+    reasons: &mut Reasons,
+) -> Result<virtual_time::RunResult, Fail> {
     let mut recorders = Vec::new();
     if let Some(dir) = &options.record {
         for (name, config) in virtual_time::configs(day, options.seed).map_err(Fail::ran)? {
@@ -176,16 +180,16 @@
             recorders.push(Recorder::patient(sink).map_err(Fail::ran)?);
         }
     }
-    let mut heard = |seat: Seat, heard: &Heard<'_>| {
-        if let Heard::Ended(e) = heard {
+    let mut heard = |seat: RouterSlot, heard: &RouterRecord<'_>| {
+        if let RouterRecord::Ended(e) = heard {
             let r = Request::new(e, None, None);
             count(day, reasons, usize::from(r.class), r.end, r.reason);
         }
         let Some(recorder) = recorders.get_mut(seat.number) else { return };
         match heard {
-            Heard::Ended(ended) => recorder.request(ended),
-            Heard::Members(now, lines) => recorder.members(*now, lines),
-            Heard::Purge(now, object, group) => recorder.purge(*now, *object, *group),
+            RouterRecord::Ended(ended) => recorder.request(ended),
+            RouterRecord::Members(now, lines) => recorder.members(*now, lines),
+            RouterRecord::Purge(now, object, group) => recorder.purge(*now, *object, *group),
         }
     };
     virtual_time::play(day, options.seed, &mut heard).map_err(Fail::ran)
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hollymux_simulation::cluster::Link;
+use hollymux_simulation::cluster::LinkFault;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
 /// Routers behind a relay, each with the same shelfs and control feed.
 struct Fleet {
@@ -245,7 +245,7 @@
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        f.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
+        f.relay.fault(&[2], &rest, LinkFault { delay: (10_000_000, 0), ..LinkFault::default() });
         if suspected {
             until("a suspicion", || {
                 rest.iter().any(|r| f.says(*r, 2).as_deref() == Some("suspect")).then_some(())
@@ -311,7 +311,7 @@
 #[test]
 fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
     let f = Fleet::started(5);
-    let half = Link { loss: 0.5, ..Link::default() };
+    let half = LinkFault { loss: 0.5, ..LinkFault::default() };
     f.relay.fault(&[4], &FIVE, half);
     f.relay.fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -118,7 +118,7 @@
 #[test]
 fn the_examples_are_read() {
     let example = |name: &str| format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"));
-    let day: hollymux_simulation::scenario::Day =
+    let day: hollymux_simulation::scenario::Scenario =
         hollymux_config_file::load(Path::new(&example("day.json5"))).unwrap();
     let fleet: hollymux_planner::Fleet =
         hollymux_config_file::load(Path::new(&example("fleet.json5"))).unwrap();
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -18,7 +18,7 @@
 
 /// What a directed link does to datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Link {
+pub struct LinkFault {
     /// Nothing gets through.
     pub cut: bool,
     /// The part that is lost, comes twice, and comes with a bit flipped.
@@ -56,7 +56,7 @@
 }
 
 /// Routers and the links between them.
-pub struct Fleet {
+pub struct RouterCluster {
     /// The present, as all monotonic clocks show it.
     pub now: Time,
     rng: Pcg64Mcg,
@@ -64,9 +64,9 @@
     times: Times,
     places: Vec<Place>,
     /// Faults by directed link; others are sound.
-    pub links: BTreeMap<(usize, usize), Link>,
+    pub links: BTreeMap<(usize, usize), LinkFault>,
     /// What every link does that has no fault of its own.
-    pub every: Link,
+    pub every: LinkFault,
     events: BinaryHeap<Reverse<(Time, u64, usize)>>,
     held: BTreeMap<usize, Event>,
     seq: u64,
@@ -94,9 +94,9 @@
     }
 }
 
-impl Fleet {
+impl RouterCluster {
     /// So many places, nobody started; the first three are everybody's seeds.
-    pub fn new(routers: usize, seed: u64) -> Fleet {
+    pub fn new(routers: usize, seed: u64) -> RouterCluster {
         let place = |_| Place {
             view: None,
             limits: None,
@@ -110,14 +110,14 @@
             fleet: None,
             zone: None,
         };
-        Fleet {
+        RouterCluster {
             now: BEGIN,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x666c_6565),
             seed,
             times: Times::default(),
             places: (0..routers).map(place).collect(),
             links: BTreeMap::new(),
-            every: Link::default(),
+            every: LinkFault::default(),
             events: BinaryHeap::new(),
             held: BTreeMap::new(),
             seq: 0,
@@ -253,10 +253,10 @@
     }
 
     /// One fault on every link from one group to another.
-    pub fn fault(&mut self, from: &[usize], to: &[usize], link: Link) {
+    pub fn fault(&mut self, from: &[usize], to: &[usize], link: LinkFault) {
         for a in from {
             for b in to.iter().filter(|b| *b != a) {
-                if link == Link::default() {
+                if link == LinkFault::default() {
                     self.links.remove(&(*a, *b));
                 } else {
                     self.links.insert((*a, *b), link);
@@ -267,7 +267,7 @@
 
     /// Cuts two groups off from each other, both ways.
     pub fn part(&mut self, a: &[usize], b: &[usize]) {
-        let cut = Link { cut: true, ..Link::default() };
+        let cut = LinkFault { cut: true, ..LinkFault::default() };
         self.fault(a, b, cut);
         self.fault(b, a, cut);
     }
@@ -294,12 +294,12 @@
     }
 
     /// Lets time pass until something holds; how long that took, or none if it did not in time.
-    pub fn until(&mut self, long: Time, holds: impl Fn(&Fleet) -> bool) -> Option<Time> {
+    pub fn until(&mut self, long: Time, holds: impl Fn(&RouterCluster) -> bool) -> Option<Time> {
         let from = self.now;
         self.run_until(from + long, holds).then(|| self.now - from)
     }
 
-    fn run_until(&mut self, until: Time, holds: impl Fn(&Fleet) -> bool) -> bool {
+    fn run_until(&mut self, until: Time, holds: impl Fn(&RouterCluster) -> bool) -> bool {
         // What is asked of the whole fleet is looked at ten times a second.
         let mut look = self.now;
         loop {
--- a/crates/simulation/src/cluster_benchmark.rs
+++ b/crates/simulation/src/cluster_benchmark.rs
@@ -1,7 +1,7 @@
 //! What a fleet's view comes to, by size and loss: how soon a crash, a join and a heal are known, who is falsely lost,
 //! and what it costs. All in virtual time; only the cost is the machine's.
 
-use crate::cluster::{Fleet, Link};
+use crate::cluster::{LinkFault, RouterCluster};
 use crate::{Time, SEC};
 use hollymux_cluster::view::Rank;
 use rayon::prelude::*;
@@ -62,7 +62,7 @@
 }
 
 /// How long until half, 99 in 100 and all of the routers say so.
-fn known(f: &mut Fleet, part: impl Fn(&Fleet) -> f64) -> Known {
+fn known(f: &mut RouterCluster, part: impl Fn(&RouterCluster) -> f64) -> Known {
     let from = f.now;
     [0.5, 0.99, 1.0].map(|share| {
         let left = (from + MOST).saturating_sub(f.now);
@@ -76,8 +76,8 @@
 }
 
 fn row(n: usize, loss: f64, seed: u64, minutes: f64) -> Row {
-    let mut f = Fleet::new(n, seed);
-    f.every = Link { loss, ..Link::default() };
+    let mut f = RouterCluster::new(n, seed);
+    f.every = LinkFault { loss, ..LinkFault::default() };
     let all: Vec<usize> = (0..n).collect();
     all.iter().for_each(|r| f.start(*r));
     let joined_s = seconds(f.until(MOST, |f| f.same(&all)));
--- a/crates/simulation/src/cluster_report.rs
+++ b/crates/simulation/src/cluster_report.rs
@@ -1,7 +1,7 @@
 //! Days on which routers know each other: which of the day's faults concern them, and what the fleet's view came to.
 
-use crate::cluster::Link;
-use crate::scenario::{Day, Fault, What};
+use crate::cluster::LinkFault;
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::MS;
 use serde::Serialize;
 
@@ -11,7 +11,7 @@
 
 /// What the view came to on a day.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct FleetReport {
+pub struct ClusterReport {
     /// From the end of the last fault between or in routers until all that run held one view; none: they did not.
     pub settled_s: Option<f64>,
     /// Routers called lost, by how many others, that no fault had concerned for 12 s.
@@ -24,7 +24,7 @@
 
 /// What was seen of the view, by seconds since the day's start.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct ViewObservations {
     /// Who called whom lost when.
     pub lost: Vec<(f64, usize, usize)>,
     /// When all that ran were first seen to hold one view after the last fault.
@@ -39,18 +39,18 @@
 }
 
 /// What a fault does to links, as groups of routers by place: from, to, and what their links do; none: nothing.
-pub fn links(day: &Day, what: &What) -> Vec<(Vec<usize>, Vec<usize>, Link)> {
-    let cut = Link { cut: true, ..Link::default() };
+pub fn links(day: &Scenario, what: &FaultKind) -> Vec<(Vec<usize>, Vec<usize>, LinkFault)> {
+    let cut = LinkFault { cut: true, ..LinkFault::default() };
     match what {
-        What::Part { routers } => {
+        FaultKind::Part { routers } => {
             let side = places(routers);
             let rest: Vec<usize> = (0..day.routers()).filter(|r| !side.contains(r)).collect();
             vec![(side.clone(), rest.clone(), cut), (rest, side, cut)]
         }
-        What::Link { from, to, cut, loss, twice, flipped, late_ms, jitter_ms } => {
+        FaultKind::Link { from, to, cut, loss, twice, flipped, late_ms, jitter_ms } => {
             let ms = |v: f64| (v * MS as f64) as u64;
             let (cut, loss, twice, flipped) = (*cut, *loss, *twice, *flipped);
-            let link = Link { cut, loss, twice, flipped, delay: (ms(*late_ms), ms(*jitter_ms)) };
+            let link = LinkFault { cut, loss, twice, flipped, delay: (ms(*late_ms), ms(*jitter_ms)) };
             vec![(places(from), places(to), link)]
         }
         _ => Vec::new(),
@@ -58,21 +58,21 @@
 }
 
 /// The routers, by place, that a fault concerns.
-pub fn concerned(day: &Day, what: &What) -> Vec<usize> {
+pub fn concerned(day: &Scenario, what: &FaultKind) -> Vec<usize> {
     match what {
-        What::Kill { routers } | What::Pause { routers } => places(routers),
+        FaultKind::Kill { routers } | FaultKind::Pause { routers } => places(routers),
         _ => links(day, what).into_iter().flat_map(|(from, to, _)| from.into_iter().chain(to)).collect(),
     }
 }
 
 /// When the last fault between or in routers ends.
-pub fn quiet_from(day: &Day) -> f64 {
+pub fn quiet_from(day: &Scenario) -> f64 {
     let ends = |f: &Fault| f.at_s + f.for_s.unwrap_or(0.0);
     day.faults.iter().filter(|f| !concerned(day, &f.what).is_empty()).map(ends).fold(0.0, f64::max)
 }
 
 /// Adds up what was seen.
-pub fn judge(day: &Day, watch: &Watch) -> FleetReport {
+pub fn judge(day: &Scenario, watch: &ViewObservations) -> ClusterReport {
     let concerns = |router: usize, from: f64, to: f64| {
         day.faults.iter().any(|f| {
             let over = f.for_s.map_or(f64::INFINITY, |s| f.at_s + s + OVER_S);
@@ -82,7 +82,7 @@
     let falsely = |(t, by, of): &&(f64, usize, usize)| !concerns(*of, *t, *t) && !concerns(*by, *t, *t);
     let mut missed_lost = 0;
     for f in &day.faults {
-        let (What::Kill { routers } | What::Pause { routers }) = &f.what else { continue };
+        let (FaultKind::Kill { routers } | FaultKind::Pause { routers }) = &f.what else { continue };
         if f.for_s.is_some_and(|s| s < OVER_S) || f.at_s + OVER_S > day.seconds {
             continue;
         }
@@ -94,7 +94,7 @@
             missed_lost += places(routers).iter().filter(|of| !said(of)).count() as u64;
         }
     }
-    FleetReport {
+    ClusterReport {
         settled_s: watch.agreed.map(|t| (t - quiet_from(day)).max(0.0)),
         false_lost: watch.lost.iter().filter(falsely).count() as u64,
         missed_lost,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod virtual_time;
 
 use model::secs;
-use scenario::{Day, What};
+use scenario::{FaultKind, Scenario};
 
 /// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
 pub type Time = u64;
@@ -28,9 +28,10 @@
 pub const SEC: Time = 1_000_000;
 
 /// How long news of members takes now, so long after the day's start.
-fn news_lag(day: &Day, since: Time) -> Time {
+fn news_lag(day: &Scenario, since: Time) -> Time {
     let late =
-        day.faults_at(since as f64 / 1e6).map(|f| if let What::Late { by_ms } = f { *by_ms } else { 0.0 });
+        day.faults_at(since as f64 / 1e6)
+            .map(|f| if let FaultKind::Late { by_ms } = f { *by_ms } else { 0.0 });
     secs((day.roster_lag_ms + late.sum::<f64>()) / 1e3)
 }
 
--- a/crates/simulation/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -3,7 +3,7 @@
 
 use crate::lru_cache::Key;
 use crate::model::secs;
-use crate::scenario::{Class, Day, What};
+use crate::scenario::{Class, FaultKind, Scenario};
 use crate::{Time, MS};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
@@ -27,7 +27,7 @@
 
 /// A client's request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientAttempt {
     /// Its number: what answers are given by.
     pub id: u64,
     /// The office of its client, and which of its routers it goes to.
@@ -48,7 +48,7 @@
 
 /// What a client was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ClientOutcome {
     /// Served, so old a copy.
     Served(Time),
     /// Refused; come back after this long, if told.
@@ -63,7 +63,7 @@
 
 /// What became of a first try and those after it.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct CompletedRequest {
     /// Its class.
     pub class: usize,
     /// The office.
@@ -81,7 +81,7 @@
     /// Tries of the client.
     pub tries: u32,
     /// The last answer.
-    pub got: Got,
+    pub got: ClientOutcome,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -97,7 +97,7 @@
 
 #[derive(Debug)]
 struct Wait {
-    ask: Ask,
+    ask: ClientAttempt,
     meant: Time,
     tries: u32,
     /// Sendings and answers so far: a time-out of another turn is old.
@@ -128,10 +128,10 @@
 
 impl Objects {
     /// The objects of a day.
-    pub fn new(day: &Day) -> Objects {
+    pub fn new(day: &Scenario) -> Objects {
         let mut large = vec![1.0; day.classes.len()];
         for f in &day.faults {
-            if let What::Large { class, times, .. } = &f.what {
+            if let FaultKind::Large { class, times, .. } = &f.what {
                 if let Some(c) = day.classes.iter().position(|c| c.name == *class) {
                     large[c] = *times;
                 }
@@ -164,7 +164,7 @@
 /// The clients of a day.
 #[derive(Debug)]
 pub struct Clients {
-    day: Day,
+    day: Scenario,
     /// Sizes of what they ask for.
     pub objects: Objects,
     start: Time,
@@ -178,16 +178,16 @@
     watches: HashMap<u64, Watch>,
     wander: f64,
     /// Requests to be sent now.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientAttempt>,
     /// Requests whose client stopped waiting.
     pub undone: Vec<u64>,
     /// What is finished.
-    pub done: Vec<Done>,
+    pub done: Vec<CompletedRequest>,
 }
 
 impl Clients {
     /// The clients of a day that starts then.
-    pub fn new(day: &Day, start: Time, seed: u64) -> Clients {
+    pub fn new(day: &Scenario, start: Time, seed: u64) -> Clients {
         let mut clients = Clients {
             objects: Objects::new(day),
             start,
@@ -232,7 +232,7 @@
     }
 
     /// Faults of the load that hold now.
-    fn faults(&self) -> impl Iterator<Item = &What> {
+    fn faults(&self) -> impl Iterator<Item = &FaultKind> {
         self.day.faults_at(self.now.saturating_sub(self.start) as f64 / 1e6)
     }
 
@@ -240,7 +240,7 @@
         let c = &self.day.classes[class];
         let parts: f64 = self.day.classes.iter().map(|c| c.part).sum();
         let surge: f64 =
-            self.faults().map(|f| if let What::Surge { times } = f { *times } else { 1.0 }).product();
+            self.faults().map(|f| if let FaultKind::Surge { times } = f { *times } else { 1.0 }).product();
         let rate = self.day.rate_per_s * self.day.part(office) * c.part / parts / c.parts as f64;
         let gap: f64 = Exp1.sample(&mut self.rng);
         let at = self.now + secs(gap / (rate * surge * self.wander).max(1e-9));
@@ -255,13 +255,13 @@
         let name = &self.day.classes[class].name;
         for f in self.faults() {
             match f {
-                What::Crowd { part, objects } => {
+                FaultKind::Crowd { part, objects } => {
                     if (below..below + part).contains(&draw) {
                         crowd = Some(*objects);
                     }
                     below += part;
                 }
-                What::Large { class, part, .. } if class == name => {
+                FaultKind::Large { class, part, .. } if class == name => {
                     large |= (below..below + part).contains(&draw);
                     below += part;
                 }
@@ -336,7 +336,7 @@
             Event::Overdue(id, turn) => {
                 if self.waits.get(&id).is_some_and(|w| w.turn == turn) {
                     self.undone.push(id);
-                    self.answered(at, id, Got::Nothing);
+                    self.answered(at, id, ClientOutcome::Nothing);
                 }
             }
         }
@@ -352,8 +352,16 @@
         let id = self.next_id;
         self.next_id += 1;
         let bytes = self.objects.bytes(class, key);
-        let ask =
-            Ask { id, office, router: 0, class, key, group: Objects::group(key.0), rid: 0, budget_ms: 0 };
+        let ask = ClientAttempt {
+            id,
+            office,
+            router: 0,
+            class,
+            key,
+            group: Objects::group(key.0),
+            rid: 0,
+            budget_ms: 0,
+        };
         self.waits.insert(id, Wait { ask, meant, tries: 0, turn: 0, bytes });
         self.send(id);
     }
@@ -373,20 +381,20 @@
     }
 
     /// A try was answered.
-    pub fn answered(&mut self, now: Time, id: u64, got: Got) {
+    pub fn answered(&mut self, now: Time, id: u64, got: ClientOutcome) {
         self.now = self.now.max(now);
         let Some(wait) = self.waits.get(&id) else { return };
         let class = &self.day.classes[wait.ask.class];
         // What may have run and must not run twice is never asked for again.
         let again = match got {
-            Got::Served(_) => false,
-            Got::Refused(_) => true,
-            Got::Failed | Got::Nothing => !class.write,
-            Got::Lost => !class.write,
+            ClientOutcome::Served(_) => false,
+            ClientOutcome::Refused(_) => true,
+            ClientOutcome::Failed | ClientOutcome::Nothing => !class.write,
+            ClientOutcome::Lost => !class.write,
         };
         if again && wait.tries <= TRIES {
             let wait = WAIT + (WAIT as f64 * self.rng.random::<f64>()) as Time;
-            let told = if let Got::Refused(backoff) = got { backoff } else { 0 };
+            let told = if let ClientOutcome::Refused(backoff) = got { backoff } else { 0 };
             if let Some(w) = self.waits.get_mut(&id) {
                 w.turn += 1;
             }
@@ -397,20 +405,20 @@
         }
     }
 
-    fn finish(&mut self, now: Time, wait: Wait, got: Got) {
+    fn finish(&mut self, now: Time, wait: Wait, got: ClientOutcome) {
         let class = &self.day.classes[wait.ask.class];
         let took = now.saturating_sub(wait.meant);
         let sending = wait.bytes as f64 / self.day.flow_bytes_per_s;
         let aim = secs(class.aim_ms / 1e3 + class.aim_stretch * sending);
         let served = match got {
-            Got::Served(age) => Some(age),
+            ClientOutcome::Served(age) => Some(age),
             _ => None,
         };
         let in_time = served.is_some() && took <= aim;
         let stale = class.fresh_s > 0.0 && served.is_some_and(|age| age > secs(class.fresh_s));
         let part = if in_time { 1.0 } else { class.late_worth };
         let earned = served.map_or(0.0, |_| class.worth * part * if stale { 0.5 } else { 1.0 });
-        self.done.push(Done {
+        self.done.push(CompletedRequest {
             class: wait.ask.class,
             office: wait.ask.office,
             meant: wait.meant,
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -5,7 +5,7 @@
 //! fill starts when the fill's first byte is there and ends no sooner than the fill.
 
 use crate::lru_cache::{Cache, Key};
-use crate::scenario::{Day, What};
+use crate::scenario::{FaultKind, Scenario};
 use crate::shared_link::Pipe;
 use crate::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
@@ -45,14 +45,14 @@
     /// A box of an office.
     Box(usize),
     /// A hub.
-    Hub(usize),
+    ParentCache(usize),
     /// The library.
-    Library,
+    Origin,
 }
 
 /// How a server stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum ServerState {
     /// It runs.
     Up,
     /// Its process is gone.
@@ -88,7 +88,7 @@
 
 /// What a server says to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum CallResult {
     /// Served with a copy of that date.
     Data(Time),
     /// A miss.
@@ -101,11 +101,11 @@
 
 /// What the world tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum ModelEvent {
     /// A call is answered.
-    Answer(u64, Word, u64),
+    Answer(u64, CallResult, u64),
     /// A server stands differently; calls out at one that is down are broken.
-    Stands(usize, Stand),
+    Stands(usize, ServerState),
     /// Routers are to hear of this server, as it was then: its line of the list.
     Line(usize, Box<Server>, &'static str),
     /// Routers are to hear of a purge.
@@ -122,7 +122,7 @@
     /// What it is.
     pub kind: Kind,
     /// How it stands.
-    pub stand: Stand,
+    pub stand: ServerState,
     /// Its listed size, in flows.
     pub flows: f64,
     /// When it last started; 0: before the day.
@@ -252,8 +252,8 @@
 
 /// The servers.
 #[derive(Debug)]
-pub struct World {
-    day: Day,
+pub struct ServerModel {
+    day: Scenario,
     now: Time,
     rng: Pcg64Mcg,
     /// The servers, as the list names them.
@@ -281,7 +281,7 @@
     /// When routers are told of the latest start of each.
     told: BTreeMap<usize, Time>,
     /// What it has to tell.
-    pub news: Vec<News>,
+    pub news: Vec<ModelEvent>,
     /// Rules broken.
     pub broken: Broken,
     /// Cold servers that fell before routers were told of their start: no rule is broken by what nobody knew.
@@ -298,9 +298,9 @@
     final_use: Option<(Vec<Use>, f64)>,
 }
 
-impl World {
+impl ServerModel {
     /// The servers of a day that starts then, all warm and empty.
-    pub fn new(day: &Day, start: Time, seed: u64) -> World {
+    pub fn new(day: &Scenario, start: Time, seed: u64) -> ServerModel {
         let flow = day.flow_bytes_per_s;
         let (mut servers, mut engines) = (Vec::new(), Vec::new());
         let mut put = |name: &str, kind, flows: f64, cap: f64, keep, cores: f64, fills: usize| {
@@ -308,7 +308,7 @@
                 name: name.to_string(),
                 uid: format!("s-{name}"),
                 kind,
-                stand: Stand::Up,
+                stand: ServerState::Up,
                 flows,
                 started: 0,
             });
@@ -337,14 +337,14 @@
             }
         }
         for (i, h) in day.hubs.iter().enumerate() {
-            put(&h.name, Kind::Hub(i), h.link_flows, FILL_PACE * flow, h.keep_bytes, 64.0, h.fetches);
+            put(&h.name, Kind::ParentCache(i), h.link_flows, FILL_PACE * flow, h.keep_bytes, 64.0, h.fetches);
         }
         let l = &day.library;
-        put("library", Kind::Library, l.link_flows, FILL_PACE * flow, 0, l.workers as f64, 0);
-        let inlet = |o: &crate::scenario::Office| Pipe::new(o.link_in_flows * flow, FILL_PACE * flow);
+        put("library", Kind::Origin, l.link_flows, FILL_PACE * flow, 0, l.workers as f64, 0);
+        let inlet = |o: &crate::scenario::Site| Pipe::new(o.link_in_flows * flow, FILL_PACE * flow);
         let inlets: Vec<Pipe> = day.offices.iter().map(inlet).collect();
         let pipes = engines.len() + inlets.len();
-        let mut world = World {
+        let mut world = ServerModel {
             day: day.clone(),
             now: start,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x776f_726c),
@@ -457,9 +457,9 @@
             let bytes = e.out.carried - self.base[i].0;
             let (name, part) = (format!("{} link out", s.name), bytes / (e.rate * span));
             all.push(Use { name, part, bytes: Some(bytes) });
-            if s.kind == Kind::Library || matches!(s.kind, Kind::Box(_)) {
+            if s.kind == Kind::Origin || matches!(s.kind, Kind::Box(_)) {
                 let cores = (e.worked - self.base[i].1) / 1e6 / (e.cores as f64 * span);
-                let what = if s.kind == Kind::Library { "workers" } else { "cores" };
+                let what = if s.kind == Kind::Origin { "workers" } else { "cores" };
                 all.push(Use { name: format!("{} {what}", s.name), part: cores, bytes: None });
             }
             if e.fills_most > 0 {
@@ -543,12 +543,12 @@
         }
         self.push(server, call.class);
         let e = &mut self.engines[server];
-        if self.servers[server].stand != Stand::Up {
+        if self.servers[server].stand != ServerState::Up {
             return;
         }
         if e.held >= e.slots {
             e.turned += 1;
-            return self.news.push(News::Answer(id, Word::Full, 0));
+            return self.news.push(ModelEvent::Answer(id, CallResult::Full, 0));
         }
         e.held += 1;
         self.recent.push_back((call.key.0, call.group));
@@ -563,7 +563,7 @@
     /// A probe's answer: whether the server is well.
     pub fn well(&self, server: usize) -> bool {
         let e = &self.engines[server];
-        self.servers[server].stand == Stand::Up && e.held < e.slots
+        self.servers[server].stand == ServerState::Up && e.held < e.slots
     }
 
     /// A call is given up.
@@ -589,13 +589,13 @@
         }
     }
 
-    fn answer(&mut self, id: u64, word: Word) {
+    fn answer(&mut self, id: u64, word: CallResult) {
         let Some(job) = self.jobs.remove(&id) else { return };
         let e = &mut self.engines[job.server];
         e.held -= 1;
-        e.turned += u64::from(word == Word::Full);
-        let bytes = if matches!(word, Word::Data(_)) { job.call.bytes } else { 0 };
-        if let Word::Data(dated) = word {
+        e.turned += u64::from(word == CallResult::Full);
+        let bytes = if matches!(word, CallResult::Data(_)) { job.call.bytes } else { 0 };
+        if let CallResult::Data(dated) = word {
             // What was told 300 ms before the request was sent binds, and a little for the way.
             let lag = 350 * MS;
             let (key, group) = (job.call.key.0, job.call.group);
@@ -604,7 +604,7 @@
                 self.broke("purge");
             }
         }
-        self.news.push(News::Answer(id, word, bytes));
+        self.news.push(ModelEvent::Answer(id, word, bytes));
         self.forget(job);
     }
 
@@ -645,7 +645,7 @@
         match work {
             Work::Job(id) => self.serve(id),
             Work::Fetch(id) => self.give(id),
-            Work::Filing(id) => self.answer(id, Word::Data(self.now)),
+            Work::Filing(id) => self.answer(id, CallResult::Data(self.now)),
         }
     }
 
@@ -654,7 +654,7 @@
         let most = self.day.library.turn_away_per_s;
         self.fetched += 1;
         let library = self.servers.len() - 1;
-        if self.now < self.library_rests || self.servers[library].stand != Stand::Up {
+        if self.now < self.library_rests || self.servers[library].stand != ServerState::Up {
             return false;
         }
         let since = self.now.saturating_sub(SEC);
@@ -688,8 +688,8 @@
             let at = |s: usize| !matches!(self.servers[s].kind, Kind::Box(_));
             let goes = server == library || call.source.is_some_and(at);
             return match goes {
-                false => self.answer(id, Word::Absent),
-                true if !self.library_takes() => self.answer(id, Word::Full),
+                false => self.answer(id, CallResult::Absent),
+                true if !self.library_takes() => self.answer(id, CallResult::Full),
                 true => {
                     // From here on it runs, whoever still waits for it.
                     if !self.filings.insert(call.rid) {
@@ -705,25 +705,28 @@
         if server == library {
             return match self.library_takes() {
                 true => self.send(id, now),
-                false => self.answer(id, Word::Full),
+                false => self.answer(id, CallResult::Full),
             };
         }
         if let Some(dated) = self.engines[server].cache.find(call.key, since, call.keep) {
             return self.send(id, dated);
         }
-        let source = call.source.or(matches!(self.servers[server].kind, Kind::Hub(_)).then_some(library));
-        let Some(source) = source.filter(|s| *s != server) else { return self.answer(id, Word::Absent) };
+        let source =
+            call.source.or(matches!(self.servers[server].kind, Kind::ParentCache(_)).then_some(library));
+        let Some(source) = source.filter(|s| *s != server) else {
+            return self.answer(id, CallResult::Absent);
+        };
         let running = self.running.get(&(server, call.key)).copied();
         let joins = running.filter(|f| self.fetches.get(f).is_some_and(|f| f.since >= since));
         // Boxes join a fill only when told to, hubs always.
-        let hub = matches!(self.servers[server].kind, Kind::Hub(_));
+        let hub = matches!(self.servers[server].kind, Kind::ParentCache(_));
         let fetch = match joins.filter(|_| call.join || hub) {
             Some(fetch) => fetch,
             None => {
                 let keep = if hub { 1 } else { call.keep };
                 match self.fetch(server, source, &call, since, keep) {
                     Some(fetch) => fetch,
-                    None => return self.answer(id, Word::Full),
+                    None => return self.answer(id, CallResult::Full),
                 }
             }
         };
@@ -763,7 +766,7 @@
         job.left -= 1;
         if job.left == 0 {
             let dated = job.dated;
-            self.answer(id, Word::Data(dated));
+            self.answer(id, CallResult::Data(dated));
         }
     }
 
@@ -807,9 +810,9 @@
 
     fn way(&self, to: usize, from: usize) -> Time {
         match (self.servers[to].kind, self.servers[from].kind) {
-            (Kind::Box(o), Kind::Hub(h)) if self.day.hubs[h].name == self.day.offices[o].hub => NEAR,
+            (Kind::Box(o), Kind::ParentCache(h)) if self.day.hubs[h].name == self.day.offices[o].hub => NEAR,
             (Kind::Box(a), Kind::Box(b)) if a == b => MS,
-            (_, Kind::Library) => LIBRARY,
+            (_, Kind::Origin) => LIBRARY,
             _ => FAR,
         }
     }
@@ -819,11 +822,11 @@
         let Some(f) = self.fetches.get(&id) else { return };
         let (from, key, since, class, shallow) = (f.from, f.key, f.since, f.class, f.shallow);
         match self.servers[from].stand {
-            Stand::Down => return self.end_fetch(id, false),
-            Stand::Cut => return,
-            Stand::Up => {}
+            ServerState::Down => return self.end_fetch(id, false),
+            ServerState::Cut => return,
+            ServerState::Up => {}
         }
-        if matches!(self.servers[from].kind, Kind::Library) {
+        if matches!(self.servers[from].kind, Kind::Origin) {
             if !self.library_takes() {
                 return self.end_fetch(id, false);
             }
@@ -831,13 +834,13 @@
         }
         self.push(from, class);
         // What pushed its source over went with it.
-        if self.servers[from].stand != Stand::Up {
+        if self.servers[from].stand != ServerState::Up {
             return;
         }
         if let Some(dated) = self.engines[from].cache.find(key, since, 0) {
             return self.begin_fetch(id, dated, None);
         }
-        if shallow || !matches!(self.servers[from].kind, Kind::Hub(_)) {
+        if shallow || !matches!(self.servers[from].kind, Kind::ParentCache(_)) {
             return self.end_fetch(id, false);
         }
         // A hub fetches once for all who wait.
@@ -944,9 +947,9 @@
                 job.fetch = None;
                 // Begun answers that can't be finished are errors; others never ran.
                 let word = match (f.begun, f.shallow) {
-                    (true, _) => Word::Failed,
-                    (false, true) => Word::Absent,
-                    (false, false) => Word::Full,
+                    (true, _) => CallResult::Failed,
+                    (false, true) => CallResult::Absent,
+                    (false, false) => CallResult::Full,
                 };
                 self.answer(j, word);
             }
@@ -959,8 +962,8 @@
         let s = &self.servers[server];
         let (from, over, multiple) = match s.kind {
             Kind::Box(_) => COLD,
-            Kind::Hub(_) => COLD_HUB,
-            Kind::Library => return None,
+            Kind::ParentCache(_) => COLD_HUB,
+            Kind::Origin => return None,
         };
         let age = self.now.saturating_sub(s.started);
         let share = from + (1.0 - from) * age as f64 / over as f64;
@@ -970,7 +973,7 @@
     /// Counts work that reaches a cold server; too much pushes it over.
     fn push(&mut self, server: usize, class: usize) {
         let Some((share, multiple)) = self.cold(server) else { return };
-        if self.servers[server].stand != Stand::Up {
+        if self.servers[server].stand != ServerState::Up {
             return;
         }
         let bytes = self.day.classes[class].bytes;
@@ -983,7 +986,8 @@
         let lately: f64 = e.pushed.iter().map(|p| p.1).sum();
         let bears = multiple * share * e.rate * PUSHED as f64 / 1e6;
         let budget = cold_budget(share, e.rate);
-        let use_of = &mut self.cold_use[usize::from(matches!(self.servers[server].kind, Kind::Hub(_)))];
+        let use_of =
+            &mut self.cold_use[usize::from(matches!(self.servers[server].kind, Kind::ParentCache(_)))];
         use_of.worst = use_of.worst.max(lately / budget);
         // A single request is no overload.
         if lately > bears + 2.0 * bytes {
@@ -994,14 +998,14 @@
             } else {
                 self.fell_untold += 1;
             }
-            self.stop(server, Stand::Down);
+            self.stop(server, ServerState::Down);
         }
     }
 
-    fn stop(&mut self, server: usize, stand: Stand) {
+    fn stop(&mut self, server: usize, stand: ServerState) {
         self.servers[server].stand = stand;
-        self.news.push(News::Stands(server, stand));
-        if stand == Stand::Cut {
+        self.news.push(ModelEvent::Stands(server, stand));
+        if stand == ServerState::Cut {
             return;
         }
         self.lives[server] += 1;
@@ -1023,24 +1027,24 @@
     }
 
     fn tell_line(&mut self, server: usize, state: &'static str) {
-        self.news.push(News::Line(server, Box::new(self.servers[server].clone()), state));
+        self.news.push(ModelEvent::Line(server, Box::new(self.servers[server].clone()), state));
     }
 
     /// A server comes up, cold and empty.
     fn start_up(&mut self, server: usize) {
         let keep = match self.servers[server].kind {
             Kind::Box(o) => self.day.offices[o].keep_bytes,
-            Kind::Hub(h) => self.day.hubs[h].keep_bytes,
-            Kind::Library => 0,
+            Kind::ParentCache(h) => self.day.hubs[h].keep_bytes,
+            Kind::Origin => 0,
         };
         self.engines[server].cache = Cache::new(keep);
-        self.servers[server].stand = Stand::Up;
-        if self.servers[server].kind != Kind::Library {
+        self.servers[server].stand = ServerState::Up;
+        if self.servers[server].kind != Kind::Origin {
             self.servers[server].started = self.now;
         }
         self.draining.remove(&server);
         self.told.remove(&server);
-        self.news.push(News::Stands(server, Stand::Up));
+        self.news.push(ModelEvent::Stands(server, ServerState::Up));
         self.tell_line(server, "ready");
         self.warm(server);
     }
@@ -1061,7 +1065,7 @@
         let (now, e) = (self.now, &self.engines[server]);
         let lately: f64 = e.pushed.iter().filter(|p| p.0 + PUSHED >= now).map(|p| p.1).sum();
         let budget = cold_budget(share, e.rate);
-        let hub = matches!(self.servers[server].kind, Kind::Hub(_));
+        let hub = matches!(self.servers[server].kind, Kind::ParentCache(_));
         let used = &mut self.cold_use[usize::from(hub)].used;
         (used.0, used.1) = (used.0 + lately / budget, used.1 + 1);
     }
@@ -1073,41 +1077,48 @@
     fn on_fault(&mut self, i: usize, begins: bool) {
         let fault = self.day.faults[i].what.clone();
         let who = match &fault {
-            What::Crash { who } | What::Replace { who } | What::Drain { who } | What::Cut { who } => {
-                who.clone()
-            }
-            What::Slow { who, .. } => who.clone(),
+            FaultKind::Crash { who }
+            | FaultKind::Replace { who }
+            | FaultKind::Drain { who }
+            | FaultKind::Cut { who } => who.clone(),
+            FaultKind::Slow { who, .. } => who.clone(),
             // Load and news are not the servers' matter.
-            What::Late { .. } | What::Crowd { .. } | What::Large { .. } | What::Surge { .. } => return,
+            FaultKind::Late { .. }
+            | FaultKind::Crowd { .. }
+            | FaultKind::Large { .. }
+            | FaultKind::Surge { .. } => return,
             // Nor are routers.
-            What::Part { .. } | What::Link { .. } | What::Kill { .. } | What::Pause { .. } => return,
+            FaultKind::Part { .. }
+            | FaultKind::Link { .. }
+            | FaultKind::Kill { .. }
+            | FaultKind::Pause { .. } => return,
         };
         let Some(s) = self.server(&who) else { return };
         match (fault, begins) {
-            (What::Crash { .. }, true) => self.stop(s, Stand::Down),
-            (What::Crash { .. }, false) => self.start_up(s),
-            (What::Replace { .. }, true) => {
-                self.stop(s, Stand::Down);
+            (FaultKind::Crash { .. }, true) => self.stop(s, ServerState::Down),
+            (FaultKind::Crash { .. }, false) => self.start_up(s),
+            (FaultKind::Replace { .. }, true) => {
+                self.stop(s, ServerState::Down);
                 self.tell_line(s, "gone");
                 self.servers[s].uid = format!("{}+{}", self.servers[s].uid, i);
                 self.start_up(s);
             }
-            (What::Drain { .. }, true) => {
+            (FaultKind::Drain { .. }, true) => {
                 self.draining.insert(s, Time::MAX);
                 self.tell_line(s, "draining");
             }
-            (What::Drain { .. }, false) => {
-                self.stop(s, Stand::Down);
+            (FaultKind::Drain { .. }, false) => {
+                self.stop(s, ServerState::Down);
                 self.tell_line(s, "gone");
             }
-            (What::Slow { part, .. }, begins) => {
+            (FaultKind::Slow { part, .. }, begins) => {
                 self.engines[s].slow = if begins { part.max(0.001) } else { 1.0 };
                 self.warm(s);
             }
-            (What::Cut { .. }, true) => self.stop(s, Stand::Cut),
-            (What::Cut { .. }, false) => {
-                self.servers[s].stand = Stand::Up;
-                self.news.push(News::Stands(s, Stand::Up));
+            (FaultKind::Cut { .. }, true) => self.stop(s, ServerState::Cut),
+            (FaultKind::Cut { .. }, false) => {
+                self.servers[s].stand = ServerState::Up;
+                self.news.push(ModelEvent::Stands(s, ServerState::Up));
             }
             _ => {}
         }
@@ -1137,7 +1148,7 @@
         let now = self.now;
         self.purges.push((now, Some(object), group));
         self.purges.retain(|p| p.0 + 60 * SEC > now);
-        self.news.push(News::Purge(Some(object), group, now));
+        self.news.push(ModelEvent::Purge(Some(object), group, now));
         for s in 0..self.servers.len() - 1 {
             let late = self.rng.random_range(0..PURGED);
             self.at(now + late, Event::Drop(s, Some(object), group, now));
--- a/crates/simulation/src/multi_process/mod.rs
+++ b/crates/simulation/src/multi_process/mod.rs
@@ -1,14 +1,14 @@
 //! A day on real sockets: stand-in servers and control feeds on loopback, real router processes, clients whose
 //! arrivals wait for nothing. One thread plays all of it and ends it by itself.
 
-use crate::cluster_report::{judge, links, places, quiet_from, Watch};
-use crate::load::{Ask, Clients, Got};
-use crate::model::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
+use crate::cluster_report::{judge, links, places, quiet_from, ViewObservations};
+use crate::load::{ClientAttempt, ClientOutcome, Clients};
+use crate::model::{secs, Call, CallResult, ModelEvent, ServerModel, ServerState, PURGE_TOLD};
 use crate::relay::Relay;
-use crate::report::Counted;
+use crate::report::DriverCounters;
 use crate::router_config::{config, line, seats};
-use crate::scenario::{Day, What};
-use crate::virtual_time::{age, Played};
+use crate::scenario::{FaultKind, Scenario};
+use crate::virtual_time::{age, RunResult};
 use crate::{Time, MS, SEC};
 use hollymux_protocol::resp::{array, bulk, decimal, field, Decoder, Frame};
 use hollymux_router::buffers::BufferPool;
@@ -86,7 +86,7 @@
 }
 
 struct Lab {
-    day: Day,
+    day: Scenario,
     begun: Instant,
     unix: Time,
     now: Time,
@@ -94,7 +94,7 @@
     pool: BufferPool,
     conns: HashMap<usize, Conn>,
     next_token: usize,
-    world: World,
+    world: ServerModel,
     clients: Clients,
     nodes: Vec<Node>,
     endpoints: Vec<SocketAddr>,
@@ -109,7 +109,7 @@
     due: BinaryHeap<Reverse<(Time, usize)>>,
     sent_events: usize,
     commented: Time,
-    counted: Counted,
+    counted: DriverCounters,
     start: Start,
     seed: u64,
     /// Where each router's control feed is.
@@ -117,7 +117,7 @@
     /// Where routers know each other: what is between them, and what their logs say of who is lost.
     relay: Option<Relay>,
     said: Said,
-    watch: Watch,
+    watch: ViewObservations,
     looked: Time,
     /// Faults between and in routers that are still to begin or end.
     faults: BinaryHeap<Reverse<(Time, usize, bool)>>,
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 /// A socket can't be had, or a router doesn't start.
-pub fn play(day: &Day, seed: u64, start: &Start) -> io::Result<Played> {
+pub fn play(day: &Scenario, seed: u64, start: &Start) -> io::Result<RunResult> {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let unix = u64::try_from(unix.as_micros()).unwrap_or_default();
     let mut lab = Lab {
@@ -142,7 +142,7 @@
         pool: BufferPool::new(4_096),
         conns: HashMap::new(),
         next_token: 0,
-        world: World::new(day, unix, seed),
+        world: ServerModel::new(day, unix, seed),
         clients: Clients::new(day, unix, seed),
         nodes: Vec::new(),
         endpoints: Vec::new(),
@@ -154,13 +154,13 @@
         due: BinaryHeap::new(),
         sent_events: 0,
         commented: 0,
-        counted: Counted::default(),
+        counted: DriverCounters::default(),
         start: start.clone(),
         seed,
         feeds_at: Vec::new(),
         relay: if day.fleet { Some(Relay::start(day.routers(), seed)?) } else { None },
         said: Said::default(),
-        watch: Watch::default(),
+        watch: ViewObservations::default(),
         looked: 0,
         faults: BinaryHeap::new(),
     };
@@ -180,7 +180,7 @@
     // The day starts once the routers run.
     lab.unix = lab.clock();
     lab.begun = Instant::now();
-    lab.world = World::new(day, lab.unix, seed);
+    lab.world = ServerModel::new(day, lab.unix, seed);
     lab.clients = Clients::new(day, lab.unix, seed);
     for (i, f) in day.faults.iter().enumerate() {
         lab.faults.push(Reverse((lab.unix + secs(f.at_s), i, true)));
@@ -195,7 +195,7 @@
     });
     let start = lab.unix;
     finish(std::mem::take(&mut lab.nodes));
-    Ok(Played { start, done: lab.clients.done, world: lab.world, counted: lab.counted })
+    Ok(RunResult { start, done: lab.clients.done, world: lab.world, counted: lab.counted })
 }
 
 fn loopback() -> SocketAddr {
@@ -322,7 +322,7 @@
                 self.relay.iter().for_each(|r| r.fault(&from, &to, link));
             }
             match what {
-                What::Kill { routers } => {
+                FaultKind::Kill { routers } => {
                     for r in places(&routers) {
                         if begins {
                             self.nodes[r].dead = true;
@@ -332,7 +332,7 @@
                         }
                     }
                 }
-                What::Pause { routers } => {
+                FaultKind::Pause { routers } => {
                     let sent =
                         if begins { rustix::process::Signal::STOP } else { rustix::process::Signal::CONT };
                     places(&routers).into_iter().for_each(|r| signal(&self.nodes[r], sent));
@@ -465,7 +465,7 @@
                 };
                 let token = self.put(role, Some(stream))?;
                 if let (Ok(server), Some(conn)) = (whose, self.conns.get_mut(&token)) {
-                    conn.mute = self.world.servers[server].stand == Stand::Cut;
+                    conn.mute = self.world.servers[server].stand == ServerState::Cut;
                 }
             }
             return Ok(());
@@ -546,7 +546,7 @@
                 self.nodes[router].conns.retain(|c| *c != token);
                 for ask in open.into_values() {
                     self.asked.remove(&ask);
-                    self.clients.answered(self.now, ask, Got::Lost);
+                    self.clients.answered(self.now, ask, ClientOutcome::Lost);
                 }
             }
             Role::Feed { router, .. } if self.feeds[router] == Some(token) => self.feeds[router] = None,
@@ -619,9 +619,11 @@
                 self.asked.remove(&ask);
                 let fields = word(2);
                 let got = match word(1) {
-                    b"good" => Got::Served(age(self.now, field(fields, "ver"))),
-                    b"refused" => Got::Refused(field(fields, "backoff").and_then(decimal).unwrap_or(0) * MS),
-                    _ => Got::Failed,
+                    b"good" => ClientOutcome::Served(age(self.now, field(fields, "ver"))),
+                    b"refused" => {
+                        ClientOutcome::Refused(field(fields, "backoff").and_then(decimal).unwrap_or(0) * MS)
+                    }
+                    _ => ClientOutcome::Failed,
                 };
                 self.clients.answered(self.now, ask, got);
             }
@@ -659,12 +661,12 @@
         self.calls.insert(number, (token, id));
         if source.is_some() && known.is_none() {
             // It names what is gone.
-            return self.world.news.push(News::Answer(number, Word::Full, 0));
+            return self.world.news.push(ModelEvent::Answer(number, CallResult::Full, 0));
         }
         self.world.call(self.now, number, server, call);
     }
 
-    fn on_ask(&mut self, ask: &Ask) -> io::Result<()> {
+    fn on_ask(&mut self, ask: &ClientAttempt) -> io::Result<()> {
         let router = self.day.router(ask.office, ask.router);
         let load = |token: &usize| match self.conns.get(token).map(|c| &c.role) {
             Some(Role::Client { open, .. }) => open.len(),
@@ -677,7 +679,7 @@
             Some(token) if load(&token) == 0 || !few => token,
             _ => {
                 let Ok(stream) = TcpStream::connect(self.nodes[router].addr) else {
-                    self.clients.answered(self.now, ask.id, Got::Lost);
+                    self.clients.answered(self.now, ask.id, ClientOutcome::Lost);
                     return Ok(());
                 };
                 let role = Role::Client { router, open: BTreeMap::new(), next: 1 };
@@ -752,18 +754,20 @@
         }
     }
 
-    fn on_news(&mut self, news: News) -> io::Result<()> {
+    fn on_news(&mut self, news: ModelEvent) -> io::Result<()> {
         match news {
-            News::Answer(call, word, bytes) => {
+            ModelEvent::Answer(call, word, bytes) => {
                 let Some((token, id)) = self.calls.remove(&call) else { return Ok(()) };
                 if let Some(Conn { role: Role::Shelf { open, .. }, .. }) = self.conns.get_mut(&token) {
                     open.remove(&id);
                 }
                 let (said, fields) = match word {
-                    Word::Data(dated) => (&b"data"[..], format!("digest={dated:x},dated={}", dated / MS)),
-                    Word::Absent => (&b"absent"[..], String::new()),
-                    Word::Full => (&b"full"[..], String::new()),
-                    Word::Failed => (&b"failed"[..], String::new()),
+                    CallResult::Data(dated) => {
+                        (&b"data"[..], format!("digest={dated:x},dated={}", dated / MS))
+                    }
+                    CallResult::Absent => (&b"absent"[..], String::new()),
+                    CallResult::Full => (&b"full"[..], String::new()),
+                    CallResult::Failed => (&b"failed"[..], String::new()),
                 };
                 let mut out = Vec::new();
                 array(&mut out, 4);
@@ -780,8 +784,8 @@
                 out.extend_from_slice(b"\r\n");
                 self.write(token, &out);
             }
-            News::Stands(server, stand) => self.on_stand(server, stand)?,
-            News::Line(server, told, state) => {
+            ModelEvent::Stands(server, stand) => self.on_stand(server, stand)?,
+            ModelEvent::Line(server, told, state) => {
                 let text = line(&self.day, &told, self.endpoints[server], state);
                 let lag = crate::news_lag(&self.day, self.now - self.unix);
                 self.world.told_line(server, state, self.now + lag);
@@ -789,32 +793,32 @@
                     format!("{{\"n\":{n},\"members\":{{\"rev\":{n},\"all\":false,\"targets\":[{text}]}}}}")
                 });
             }
-            News::Purge(object, group, at) => {
+            ModelEvent::Purge(object, group, at) => {
                 self.tell(PURGE_TOLD, |n| crate::purge_event(n, object, group, at));
             }
         }
         Ok(())
     }
 
-    fn on_stand(&mut self, server: usize, stand: Stand) -> io::Result<()> {
+    fn on_stand(&mut self, server: usize, stand: ServerState) -> io::Result<()> {
         let of = |c: &Conn| matches!(&c.role, Role::Shelf { server: s, .. } if *s == server);
         let listens = |c: &Conn| matches!(&c.role, Role::Listener(_, s) if *s == server);
         let mine: Vec<usize> = self.conns.iter().filter(|(_, c)| of(c)).map(|(t, _)| *t).collect();
         let listener = self.conns.iter().find(|(_, c)| listens(c)).map(|(t, _)| *t);
         match stand {
-            Stand::Down => {
+            ServerState::Down => {
                 mine.into_iter().for_each(|t| self.close(t));
                 // Connections are refused from here on.
                 listener.map(|t| self.conns.remove(&t));
             }
-            Stand::Cut => {
+            ServerState::Cut => {
                 for token in mine {
                     if let Some(conn) = self.conns.get_mut(&token) {
                         conn.mute = true;
                     }
                 }
             }
-            Stand::Up => {
+            ServerState::Up => {
                 // What was silent is reset when the machine is back.
                 let mute: Vec<usize> =
                     self.conns.iter().filter(|(_, c)| of(c) && c.mute).map(|(t, _)| *t).collect();
--- a/crates/simulation/src/relay.rs
+++ b/crates/simulation/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay for routers' datagrams on loopback: each router advertises one of its addresses, and every directed link has
-//! the faults of [`Link`]. Which router sent a datagram is told by the address that it came from.
+//! the faults of [`LinkFault`]. Which router sent a datagram is told by the address that it came from.
 
-use crate::cluster::Link;
+use crate::cluster::LinkFault;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{Rng, SeedableRng};
@@ -22,7 +22,7 @@
 struct Shared {
     /// Where each router really listens, once that is known.
     behind: BTreeMap<usize, SocketAddr>,
-    links: BTreeMap<(usize, usize), Link>,
+    links: BTreeMap<(usize, usize), LinkFault>,
     /// Datagrams and bytes each router sent.
     sent: BTreeMap<usize, (u64, u64)>,
     /// What was sent last, for replays.
@@ -77,7 +77,7 @@
     }
 
     /// One fault on every link from one group to another; the default mends them.
-    pub fn fault(&self, from: &[usize], to: &[usize], link: Link) {
+    pub fn fault(&self, from: &[usize], to: &[usize], link: LinkFault) {
         self.shared(|s| {
             for a in from {
                 s.links.extend(to.iter().filter(|b| *b != a).map(|b| ((*a, *b), link)));
@@ -87,7 +87,7 @@
 
     /// Cuts two groups off from each other, both ways.
     pub fn part(&self, a: &[usize], b: &[usize]) {
-        let cut = Link { cut: true, ..Link::default() };
+        let cut = LinkFault { cut: true, ..LinkFault::default() };
         self.fault(a, b, cut);
         self.fault(b, a, cut);
     }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,9 +1,9 @@
 //! What a day came to: figures for people, JSON for programs, a page with plots.
 
-use crate::cluster_report::FleetReport;
-use crate::load::{Done, Got};
-use crate::model::{Broken, ColdUse, World};
-use crate::scenario::Day;
+use crate::cluster_report::ClusterReport;
+use crate::load::{ClientOutcome, CompletedRequest};
+use crate::model::{Broken, ColdUse, ServerModel};
+use crate::scenario::Scenario;
 use crate::{Time, SEC};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
@@ -13,13 +13,13 @@
 
 /// Attempts and refusals as the routers or the servers counted them.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Counted {
+pub struct DriverCounters {
     /// Attempts that reached servers.
     pub attempts: u64,
     /// Final answers beside the one that is owed, or none at all before the client gave up and half a second more.
     pub answers_wrong: u64,
     /// What the fleet's view came to, where routers know each other.
-    pub fleet: Option<FleetReport>,
+    pub fleet: Option<ClusterReport>,
     /// What all routers together counted against what cold boxes, and cold hubs, bear; in virtual time.
     pub accounts: [Account; 2],
 }
@@ -92,35 +92,41 @@
     /// How much of what cold servers bear was used, by kind of server.
     pub limits: BTreeMap<String, LimitReport>,
     /// What the fleet's view came to; none where routers don't know each other.
-    pub fleet: Option<FleetReport>,
+    pub fleet: Option<ClusterReport>,
     /// Worth served and asked for in each second of the day.
     pub seconds: Vec<(f64, f64)>,
 }
 
 /// Adds up what clients saw after the warm-up and what the servers counted.
-pub fn report(day: &Day, start: Time, done: &[Done], world: &World, counted: &Counted) -> Report {
+pub fn report(
+    day: &Scenario,
+    start: Time,
+    done: &[CompletedRequest],
+    world: &ServerModel,
+    counted: &DriverCounters,
+) -> Report {
     let counts_from = start + crate::model::secs(day.warm_s);
     let span = (day.seconds - day.warm_s).max(1e-9);
     let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-    let counted_ones: Vec<&Done> = done.iter().filter(|d| d.meant >= counts_from).collect();
-    let worth = |all: &[&Done]| all.iter().map(|d| d.worth.0).sum::<f64>();
-    let earned = |all: &[&Done]| all.iter().map(|d| d.worth.1).sum::<f64>();
+    let counted_ones: Vec<&CompletedRequest> = done.iter().filter(|d| d.meant >= counts_from).collect();
+    let worth = |all: &[&CompletedRequest]| all.iter().map(|d| d.worth.0).sum::<f64>();
+    let earned = |all: &[&CompletedRequest]| all.iter().map(|d| d.worth.1).sum::<f64>();
     let classes = day.classes.iter().enumerate().map(|(i, c)| {
-        let of: Vec<&Done> = counted_ones.iter().copied().filter(|d| d.class == i).collect();
+        let of: Vec<&CompletedRequest> = counted_ones.iter().copied().filter(|d| d.class == i).collect();
         let mut took = Histogram::<u64>::new_with_bounds(1, 120_000_000, 3).ok();
         if let Some(h) = &mut took {
             of.iter().filter_map(|d| d.took).for_each(|t| h.saturating_record(t.max(1)));
         }
         let at = |q: f64| took.as_ref().map_or(0.0, |h| h.value_at_quantile(q) as f64 / 1e3);
-        let count = |f: fn(&Done) -> bool| of.iter().filter(|d| f(d)).count() as u64;
+        let count = |f: fn(&CompletedRequest) -> bool| of.iter().filter(|d| f(d)).count() as u64;
         ClassReport {
             name: c.name.clone(),
             asked: of.len() as u64,
             in_time: count(|d| d.in_time),
             late: count(|d| d.took.is_some() && !d.in_time),
-            refused: count(|d| matches!(d.got, Got::Refused(_))),
-            failed: count(|d| matches!(d.got, Got::Failed | Got::Lost)),
-            unanswered: count(|d| d.got == Got::Nothing),
+            refused: count(|d| matches!(d.got, ClientOutcome::Refused(_))),
+            failed: count(|d| matches!(d.got, ClientOutcome::Failed | ClientOutcome::Lost)),
+            unanswered: count(|d| d.got == ClientOutcome::Nothing),
             served_worth: ratio(earned(&of), worth(&of)),
             percentiles_ms: [at(0.5), at(0.9), at(0.99), at(0.999)],
         }
@@ -181,7 +187,7 @@
     pub came_mean: Option<f64>,
 }
 
-fn limits(world: &World, accounts: &[Account; 2]) -> BTreeMap<String, LimitReport> {
+fn limits(world: &ServerModel, accounts: &[Account; 2]) -> BTreeMap<String, LimitReport> {
     let mean = |sum: (f64, u64)| (sum.1 > 0).then(|| sum.0 / sum.1 as f64);
     let one = |(name, (came, counted)): (&str, (&ColdUse, &Account))| {
         let (used_mean, came_mean) = (mean(counted.used), mean(came.used));
--- a/crates/simulation/src/router_config.rs
+++ b/crates/simulation/src/router_config.rs
@@ -1,13 +1,13 @@
 //! What a router of the day is told: its configuration, as the platform would give it.
 
-use crate::model::{secs, Kind, Server, World, COLD, COLD_HUB, PURGED, PUSHED};
-use crate::scenario::Day;
+use crate::model::{secs, Kind, Server, ServerModel, COLD, COLD_HUB, PURGED, PUSHED};
+use crate::scenario::Scenario;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
 /// A router's place in the day.
 #[derive(Clone, Copy, Debug)]
-pub struct Seat {
+pub struct RouterSlot {
     /// Its office.
     pub office: usize,
     /// Its number among all routers.
@@ -15,18 +15,18 @@
 }
 
 /// The seats of all routers, office by office.
-pub fn seats(day: &Day) -> Vec<Seat> {
+pub fn seats(day: &Scenario) -> Vec<RouterSlot> {
     let offices = day.offices.iter().enumerate();
     let offices = offices.flat_map(|(office, o)| std::iter::repeat_n(office, o.routers));
-    offices.enumerate().map(|(number, office)| Seat { office, number }).collect()
+    offices.enumerate().map(|(number, office)| RouterSlot { office, number }).collect()
 }
 
 /// A line of the member list.
-pub fn line(day: &Day, server: &Server, endpoint: SocketAddr, state: &str) -> Value {
+pub fn line(day: &Scenario, server: &Server, endpoint: SocketAddr, state: &str) -> Value {
     let (az, model) = match server.kind {
         Kind::Box(o) => (day.offices[o].name.as_str(), "standard-box"),
-        Kind::Hub(h) => (day.hubs[h].name.as_str(), "hub"),
-        Kind::Library => (day.hubs[0].name.as_str(), "library"),
+        Kind::ParentCache(h) => (day.hubs[h].name.as_str(), "hub"),
+        Kind::Origin => (day.hubs[0].name.as_str(), "library"),
     };
     json!({"uid": server.uid, "endpoint": endpoint.to_string(), "az": az, "model": model, "pod_group": 0,
            "state": state, "capacity_hint": server.flows, "boot_ms": server.started / 1_000})
@@ -34,9 +34,9 @@
 
 /// The configuration of one router; `endpoints` are those of the servers.
 pub fn config(
-    day: &Day,
-    world: &World,
-    seat: Seat,
+    day: &Scenario,
+    world: &ServerModel,
+    seat: RouterSlot,
     seed: u64,
     feed: SocketAddr,
     endpoints: &[SocketAddr],
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 /// A fleet, its load and its faults.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     /// How long load is offered.
     pub seconds: f64,
     /// The first so many seconds fill the caches and are not counted. Default: 5.
@@ -36,12 +36,12 @@
     #[serde(default = "news")]
     pub roster_lag_ms: f64,
     /// The offices.
-    pub offices: Vec<Office>,
+    pub offices: Vec<Site>,
     /// The hubs, each one cache.
-    pub hubs: Vec<Hub>,
+    pub hubs: Vec<ParentCache>,
     /// The central library.
     #[serde(default)]
-    pub library: Library,
+    pub library: Origin,
     /// The classes of requests. Default: videos, pages and filings as at the association.
     #[serde(default = "classes")]
     pub classes: Vec<Class>,
@@ -63,7 +63,7 @@
 /// An office: boxes, routers and a link in.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Office {
+pub struct Site {
     /// Its name.
     pub name: String,
     /// The hub that it hangs on.
@@ -96,7 +96,7 @@
 /// A hub cache.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Hub {
+pub struct ParentCache {
     /// Its name, and that of its zone.
     pub name: String,
     /// Its link out, in flows.
@@ -112,7 +112,7 @@
 /// The central library.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Library {
+pub struct Origin {
     /// Its link out, in flows. Default: 40.
     pub link_flows: f64,
     /// Calls it works on at a time. Default: 16.
@@ -123,9 +123,9 @@
     pub turn_away_per_s: f64,
 }
 
-impl Default for Library {
+impl Default for Origin {
     fn default() -> Self {
-        Library { link_flows: 40.0, workers: 16, service_ms: 40.0, turn_away_per_s: 300.0 }
+        Origin { link_flows: 40.0, workers: 16, service_ms: 40.0, turn_away_per_s: 300.0 }
     }
 }
 
@@ -194,13 +194,13 @@
     #[serde(default)]
     pub for_s: Option<f64>,
     /// What it is.
-    pub what: What,
+    pub what: FaultKind,
 }
 
 /// What can go wrong.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// A box, hub or the library dies, and comes back cold and empty.
     Crash {
         /// Its name: `OFFICE-N`, a hub's name, or `library`.
@@ -386,7 +386,7 @@
     ]
 }
 
-impl Day {
+impl Scenario {
     /// The names of an office's boxes.
     pub fn boxes(&self, office: usize) -> impl Iterator<Item = String> + '_ {
         (1..=self.offices[office].boxes).map(move |n| format!("{}-{n}", self.offices[office].name))
@@ -398,7 +398,7 @@
     }
 
     /// The faults that hold so many seconds after the start.
-    pub fn faults_at(&self, seconds: f64) -> impl Iterator<Item = &What> {
+    pub fn faults_at(&self, seconds: f64) -> impl Iterator<Item = &FaultKind> {
         let holds = move |f: &&Fault| seconds >= f.at_s && f.for_s.is_none_or(|s| seconds < f.at_s + s);
         self.faults.iter().filter(holds).map(|f| &f.what)
     }
@@ -410,12 +410,12 @@
 
     /// An office's part of the load.
     pub fn part(&self, office: usize) -> f64 {
-        let part = |o: &Office| o.part.unwrap_or(o.boxes as f64);
+        let part = |o: &Site| o.part.unwrap_or(o.boxes as f64);
         part(&self.offices[office]) / self.offices.iter().map(part).sum::<f64>().max(f64::MIN_POSITIVE)
     }
 }
 
-impl Check for Day {
+impl Check for Scenario {
     fn check(&self, faults: &mut Faults) {
         let positive = |v: f64| v.is_finite() && v > 0.0;
         let share = |v: f64| (0.0..=1.0).contains(&v);
@@ -479,31 +479,31 @@
             let known =
                 |who: &String| boxes.contains(who) || names.contains(who.as_str()) && self.server(who);
             match &f.what {
-                What::Replace { who } | What::Drain { who } => {
+                FaultKind::Replace { who } | FaultKind::Drain { who } => {
                     faults.unless(boxes.contains(who), at("who"), "is no box of this day");
                 }
-                What::Crash { who } | What::Cut { who } | What::Slow { who, .. } => {
+                FaultKind::Crash { who } | FaultKind::Cut { who } | FaultKind::Slow { who, .. } => {
                     faults.unless(known(who), at("who"), "is no server of this day");
                 }
-                What::Late { by_ms } => faults.unless(*by_ms >= 0.0, at("by_ms"), "must not be below 0"),
-                What::Crowd { part, objects } => {
+                FaultKind::Late { by_ms } => faults.unless(*by_ms >= 0.0, at("by_ms"), "must not be below 0"),
+                FaultKind::Crowd { part, objects } => {
                     faults.unless(
                         share(*part) && *objects > 0,
                         at("part"),
                         "a part of 0 to 1, of 1 object or more",
                     );
                 }
-                What::Large { class, part, times } => {
+                FaultKind::Large { class, part, times } => {
                     let known = self.classes.iter().any(|c| c.name == *class && !c.write);
                     faults.unless(known, at("class"), "is no class of this day that is kept");
                     let fits = share(*part) && (1.0..=50.0).contains(times);
                     faults.unless(fits, at("part"), "a part of 0 to 1, of 1 to 50 times the size");
                 }
-                What::Surge { times } => faults.unless(positive(*times), at("times"), "must be above 0"),
-                What::Part { routers } | What::Kill { routers } | What::Pause { routers } => {
+                FaultKind::Surge { times } => faults.unless(positive(*times), at("times"), "must be above 0"),
+                FaultKind::Part { routers } | FaultKind::Kill { routers } | FaultKind::Pause { routers } => {
                     faults.unless(self.are_routers(routers), at("routers"), "are no routers of this day");
                 }
-                What::Link { from, to, loss, twice, flipped, late_ms, jitter_ms, .. } => {
+                FaultKind::Link { from, to, loss, twice, flipped, late_ms, jitter_ms, .. } => {
                     let known = self.are_routers(from) && self.are_routers(to);
                     faults.unless(known, at("from"), "from and to are no routers of this day");
                     let parts = [*loss, *twice, *flipped].into_iter().all(share);
@@ -516,7 +516,7 @@
     }
 }
 
-impl Day {
+impl Scenario {
     fn are_routers(&self, numbers: &[usize]) -> bool {
         !numbers.is_empty() && numbers.iter().all(|n| (1..=self.routers()).contains(n))
     }
--- a/crates/simulation/src/sweep.rs
+++ b/crates/simulation/src/sweep.rs
@@ -2,7 +2,7 @@
 //! many routers. Days are played side by side on all cores; the same file gives the same figures.
 
 use crate::report::{report, Report};
-use crate::scenario::{Day, Fault, What};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::virtual_time::play;
 use hollymux_config_file::{Check, Faults};
 use rayon::prelude::*;
@@ -23,7 +23,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
     /// The day that all are made from; its rate is what `loads` are parts of.
-    pub day: Day,
+    pub day: Scenario,
     /// When the outage begins.
     pub at_s: f64,
     /// What is lost.
@@ -59,7 +59,7 @@
     /// Half of the first office's boxes.
     HalfOffice,
     /// The first office's boxes.
-    Office,
+    Site,
     /// The library.
     Library,
     /// Six in ten of all boxes are replaced, one after another, in 7 s; for how long means nothing then.
@@ -150,7 +150,7 @@
 
 impl Sweep {
     /// The days, in the order of the lists.
-    fn days(&self) -> Vec<(Row, Day)> {
+    fn days(&self) -> Vec<(Row, Scenario)> {
         let rows = vec![Row::default()];
         let rows = each(rows, &self.lost, |r, v| r.lost = v);
         let rows = each(rows, &self.for_s, |r, v| r.for_s = v);
@@ -166,14 +166,14 @@
         rows.into_iter().map(day).collect()
     }
 
-    fn day_of(&self, row: &Row) -> Day {
+    fn day_of(&self, row: &Row) -> Scenario {
         let mut day = self.day.clone();
         day.rate_per_s *= row.load;
         (day.uneven, day.roster_lag_ms) = (row.uneven, row.news_ms);
         // Each office has a router as long as there are enough; the rest goes by boxes, as evenly as numbers allow.
         day.offices.iter_mut().for_each(|o| o.routers = 1);
         for _ in day.offices.len()..row.routers {
-            let least = |o: &&mut crate::scenario::Office| (o.routers * 1_000) / o.boxes;
+            let least = |o: &&mut crate::scenario::Site| (o.routers * 1_000) / o.boxes;
             if let Some(o) = day.offices.iter_mut().filter(|o| o.routers < 50).min_by_key(least) {
                 o.routers += 1;
             }
@@ -185,7 +185,7 @@
         day
     }
 
-    fn faults(&self, day: &Day, row: &Row) -> Vec<Fault> {
+    fn faults(&self, day: &Scenario, row: &Row) -> Vec<Fault> {
         let first = day.boxes(0).collect::<Vec<String>>();
         let all = (0..day.offices.len()).flat_map(|o| day.boxes(o));
         let who: Vec<String> = match row.lost {
@@ -193,16 +193,16 @@
             Lost::Hubs => day.hubs.iter().map(|h| h.name.clone()).collect(),
             Lost::Box => first[..1].to_vec(),
             Lost::HalfOffice => first[..first.len().div_ceil(2)].to_vec(),
-            Lost::Office => first,
+            Lost::Site => first,
             Lost::Library => vec!["library".into()],
             Lost::Replaced => all.enumerate().filter(|(i, _)| i % 5 < 3).map(|(_, b)| b).collect(),
         };
         let step = 7.0 / who.len() as f64;
         let fault = |(i, who): (usize, String)| match row.lost {
             Lost::Replaced => {
-                Fault { at_s: self.at_s + i as f64 * step, for_s: None, what: What::Replace { who } }
+                Fault { at_s: self.at_s + i as f64 * step, for_s: None, what: FaultKind::Replace { who } }
             }
-            _ => Fault { at_s: self.at_s, for_s: Some(row.for_s), what: What::Crash { who } },
+            _ => Fault { at_s: self.at_s, for_s: Some(row.for_s), what: FaultKind::Crash { who } },
         };
         who.into_iter().enumerate().map(fault).collect()
     }
@@ -226,7 +226,7 @@
     sweep.days().into_par_iter().map(|(row, day)| played(sweep.at_s, row, &day)).collect()
 }
 
-fn played(at_s: f64, mut row: Row, day: &Day) -> Result<Row, String> {
+fn played(at_s: f64, mut row: Row, day: &Scenario) -> Result<Row, String> {
     let p = play(day, row.seed, &mut |_, _| {})?;
     let r = report(day, p.start, &p.done, &p.world, &p.counted);
     let end = at_s + if row.lost == Lost::Replaced { 7.0 } else { row.for_s };
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -1,13 +1,13 @@
 //! A day in virtual time: the same servers and clients, round the routers' sans-I/O cores, without sockets. The
 //! same seed gives the same day, to the byte.
 
-use crate::cluster::{place_at, Fleet, BEGIN};
-use crate::cluster_report::{judge, links, places, quiet_from, Watch};
-use crate::load::{Ask, Clients, Done, Got};
-use crate::model::{secs, Call, News, Stand, Word, World, PURGE_TOLD};
-use crate::report::Counted;
-use crate::router_config::{config, line, seats, Seat};
-use crate::scenario::{Day, What};
+use crate::cluster::{place_at, RouterCluster, BEGIN};
+use crate::cluster_report::{judge, links, places, quiet_from, ViewObservations};
+use crate::load::{ClientAttempt, ClientOutcome, Clients, CompletedRequest};
+use crate::model::{secs, Call, CallResult, ModelEvent, ServerModel, ServerState, PURGE_TOLD};
+use crate::report::DriverCounters;
+use crate::router_config::{config, line, seats, RouterSlot};
+use crate::scenario::{FaultKind, Scenario};
 use crate::{Time, MS, SEC};
 use hollymux_cluster::limits::LeaseTimings;
 use hollymux_cluster::view::{Change, Rank};
@@ -36,21 +36,21 @@
 
 /// What a day came to.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     /// When it started.
     pub start: Time,
     /// What became of each first try.
-    pub done: Vec<Done>,
+    pub done: Vec<CompletedRequest>,
     /// The servers.
-    pub world: World,
+    pub world: ServerModel,
     /// What was counted beside.
-    pub counted: Counted,
+    pub counted: DriverCounters,
 }
 
 enum Event {
     Core(usize, Wake),
     Arrive(usize, Box<AttemptRequest>),
-    Said(u64, Word, u64),
+    Said(u64, CallResult, u64),
     Lost(usize, AttemptId, AttemptFailure),
     Probe(usize, EndpointId, Option<bool>),
     /// News of members, from the control feed; the text is that of the sockets.
@@ -87,10 +87,10 @@
 }
 
 struct Lab<'a> {
-    day: Day,
-    seats: Vec<Seat>,
+    day: Scenario,
+    seats: Vec<RouterSlot>,
     now: Time,
-    world: World,
+    world: ServerModel,
     clients: Clients,
     routers: Vec<Router>,
     configs: Vec<Config>,
@@ -104,15 +104,15 @@
     open: BTreeMap<u64, (usize, u64)>,
     told: u64,
     /// The routers' views of each other, and how each router's process stands.
-    fleet: Option<Fleet>,
+    fleet: Option<RouterCluster>,
     stands: Vec<Process>,
     gave_up: BTreeSet<u64>,
-    watch: Watch,
-    counted: Counted,
+    watch: ViewObservations,
+    counted: DriverCounters,
     /// When accounts of limits are looked at next, and since when all who share a cold server know that it is.
     look: Time,
     known: BTreeMap<EndpointId, Time>,
-    ended: &'a mut dyn FnMut(Seat, &Heard<'_>),
+    ended: &'a mut dyn FnMut(RouterSlot, &RouterRecord<'_>),
 }
 
 /// How a router's process stands.
@@ -125,7 +125,7 @@
 }
 
 /// What a recording of a router holds: what it closed, and what it was told.
-pub enum Heard<'a> {
+pub enum RouterRecord<'a> {
     /// A request was closed.
     Ended(&'a RequestSummary),
     /// Members changed.
@@ -147,10 +147,10 @@
 ///
 /// # Errors
 /// One can't be used.
-pub fn configs(day: &Day, seed: u64) -> Result<Vec<(String, Config)>, String> {
-    let world = World::new(day, START, seed);
+pub fn configs(day: &Scenario, seed: u64) -> Result<Vec<(String, Config)>, String> {
+    let world = ServerModel::new(day, START, seed);
     let endpoints: Vec<SocketAddr> = (0..world.servers.len()).map(endpoint).collect();
-    let one = |seat: Seat| {
+    let one = |seat: RouterSlot| {
         let text = config(day, &world, seat, seed, endpoint(0), &endpoints).to_string();
         Config::read(&text).map(|c| (c.name.clone(), c)).map_err(|e| e.to_string())
     };
@@ -161,8 +161,12 @@
 ///
 /// # Errors
 /// A router can't work under the day's settings.
-pub fn play(day: &Day, seed: u64, ended: &mut dyn FnMut(Seat, &Heard<'_>)) -> Result<Played, String> {
-    let world = World::new(day, START, seed);
+pub fn play(
+    day: &Scenario,
+    seed: u64,
+    ended: &mut dyn FnMut(RouterSlot, &RouterRecord<'_>),
+) -> Result<RunResult, String> {
+    let world = ServerModel::new(day, START, seed);
     let clients = Clients::new(day, START, seed);
     let (mut routers, mut configs, mut known) = (Vec::new(), Vec::new(), Vec::new());
     for (_, mut config) in self::configs(day, seed)? {
@@ -186,11 +190,11 @@
         next_call: 1,
         open: BTreeMap::new(),
         told: 1,
-        fleet: day.fleet.then(|| Fleet::new(day.routers(), seed)),
+        fleet: day.fleet.then(|| RouterCluster::new(day.routers(), seed)),
         stands: (0..day.routers()).map(|_| Process::Runs).collect(),
         gave_up: BTreeSet::new(),
-        watch: Watch::default(),
-        counted: Counted::default(),
+        watch: ViewObservations::default(),
+        counted: DriverCounters::default(),
         look: START,
         known: BTreeMap::new(),
         ended,
@@ -201,7 +205,7 @@
     }
     lab.run();
     lab.counted.fleet = lab.fleet.as_ref().map(|_| judge(day, &lab.watch));
-    Ok(Played { start: START, done: lab.clients.done, world: lab.world, counted: lab.counted })
+    Ok(RunResult { start: START, done: lab.clients.done, world: lab.world, counted: lab.counted })
 }
 
 impl Lab<'_> {
@@ -216,7 +220,7 @@
         let mut counting = false;
         loop {
             let own = self.events.peek().map(|Reverse(t)| t.0);
-            let fleet = self.fleet.as_ref().and_then(Fleet::due).map(|t| t - BEGIN + START);
+            let fleet = self.fleet.as_ref().and_then(RouterCluster::due).map(|t| t - BEGIN + START);
             let next = [own, self.world.due(), self.clients.due(), fleet].into_iter().flatten().min();
             let Some(next) = next.filter(|_| self.now < end || self.clients.waiting()) else { break };
             if !counting && next >= counts {
@@ -257,7 +261,7 @@
                 .filter(|d| d.sharers != QuotaScope::Elsewhere)
             {
                 let all = d.sharers == QuotaScope::All;
-                let runs = |s: &&Seat| {
+                let runs = |s: &&RouterSlot| {
                     (all || s.office == seat.office) && !matches!(self.stands[s.number], Process::Dead)
                 };
                 let sum = sums.entry(d.endpoint).or_insert_with(|| {
@@ -305,7 +309,7 @@
         }
     }
 
-    fn on_ask(&mut self, ask: &Ask) {
+    fn on_ask(&mut self, ask: &ClientAttempt) {
         let router = self.day.router(ask.office, ask.router);
         let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
         let asked = hollymux_router::ClientRequest {
@@ -327,8 +331,10 @@
         let now = self.now;
         let seat = self.seats[router];
         match &told {
-            FeedEvent::Endpoints { lines, .. } => (self.ended)(seat, &Heard::Members(now, lines)),
-            FeedEvent::Purge { object, group, .. } => (self.ended)(seat, &Heard::Purge(now, *object, *group)),
+            FeedEvent::Endpoints { lines, .. } => (self.ended)(seat, &RouterRecord::Members(now, lines)),
+            FeedEvent::Purge { object, group, .. } => {
+                (self.ended)(seat, &RouterRecord::Purge(now, *object, *group))
+            }
         }
         self.feed(router, Input::Feed(told));
     }
@@ -402,13 +408,13 @@
             }
         }
         match (&what, begins) {
-            (What::Kill { routers }, true) => places(routers).into_iter().for_each(|r| self.kill(r)),
-            (What::Kill { routers }, false) => places(routers).into_iter().for_each(|r| self.start(r)),
-            (What::Pause { routers }, true) => places(routers).into_iter().for_each(|r| {
+            (FaultKind::Kill { routers }, true) => places(routers).into_iter().for_each(|r| self.kill(r)),
+            (FaultKind::Kill { routers }, false) => places(routers).into_iter().for_each(|r| self.start(r)),
+            (FaultKind::Pause { routers }, true) => places(routers).into_iter().for_each(|r| {
                 self.stands[r] = Process::Stopped(VecDeque::new());
                 self.fleet.iter_mut().for_each(|f| f.pause(r));
             }),
-            (What::Pause { routers }, false) => places(routers).into_iter().for_each(|r| {
+            (FaultKind::Pause { routers }, false) => places(routers).into_iter().for_each(|r| {
                 let stood = std::mem::replace(&mut self.stands[r], Process::Runs);
                 self.fleet.iter_mut().for_each(|f| f.resume(r));
                 if let Process::Stopped(waits) = stood {
@@ -426,7 +432,7 @@
         let asked: Vec<u64> = self.open.iter().filter(|(_, o)| o.0 == router).map(|(id, _)| *id).collect();
         for id in asked {
             self.open.remove(&id);
-            self.clients.answered(self.now, id, Got::Lost);
+            self.clients.answered(self.now, id, ClientOutcome::Lost);
         }
         let out: Vec<u64> =
             self.calls.iter().filter(|(_, o)| o.router == router).map(|(id, _)| *id).collect();
@@ -467,7 +473,7 @@
             Process::Dead => {
                 if let Input::Request(client, _) = input {
                     self.open.remove(&client.tag);
-                    self.clients.answered(self.now, client.tag, Got::Lost);
+                    self.clients.answered(self.now, client.tag, ClientOutcome::Lost);
                 }
                 return;
             }
@@ -502,10 +508,10 @@
                     return;
                 }
                 let got = match reply {
-                    Reply::Served(digest, _) => Got::Served(age(self.now, digest.as_deref())),
-                    Reply::NotModified(_) => Got::Served(0),
-                    Reply::Rejected(ms) => Got::Refused(ms * MS),
-                    Reply::Failed => Got::Failed,
+                    Reply::Served(digest, _) => ClientOutcome::Served(age(self.now, digest.as_deref())),
+                    Reply::NotModified(_) => ClientOutcome::Served(0),
+                    Reply::Rejected(ms) => ClientOutcome::Refused(ms * MS),
+                    Reply::Failed => ClientOutcome::Failed,
                 };
                 self.clients.answered(self.now, client.tag, got);
             }
@@ -513,9 +519,9 @@
             Command::Probe(host, addr) => {
                 let server = server_at(addr);
                 let (after, well) = match self.world.servers[server].stand {
-                    Stand::Up => (2 * WAY, Some(self.world.well(server))),
-                    Stand::Down => (2 * WAY, None),
-                    Stand::Cut => (DIAL, None),
+                    ServerState::Up => (2 * WAY, Some(self.world.well(server))),
+                    ServerState::Down => (2 * WAY, None),
+                    ServerState::Cut => (DIAL, None),
                 };
                 self.at(self.now + after, Event::Probe(router, host, well));
             }
@@ -532,7 +538,7 @@
                     }
                 }
             }
-            Command::RequestEnded(ended) => (self.ended)(self.seats[router], &Heard::Ended(&ended)),
+            Command::RequestEnded(ended) => (self.ended)(self.seats[router], &RouterRecord::Ended(&ended)),
             Command::StopSending(_) | Command::Lookup(..) | Command::AttemptEnded(..) | Command::Log(_) => {}
         }
     }
@@ -558,9 +564,9 @@
         }
     }
 
-    fn said(&self, word: Word, bytes: u64, write: bool) -> AttemptResponse {
+    fn said(&self, word: CallResult, bytes: u64, write: bool) -> AttemptResponse {
         match word {
-            Word::Data(dated) => {
+            CallResult::Data(dated) => {
                 let mut body = self.pool.chain();
                 let zeros = [0u8; 4_096];
                 let mut left = bytes as usize;
@@ -569,23 +575,23 @@
                 }
                 AttemptResponse::Data((!write).then(|| format!("{dated:x}").into_bytes()), body)
             }
-            Word::Absent => AttemptResponse::Absent,
-            Word::Full => AttemptResponse::AtCapacity,
-            Word::Failed => AttemptResponse::Failed,
+            CallResult::Absent => AttemptResponse::Absent,
+            CallResult::Full => AttemptResponse::AtCapacity,
+            CallResult::Failed => AttemptResponse::Failed,
         }
     }
 
     fn arrive(&mut self, router: usize, order: &AttemptRequest) {
         let server = server_at(order.target.addr);
         match self.world.servers[server].stand {
-            Stand::Up => {}
-            Stand::Down => {
+            ServerState::Up => {}
+            ServerState::Down => {
                 return self.at(
                     self.now + WAY,
                     Event::Lost(router, order.attempt, AttemptFailure::ConnectionRefused),
                 );
             }
-            Stand::Cut => return,
+            ServerState::Cut => return,
         }
         let id = self.next_call;
         self.next_call += 1;
@@ -598,7 +604,7 @@
         let known = source.and_then(|uid| self.world.servers.iter().position(|s| s.uid == **uid));
         if source.is_some() && known.is_none() {
             // It names what is gone.
-            return self.world.news.push(News::Answer(id, Word::Full, 0));
+            return self.world.news.push(ModelEvent::Answer(id, CallResult::Full, 0));
         }
         let class = usize::from(order.class);
         let key = (order.ask.object.1, order.ask.part);
@@ -617,10 +623,10 @@
         self.world.call(self.now, id, server, call);
     }
 
-    fn on_news(&mut self, news: News) {
+    fn on_news(&mut self, news: ModelEvent) {
         match news {
-            News::Answer(id, word, bytes) => self.at(self.now + WAY, Event::Said(id, word, bytes)),
-            News::Stands(server, Stand::Down) => {
+            ModelEvent::Answer(id, word, bytes) => self.at(self.now + WAY, Event::Said(id, word, bytes)),
+            ModelEvent::Stands(server, ServerState::Down) => {
                 let hit: Vec<u64> =
                     self.calls.iter().filter(|(_, o)| o.server == server).map(|(id, _)| *id).collect();
                 for id in hit {
@@ -633,8 +639,8 @@
                     }
                 }
             }
-            News::Stands(..) => {}
-            News::Line(server, told, state) => {
+            ModelEvent::Stands(..) => {}
+            ModelEvent::Line(server, told, state) => {
                 let text = line(&self.day, &told, endpoint(server), state);
                 self.told += 1;
                 let n = self.told;
@@ -644,7 +650,7 @@
                 self.world.told_line(server, state, at);
                 (0..self.routers.len()).for_each(|r| self.at(at, Event::Told(r, text.clone())));
             }
-            News::Purge(object, group, at) => {
+            ModelEvent::Purge(object, group, at) => {
                 self.told += 1;
                 let text = crate::purge_event(self.told, object, group, at);
                 let when = self.now + PURGE_TOLD;
--- a/crates/simulation/tests/cluster.rs
+++ b/crates/simulation/tests/cluster.rs
@@ -2,12 +2,12 @@
 
 use hollymux_cluster::view::{Change, Rank, MEMBERS_MOST};
 use hollymux_cluster::DATAGRAM_MOST;
-use hollymux_simulation::cluster::{addr, Fleet, Link};
+use hollymux_simulation::cluster::{addr, LinkFault, RouterCluster};
 use hollymux_simulation::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
 fn all(routers: usize) -> Vec<usize> {
     (0..routers).collect()
@@ -18,8 +18,8 @@
 }
 
 /// So many routers that have found each other.
-fn started(routers: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(routers, seed);
+fn started(routers: usize, seed: u64) -> RouterCluster {
+    let mut fleet = RouterCluster::new(routers, seed);
     all(routers).into_iter().for_each(|r| fleet.start(r));
     settles(&mut fleet, &all(routers), 20 * SEC);
     fleet.run(3 * SEC);
@@ -27,12 +27,12 @@
 }
 
 /// Those routers come to hold one view with all of them in it.
-fn settles(f: &mut Fleet, who: &[usize], within: Time) -> Time {
+fn settles(f: &mut RouterCluster, who: &[usize], within: Time) -> Time {
     let took = f.until(within, |f| f.same(who));
     took.unwrap_or_else(|| panic!("{who:?} don't settle within {} ms", within / MS))
 }
 
-fn lost(f: &mut Fleet, by: &[usize], of: usize, within: Time) {
+fn lost(f: &mut RouterCluster, by: &[usize], of: usize, within: Time) {
     let known = f.until(within, |f| f.say(by, of, Rank::Lost) == 1.0);
     assert!(known.is_some(), "{of} is not known to be lost within {} ms", within / MS);
 }
@@ -41,7 +41,7 @@
 fn the_same_seed_gives_the_same_run() {
     let run = |seed| {
         let mut f = started(7, seed);
-        f.every = Link { loss: 0.1, twice: 0.1, flipped: 0.05, delay: (0, 50 * MS), cut: false };
+        f.every = LinkFault { loss: 0.1, twice: 0.1, flipped: 0.05, delay: (0, 50 * MS), cut: false };
         f.kill(3);
         f.run(10 * SEC);
         (f.sent, format!("{:?}", f.told))
@@ -129,7 +129,7 @@
         let mut f = started(5, 5);
         let rest = others(5, 2);
         // What it sends arrives 10 s late.
-        f.fault(&[2], &rest, Link { delay: (10 * SEC, 0), ..Link::default() });
+        f.fault(&[2], &rest, LinkFault { delay: (10 * SEC, 0), ..LinkFault::default() });
         if suspected {
             assert!(f.until(5 * SEC, |f| f.say(&rest, 2, Rank::Suspect) > 0.0).is_some());
         }
@@ -137,7 +137,8 @@
         f.heal();
         f.start(2);
         settles(&mut f, &all(5), 4 * SEC);
-        let start = |f: &Fleet| f.view(0).unwrap().others().find(|s| s.addr == addr(2)).unwrap().record.start;
+        let start =
+            |f: &RouterCluster| f.view(0).unwrap().others().find(|s| s.addr == addr(2)).unwrap().record.start;
         let new = start(&f);
         let since = f.now;
         f.run(12 * SEC);
@@ -173,14 +174,15 @@
 
 #[test]
 fn two_under_one_name_are_two_and_another_fleet_is_none() {
-    let mut f = Fleet::new(6, 6);
+    let mut f = RouterCluster::new(6, 6);
     f.call(3, "n1", "lab");
     f.call(5, "n6", "other");
     all(6).into_iter().for_each(|r| f.start(r));
     settles(&mut f, &all(5), 10 * SEC);
     let since = f.now;
     f.run(30 * SEC);
-    let told = |f: &Fleet, what: &dyn Fn(&Change) -> bool| f.told.iter().filter(|c| what(&c.2)).count();
+    let told =
+        |f: &RouterCluster, what: &dyn Fn(&Change) -> bool| f.told.iter().filter(|c| what(&c.2)).count();
     assert!(all(5).iter().all(|r| f.view(*r).unwrap().at_work(None) == 5), "both are counted");
     assert_eq!(told(&f, &|c| matches!(c, Change::NameTwice(n, ..) if n == "n1")), 5, "each says so once");
     assert_eq!(f.told.iter().filter(|c| c.0 > since + 5 * SEC).count(), 0, "and they don't flap");
@@ -190,7 +192,7 @@
 
 #[test]
 fn seeds_that_are_down_or_name_only_the_router_itself_are_no_end() {
-    let mut f = Fleet::new(6, 7);
+    let mut f = RouterCluster::new(6, 7);
     f.seeds(&[0]);
     all(6)[1..].iter().for_each(|r| f.start(*r));
     f.run(20 * SEC);
@@ -203,7 +205,7 @@
 fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
     for seed in 1..4 {
         let mut f = started(8, seed);
-        let bad = Link { loss: 0.5, ..Link::default() };
+        let bad = LinkFault { loss: 0.5, ..LinkFault::default() };
         f.fault(&[7], &others(8, 7), bad);
         f.fault(&others(8, 7), &[7], bad);
         let since = f.now;
@@ -257,7 +259,7 @@
 /// Guards against a table that grows without end, and against one that forgets who may be at work.
 #[test]
 fn a_full_table_counts_whom_it_can_not_remember() {
-    let mut f = Fleet::new(MEMBERS_MOST + 41, 10);
+    let mut f = RouterCluster::new(MEMBERS_MOST + 41, 10);
     f.seeds(&[0]);
     f.start(0);
     for r in 1..MEMBERS_MOST + 41 {
@@ -273,7 +275,7 @@
 #[test]
 fn three_hundred_survive_restarts_mass_death_and_a_zone_that_is_cut_off() {
     const N: usize = 300;
-    let mut f = Fleet::new(N, 11);
+    let mut f = RouterCluster::new(N, 11);
     f.every.loss = 0.01;
     let mut order = all(N);
     order.rotate_left(7);
@@ -339,13 +341,14 @@
                     f.fault(
                         &side,
                         &rest,
-                        if rng.random() { CUT } else { Link { loss: 0.4, twice: 0.3, ..CUT } },
+                        if rng.random() { CUT } else { LinkFault { loss: 0.4, twice: 0.3, ..CUT } },
                     );
                     f.links.values_mut().for_each(|l| l.cut &= rng.random::<f64>() < 0.8);
                 }
                 _ => {
                     f.heal();
-                    f.every = Link { loss: 0.2, twice: 0.2, flipped: 0.1, delay: (0, 300 * MS), cut: false };
+                    f.every =
+                        LinkFault { loss: 0.2, twice: 0.2, flipped: 0.1, delay: (0, 300 * MS), cut: false };
                 }
             }
             f.run(rng.random_range(10 * MS..8 * SEC));
@@ -366,7 +369,7 @@
             }
         }
         f.heal();
-        f.every = Link::default();
+        f.every = LinkFault::default();
         (0..n).for_each(|r| f.resume(r));
         let up = f.up();
         if up.len() > 1 && (0..n.min(3)).any(|s| up.contains(&s)) {
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -3,7 +3,7 @@
 
 use hollymux_config_file::Fault;
 use hollymux_simulation::report::{report, Report};
-use hollymux_simulation::scenario::Day;
+use hollymux_simulation::scenario::Scenario;
 use hollymux_simulation::sweep::{sweep, Sweep};
 use hollymux_simulation::virtual_time::play;
 
@@ -13,11 +13,11 @@
            {name: "luxor", hub: "south", boxes: 3, routers: 1, link_in_flows: 14}],
  hubs: [{name: "north", link_flows: 16}, {name: "south", link_flows: 16}],"#;
 
-fn day(faults: &str) -> Day {
+fn day(faults: &str) -> Scenario {
     hollymux_config_file::read(&format!("{{{FLEET} faults: [{faults}]}}")).expect("a day")
 }
 
-fn played(day: &Day, seed: u64) -> Report {
+fn played(day: &Scenario, seed: u64) -> Report {
     let p = play(day, seed, &mut |_, _| {}).expect("the day is played");
     assert!(p.done.len() > 3_000, "{} requests", p.done.len());
     report(day, p.start, &p.done, &p.world, &p.counted)
@@ -35,7 +35,7 @@
 #[test]
 fn a_day_on_which_routers_are_killed_is_the_same_to_the_byte() {
     let day = day("{at_s: 15, for_s: 3, what: {kill: {routers: [1, 2]}}}");
-    let day = Day { fleet: true, rate_per_s: 250.0, ..day };
+    let day = Scenario { fleet: true, rate_per_s: 250.0, ..day };
     assert_eq!(played(&day, 7).json(), played(&day, 7).json());
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// Six boxes and four, hubs of 30 flows, so many routers at each office.
-fn outage(rate: u32, routers: (u32, u32), faults: &str) -> Day {
+fn outage(rate: u32, routers: (u32, u32), faults: &str) -> Scenario {
     let text = format!(
         r#"{{seconds: 45, warm_s: 8, rate_per_s: {rate},
  offices: [{{name: "cairo", hub: "north", boxes: 6, routers: {}, link_in_flows: 40}},
@@ -101,7 +101,7 @@
     }
 }
 
-fn example(name: &str) -> Day {
+fn example(name: &str) -> Scenario {
     let path = format!("{}/../../examples/fleet/{name}.json5", env!("CARGO_MANIFEST_DIR"));
     hollymux_config_file::load(std::path::Path::new(&path)).expect("a day")
 }
@@ -120,7 +120,7 @@
         assert!(on.broken.is_empty() && on.fell_untold == 0, "{name}: {:?}", on.broken);
         // Nobody is killed on this day: the number that may be at work is the configured one all the time.
         if name == "partition" {
-            let off = played(&Day { fleet: false, ..day }, 1);
+            let off = played(&Scenario { fleet: false, ..day }, 1);
             assert_eq!(off.fleet, None);
             assert_eq!(Report { fleet: None, ..on }.json(), off.json());
         }
@@ -139,7 +139,7 @@
 fn a_day_that_cant_be_played_is_refused_field_by_field() {
     let text = r#"{seconds: 10, warm_s: 20, offices: [{name: "a", hub: "x", link_in_flows: 0, boxes: 0}],
  hubs: [{name: "library", link_flows: 1}], faults: [{at_s: 1, what: {drain: {who: "a-9"}}}]}"#;
-    let faults = hollymux_config_file::read::<Day>(text).unwrap_err();
+    let faults = hollymux_config_file::read::<Scenario>(text).unwrap_err();
     let fields: Vec<&str> = faults.iter().map(|f: &Fault| f.field.as_str()).collect();
     assert_eq!(
         fields,
@@ -191,7 +191,7 @@
  faults: [{}]}}"#,
             (1..=6).map(lost).collect::<Vec<_>>().join(",")
         );
-        let day: Day = hollymux_config_file::read(&text).expect("a day");
+        let day: Scenario = hollymux_config_file::read(&text).expect("a day");
         for seed in seeds {
             let r = played(&day, seed);
             assert!(r.broken.is_empty(), "{long} s, seed {seed}: {:?}", r.broken);
@@ -217,7 +217,7 @@
         office("giza", "north", 4, 36),
         office("aswan", "south", 4, 36),
     );
-    let day: Day = hollymux_config_file::read(&text).expect("a day");
+    let day: Scenario = hollymux_config_file::read(&text).expect("a day");
     let r = played(&day, 1);
     assert!(r.library_fell <= 1, "the library stopped {} times", r.library_fell);
     assert!(r.broken.is_empty(), "{:?}", r.broken);
