--- a/crates/hollymux/src/simulate/mod.rs
+++ b/crates/hollymux/src/simulate/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::error::CommandError;
 use crate::output;
-use hollymux_simulation::day::Day;
+use hollymux_simulation::scenario::Scenario;
 
 /// What to simulate.
 #[derive(clap::Subcommand)]
@@ -28,7 +28,7 @@
 pub fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Run(options) => run::run(&options),
-        Command::Schema => output::print(&(hollymux_config_file::schema::<Day>() + "\n")),
+        Command::Schema => output::print(&(hollymux_config_file::schema::<Scenario>() + "\n")),
         Command::Cluster(options) => cluster_table::run(&options),
         Command::Sweep(options) => sweep::run(&options),
     }
--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -2,9 +2,9 @@
 
 use crate::error::{Cause, CommandError};
 use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
-use hollymux_simulation::day::Day;
-use hollymux_simulation::platform::Seat;
-use hollymux_simulation::virtually::{self, Heard};
+use hollymux_simulation::router_config::RouterSlot;
+use hollymux_simulation::scenario::Scenario;
+use hollymux_simulation::virtual_time::{self, RouterRecord};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
@@ -15,13 +15,13 @@
 
 /// Requests that were not served, counted by `CLASS RESULT REASON`.
 pub struct UnservedRequests<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     counts: BTreeMap<String, u64>,
 }
 
 impl<'a> UnservedRequests<'a> {
     /// Counts for a scenario, none so far.
-    pub fn new(day: &'a Day) -> UnservedRequests<'a> {
+    pub fn new(day: &'a Scenario) -> UnservedRequests<'a> {
         UnservedRequests { day, counts: BTreeMap::new() }
     }
 
@@ -73,7 +73,7 @@
         seed: u64,
     ) -> Result<VirtualRecorders<'a, 'd>, CommandError> {
         let failed = |cause: Cause| CommandError::Simulation(cause);
-        let configs = virtually::configs(unserved.day, seed).map_err(|error| failed(error.into()))?;
+        let configs = virtual_time::configs(unserved.day, seed).map_err(|error| failed(error.into()))?;
         let mut recorders = Vec::new();
         for (router, config) in configs {
             let names = &config.names;
@@ -85,16 +85,16 @@
     }
 
     /// Takes what a router did.
-    pub fn on_event(&mut self, router: Seat, event: &Heard<'_>) {
-        if let Heard::Ended(summary) = event {
+    pub fn on_event(&mut self, router: RouterSlot, event: &RouterRecord<'_>) {
+        if let RouterRecord::Ended(summary) = event {
             let request = Request::new(summary, None, None);
             self.unserved.count(usize::from(request.class), request.end, request.reason);
         }
         let Some(recorder) = self.recorders.get_mut(router.number) else { return };
         match event {
-            Heard::Ended(summary) => recorder.request(summary),
-            Heard::Members(now, endpoints) => recorder.members(*now, endpoints),
-            Heard::Purge(now, object, group) => recorder.purge(*now, *object, *group),
+            RouterRecord::Ended(summary) => recorder.request(summary),
+            RouterRecord::Members(now, endpoints) => recorder.members(*now, endpoints),
+            RouterRecord::Purge(now, object, group) => recorder.purge(*now, *object, *group),
         }
     }
 }
--- a/crates/hollymux/src/simulate/run.rs
+++ b/crates/hollymux/src/simulate/run.rs
@@ -3,9 +3,9 @@
 use super::recorders::{UnservedRequests, VirtualRecorders};
 use crate::error::CommandError;
 use crate::output;
-use hollymux_simulation::day::Day;
 use hollymux_simulation::report::{report, Report};
-use hollymux_simulation::{sockets, virtually};
+use hollymux_simulation::scenario::Scenario;
+use hollymux_simulation::{multi_process, virtual_time};
 use std::path::{Path, PathBuf};
 
 /// Options of the sub-command.
@@ -33,7 +33,7 @@
 
 /// Runs a scenario and prints its report; fails if a rule that must always hold was broken.
 pub fn run(options: &Options) -> Result<(), CommandError> {
-    let day: Day = hollymux_config_file::load(&options.day).map_err(CommandError::InvalidFile)?;
+    let day: Scenario = hollymux_config_file::load(&options.day).map_err(CommandError::InvalidFile)?;
     if let Some(dir) = &options.report {
         std::fs::create_dir_all(dir)?;
     }
@@ -49,7 +49,7 @@
     }
 }
 
-fn simulate(day: &Day, options: &Options) -> Result<Report, CommandError> {
+fn simulate(day: &Scenario, options: &Options) -> Result<Report, CommandError> {
     let mut unserved = UnservedRequests::new(day);
     let played = if options.virtual_time {
         in_virtual_time(day, options, &mut unserved)?
@@ -62,32 +62,33 @@
 }
 
 fn in_virtual_time(
-    day: &Day,
+    day: &Scenario,
     options: &Options,
     unserved: &mut UnservedRequests<'_>,
-) -> Result<virtually::Played, CommandError> {
+) -> Result<virtual_time::RunResult, CommandError> {
     let mut recorders = match &options.record {
         Some(dir) => VirtualRecorders::recording(unserved, dir, options.seed)?,
         None => VirtualRecorders::counting(unserved),
     };
-    let mut on_event = |router, event: &virtually::Heard<'_>| recorders.on_event(router, event);
-    virtually::play(day, options.seed, &mut on_event).map_err(|cause| CommandError::Simulation(cause.into()))
+    let mut on_event = |router, event: &virtual_time::RouterRecord<'_>| recorders.on_event(router, event);
+    virtual_time::play(day, options.seed, &mut on_event)
+        .map_err(|cause| CommandError::Simulation(cause.into()))
 }
 
 /// Runs this same program as the routers. What is not to be kept goes into a temporary directory.
 fn on_sockets(
-    day: &Day,
+    day: &Scenario,
     options: &Options,
     unserved: &mut UnservedRequests<'_>,
-) -> Result<virtually::Played, CommandError> {
+) -> Result<virtual_time::RunResult, CommandError> {
     let scratch = tempfile::tempdir()?;
     let recordings = options.record.clone().unwrap_or_else(|| scratch.path().join("load"));
-    let start = sockets::Start {
+    let start = multi_process::Start {
         program: std::env::current_exe()?,
         dir: options.report.clone().unwrap_or_else(|| scratch.path().to_path_buf()),
         record: std::path::absolute(&recordings)?,
     };
-    let played = sockets::play(day, options.seed, &start)?;
+    let played = multi_process::play(day, options.seed, &start)?;
     unserved.count_recorded(&recordings, played.start)?;
     Ok(played)
 }
