--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -1,64 +1,72 @@
-//! Events in, actions out: each event goes to the decision that it is for.
+//! Events in, actions out: each event goes to the rules that it is for.
 
-use crate::interface::*;
-use crate::module::{DecisionModule, FLEET, OUT, TABLE};
+use crate::interface::{Action, Discovery, EndpointEntry, EndpointState, Event, ListKind};
+use crate::module::DecisionModule;
+use crate::state::{TimerToken, MAX_REMEMBERED_ENDPOINTS, MAX_TRACKED_OBJECTS};
+use crate::time::Timestamp;
+use std::time::Duration;
 
-const RESUBSCRIBE: u64 = u64::MAX;
 /// After a call for the endpoint list failed, the next one comes after this long.
-const RESUBSCRIBE_AFTER: Duration = Duration::from_secs(1);
-/// Endpoints that are held to be out are logged no more often than this.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+const RESUBSCRIBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Ejected endpoints are logged no more often than this.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl DecisionModule {
     /// Takes one event and appends what is to be done, in order.
-    pub fn handle(&mut self, now: Timestamp, event: Event, acts: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { kind, entries } => self.on_hosts(kind, entries, acts),
-            Event::EndpointListFailed => acts.push(Action::timer(RESUBSCRIBE_AFTER, RESUBSCRIBE)),
-            Event::Request(r) => self.on_request(now, r, acts),
-            Event::Started { request, attempt } => {
-                if let Some(o) = self.open.get_mut(&request) {
-                    o.stream = o.tries.get(usize::from(attempt)).is_some_and(|t| t.out);
-                }
+            Event::EndpointList { kind, entries } => self.on_endpoint_list(kind, entries, actions),
+            Event::EndpointListFailed => {
+                actions.push(Action::timer(RESUBSCRIBE_INTERVAL, TimerToken::Resubscribe.encode()));
             }
-            Event::AttemptOutcome(o) => self.on_outcome(now, o, acts),
-            Event::Withdrawn { request } => self.finish(request, acts),
-            Event::Timer { token: RESUBSCRIBE } => acts.push(Action::Subscribe),
-            Event::Timer { token } => self.on_timer(now, token, acts),
-            Event::Purged(p) => self.purges.add(now, &p, TABLE),
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::Started { request, attempt } => self.on_stream_started(request, usize::from(attempt)),
+            Event::AttemptOutcome(outcome) => self.on_outcome(now, outcome, actions),
+            Event::Withdrawn { request } => self.finish(request, actions),
+            Event::Timer { token } => self.on_timer(now, TimerToken::decode(token), actions),
+            Event::Purged(purge) => self.purges.add(now, &purge, MAX_TRACKED_OBJECTS),
             Event::Probed { endpoint, status } => self.on_probed(now, endpoint, status),
         }
     }
 
-    fn on_hosts(&mut self, kind: ListKind, entries: Vec<EndpointEntry>, acts: &mut Vec<Action>) {
-        for id in self.fleet.apply(&self.settings, kind, entries) {
-            let Some(h) = self.fleet.endpoints.get_mut(&id) else { continue };
-            // A start is told: it is cold from then, and what was held against it is void.
-            h.cold_since = h.cold_since.max((h.entry.started > Timestamp::ZERO).then_some(h.entry.started));
-            (h.strikes, h.out, h.backoff) = (0.0, None, OUT);
-            (h.trial, h.died, h.phase, h.slot) = (false, false, None, Timestamp::ZERO);
-            if h.cold_since.is_some() {
-                self.chilled.insert(id);
+    fn on_timer(&mut self, now: Timestamp, token: TimerToken, actions: &mut Vec<Action>) {
+        match token {
+            TimerToken::Resubscribe => actions.push(Action::Subscribe),
+            TimerToken::Deadline(request) => self.on_deadline(now, request, actions),
+            TimerToken::Overdue(attempt) => self.on_overdue(now, attempt, actions),
+            TimerToken::FillCheck(attempt) => self.on_fill_check(now, attempt),
+        }
+    }
+
+    fn on_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>, actions: &mut Vec<Action>) {
+        for id in self.endpoints.apply(&self.settings, kind, entries) {
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            endpoint.reset_after_start();
+            if endpoint.warm_up_started.is_some() {
+                self.warming_up.insert(id);
             }
         }
-        self.fleet.forget(FLEET);
-        if self.settings.discovery == Discovery::Ask && !self.subscribed {
-            self.subscribed = true;
-            acts.push(Action::Subscribe);
+        self.endpoints.forget_removed(MAX_REMEMBERED_ENDPOINTS);
+        if self.settings.discovery == Discovery::Ask && !self.is_subscribed {
+            self.is_subscribed = true;
+            actions.push(Action::Subscribe);
         }
     }
 
-    /// Says which endpoints are held to be out, at most once a second.
-    pub(crate) fn log(&mut self, now: Timestamp, acts: &mut Vec<Action>) {
-        if now < self.logged + LOG_EVERY {
+    /// Logs which endpoints are ejected, at most once in a [`LOG_INTERVAL`].
+    pub(crate) fn log_ejected(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        if now < self.last_log + LOG_INTERVAL {
             return;
         }
-        let out = self.fleet.endpoints.values().filter(|h| h.entry.state == EndpointState::Ready && !h.up());
-        let names: Vec<String> =
-            out.map(|h| format!("{:x} ({:.1} failures)", h.entry.id.0, h.strikes)).collect();
-        self.logged = now;
-        if !names.is_empty() {
-            acts.push(Action::Log(format!("out: {}", names.join(", "))));
+        self.last_log = now;
+        let ejected: Vec<String> = self
+            .endpoints
+            .listed()
+            .filter(|endpoint| endpoint.entry.state == EndpointState::Ready && !endpoint.is_available())
+            .map(|endpoint| format!("{:x} ({:.1} failures)", endpoint.entry.id.0, endpoint.error_score))
+            .collect();
+        if !ejected.is_empty() {
+            actions.push(Action::Log(format!("out: {}", ejected.join(", "))));
         }
     }
 }
--- a/crates/decision/src/insight.rs
+++ b/crates/decision/src/insight.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the module from outside: it decides nothing.
+//! What the module reports of itself: it decides nothing.
 
 use crate::interface::EndpointState;
 use crate::module::DecisionModule;
@@ -8,15 +8,19 @@
 pub struct Rotation {
     /// In the list: ready or draining.
     pub listed: usize,
-    /// Among them: draining, or held to be out until a trial succeeds.
+    /// Among them: draining, or ejected until a recovery probe request succeeds.
     pub avoided: usize,
 }
 
 impl DecisionModule {
     /// How many endpoints are in the list, and how many of them are avoided.
     pub fn rotation(&self) -> Rotation {
-        let listed = || self.fleet.endpoints.values().filter(|h| h.entry.state != EndpointState::Gone);
-        let avoided = listed().filter(|h| h.entry.state == EndpointState::Draining || h.out.is_some());
-        Rotation { listed: listed().count(), avoided: avoided.count() }
+        let mut rotation = Rotation::default();
+        for endpoint in self.endpoints.listed() {
+            let is_draining = endpoint.entry.state == EndpointState::Draining;
+            rotation.listed += 1;
+            rotation.avoided += usize::from(is_draining || !endpoint.is_available());
+        }
+        rotation
     }
 }
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -2,9 +2,8 @@
 //!
 //! Nothing here decides anything.
 
-pub(crate) use crate::time::{divide_to_micros, micros_f64, ratio, secs, span_from_secs, whole_micros};
-pub(crate) use crate::time::{Timestamp, MICROSECOND};
-pub(crate) use std::time::Duration;
+use crate::time::Timestamp;
+use std::time::Duration;
 
 /// A purge counts for this much longer than endpoints say that they need to drop purged copies.
 const PURGE_MARGIN: Duration = Duration::from_secs(1);
@@ -243,7 +242,8 @@
 }
 
 impl Settings {
-    /// Whether a router could work under these settings at all; names the first field that rules it out.
+    /// Whether a router could work under these settings at all; names the first field that rules it
+    /// out.
     pub fn check(&self) -> Result<(), SettingsError> {
         let test = |ok: bool, field: &str, why| {
             let field = field.to_string();
@@ -276,18 +276,20 @@
         &self.classes[usize::from(r.class)]
     }
 
-    /// How long a purge counts: until endpoints have dropped purged copies themselves, and a little more.
+    /// How long a purge counts: until endpoints have dropped purged copies themselves, and a little
+    /// more.
     pub fn purge_life(&self) -> Duration {
         self.purge_done + PURGE_MARGIN
     }
 
     /// The sending time of a request in seconds, where its size is told.
-    pub(crate) fn told_work(&self, r: &Request) -> Option<f64> {
+    pub(crate) fn known_work(&self, r: &Request) -> Option<f64> {
         let kb = r.size_kb.filter(|_| self.flow_kb_per_s > 0.0)?;
         Some(kb / self.flow_kb_per_s)
     }
 
-    /// How many routers share an endpoint: those of its zone if only they use it and it is told, else all.
+    /// How many routers share an endpoint: those of its zone if only they use it and it is told,
+    /// else all.
     pub(crate) fn sharing(&self, zone_only: bool, zone: u16) -> u32 {
         let here = self.router_count_by_zone.get(usize::from(zone)).copied();
         here.filter(|n| *n > 0 && zone_only).unwrap_or(self.router_count)
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,15 +1,23 @@
-//! **hollymux** makes the decisions of a request router for edge caches: which cache serves an
-//! object, where a miss is filled from, what is kept, and what is tried next when something fails.
+//! The decisions of a request router for edge caches: which cache serves an object, where a miss is
+//! filled from, what is kept, and what is tried next when something fails.
 //!
 //! The library does no I/O and reads no clock. A router owns one [`DecisionModule`], hands it each
 //! [`Event`] with the time it happened, and carries out the [`Action`]s that come back, in order.
 //! The same events always give the same actions.
 //!
+//! The rules are in `policy/`, a file a concern; what they go by is remembered and estimated in
+//! `state/`.
+//!
 //! ```
 //! use hollymux_decision::*;
 //! use std::time::Duration;
 //!
-//! let class = RequestClass { latency_objective: Duration::from_millis(400), deadline: Duration::from_millis(2_500), idempotency: Idempotency::Idempotent, ..RequestClass::default() };
+//! let class = RequestClass {
+//!     latency_objective: Duration::from_millis(400),
+//!     deadline: Duration::from_millis(2_500),
+//!     idempotency: Idempotency::Idempotent,
+//!     ..RequestClass::default()
+//! };
 //! let settings = Settings {
 //!     classes: vec![class],
 //!     origin_kind: Some(1),
@@ -19,10 +27,13 @@
 //! let mut control = DecisionModule::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
-//! let line = |id, kind| EndpointEntry {
-//!     id: EndpointId(id), cell: 0, zone: 0, kind, weight: 4.0, state: EndpointState::Ready, started: Timestamp::ZERO, in_place_of: None,
+//! let entry = |id, kind| EndpointEntry {
+//!     id: EndpointId(id),
+//!     kind,
+//!     weight: 4.0,
+//!     ..EndpointEntry::default()
 //! };
-//! let entries = vec![line(1, 0), line(2, 0), line(9, 1)];
+//! let entries = vec![entry(1, 0), entry(2, 0), entry(9, 1)];
 //! let now = Timestamp::from_micros(1_000);
 //! control.handle(now, Event::EndpointList { kind: ListKind::Full, entries }, &mut actions);
 //!
@@ -32,31 +43,26 @@
 //! };
 //! actions.clear();
 //! control.handle(now, Event::Request(request), &mut actions);
-//! // One of the two caches is asked, and fills from the origin if it lacks the object.
+//! // The attempt goes to one of the two caches, which fills from the origin if it lacks the object.
 //! assert!(actions.iter().any(|a| matches!(a,
 //!     Action::Attempt { endpoint: EndpointId(1 | 2), fill, .. } if fill.source == Some(EndpointId(9)))));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod estimates;
 mod events;
 mod insight;
 mod interface;
 mod module;
-mod origin_load;
 mod policy;
-mod quota;
 mod reconfigure;
 mod settings;
-mod snapshot;
 mod state;
 pub mod time;
 
 pub use insight::Rotation;
 pub use interface::*;
 pub use module::DecisionModule;
-pub use quota::{QuotaScope, WarmUpDemand};
 pub use settings::{parse_settings, SettingParseError, SettingsMap};
-pub use snapshot::{ClassSnapshot, DecisionSnapshot, EndpointSnapshot};
-pub use state::{PurgeHistory, QuotaShare};
+pub use state::{ClassSnapshot, DecisionSnapshot, EndpointSnapshot};
+pub use state::{PurgeHistory, QuotaScope, QuotaShare, WarmUpDemand};
 pub use time::Timestamp;
--- a/crates/decision/src/policy/attempts.rs
+++ b/crates/decision/src/policy/attempts.rs
@@ -1,105 +1,90 @@
 //! Attempts: what is sent, how, and whether once more.
 
-use crate::interface::*;
-use crate::module::{DecisionModule, FILLING, LEARN, RETRY_SAVE};
-use crate::state::{Open, Plan, Try};
-use rand_core::RngCore;
+use crate::interface::{Action, CacheFill, Request, RequestId};
+use crate::module::DecisionModule;
+use crate::state::{Attempt, AttemptId, OpenRequest, RouteDecision, TimerToken};
+use crate::time::{Timestamp, MICROSECOND};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Each new request earns this many further attempts: a storm of retries feeds on nothing.
-const RETRY_EARN: f64 = 0.5;
-/// Token bits that mark a request's deadline timer rather than an attempt's, and the timer of an attempt that
-/// may have become a fill.
-pub(crate) const DEADLINE: u64 = 0xffff;
-pub(crate) const MAY_FILL: u64 = 0x8000;
-
 impl DecisionModule {
-    pub(crate) fn on_request(&mut self, now: Timestamp, r: Request, acts: &mut Vec<Action>) {
-        let (id, class) = (r.id, usize::from(r.class));
-        if class >= self.settings.classes.len() {
-            return acts.push(Action::Fail { request: id });
+    /// A request of a client: it is counted, registered, and its first attempt is sent or it is rejected.
+    pub(crate) fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        if usize::from(request.class) >= self.settings.classes.len() {
+            actions.push(Action::Fail { request: id });
+            return;
         }
-        let part = u64::from(r.part);
-        let key = xxh3_64_with_seed(&r.object.to_le_bytes(), part);
-        self.count(now, key);
-        self.slots(now);
-        self.ask_dead(now, acts);
-        self.retries = (self.retries + RETRY_EARN).min(RETRY_SAVE);
-        if let Some(w) = self.settings.told_work(&r) {
-            self.learnt[class].learn_told(w, LEARN);
+        let hash_key = xxh3_64_with_seed(&request.object.to_le_bytes(), u64::from(request.part));
+        if let Some(interval) = self.request_counter.record(now, hash_key) {
+            self.update_replication(now, interval);
         }
-        let token = u64::from(id) << 16 | DEADLINE;
-        acts.push(Action::timer(r.deadline.saturating_duration_since(now), token));
-        let open = Open {
-            write: r.write || self.settings.classes[class].write,
-            r,
-            key,
-            draw: self.rng.next_u64(),
-            most: self.settings.max_attempts,
-            ..Open::default()
-        };
-        self.open.insert(id, open);
-        self.advance(now, id, acts);
-        self.counts.seen[0].insert(key);
+        self.advance_admission_slots(now);
+        self.probe_lost_parents(now, actions);
+        self.retry_budget.earn();
+        let time_left = request.deadline.saturating_duration_since(now);
+        actions.push(Action::timer(time_left, TimerToken::Deadline(id).encode()));
+        self.register(request, hash_key);
+        self.advance(now, id, actions);
+        self.request_counter.mark_seen(hash_key);
     }
 
     /// Sends the next attempt of a request, or ends it.
-    pub(crate) fn advance(&mut self, now: Timestamp, id: RequestId, acts: &mut Vec<Action>) {
-        let ended = |o: &&Open| o.done || o.stream || (o.out() > 0 && !self.settings.hedging_allowed);
-        let Some(o) = self.open.get(&id).filter(|o| !ended(o)) else { return };
-        let (again, out) = (!o.tries.is_empty(), o.out() > 0);
-        let spent = o.tries.len() >= o.most as usize || now >= o.r.deadline;
-        let barred = spent || (again && self.retries < 1.0);
-        match if barred { None } else { self.plan(now, o) } {
-            Some(p) => {
-                self.retries -= if again { 1.0 } else { 0.0 };
-                self.send(now, id, p, acts);
+    pub(crate) fn advance(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self.requests.get(&id) else { return };
+        let is_in_flight = open.in_flight() > 0;
+        if open.is_finished || open.is_streaming || (is_in_flight && !self.settings.hedging_allowed) {
+            return;
+        }
+        let is_retry = open.is_retry();
+        let is_spent = open.attempts.len() >= open.max_attempts as usize || now >= open.request.deadline;
+        let may_send = !is_spent && (!is_retry || self.retry_budget.allows_retry());
+        match if may_send { self.choose_route(now, open) } else { None } {
+            Some(route) => {
+                if is_retry {
+                    self.retry_budget.spend();
+                }
+                self.send(now, id, &route, actions);
             }
-            // An attempt that is still out may yet answer.
-            None if out => {}
-            None => self.give_up(now, id, acts),
+            // An attempt that is still in flight may yet be answered.
+            None if is_in_flight => {}
+            None => self.give_up(now, id, actions),
         }
     }
 
-    fn send(&mut self, now: Timestamp, id: RequestId, p: Plan, acts: &mut Vec<Action>) {
-        let Some(o) = self.open.get(&id) else { return };
-        let c = self.settings.class(&o.r);
-        let spared = self.spared(now, o);
-        let stale = ((o.stale || spared) && !c.fresh.is_zero()).then_some(c.fresh + c.grace);
-        let bounds = [stale, self.purge_bound(now, &o.r)];
-        let Plan(endpoint, source, retention, trial) = p;
-        let (work, sends) = (self.mean(&o.r), self.work(&o.r));
-        let timeout = o.r.deadline.saturating_duration_since(now).max(MICROSECOND);
-        let max_age = bounds.into_iter().flatten().min();
-        let only_if_cached = spared && source.is_some_and(|s| self.is_parent(s));
-        let stale_while_revalidate = !c.fresh.is_zero() && !spared;
-        let fill = CacheFill {
-            source,
-            retention,
-            max_age,
-            coalesce: self.settings.coalesce_fills,
-            stale_while_revalidate,
-            only_if_cached,
+    fn send(&mut self, now: Timestamp, id: RequestId, route: &RouteDecision, actions: &mut Vec<Action>) {
+        let Some(open) = self.requests.get(&id) else { return };
+        let fill = self.cache_fill(now, open, route);
+        let attempt = Attempt {
+            id: AttemptId { request: id, attempt: open.attempts.len() },
+            endpoint: route.endpoint,
+            fill_source: route.fill_source.filter(|source| *source != route.endpoint),
+            sent_at: now,
+            in_flight: true,
+            counted_at_endpoint: true,
+            is_recovery_probe: route.is_recovery_probe,
+            only_if_cached: fill.only_if_cached,
+            ..Attempt::default()
         };
-        acts.push(Action::Attempt { request: id, endpoint, timeout, fill });
-        let look = divide_to_micros(self.overdue_after(&o.r), if trial { 2 } else { 1 });
-        let token = u64::from(id) << 16 | o.tries.len() as u64;
-        acts.push(Action::timer(look, token));
-        if source.is_some_and(|s| self.is_parent(s)) {
-            acts.push(Action::timer(span_from_secs(sends * FILLING), token | MAY_FILL));
-        }
-        let source = source.filter(|s| *s != endpoint);
-        self.fleet.began(now, self.settings.overload_window, (endpoint, source), token, work);
-        if let Some(o) = self.open.get_mut(&id) {
-            o.tries.push(Try {
-                endpoint,
-                source,
-                sent: now,
-                out: true,
-                held: true,
-                only_if_cached,
-                ..Try::default()
-            });
+        let timeout = open.request.deadline.saturating_duration_since(now).max(MICROSECOND);
+        actions.push(Action::Attempt { request: id, endpoint: route.endpoint, timeout, fill });
+        self.begin_attempt(attempt, actions);
+    }
+
+    /// How a miss is filled, and how old a copy may be served.
+    fn cache_fill(&self, now: Timestamp, open: &OpenRequest, route: &RouteDecision) -> CacheFill {
+        let class = self.settings.class(&open.request);
+        let shed = self.shed_for_origin(now, open);
+        let expires = !class.fresh.is_zero();
+        let stale_bound = (expires && (open.accepts_stale || shed)).then_some(class.fresh + class.grace);
+        let purge_bound = self.purge_max_age(now, &open.request);
+        let source_is_parent = route.fill_source.is_some_and(|source| self.endpoints.is_parent(source));
+        CacheFill {
+            source: route.fill_source,
+            retention: route.retention,
+            max_age: [stale_bound, purge_bound].into_iter().flatten().min(),
+            coalesce: self.settings.coalesce_fills,
+            stale_while_revalidate: expires && !shed,
+            only_if_cached: shed && source_is_parent,
         }
     }
 }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -2,6 +2,7 @@
 
 use crate::interface::*;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A setting that can't be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
--- a/crates/decision/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -1,5 +1,6 @@
-//! Points in time and the arithmetic of spans. Everything is kept in whole microseconds: that is what the wire
-//! formats, the recordings and the handover carry, and two routers that round differently decide differently.
+//! Points in time and the arithmetic of spans. Everything is kept in whole microseconds: that is
+//! what the wire formats, the recordings and the handover carry, and two routers that round
+//! differently decide differently.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
@@ -74,12 +75,14 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A part of a span in whole microseconds; a fraction is dropped, which `span / divisor` would keep.
+/// A part of a span in whole microseconds; a fraction is dropped, which `span / divisor` would
+/// keep.
 pub fn divide_to_micros(span: Duration, divisor: u64) -> Duration {
     Duration::from_micros(whole_micros(span) / divisor)
 }
 
-/// A span of so many seconds in whole microseconds; a fraction is dropped, and what is below zero is zero.
+/// A span of so many seconds in whole microseconds; a fraction is dropped, and what is below zero
+/// is zero.
 pub fn span_from_secs(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROS_PER_SECOND) as u64)
 }
