--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -47,7 +47,8 @@
         state.in_use as f64 > state.limit as f64 * share
     }
 
-    /// Changes the limit. Buffers in use stay so; no more are lent until fewer than the limit are in use.
+    /// Changes the limit. Buffers in use stay so; no more are lent until fewer than the limit are
+    /// in use.
     pub fn limit(&self, limit: usize) {
         let mut state = self.0.borrow_mut();
         state.limit = limit.max(1);
--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -1,6 +1,7 @@
-//! The classes of requests, by name and by number, across changes of the settings. The number of a class is a slot
-//! in the decision module's table. A class that changes gets another slot; open requests keep the slot that they
-//! were accepted in, with its deadline and idempotency. A slot is used again when no request or attempt needs it.
+//! The classes of requests, by name and by number, across changes of the settings. The number of a
+//! class is a slot in the decision module's table. A class that changes gets another slot; open
+//! requests keep the slot that they were accepted in, with its deadline and idempotency. A slot is
+//! used again when no request or attempt needs it.
 
 use hollymux_decision::{Idempotency, RequestClass};
 use std::collections::BTreeSet;
@@ -13,6 +14,15 @@
     is_current: bool,
 }
 
+/// A class of the settings, with its name.
+#[derive(Clone, Debug)]
+pub struct NamedClass {
+    /// The name, by which requests ask for it.
+    pub name: String,
+    /// The class.
+    pub class: RequestClass,
+}
+
 /// The slots of the classes.
 #[derive(Debug, Default)]
 pub struct Classes {
@@ -62,20 +72,20 @@
         slot.map_or(Idempotency::NotIdempotent, |slot| slot.idempotency)
     }
 
-    /// Replaces the classes by others, given with their names. `table` has the present classes by slot, `in_use` the
-    /// slots of open requests and attempts in flight.
+    /// Replaces the classes by others. `table` has the present classes by
+    /// slot, `in_use` the slots of open requests and attempts in flight.
     pub fn replace(
         &mut self,
-        named: Vec<(String, RequestClass)>,
+        new_classes: Vec<NamedClass>,
         table: &[RequestClass],
         in_use: &BTreeSet<u16>,
     ) -> ClassTable {
         let mut new_table = ClassTable::unchanged(table);
-        // A slot that was current until now is not overwritten at once: another one may still take what was learnt
-        // there.
+        // A slot that was current until now is not overwritten at once: another one may still take
+        // what was learnt there.
         let previous_names: Vec<Option<String>> = self.slots.iter().map(current_name).collect();
-        self.retire_changed(&named, table);
-        for (name, class) in named {
+        self.retire_changed(&new_classes, table);
+        for NamedClass { name, class } in new_classes {
             if self.named(name.as_bytes()).is_some() {
                 continue;
             }
@@ -92,12 +102,13 @@
         u16::try_from(index).ok()
     }
 
-    /// A class that is the same under the new settings keeps its slot; the other slots accept nothing new.
-    fn retire_changed(&mut self, named: &[(String, RequestClass)], table: &[RequestClass]) {
+    /// A class that is the same under the new settings keeps its slot; the other slots accept
+    /// nothing new.
+    fn retire_changed(&mut self, new_classes: &[NamedClass], table: &[RequestClass]) {
         for (index, slot) in self.slots.iter_mut().enumerate() {
             let old_class = table.get(index);
             slot.is_current &=
-                named.iter().any(|(name, class)| *name == slot.name && old_class == Some(class));
+                new_classes.iter().any(|new| new.name == slot.name && old_class == Some(&new.class));
         }
     }
 
--- a/crates/router/src/endpoint_table.rs
+++ b/crates/router/src/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The endpoints that the router knows, and the rules by which an update of the endpoint list changes them.
+//! The endpoints that the router knows, and the rules by which an update of the endpoint list
+//! changes them.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::handover_state::EndpointRecord;
@@ -51,7 +52,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     by_id: HashMap<EndpointId, KnownEndpoint>,
-    /// Kept when the endpoint is gone: its successor at the address begins with what was learnt of it.
+    /// Kept when the endpoint is gone: its successor at the address begins with what was learnt of
+    /// it.
     last_endpoint_at: HashMap<SocketAddr, EndpointId>,
 }
 
@@ -79,7 +81,8 @@
         self.by_id.iter().filter(|(_, endpoint)| is_candidate(endpoint)).map(|(id, _)| *id).min()
     }
 
-    /// An endpoint and the source of its fill by name and address; `None` if one of them is not ready.
+    /// An endpoint and the source of its fill by name and address; `None` if one of them is not
+    /// ready.
     pub(crate) fn target(&self, endpoint: EndpointId, fill: CacheFill) -> Option<Target> {
         let known = self.ready(endpoint)?;
         // In the endpoint protocol an endpoint that fills from itself names no source.
@@ -101,8 +104,9 @@
         self.by_id.get(&id).filter(|endpoint| endpoint.is_ready())
     }
 
-    /// Applies an update of the endpoint list. Appends what is to be done with the connections, and returns what
-    /// the decision module is told. Endpoints that are gone stay known until [`EndpointTable::forget_gone`].
+    /// Applies an update of the endpoint list. Appends what is to be done with the connections, and
+    /// returns what the decision module is told. Endpoints that are gone stay known until
+    /// [`EndpointTable::forget_gone`].
     pub(crate) fn apply_update(
         &mut self,
         is_full_list: bool,
@@ -147,7 +151,8 @@
         }
     }
 
-    /// An endpoint whose address belongs to another one that is ready now is gone, whether the list says so or not.
+    /// An endpoint whose address belongs to another one that is ready now is gone, whether the list
+    /// says so or not.
     fn mark_displaced_gone(
         &mut self,
         new_occupant: EndpointId,
@@ -165,7 +170,8 @@
         }
     }
 
-    /// Completes an update from what is known: one that says less than the last one changes only what it says.
+    /// Completes an update from what is known: one that says less than the last one changes only
+    /// what it says.
     fn complete_update(&self, update: &mut ListedEndpoint, commands: &mut Vec<Command>) {
         let Some(known) = self.by_id.get(&update.entry.id).map(|endpoint| &endpoint.listed) else { return };
         update.addr = update.addr.or(known.addr);
@@ -175,7 +181,8 @@
         }
     }
 
-    /// Records who is at an address now; returns the other endpoint that was there before, if there was one.
+    /// Records who is at an address now; returns the other endpoint that was there before, if there
+    /// was one.
     fn record_occupant(&mut self, address: SocketAddr, id: EndpointId) -> Option<EndpointId> {
         let previous = self.last_endpoint_at.insert(address, id);
         previous.filter(|previous| *previous != id)
@@ -187,8 +194,9 @@
     }
 }
 
-/// What an update means for the connections to an endpoint: those to a process that is gone or was restarted, or to
-/// an address that it has left, are closed; on those to a draining endpoint nothing new is sent.
+/// What an update means for the connections to an endpoint: those to a process that is gone or was
+/// restarted, or to an address that it has left, are closed; on those to a draining endpoint
+/// nothing new is sent.
 fn connection_command(known: &ListedEndpoint, update: &ListedEndpoint) -> Option<Command> {
     let id = update.entry.id;
     let has_moved = update.addr != known.addr;
--- a/crates/router/src/handover_state.rs
+++ b/crates/router/src/handover_state.rs
@@ -1,5 +1,6 @@
-//! The state that a router hands over to the process that replaces it: the endpoint list, the pending writes and
-//! what was learnt. Zones, kinds and classes are handed over with their names, as their numbers may differ there.
+//! The state that a router hands over to the process that replaces it: the endpoint list, the
+//! pending writes and what was learnt. Zones, kinds and classes are handed over with their names,
+//! as their numbers may differ there.
 
 use crate::endpoint_list::{endpoint_id, FeedEvent, ListedEndpoint};
 use hollymux_decision::{DecisionSnapshot, EndpointEntry, EndpointState, Timestamp};
@@ -61,7 +62,8 @@
 }
 
 impl HandoverState {
-    /// The complete endpoint list, for a router under whose settings zones and kinds have these names.
+    /// The complete endpoint list, for a router under whose settings zones and kinds have these
+    /// names.
     pub fn told(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let endpoints = self.listed_endpoints(zones, kinds);
         FeedEvent::Endpoints { is_full_list: true, endpoints }
@@ -98,7 +100,8 @@
     }
 }
 
-/// Whether a record can be taken over: the bytes come from another process, maybe of another version.
+/// Whether a record can be taken over: the bytes come from another process, maybe of another
+/// version.
 fn is_usable(record: &EndpointRecord) -> bool {
     let has_name = !record.uid.is_empty() && record.uid.len() <= MAX_UID_BYTES;
     has_name && record.weight.is_finite()
--- a/crates/router/src/hint_follower.rs
+++ b/crates/router/src/hint_follower.rs
@@ -1,9 +1,9 @@
-//! Routing by DNS lookups at another router: each request goes to the endpoint that a lookup names, and nowhere
-//! else. The follower takes the events of the decision module and returns its actions, so that the router treats
-//! both alike.
+//! Routing by DNS lookups at another router: each request goes to the endpoint that a lookup names,
+//! and nowhere else. The follower takes the events of the decision module and returns its actions,
+//! so that the router treats both alike.
 //!
-//! The result of a lookup is used at once or not at all. A request that is not idempotent is looked up and sent
-//! once: it fails if it may have run, and is rejected if it can't have.
+//! The result of a lookup is used at once or not at all. A request that is not idempotent is looked
+//! up and sent once: it fails if it may have run, and is rejected if it can't have.
 
 use hollymux_decision::time::divide_to_micros;
 use hollymux_decision::{
@@ -29,7 +29,17 @@
     Failed,
 }
 
-/// What a timer of the follower is for. The lowest bit of its token tells them apart, the others are the request.
+/// The endpoint that a lookup named, as this router knows it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HintedEndpoint {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// How it is to fill its cache.
+    pub fill: CacheFill,
+}
+
+/// What a timer of the follower is for. The lowest bit of its token tells them apart, the others
+/// are the request.
 enum Timer {
     Deadline(RequestId),
     LookupRetry(RequestId),
@@ -140,7 +150,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        result: LookupResult<(EndpointId, CacheFill)>,
+        result: LookupResult<HintedEndpoint>,
         actions: &mut Vec<Action>,
     ) {
         let followed = self.open.get_mut(&id);
@@ -153,7 +163,7 @@
         }
         followed.attempts += 1;
         match result {
-            LookupResult::Endpoint((endpoint, fill)) => self.send(now, id, endpoint, fill, actions),
+            LookupResult::Endpoint(hinted) => self.send(now, id, hinted, actions),
             LookupResult::Rejected => self.give_up(now, id, actions),
             LookupResult::Failed => self.retry_later(now, id, actions),
         }
@@ -189,16 +199,10 @@
         self.lookups.push(id);
     }
 
-    fn send(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        endpoint: EndpointId,
-        mut fill: CacheFill,
-        actions: &mut Vec<Action>,
-    ) {
+    fn send(&mut self, now: Timestamp, id: RequestId, hinted: HintedEndpoint, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get_mut(&id) else { return };
         followed.progress = Progress::InFlight;
+        let HintedEndpoint { endpoint, mut fill } = hinted;
         let purged = self.purges.latest(&followed.request);
         if purged > Timestamp::ZERO {
             let max_age = PurgeHistory::oldest_copy(now, purged);
@@ -236,7 +240,8 @@
         self.purges.add(now, purge, MAX_PURGES);
     }
 
-    /// Gives a request its final answer. It is rejected if it can't have run twice by being sent again in time.
+    /// Gives a request its final answer. It is rejected if it can't have run twice by being sent
+    /// again in time.
     fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get(&id) else { return };
         if followed.is_safe_to_reject() && now < followed.request.deadline {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,6 @@
-//! The core of a request router: it owns the decision module, the open requests and attempts, and the endpoint list.
-//! Timed events go in, commands come out; it knows no wire format, socket or clock. Every protocol that clients use
-//! and every source of endpoints goes through it.
+//! The core of a request router: it owns the decision module, the open requests and attempts, and
+//! the endpoint list. Timed events go in, commands come out; it knows no wire format, socket or
+//! clock. Every protocol that clients use and every source of endpoints goes through it.
 
 pub mod buffers;
 pub mod classes;
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -1,21 +1,23 @@
-//! The phases of the router process, from start to stop, and what is allowed in each: connections, requests,
-//! readiness. Signals, admin calls and the takeover by another process are its events. It doesn't know which
-//! requests are open: the owner of a connection asks whether a connection without any may stay open.
+//! The phases of the router process, from start to stop, and what is allowed in each: connections,
+//! requests, readiness. Signals, admin calls and the takeover by another process are its events. It
+//! doesn't know which requests are open: the owner of a connection asks whether a connection
+//! without any may stay open.
 
 use hollymux_decision::Timestamp;
 use std::time::Duration;
 
-/// New connections and requests are still accepted for this long after SIGTERM, as clients go on sending until
-/// they have noticed.
+/// New connections and requests are still accepted for this long after SIGTERM, as clients go on
+/// sending until they have noticed.
 pub const SHUTDOWN_LINGER: Duration = Duration::from_millis(700);
-/// How long clients have to close their connections after the router has shut down its side of them. A process
-/// that exits with unread bytes in a socket resets the connection, and a reply on its way is lost with it.
+/// How long clients have to close their connections after the router has shut down its side of
+/// them. A process that exits with unread bytes in a socket resets the connection, and a reply on
+/// its way is lost with it.
 pub const CLIENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long clients need to notice a standby: they poll readiness every 100 ms and open no new connection 200 ms
-/// after a "no". A connection that is closed before that is only opened again.
+/// How long clients need to notice a standby: they poll readiness every 100 ms and open no new
+/// connection 200 ms after a "no". A connection that is closed before that is only opened again.
 const STANDBY_NOTICE_PERIOD: Duration = Duration::from_millis(400);
-/// After this long in standby new requests are rejected, which closes connections that are never idle. Requests
-/// accepted before keep their deadline.
+/// After this long in standby new requests are rejected, which closes connections that are never
+/// idle. Requests accepted before keep their deadline.
 const STANDBY_ACCEPT_PERIOD: Duration = Duration::from_secs(2);
 /// SIGKILL follows the linger after the longest deadline, or after this if that is less.
 const MAX_SHUTDOWN_GRACE: Duration = Duration::from_secs(3);
@@ -58,8 +60,8 @@
     Stop,
 }
 
-/// The lifecycle of the router process. Standby, replacement and stop are kept apart, as each may begin while
-/// another one lasts.
+/// The lifecycle of the router process. Standby, replacement and stop are kept apart, as each may
+/// begin while another one lasts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lifecycle {
     started: bool,
@@ -69,7 +71,8 @@
 }
 
 impl Lifecycle {
-    /// Applies an event. Returns whether it was accepted: a process that is stopping can't become active again.
+    /// Applies an event. Returns whether it was accepted: a process that is stopping can't become
+    /// active again.
     pub fn apply(&mut self, now: Timestamp, event: Event) -> bool {
         match event {
             Event::Began => self.started = true,
@@ -104,14 +107,14 @@
         self.replaced
     }
 
-    /// Whether new connections are accepted. They are in standby too: clients open some until they have noticed,
-    /// and a connection that nobody accepts loses its requests.
+    /// Whether new connections are accepted. They are in standby too: clients open some until they
+    /// have noticed, and a connection that nobody accepts loses its requests.
     pub fn accepts(&self, now: Timestamp) -> bool {
         self.started && !self.replaced && !self.lingered(now)
     }
 
-    /// Whether a request that arrives now is served; otherwise it is rejected at once. `longest` is the longest
-    /// deadline of any class.
+    /// Whether a request that arrives now is served; otherwise it is rejected at once. `longest` is
+    /// the longest deadline of any class.
     pub fn serves(&self, now: Timestamp, longest: Duration) -> bool {
         let in_standby_for_long =
             self.standby_since.is_some_and(|since| now >= since + STANDBY_ACCEPT_PERIOD);
@@ -120,17 +123,17 @@
         !in_standby_for_long && !too_late_to_begin
     }
 
-    /// The latest end of a request that arrives now, if there is a limit. Clients of a replaced process don't know
-    /// that it is stopping and go on sending on their connections after [`SHUTDOWN_LINGER`]: a request that is
-    /// open when the process is killed gets no reply.
+    /// The latest end of a request that arrives now, if there is a limit. Clients of a replaced
+    /// process don't know that it is stopping and go on sending on their connections after
+    /// [`SHUTDOWN_LINGER`]: a request that is open when the process is killed gets no reply.
     pub fn ends_by(&self, longest: Duration) -> Option<Timestamp> {
         let stopping_since = self.stopping_since.filter(|_| self.replaced)?;
         let killed_at = stopping_since + longest.min(MAX_SHUTDOWN_GRACE) + SHUTDOWN_LINGER;
         Some(killed_at - REPLY_DELIVERY_MARGIN)
     }
 
-    /// Whether a connection without open requests stays open. `fresh` is the time since which it has waited for
-    /// its first request, if none has come yet.
+    /// Whether a connection without open requests stays open. `fresh` is the time since which it
+    /// has waited for its first request, if none has come yet.
     pub fn stays(&self, now: Timestamp, fresh: Option<Timestamp>) -> bool {
         if self.lingered(now) && !self.replaced {
             return false;
@@ -142,8 +145,9 @@
         may_send_first_request || !standby_noticed && !moves_to_other_process
     }
 
-    /// Whether the process exits although connections without open requests are left: their clients know that it
-    /// stops and had time to close them. Connections of a replaced process are closed one by one instead.
+    /// Whether the process exits although connections without open requests are left: their clients
+    /// know that it stops and had time to close them. Connections of a replaced process are closed
+    /// one by one instead.
     pub fn drops(&self, now: Timestamp) -> bool {
         let close_timeout = SHUTDOWN_LINGER + CLIENT_CLOSE_TIMEOUT;
         !self.replaced && self.stopping_since.is_some_and(|since| now >= since + close_timeout)
@@ -157,7 +161,8 @@
         by_standby.into_iter().chain(by_stop).min()
     }
 
-    /// Whether the process is stopping and accepts nothing new any more: it exits when no request is open.
+    /// Whether the process is stopping and accepts nothing new any more: it exits when no request
+    /// is open.
     pub fn lingered(&self, now: Timestamp) -> bool {
         self.stopping_since.is_some_and(|since| now >= since + SHUTDOWN_LINGER)
     }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request as its driver knows it: replies carry it back, the router doesn't interpret it.
+/// A client's request as its driver knows it: replies carry it back, the router doesn't interpret
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientHandle {
     /// The connection.
@@ -56,8 +57,8 @@
     pub request: Rc<ClientRequest>,
     /// The client: nothing is sent for one that has left.
     pub client: ClientHandle,
-    /// The attempt may not be sent after this, if it repeats one that may have run: endpoints recognise a repeat by
-    /// its idempotency key only until then.
+    /// The attempt may not be sent after this, if it repeats one that may have run: endpoints
+    /// recognise a repeat by its idempotency key only until then.
     pub send_before: Option<Timestamp>,
 }
 
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,5 +1,6 @@
-//! The metrics that operators are shown. Each event is counted once, where it happens: the end of a request when it
-//! is closed, by the reply that its client gets; an attempt when it has been written completely.
+//! The metrics that operators are shown. Each event is counted once, where it happens: the end of a
+//! request when it is closed, by the reply that its client gets; an attempt when it has been
+//! written completely.
 
 use std::fmt::Write;
 
@@ -41,7 +42,8 @@
     pub open_requests: usize,
     /// Endpoints of the list, with parent caches and origin. Printed as `registry_entries`.
     pub listed_endpoints: usize,
-    /// Those among them that get no requests: they drain or are ejected. Printed as `out_of_rotation`.
+    /// Those among them that get no requests: they drain or are ejected. Printed as
+    /// `out_of_rotation`.
     pub unavailable_endpoints: usize,
 }
 
@@ -63,7 +65,8 @@
 }
 
 impl Metrics {
-    /// The index of a class's counters, by its name. A class that comes back goes on with the counters it had.
+    /// The index of a class's counters, by its name. A class that comes back goes on with the
+    /// counters it had.
     pub fn class_index(&mut self, name: &str) -> usize {
         let printed = printed_name(name);
         if let Some(index) = self.classes.iter().position(|class| class.name == printed) {
@@ -116,7 +119,8 @@
     }
 }
 
-/// A class's name as a part of a metric's name: bytes that could end the name or the line are printed as %XX.
+/// A class's name as a part of a metric's name: bytes that could end the name or the line are
+/// printed as %XX.
 fn printed_name(name: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     let printed = |byte: u8| {
--- a/crates/router/src/pending_writes.rs
+++ b/crates/router/src/pending_writes.rs
@@ -14,24 +14,25 @@
 
 /// What is remembered of a non-idempotent request.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+pub(crate) struct RememberedWrite {
     arrived: Timestamp,
     /// The endpoint that a lookup named; `None` if this router sent the request itself.
-    endpoint: Option<EndpointId>,
+    pub(crate) endpoint: Option<EndpointId>,
 }
 
-/// An arrival in the order of the clock. Its request may have been forgotten or have arrived again since.
+/// An arrival in the order of the clock. Its request may have been forgotten or have arrived again
+/// since.
 #[derive(Debug)]
 struct Arrival {
     arrived: Timestamp,
     request_id: u64,
 }
 
-/// The table of non-idempotent requests that may have run. Its size is bounded; within the bound, entries are
-/// forgotten after [`RETENTION_PERIOD`] at the earliest.
+/// The table of non-idempotent requests that may have run. Its size is bounded; within the bound,
+/// entries are forgotten after [`RETENTION_PERIOD`] at the earliest.
 #[derive(Debug)]
 pub(crate) struct PendingWrites {
-    by_id: HashMap<u64, Entry>,
+    by_id: HashMap<u64, RememberedWrite>,
     by_arrival: VecDeque<Arrival>,
     max_entries: usize,
     /// Entries added since they were last taken, while a successor is to be told of them.
@@ -57,18 +58,19 @@
         self.by_id.contains_key(&request_id)
     }
 
-    /// The endpoint that a lookup named for the request. The outer `None`: the request is not in the table; the
-    /// inner: this router sent it itself.
-    pub(crate) fn named_endpoint(&self, request_id: u64) -> Option<Option<EndpointId>> {
-        self.by_id.get(&request_id).map(|entry| entry.endpoint)
+    /// What is remembered of a request that may have run.
+    pub(crate) fn get(&self, request_id: u64) -> Option<&RememberedWrite> {
+        self.by_id.get(&request_id)
     }
 
-    /// Whether lookups may add entries: clients that only look up must not fill the table for the others.
+    /// Whether lookups may add entries: clients that only look up must not fill the table for the
+    /// others.
     pub(crate) fn has_room_for_lookups(&self) -> bool {
         self.by_id.len() < self.max_entries / 2
     }
 
-    /// Remembers a request. Returns false if the table is full and no entry is old enough to be forgotten.
+    /// Remembers a request. Returns false if the table is full and no entry is old enough to be
+    /// forgotten.
     pub(crate) fn add(&mut self, now: Timestamp, request_id: u64, endpoint: Option<EndpointId>) -> bool {
         if self.by_id.len() >= self.max_entries || self.by_arrival.len() >= 2 * self.max_entries {
             self.forget_old(now);
@@ -76,10 +78,11 @@
         if self.by_id.len() >= self.max_entries {
             return false;
         }
-        self.by_id.insert(request_id, Entry { arrived: now, endpoint });
+        let write = RememberedWrite { arrived: now, endpoint };
+        self.by_id.insert(request_id, write);
         self.by_arrival.push_back(Arrival { arrived: now, request_id });
         if let Some(untransferred) = &mut self.untransferred {
-            untransferred.push(pending_write(request_id, &Entry { arrived: now, endpoint }));
+            untransferred.push(pending_write(request_id, &write));
         }
         true
     }
@@ -104,7 +107,8 @@
         }
     }
 
-    /// All entries by arrival. From now on [`PendingWrites::take_untransferred`] gives those that are added.
+    /// All entries by arrival. From now on [`PendingWrites::take_untransferred`] gives those that
+    /// are added.
     pub(crate) fn begin_transfer(&mut self) -> Vec<PendingWrite> {
         self.untransferred = Some(Vec::new());
         let mut entries: Vec<PendingWrite> =
@@ -124,6 +128,6 @@
     }
 }
 
-fn pending_write(request_id: u64, entry: &Entry) -> PendingWrite {
-    PendingWrite { request_id, arrived: entry.arrived, endpoint: entry.endpoint.map(|id| id.0) }
+fn pending_write(request_id: u64, write: &RememberedWrite) -> PendingWrite {
+    PendingWrite { request_id, arrived: write.arrived, endpoint: write.endpoint.map(|id| id.0) }
 }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -1,9 +1,10 @@
-//! Clients' requests and the replies to them, and the responses of endpoints. The codecs turn bytes into these and
-//! back.
+//! Clients' requests and the replies to them, and the responses of endpoints. The codecs turn bytes
+//! into these and back.
 
 use crate::buffers::BufferChain;
 
-/// A number in a client's request. Endpoints are sent the text, so that they see what the client wrote.
+/// A number in a client's request. Endpoints are sent the text, so that they see what the client
+/// wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNumber {
     /// The number as the client wrote it.
@@ -29,7 +30,8 @@
     pub budget_ms: u64,
     /// The digest of the copy that the client holds: if that is current, the reply has no body.
     pub if_none_match: Option<Vec<u8>>,
-    /// The idempotency key, if the class has one: endpoints recognise repeats by it. It is sent on unchanged.
+    /// The idempotency key, if the class has one: endpoints recognise repeats by it. It is sent on
+    /// unchanged.
     pub idempotency_key: Option<Vec<u8>>,
     /// The body of a write.
     pub body: BufferChain,
@@ -70,7 +72,8 @@
     Served(Option<Vec<u8>>, BufferChain),
     /// The copy of that digest, which the client holds, is current.
     NotModified(Vec<u8>),
-    /// Rejected: it never ran. The client is advised to wait for so many milliseconds; 0: no advice.
+    /// Rejected: it never ran. The client is advised to wait for so many milliseconds; 0: no
+    /// advice.
     Rejected(u64),
     /// Failed: it may have run.
     Failed,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,5 +1,6 @@
-//! The core of a request router. It owns the decision module, the open requests, the attempts in flight and the
-//! endpoint table. Timed events go in, commands come out; it knows no wire format, socket or clock.
+//! The core of a request router. It owns the decision module, the open requests, the attempts in
+//! flight and the endpoint table. Timed events go in, commands come out; it knows no wire format,
+//! socket or clock.
 
 mod admission;
 mod attempts;
@@ -11,7 +12,7 @@
 mod reconfiguration;
 mod replies;
 
-use crate::classes::Classes;
+use crate::classes::{Classes, NamedClass};
 use crate::counters::Counters;
 use crate::endpoint_table::EndpointTable;
 use crate::hint_follower::{HintFollower, LookupResult};
@@ -26,7 +27,8 @@
 use open_request::OpenRequest;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Requests open at a time, and attempts that lookups may hold in flight; beyond them new ones are rejected.
+/// Requests open at a time, and attempts that lookups may hold in flight; beyond them new ones are
+/// rejected.
 const MAX_OPEN_REQUESTS: usize = 4_096;
 
 /// What a router is started with.
@@ -40,7 +42,8 @@
     pub seed: u64,
     /// The memory limit in MB: it bounds the table of pending writes.
     pub memory_mb: u64,
-    /// The throughput of a single transfer; 0: unknown, so that the size of a response tells no transfer time.
+    /// The throughput of a single transfer; 0: unknown, so that the size of a response tells no
+    /// transfer time.
     pub flow_bytes_per_s: f64,
 }
 
@@ -72,12 +75,12 @@
 }
 
 impl Router {
-    /// A router with no endpoints yet. `follow`: clients' requests go where lookups at another router say, rather
-    /// than where the decision module of this one does.
+    /// A router with no endpoints yet. `follow`: clients' requests go where lookups at another
+    /// router say, rather than where the decision module of this one does.
     pub fn new(setup: RouterOptions, follow: bool) -> Result<Router, SettingsError> {
         let mut metrics = Metrics::default();
         let mut classes = Classes::default();
-        let named = setup.classes.into_iter().zip(setup.settings.classes.iter().cloned()).collect();
+        let named = named_classes(&setup.classes, &setup.settings);
         let table = classes.replace(named, &[], &BTreeSet::new());
         let settings = Settings { classes: table.classes, ..setup.settings };
         let metric_indexes = classes.names().map(|name| metrics.class_index(name)).collect();
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Sets how many routers may be active, in all and in this one's zone: limits are divided by that.
+    /// Sets how many routers may be active, in all and in this one's zone: limits are divided by
+    /// that.
     pub fn count_routers(&mut self, all: u32, here: u32) {
         self.decision.count_routers(all, here);
     }
@@ -174,8 +178,15 @@
         self.decision.warm_up_demands(now)
     }
 
-    /// Sets whether warm-up budgets are shared with another process that serves on this one's address.
+    /// Sets whether warm-up budgets are shared with another process that serves on this one's
+    /// address.
     pub fn share(&mut self, with_another: bool) {
         self.decision.share(u32::from(with_another));
     }
 }
+
+/// The classes of settings with their names.
+fn named_classes(names: &[String], settings: &Settings) -> Vec<NamedClass> {
+    let classes = names.iter().cloned().zip(settings.classes.iter().cloned());
+    classes.map(|(name, class)| NamedClass { name, class }).collect()
+}
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -14,8 +14,8 @@
 const MAX_BUDGET_MULTIPLE: u32 = 2;
 
 impl Router {
-    /// Counts a request that is rejected before it is opened, as the process is overloaded or stopping. Returns its
-    /// summary if its class is known.
+    /// Counts a request that is rejected before it is opened, as the process is overloaded or
+    /// stopping. Returns its summary if its class is known.
     pub fn reject_unopened(&mut self, now: Timestamp, request: &ClientRequest) -> Option<Command> {
         self.counters.shed += 1;
         let class = self.classes.named(&request.class)?;
@@ -129,7 +129,8 @@
         Ok(())
     }
 
-    /// A non-idempotent request that was accepted before, or that a lookup named an endpoint for, may have run.
+    /// A non-idempotent request that was accepted before, or that a lookup named an endpoint for,
+    /// may have run.
     fn check_not_sent_before(&self, write_id: Option<u64>) -> Result<(), ResultReason> {
         if write_id.is_some_and(|id| self.pending_writes.contains(id)) {
             return Err(ResultReason::MayHaveRun);
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -15,13 +15,22 @@
 };
 use std::time::Duration;
 
+/// An attempt to be started.
+#[derive(Debug)]
+pub(super) struct NewAttempt {
+    pub(super) request: RequestId,
+    pub(super) endpoint: EndpointId,
+    pub(super) timeout: Duration,
+    pub(super) fill: CacheFill,
+}
+
 /// Whom an attempt was made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptKind {
     /// This router sends it.
     Sent,
-    /// The endpoint was only named to the caller of a lookup. The attempt counts as in flight for a while, and
-    /// nothing will be heard of it.
+    /// The endpoint was only named to the caller of a lookup. The attempt counts as in flight for a
+    /// while, and nothing will be heard of it.
     Named,
 }
 
@@ -52,16 +61,15 @@
 }
 
 impl Router {
-    /// Starts an attempt: it is sent, or named to the caller of a lookup. Returns its end if it has ended already.
+    /// Starts an attempt: it is sent, or named to the caller of a lookup. Returns its end if it has
+    /// ended already.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
-        request: RequestId,
-        endpoint: EndpointId,
-        timeout: Duration,
-        fill: CacheFill,
+        new: NewAttempt,
         commands: &mut Vec<Command>,
     ) -> Option<Event> {
+        let NewAttempt { request, endpoint, timeout, fill } = new;
         let has_attempt_in_flight = self.has_attempt_in_flight(request);
         let Some(open) = self.open_requests.get_mut(&request).filter(|_| !has_attempt_in_flight) else {
             self.counters.invariant_violations += 1;
@@ -146,7 +154,8 @@
         self.end_attempt(now, attempt, status.into(), commands);
     }
 
-    /// The timeout of an attempt is over, or the time for which one that was only named counts as in flight.
+    /// The timeout of an attempt is over, or the time for which one that was only named counts as
+    /// in flight.
     pub(super) fn on_attempt_timer(
         &mut self,
         now: Timestamp,
@@ -195,8 +204,9 @@
         }));
     }
 
-    /// The end of the window in which endpoints recognise a repeat by its idempotency key, if the request may have
-    /// run. A tenth of the window is left for the way there, as in the decision module.
+    /// The end of the window in which endpoints recognise a repeat by its idempotency key, if the
+    /// request may have run. A tenth of the window is left for the way there, as in the decision
+    /// module.
     fn retry_send_before(&self, class: u16, may_have_run_since: Option<Timestamp>) -> Option<Timestamp> {
         let class = &self.settings.classes[usize::from(class)];
         if class.idempotency != Idempotency::WithKey {
@@ -206,7 +216,8 @@
         may_have_run_since.map(|since| since + window)
     }
 
-    /// Ends a lookup with the endpoint that was chosen; the caller is held to send the request there.
+    /// Ends a lookup with the endpoint that was chosen; the caller is held to send the request
+    /// there.
     fn answer_lookup(
         &mut self,
         now: Timestamp,
--- a/crates/router/src/router/dispatch.rs
+++ b/crates/router/src/router/dispatch.rs
@@ -1,6 +1,7 @@
-//! Events for whoever decides on a request, the decision module or the hint follower, and execution of the actions
-//! that they return.
+//! Events for whoever decides on a request, the decision module or the hint follower, and execution
+//! of the actions that they return.
 
+use super::attempts::NewAttempt;
 use super::Router;
 use crate::messages::{AttemptId, Command, RoutingMode, Wake};
 use crate::request::Reply;
@@ -68,7 +69,8 @@
     ) -> Option<Event> {
         match action {
             Action::Attempt { request, endpoint, timeout, fill } => {
-                return self.start_attempt(now, request, endpoint, timeout, fill, commands);
+                let new = NewAttempt { request, endpoint, timeout, fill };
+                return self.start_attempt(now, new, commands);
             }
             Action::Cancel { request, attempt } => {
                 return self.cancel_attempt(now, AttemptId { request, number: attempt }, commands);
--- a/crates/router/src/router/handover.rs
+++ b/crates/router/src/router/handover.rs
@@ -5,8 +5,8 @@
 use hollymux_decision::{ClassSnapshot, EndpointId, Timestamp};
 
 impl Router {
-    /// The state for a successor, except the names of zones and kinds, which the caller adds. Pending writes that
-    /// come later are given by [`Router::take_new_pending_writes`].
+    /// The state for a successor, except the names of zones and kinds, which the caller adds.
+    /// Pending writes that come later are given by [`Router::take_new_pending_writes`].
     pub fn legacy(&mut self) -> HandoverState {
         HandoverState {
             classes: self.classes.names().map(str::to_string).collect(),
@@ -48,7 +48,8 @@
     }
 }
 
-/// What was learnt of the class of that name. Several slots may have had the name: the newest comes last.
+/// What was learnt of the class of that name. Several slots may have had the name: the newest comes
+/// last.
 fn class_snapshot(state: &HandoverState, name: &str) -> ClassSnapshot {
     let mut slots = state.classes.iter().zip(&state.decision.classes).rev();
     let newest = slots.find(|(slot_name, _)| *slot_name == name);
--- a/crates/router/src/router/lookups.rs
+++ b/crates/router/src/router/lookups.rs
@@ -1,9 +1,9 @@
-//! Lookups: endpoints that are named to somebody who sends the request himself, and the results of lookups at
-//! another router that this one follows.
+//! Lookups: endpoints that are named to somebody who sends the request himself, and the results of
+//! lookups at another router that this one follows.
 
 use super::open_request::NewRequest;
 use super::{Router, MAX_OPEN_REQUESTS};
-use crate::hint_follower::LookupResult;
+use crate::hint_follower::{HintedEndpoint, LookupResult};
 use crate::messages::{Command, FillHint, RoutingHint, RoutingMode, Target};
 use crate::metrics::CountedEvent;
 use crate::request::RequestedObject;
@@ -16,8 +16,9 @@
         self.endpoints.address(self.endpoints.ready_by_name(uid)?)
     }
 
-    /// Chooses an endpoint for somebody who sends the request himself. The attempt counts as in flight until the
-    /// latency objective of its class has passed; how it ends is not known, and nothing is learnt from it.
+    /// Chooses an endpoint for somebody who sends the request himself. The attempt counts as in
+    /// flight until the latency objective of its class has passed; how it ends is not known, and
+    /// nothing is learnt from it.
     pub fn lookup(
         &mut self,
         now: Timestamp,
@@ -43,8 +44,8 @@
         commands: &mut Vec<Command>,
     ) -> LookupResult<Target> {
         let write_id = requested.request_id;
-        if let Some(named) = write_id.and_then(|id| self.pending_writes.named_endpoint(id)) {
-            return self.name_again(named);
+        if let Some(write) = write_id.and_then(|id| self.pending_writes.get(id)) {
+            return self.name_again(write.endpoint);
         }
         if !self.has_room_for_lookup(write_id) {
             return LookupResult::Rejected;
@@ -58,13 +59,15 @@
         result
     }
 
-    /// A non-idempotent request has one endpoint for good: it is named again while it is ready, and no other is.
+    /// A non-idempotent request has one endpoint for good: it is named again while it is ready, and
+    /// no other is.
     fn name_again(&self, named: Option<EndpointId>) -> LookupResult<Target> {
         let target = named.and_then(|endpoint| self.write_target(endpoint));
         target.map_or(LookupResult::Rejected, LookupResult::Endpoint)
     }
 
-    /// Lookups cost their sender nothing: they must not use up the room of requests that are sent to this router.
+    /// Lookups cost their sender nothing: they must not use up the room of requests that are sent
+    /// to this router.
     fn has_room_for_lookup(&self, write_id: Option<u64>) -> bool {
         let has_room_for_write = write_id.is_none() || self.pending_writes.has_room_for_lookups();
         self.in_flight.len() < MAX_OPEN_REQUESTS && has_room_for_write
@@ -88,7 +91,8 @@
         result.unwrap_or(LookupResult::Failed)
     }
 
-    /// The target of a non-idempotent request that was named before: it runs at the origin, through that endpoint.
+    /// The target of a non-idempotent request that was named before: it runs at the origin, through
+    /// that endpoint.
     fn write_target(&self, endpoint: EndpointId) -> Option<Target> {
         let origin = self.settings.origin_kind.and_then(|kind| self.endpoints.first_ready_of_kind(kind));
         let fill = CacheFill {
@@ -102,8 +106,8 @@
         self.endpoints.target(endpoint, fill)
     }
 
-    /// A lookup at another router ended. Its endpoint is checked right before sending: one that is not ready, or is
-    /// at another address by now, counts as no result.
+    /// A lookup at another router ended. Its endpoint is checked right before sending: one that is
+    /// not ready, or is at another address by now, counts as no result.
     pub(super) fn on_lookup_result(
         &mut self,
         now: Timestamp,
@@ -124,14 +128,15 @@
         self.execute_actions(now, RoutingMode::FollowHint, actions, commands);
     }
 
-    /// The endpoint that a hint names, if it is ready at that address, and the fill, if its source is ready.
-    fn resolve_hint(&self, hint: &RoutingHint) -> Option<(EndpointId, CacheFill)> {
+    /// The endpoint that a hint names, if it is ready at that address, and the fill, if its source
+    /// is ready.
+    fn resolve_hint(&self, hint: &RoutingHint) -> Option<HintedEndpoint> {
         let endpoint = self.endpoints.ready_by_name(hint.uid.as_bytes())?;
         if self.endpoints.address(endpoint) != Some(hint.addr) {
             return None;
         }
         let fill = self.resolve_fill(&hint.fill)?;
-        Some((endpoint, fill))
+        Some(HintedEndpoint { endpoint, fill })
     }
 
     fn resolve_fill(&self, hint: &FillHint) -> Option<CacheFill> {
--- a/crates/router/src/router/reconfiguration.rs
+++ b/crates/router/src/router/reconfiguration.rs
@@ -1,15 +1,16 @@
 //! A change of the settings while requests are open.
 
-use super::Router;
+use super::{named_classes, Router};
 use crate::classes::ClassTable;
 use hollymux_decision::{Settings, SettingsError};
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Continues under other settings, whose classes have these names. Settings that can't be used change nothing.
+    /// Continues under other settings, whose classes have these names. Settings that can't be used
+    /// change nothing.
     pub fn reconfigure(&mut self, settings: &Settings, names: &[String]) -> Result<(), SettingsError> {
         settings.check()?;
-        let named = names.iter().cloned().zip(settings.classes.iter().cloned()).collect();
+        let named = named_classes(names, settings);
         let in_use = self.classes_in_use();
         let ClassTable { classes, from } = self.classes.replace(named, &self.settings.classes, &in_use);
         self.settings = Settings { classes, ..settings.clone() };
--- a/crates/router/src/router/replies.rs
+++ b/crates/router/src/router/replies.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Fails the open requests of all clients: none may be left without a reply when the router ends.
+    /// Fails the open requests of all clients: none may be left without a reply when the router
+    /// ends.
     pub(super) fn fail_open_requests(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         for request in std::mem::take(&mut self.by_client).into_values() {
             let Some(mode) = self.open_requests.get(&request).map(|open| open.mode) else { continue };
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -87,17 +87,17 @@
 
     fn input(&mut self, stimulus: Stimulus) -> Input {
         match stimulus {
-            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.ask(asked)),
+            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.client_request(asked)),
             Stimulus::StopWaiting(client) => Input::Cancel(core_client(client)),
             Stimulus::Leave { connection } => Input::ClientClosed(connection),
             Stimulus::Answer { attempt, answer, note } => {
-                Input::Responded(attempt_id(attempt), self.said(answer), note.map(core_note))
+                Input::Responded(attempt_id(attempt), self.response(answer), note.map(core_note))
             }
             Stimulus::Lost { attempt, how } => Input::Failed(attempt_id(attempt), lost(how)),
             Stimulus::Probed { uid, well } => Input::Probed(endpoint_id(&uid), well),
             Stimulus::Found { request, found } => Input::LookedUp(request, core_found(found)),
             Stimulus::Wake { handle } => Input::Wake(self.wakes[handle]),
-            Stimulus::Hosts { all, lines } => Input::Feed(self.members(all, lines)),
+            Stimulus::Hosts { all, lines } => Input::Feed(self.endpoint_update(all, lines)),
             Stimulus::Purge { object, group, at } => {
                 Input::Feed(FeedEvent::Purge { object, group, at: Timestamp::from_micros(at) })
             }
@@ -114,7 +114,7 @@
         chain
     }
 
-    fn ask(&self, asked: Asked) -> ClientRequest {
+    fn client_request(&self, asked: Asked) -> ClientRequest {
         let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         ClientRequest {
             request_id: word(asked.id),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn said(&self, answer: Answer) -> AttemptResponse {
+    fn response(&self, answer: Answer) -> AttemptResponse {
         match answer {
             Answer::Bytes { tagged, length } => {
                 AttemptResponse::Data(tagged.then(|| b"tag".to_vec()), self.chain(length))
@@ -142,11 +142,14 @@
         }
     }
 
-    fn members(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
+    fn endpoint_update(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
         for line in &lines {
             self.names.insert(endpoint_id(&line.uid), line.uid.clone());
         }
-        FeedEvent::Endpoints { is_full_list: all, endpoints: lines.into_iter().map(member).collect() }
+        FeedEvent::Endpoints {
+            is_full_list: all,
+            endpoints: lines.into_iter().map(listed_endpoint).collect(),
+        }
     }
 
     fn lookup(
@@ -180,7 +183,7 @@
         legacy.kinds = KINDS.map(str::to_string).to_vec();
         let mut commands = Vec::new();
         if let Some((client, asked)) = last {
-            let input = Input::Request(core_client(client), self.ask(asked));
+            let input = Input::Request(core_client(client), self.client_request(asked));
             self.router.handle(now, input, &mut commands);
         }
         let later = self.router.take_new_pending_writes();
@@ -219,13 +222,13 @@
 
     /// A command in neutral words; none for a log line, whose wording is no decision.
     fn effect(&mut self, command: Command) -> Option<Effect> {
-        let idempotency = match command {
-            Command::SendAttempt(order) => self.send(&order),
+        let effect = match command {
+            Command::SendAttempt(sent) => self.sent_effect(&sent),
             Command::CancelAttempt { attempt, may_retry: again } => {
                 Effect::new("cancel", format!("{} again={again}", attempt_words(attempt)))
             }
             Command::Reply(client, reply) => reply_effect(client, &reply),
-            Command::Wake(at, wake) => self.wake(at, wake),
+            Command::Wake(at, wake) => self.wake_effect(at, wake),
             Command::Lookup(request, wanted) => {
                 Effect::new("look up", format!("request={request} {}", wanted_words(&wanted)))
                     .reacting(Reaction::LookUp { request })
@@ -237,32 +240,32 @@
             }
             Command::CloseConnections(endpoint) => Effect::new("drop", self.name(endpoint).to_string()),
             Command::StopSending(endpoint) => Effect::new("hold", self.name(endpoint).to_string()),
-            Command::AttemptEnded(tried) => tried_effect(&tried),
-            Command::RequestEnded(ended) => ended_effect(&ended),
+            Command::AttemptEnded(ended) => attempt_ended_effect(&ended),
+            Command::RequestEnded(ended) => request_ended_effect(&ended),
             Command::Log(_) => return None,
         };
-        Some(idempotency)
+        Some(effect)
     }
 
-    fn send(&self, order: &AttemptRequest) -> Effect {
+    fn sent_effect(&self, sent: &AttemptRequest) -> Effect {
         let line = format!(
             "{} {} timeout={} class={} id={} client={}/{} by={}",
-            attempt_words(order.attempt),
-            self.target_words(&order.target),
-            whole_micros(order.timeout),
-            order.class,
-            order.request.request_id.value,
-            order.client.conn,
-            order.client.tag,
-            optional(order.send_before.map(Timestamp::as_micros))
+            attempt_words(sent.attempt),
+            self.target_words(&sent.target),
+            whole_micros(sent.timeout),
+            sent.class,
+            sent.request.request_id.value,
+            sent.client.conn,
+            sent.client.tag,
+            optional(sent.send_before.map(Timestamp::as_micros))
         );
-        let kind = if order.attempt.number > 0 { "send again" } else { "send" };
-        let sent =
-            Reaction::Sent { attempt: attempt_neutral(order.attempt), uid: order.target.uid.to_string() };
-        Effect::new(kind, line).reacting(sent)
+        let kind = if sent.attempt.number > 0 { "send again" } else { "send" };
+        let reaction =
+            Reaction::Sent { attempt: attempt_neutral(sent.attempt), uid: sent.target.uid.to_string() };
+        Effect::new(kind, line).reacting(reaction)
     }
 
-    fn wake(&mut self, at: Timestamp, wake: Wake) -> Effect {
+    fn wake_effect(&mut self, at: Timestamp, wake: Wake) -> Effect {
         let at = at.as_micros();
         let what = match wake {
             Wake::Decision(RoutingMode::Decide, token) => format!("module token={token}"),
@@ -351,7 +354,7 @@
     }
 }
 
-fn member(line: HostLine) -> ListedEndpoint {
+fn listed_endpoint(line: HostLine) -> ListedEndpoint {
     let state = match line.state {
         Standing::Ready => EndpointState::Ready,
         Standing::Draining => EndpointState::Draining,
@@ -419,19 +422,19 @@
         .reacting(Reaction::Replied(caller))
 }
 
-fn tried_effect(tried: &AttemptSummary) -> Effect {
+fn attempt_ended_effect(ended: &AttemptSummary) -> Effect {
     let line = format!(
         "{} host={} source={} status={} took={}",
-        attempt_words(tried.attempt),
-        tried.endpoint,
-        tried.source.as_deref().unwrap_or("-"),
-        status_word(tried.status),
-        whole_micros(tried.duration)
+        attempt_words(ended.attempt),
+        ended.endpoint,
+        ended.source.as_deref().unwrap_or("-"),
+        status_word(ended.status),
+        whole_micros(ended.duration)
     );
     Effect::new("tried", line)
 }
 
-fn ended_effect(ended: &RequestSummary) -> Effect {
+fn request_ended_effect(ended: &RequestSummary) -> Effect {
     let kind = match ended.result {
         RequestResult::Served => "ended served",
         RequestResult::NotModified => "ended unchanged",
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -1,7 +1,7 @@
 //! The slots of classes over any sequence of changes of the settings.
 
 use hollymux_decision::{Idempotency, RequestClass};
-use hollymux_router::classes::Classes;
+use hollymux_router::classes::{Classes, NamedClass};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,7 +9,8 @@
 /// The names that the settings can have.
 const NAMES: u8 = 6;
 
-/// By the number of a name: the deadline in microseconds and whether the class is idempotent (0) or not.
+/// By the number of a name: the deadline in microseconds and whether the class is idempotent (0) or
+/// not.
 type ClassesByName = BTreeMap<u8, (u64, u8)>;
 
 fn name(number: u8) -> String {
@@ -24,8 +25,11 @@
     }
 }
 
-fn named_classes(by_name: ClassesByName) -> Vec<(String, RequestClass)> {
-    let named = |(number, (deadline_us, idempotency))| (name(number), class(deadline_us, idempotency));
+fn named_classes(by_name: ClassesByName) -> Vec<NamedClass> {
+    let named = |(number, (deadline_us, idempotency))| NamedClass {
+        name: name(number),
+        class: class(deadline_us, idempotency),
+    };
     by_name.into_iter().map(named).collect()
 }
 
@@ -42,8 +46,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against an open request whose class becomes another one, against a name that leads to other than its
-    /// newest class, and against a table that grows with every change.
+    /// Guards against an open request whose class becomes another one, against a name that leads to
+    /// other than its newest class, and against a table that grows with every change.
     #[test]
     fn slots_in_use_never_change_and_names_lead_to_their_newest_class(changes in changes()) {
         let mut classes = Classes::default();
@@ -61,7 +65,7 @@
             }
             for (name, old_slot) in old_slots {
                 let slot = classes.named(name.as_bytes());
-                let newest = named.iter().find(|(other, _)| *other == name).map(|(_, class)| class);
+                let newest = named.iter().find(|new| new.name == name).map(|new| &new.class);
                 prop_assert_eq!(slot.map(|slot| &new.classes[usize::from(slot)]), newest);
                 let idempotency = slot.map(|slot| classes.idempotency(slot));
                 prop_assert_eq!(idempotency, newest.map(|class| class.idempotency));
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -1,10 +1,17 @@
-//! The core under any order of events: what sockets can have cross, without sockets. Each order of asks, answers, late and
-//! second answers, breaks, cancels, closes, drains, purges, stalls and the end has to leave every client that still waits
-//! with exactly one final answer, and nothing may go out that a rule forbids.
+//! The router under any order of events, without sockets: whatever can cross on sockets does. Each
+//! order of requests, responses, late and second responses, lost connections, cancellations, closed
+//! connections, drains, purges, stalls and the shutdown has to leave every client that still waits
+//! with exactly one final reply, and nothing may be sent that a rule forbids.
 
-use hollymux_decision::*;
+use hollymux_decision::{
+    DeduplicationScope, EndpointEntry, EndpointId, EndpointState, Idempotency, ListedWeights, RequestClass,
+    Settings, Timestamp,
+};
 use hollymux_router::buffers::BufferPool;
-use hollymux_router::*;
+use hollymux_router::{
+    endpoint_id, AttemptFailure, AttemptId, AttemptRequest, AttemptResponse, ClientHandle, ClientRequest,
+    Command, FeedEvent, Input, ListedEndpoint, ReceivedNumber, Reply, Router, RouterOptions, Wake,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,12 +19,14 @@
 const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
-const WINDOW: Duration = Duration::from_millis(900);
-/// What may be repeated, what endpoints tell apart for `WINDOW`, and what never runs twice.
-const EFFECTS: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
-const NAMES: [&str; 3] = ["read", "order", "filing"];
+const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(900);
+/// By class: what may be repeated, what endpoints recognise as a repeat for [`IDEMPOTENCY_WINDOW`],
+/// and what never runs twice.
+const IDEMPOTENCY: [Idempotency; 3] =
+    [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
+const CLASS_NAMES: [&str; 3] = ["read", "order", "filing"];
 const UIDS: [&str; 6] = ["s-a", "s-b", "s-c", "s-p", "s-q", "s-o"];
-const ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 fn settings() -> Settings {
     let class = |idempotency| RequestClass {
@@ -25,18 +34,18 @@
         deadline: Duration::from_secs(2),
         idempotency,
         scope: DeduplicationScope::All,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
         write: idempotency != Idempotency::Idempotent,
         ..RequestClass::default()
     };
     Settings {
-        classes: EFFECTS.map(class).to_vec(),
+        classes: IDEMPOTENCY.map(class).to_vec(),
         router_count: 2,
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         bypass_edge_cache: true,
         weights: ListedWeights::Size,
-        max_attempts: ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         cancel: true,
         retry_after: true,
         max_retry_after: Duration::from_secs(1),
@@ -52,146 +61,158 @@
     }
 }
 
-fn member(i: usize, state: EndpointState) -> ListedEndpoint {
+fn listed_endpoint(index: usize, state: EndpointState) -> ListedEndpoint {
     let entry = EndpointEntry {
-        id: endpoint_id(UIDS[i]),
+        id: endpoint_id(UIDS[index]),
         cell: 0,
-        zone: u16::from(i > 2),
-        kind: [0, 0, 0, PARENT, PARENT, ORIGIN][i],
+        zone: u16::from(index > 2),
+        kind: [0, 0, 0, PARENT, PARENT, ORIGIN][index],
         weight: 4.0,
         state,
         started: Timestamp::ZERO,
         in_place_of: None,
     };
-    let addr = Some(([127, 0, 0, 1], 5_000 + i as u16).into());
-    ListedEndpoint { entry, uid: UIDS[i].into(), addr }
+    let addr = Some(([127, 0, 0, 1], 5_000 + index as u16).into());
+    ListedEndpoint { entry, uid: UIDS[index].into(), addr }
 }
 
-/// What is known of a client's request.
+/// What is known of a client's open request.
 #[derive(Default)]
-struct Asked {
+struct OpenRequest {
     class: usize,
     /// When the first attempt was sent that may have run.
-    ran: Option<Timestamp>,
+    may_have_run_since: Option<Timestamp>,
     attempts: u32,
 }
 
+/// The router, and clients, endpoints and timers around it.
 struct World {
     router: Router,
     pool: BufferPool,
     now: Timestamp,
-    wakes: BTreeMap<(Timestamp, usize), Wake>,
+    /// Timers by time; the serial number keeps those of one time in the order in which they were
+    /// set.
+    timers: BTreeMap<(Timestamp, usize), Wake>,
     serial: usize,
-    /// Who is owed an answer.
-    owed: BTreeMap<ClientHandle, Asked>,
-    whose: BTreeMap<u32, ClientHandle>,
-    /// Attempts that are out, and when they were sent.
-    out: BTreeMap<AttemptId, Timestamp>,
-    /// Attempts that were given up or answered: their shelfs may still speak.
-    past: Vec<AttemptId>,
+    /// The clients that wait for a reply.
+    waiting: BTreeMap<ClientHandle, OpenRequest>,
+    /// The client of each request that was sent.
+    client_of: BTreeMap<u32, ClientHandle>,
+    /// Attempts in flight, and when they were sent.
+    in_flight: BTreeMap<AttemptId, Timestamp>,
+    /// Attempts that were cancelled or answered: their endpoints may still respond.
+    ended: Vec<AttemptId>,
     ready: BTreeSet<EndpointId>,
-    answered: usize,
+    replies: usize,
 }
 
 impl World {
     fn new() -> World {
-        let setup = RouterOptions {
+        let options = RouterOptions {
             settings: settings(),
-            classes: NAMES.map(str::to_string).to_vec(),
+            classes: CLASS_NAMES.map(str::to_string).to_vec(),
             seed: 7,
             memory_mb: 64,
             flow_bytes_per_s: 300_000.0,
         };
         let mut world = World {
-            router: Router::new(setup, false).unwrap(),
+            router: Router::new(options, false).unwrap(),
             pool: BufferPool::new(1_000),
             now: START,
-            wakes: BTreeMap::new(),
+            timers: BTreeMap::new(),
             serial: 0,
-            owed: BTreeMap::new(),
-            whose: BTreeMap::new(),
-            out: BTreeMap::new(),
-            past: Vec::new(),
-            ready: UIDS.iter().map(|u| endpoint_id(u)).collect(),
-            answered: 0,
+            waiting: BTreeMap::new(),
+            client_of: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            ended: Vec::new(),
+            ready: UIDS.iter().map(|uid| endpoint_id(uid)).collect(),
+            replies: 0,
         };
-        let lines = (0..UIDS.len()).map(|i| member(i, EndpointState::Ready)).collect();
-        world.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: true, endpoints: lines }));
+        let endpoints = (0..UIDS.len()).map(|index| listed_endpoint(index, EndpointState::Ready)).collect();
+        world.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: true, endpoints }));
         world
     }
 
+    /// Passes an event to the router and checks its commands.
     fn feed(&mut self, input: Input) {
         let mut commands = Vec::new();
         self.router.handle(self.now, input, &mut commands);
-        commands.into_iter().for_each(|c| self.check(c));
+        for command in commands {
+            self.check(command);
+        }
     }
 
     fn check(&mut self, command: Command) {
         match command {
-            Command::SendAttempt(order) => {
-                let asked = self.owed.get_mut(&order.client).expect("sent for a client that is owed nothing");
-                let request = order.attempt.request;
-                assert!(self.out.keys().all(|a| a.request != request), "two attempts out");
-                assert!(self.ready.contains(&order.target.endpoint), "sent to one that takes no work");
-                let source = order.target.fill.source;
-                assert!(source.is_none_or(|s| self.ready.contains(&s)), "a source that takes no work");
-                asked.attempts += 1;
-                assert!(asked.attempts <= ATTEMPTS, "too many attempts");
-                match (EFFECTS[asked.class], asked.ran) {
-                    (Idempotency::NotIdempotent, ran) => assert_eq!(ran, None, "it may have run"),
-                    (Idempotency::WithKey, Some(ran)) => {
-                        let by = order.send_before.expect("a repeat has an end");
-                        assert!(self.now <= by && by < ran + WINDOW, "a repeat after its window");
-                    }
-                    _ => assert_eq!(order.send_before, None),
-                }
-                self.whose.insert(request, order.client);
-                self.out.insert(order.attempt, self.now);
-            }
-            // Written whole or not: it may have run.
-            Command::CancelAttempt { attempt, may_retry: again } => {
-                let client = self.whose[&attempt.request];
-                assert_eq!(
-                    again,
-                    self.owed.contains_key(&client),
-                    "it is known whether it may be sent again"
-                );
+            Command::SendAttempt(attempt) => self.check_attempt(&attempt),
+            Command::CancelAttempt { attempt, may_retry } => {
+                let client = self.client_of[&attempt.request];
+                let is_waiting = self.waiting.contains_key(&client);
+                assert_eq!(may_retry, is_waiting, "it is known whether it may be sent again");
+                // Written completely or not: it may have run.
                 self.end(attempt, true);
             }
-            Command::Reply(client, reply) => {
-                let asked = self.owed.remove(&client).expect("an answer that nobody is owed");
-                let ran = asked.ran.is_some() || self.out.keys().any(|a| self.whose[&a.request] == client);
-                let refused = matches!(reply, Reply::Rejected(_));
-                let harmless = EFFECTS[asked.class] != Idempotency::NotIdempotent || !ran;
-                assert!(!refused || harmless, "refused, though it may have run");
-                self.answered += 1;
-            }
+            Command::Reply(client, reply) => self.check_reply(client, &reply),
             Command::Wake(at, wake) => {
                 self.serial += 1;
-                self.wakes.insert((at, self.serial), wake);
+                self.timers.insert((at, self.serial), wake);
             }
             _ => {}
         }
     }
 
-    /// An attempt is no longer out.
+    fn check_attempt(&mut self, sent: &AttemptRequest) {
+        let open = self.waiting.get_mut(&sent.client).expect("sent for a client that waits for no reply");
+        let request = sent.attempt.request;
+        assert!(self.in_flight.keys().all(|attempt| attempt.request != request), "two attempts in flight");
+        assert!(self.ready.contains(&sent.target.endpoint), "sent to an endpoint that is not ready");
+        let source = sent.target.fill.source;
+        assert!(source.is_none_or(|source| self.ready.contains(&source)), "a source that is not ready");
+        open.attempts += 1;
+        assert!(open.attempts <= MAX_ATTEMPTS, "too many attempts");
+        match (IDEMPOTENCY[open.class], open.may_have_run_since) {
+            (Idempotency::NotIdempotent, since) => assert_eq!(since, None, "it may have run"),
+            (Idempotency::WithKey, Some(since)) => {
+                let send_before = sent.send_before.expect("a repeat has a latest time");
+                let window_end = since + IDEMPOTENCY_WINDOW;
+                assert!(self.now <= send_before && send_before < window_end, "a repeat after its window");
+            }
+            _ => assert_eq!(sent.send_before, None),
+        }
+        self.client_of.insert(request, sent.client);
+        self.in_flight.insert(sent.attempt, self.now);
+    }
+
+    fn check_reply(&mut self, client: ClientHandle, reply: &Reply) {
+        let open = self.waiting.remove(&client).expect("a reply that no client waits for");
+        let has_attempt_in_flight =
+            self.in_flight.keys().any(|attempt| self.client_of[&attempt.request] == client);
+        let may_have_run = open.may_have_run_since.is_some() || has_attempt_in_flight;
+        let is_rejected = matches!(reply, Reply::Rejected(_));
+        let is_safe = IDEMPOTENCY[open.class] != Idempotency::NotIdempotent || !may_have_run;
+        assert!(!is_rejected || is_safe, "rejected, though it may have run");
+        self.replies += 1;
+    }
+
+    /// An attempt is no longer in flight.
     fn end(&mut self, attempt: AttemptId, may_have_run: bool) {
-        let Some(sent) = self.out.remove(&attempt) else { return };
-        self.past.push(attempt);
-        let client = self.whose[&attempt.request];
-        if let Some(asked) = self.owed.get_mut(&client).filter(|_| may_have_run) {
-            asked.ran = asked.ran.or(Some(sent));
+        let Some(sent) = self.in_flight.remove(&attempt) else { return };
+        self.ended.push(attempt);
+        let client = self.client_of[&attempt.request];
+        if let Some(open) = self.waiting.get_mut(&client).filter(|_| may_have_run) {
+            open.may_have_run_since = open.may_have_run_since.or(Some(sent));
         }
     }
 
-    fn ask(&mut self, conn: u64, class: usize, object: u64) {
+    /// A client sends a request.
+    fn send_request(&mut self, connection: u64, class: usize, object: u64) {
         self.serial += 1;
         let tag = self.serial as u64;
-        let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
-        let ask = ClientRequest {
-            request_id: word(tag),
-            class: NAMES[class].into(),
-            object: word(object),
+        let number = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
+        let request = ClientRequest {
+            request_id: number(tag),
+            class: CLASS_NAMES[class].into(),
+            object: number(object),
             chunk: 0,
             group: 1,
             budget_ms: 1_500,
@@ -199,46 +220,42 @@
             idempotency_key: None,
             body: self.pool.chain(),
         };
-        let client = ClientHandle { conn, tag };
-        self.owed.insert(client, Asked { class, ..Asked::default() });
-        self.feed(Input::Request(client, ask));
+        let client = ClientHandle { conn: connection, tag };
+        self.waiting.insert(client, OpenRequest { class, ..OpenRequest::default() });
+        self.feed(Input::Request(client, request));
     }
 
-    /// A shelf says something, or a connection breaks; one time in four of what is over already.
-    fn hear(&mut self, pick: usize, how: u8) {
-        let live: Vec<AttemptId> = self.out.keys().copied().collect();
-        let over = pick.is_multiple_of(4) && !self.past.is_empty();
-        let from = if over { &self.past } else { &live };
-        let Some(attempt) = from.get(pick % from.len().max(1)).copied() else { return };
-        let (input, ran) = match how % 9 {
-            0 | 1 => (
-                Input::Responded(
-                    attempt,
-                    AttemptResponse::Data(Some(b"d1".to_vec()), self.pool.chain()),
-                    None,
-                ),
-                true,
-            ),
-            2 => (Input::Responded(attempt, AttemptResponse::Absent, None), false),
-            3 => (Input::Responded(attempt, AttemptResponse::AtCapacity, None), false),
-            4 => (Input::Responded(attempt, AttemptResponse::Failed, None), true),
-            5 => (Input::Responded(attempt, AttemptResponse::AlreadyCancelled, None), false),
+    /// An endpoint responds or a connection is lost; one time in four for an attempt that has ended
+    /// already.
+    fn end_some_attempt(&mut self, pick: usize, how: u8) {
+        let in_flight: Vec<AttemptId> = self.in_flight.keys().copied().collect();
+        let is_late = pick.is_multiple_of(4) && !self.ended.is_empty();
+        let candidates = if is_late { &self.ended } else { &in_flight };
+        let Some(attempt) = candidates.get(pick % candidates.len().max(1)).copied() else { return };
+        let responded = |response: AttemptResponse| Input::Responded(attempt, response, None);
+        let data = || AttemptResponse::Data(Some(b"d1".to_vec()), self.pool.chain());
+        let (input, may_have_run) = match how % 9 {
+            0 | 1 => (responded(data()), true),
+            2 => (responded(AttemptResponse::Absent), false),
+            3 => (responded(AttemptResponse::AtCapacity), false),
+            4 => (responded(AttemptResponse::Failed), true),
+            5 => (responded(AttemptResponse::AlreadyCancelled), false),
             6 => (Input::Failed(attempt, AttemptFailure::ConnectionLost), true),
             7 if pick.is_multiple_of(3) => (Input::Failed(attempt, AttemptFailure::ConnectTimeout), false),
             7 => (Input::Failed(attempt, AttemptFailure::ConnectionRefused), false),
             _ => (Input::Failed(attempt, AttemptFailure::NotSent), false),
         };
-        self.end(attempt, ran);
+        self.end(attempt, may_have_run);
         self.feed(input);
     }
 
-    /// Time passes; after a stall all timers that are due come at once, in order.
-    fn pass(&mut self, long: Duration, stall: bool) {
-        let until = self.now + long;
-        if stall {
+    /// Time passes. After a stall all timers that are due expire at once, in order.
+    fn advance(&mut self, duration: Duration, is_stall: bool) {
+        let until = self.now + duration;
+        if is_stall {
             self.now = until;
         }
-        while let Some(entry) = self.wakes.first_entry().filter(|e| e.key().0 <= until) {
+        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), wake) = entry.remove_entry();
             self.now = self.now.max(at);
             self.feed(Input::Wake(wake));
@@ -247,93 +264,117 @@
     }
 
     /// An endpoint drains, goes or is back.
-    fn told(&mut self, i: usize, state: EndpointState) {
-        let line = member(i, state);
-        let id = line.entry.id;
+    fn update_endpoint(&mut self, index: usize, state: EndpointState) {
+        let endpoint = listed_endpoint(index, state);
+        let id = endpoint.entry.id;
         if state == EndpointState::Ready {
             self.ready.insert(id);
         } else {
             self.ready.remove(&id);
         }
-        self.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: false, endpoints: vec![line] }));
+        self.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: false, endpoints: vec![endpoint] }));
     }
 
-    /// A client cancels its oldest request, or closes its connection.
-    fn leave(&mut self, conn: u64, cancels: bool) {
-        let of = self.owed.keys().copied().filter(|c| c.conn == conn);
-        let gone: Vec<ClientHandle> = of.take(if cancels { 1 } else { usize::MAX }).collect();
-        self.owed.retain(|c, _| !gone.contains(c));
-        match gone.first().filter(|_| cancels) {
-            Some(client) => self.feed(Input::Cancel(*client)),
-            None => self.feed(Input::ClientClosed(conn)),
+    /// A client cancels its oldest request.
+    fn cancel_oldest(&mut self, connection: u64) {
+        let oldest = self.waiting.keys().copied().find(|client| client.conn == connection);
+        match oldest {
+            Some(client) => {
+                self.waiting.remove(&client);
+                self.feed(Input::Cancel(client));
+            }
+            None => self.close_client(connection),
         }
     }
+
+    /// A client closes its connection.
+    fn close_client(&mut self, connection: u64) {
+        self.waiting.retain(|client, _| client.conn != connection);
+        self.feed(Input::ClientClosed(connection));
+    }
+
+    fn purge(&mut self, object: Option<u64>) {
+        let at = self.now - Duration::from_millis(10);
+        self.feed(Input::Feed(FeedEvent::Purge { object, group: 1, at }));
+    }
+}
+
+/// One step of an order of events, as it is generated.
+#[derive(Clone, Copy, Debug)]
+struct Step {
+    event: u8,
+    subject: u8,
+    pick: u16,
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let step = (any::<u8>(), any::<u8>(), any::<u16>()).prop_map(|(event, subject, pick)| Step {
+        event,
+        subject,
+        pick,
+    });
+    proptest::collection::vec(step, 1..120)
 }
 
-fn step(world: &mut World, (what, who, pick): (u8, u8, u16)) {
-    let (conn, pick) = (u64::from(who % 3), usize::from(pick));
-    match what % 16 {
-        0..=4 => world.ask(conn, usize::from(who) % 3, pick as u64 % 5),
-        5..=8 => world.hear(pick, who),
-        9 | 10 => world.pass(Duration::from_millis(pick as u64 % 400), false),
-        11 => world.pass(Duration::from_millis(pick as u64 % 1_200), true),
-        12 => world.leave(conn, true),
-        13 => world.leave(conn, false),
+fn apply(world: &mut World, step: Step) {
+    let connection = u64::from(step.subject % 3);
+    let pick = usize::from(step.pick);
+    let pick_ms = u64::from(step.pick);
+    match step.event % 16 {
+        0..=4 => world.send_request(connection, usize::from(step.subject) % 3, u64::from(step.pick) % 5),
+        5..=8 => world.end_some_attempt(pick, step.subject),
+        9 | 10 => world.advance(Duration::from_millis(pick_ms % 400), false),
+        11 => world.advance(Duration::from_millis(pick_ms % 1_200), true),
+        12 => world.cancel_oldest(connection),
+        13 => world.close_client(connection),
         14 => {
-            let state =
-                [EndpointState::Draining, EndpointState::Gone, EndpointState::Ready, EndpointState::Ready]
-                    [pick % 4];
-            world.told(usize::from(who) % UIDS.len(), state);
-        }
-        _ => {
-            let object = pick.is_multiple_of(2).then_some(pick as u64 % 5);
-            world.feed(Input::Feed(FeedEvent::Purge {
-                object,
-                group: 1,
-                at: world.now - Duration::from_millis(10),
-            }));
+            let states =
+                [EndpointState::Draining, EndpointState::Gone, EndpointState::Ready, EndpointState::Ready];
+            world.update_endpoint(usize::from(step.subject) % UIDS.len(), states[pick % 4]);
         }
+        _ => world.purge(pick.is_multiple_of(2).then_some(u64::from(step.pick) % 5)),
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a second answer or none, work for one who has left, two attempts out, a filing that runs twice, and
-    /// work for what drains, whatever crosses.
+    /// Guards against a second reply or none, attempts for a client that has left, two attempts in
+    /// flight, a non-idempotent request that runs twice, and requests for a draining endpoint,
+    /// whatever crosses.
     #[test]
-    fn whatever_crosses_each_client_gets_one_answer(
-        steps in proptest::collection::vec((any::<u8>(), any::<u8>(), any::<u16>()), 1..120),
-        cut in any::<bool>(),
-    ) {
+    fn each_client_gets_one_reply_in_any_order_of_events(steps in steps(), is_shut_down in any::<bool>()) {
         let mut world = World::new();
-        steps.into_iter().for_each(|s| step(&mut world, s));
-        if cut {
-            // The router's time is over: what is open is answered at once.
+        for step in steps {
+            apply(&mut world, step);
+        }
+        if is_shut_down {
+            // Open requests get their replies at once.
             world.feed(Input::Shutdown);
         } else {
-            world.pass(Duration::from_secs(3), false);
+            world.advance(Duration::from_secs(3), false);
         }
-        prop_assert!(world.owed.is_empty(), "{} clients without an answer", world.owed.len());
-        prop_assert!(world.out.is_empty(), "attempts out that nobody waits for");
+        prop_assert!(world.waiting.is_empty(), "{} clients without a reply", world.waiting.len());
+        prop_assert!(world.in_flight.is_empty(), "attempts in flight that nobody waits for");
         prop_assert!(world.router.idle());
         prop_assert_eq!(world.router.counters.invariant_violations, 0);
     }
 }
 
-/// Guards against a check that passes as it sees nothing: such orders do send, repeat and answer.
+/// Guards against a test of orders that passes as it sees nothing: they do send, repeat and answer
+/// requests.
 #[test]
-fn the_orders_reach_further_attempts_and_answers() {
+fn orders_of_events_reach_retries_and_replies() {
     let mut world = World::new();
-    world.ask(1, 1, 3);
-    world.hear(1, 6);
-    assert_eq!((world.out.len(), world.owed.len()), (1, 1), "a repeat within its window");
-    assert!(world.out.keys().all(|a| a.number == 1));
-    world.ask(1, 2, 3);
-    let filing = *world.out.keys().last().unwrap();
-    world.end(filing, true);
-    world.feed(Input::Failed(filing, AttemptFailure::ConnectionLost));
-    assert_eq!((world.answered, world.out.len()), (1, 1), "a filing that may have run is failed");
+    world.send_request(1, 1, 3);
+    world.end_some_attempt(1, 6);
+    assert_eq!((world.in_flight.len(), world.waiting.len()), (1, 1), "a repeat within its window");
+    assert!(world.in_flight.keys().all(|attempt| attempt.number == 1));
+    world.send_request(1, 2, 3);
+    let write = *world.in_flight.keys().last().unwrap();
+    world.end(write, true);
+    world.feed(Input::Failed(write, AttemptFailure::ConnectionLost));
+    assert_eq!((world.replies, world.in_flight.len()), (1, 1), "a write that may have run is failed");
     world.feed(Input::Shutdown);
-    assert_eq!((world.answered, world.out.len()), (2, 0));
+    assert_eq!((world.replies, world.in_flight.len()), (2, 0));
 }
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The phases of the router process under any order of signals, admin calls and takeovers.
 
 use hollymux_decision::Timestamp;
-use hollymux_router::lifecycle::*;
+use hollymux_router::lifecycle::{Event, Lifecycle, SHUTDOWN_LINGER};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -59,7 +59,8 @@
         !(lifecycle.accepts(then) && expected.replaced),
         "two processes accept the same connections"
     );
-    // A client that connects is accepted by this process, by another one, or finds that it has exited.
+    // A client that connects is accepted by this process, by another one, or finds that it has
+    // exited.
     let exited = expected.stopping_since.is_some_and(|since| then >= since + SHUTDOWN_LINGER);
     prop_assert_eq!(lifecycle.accepts(then), expected.started && !expected.replaced && !exited);
     if let Some(since) = expected.standby_since.filter(|since| then >= *since + Duration::from_secs(2)) {
@@ -84,13 +85,18 @@
     Ok(())
 }
 
+/// Events by their index, each after a wait in milliseconds.
+fn steps() -> impl Strategy<Value = Vec<(usize, u64)>> {
+    proptest::collection::vec((0usize..6, 0u64..3_000), 1..40)
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against readiness of a router that is in standby, stops or accepts nobody; against connections that
-    /// it neither serves nor closes; and against a way back from a stop.
+    /// Guards against readiness of a router that is in standby, stops or accepts nobody; against
+    /// connections that it neither serves nor closes; and against a way back from a stop.
     #[test]
-    fn a_router_that_serves_nobody_is_never_ready(steps in proptest::collection::vec((0usize..6, 0u64..3_000), 1..40)) {
+    fn a_router_that_serves_nobody_is_never_ready(steps in steps()) {
         let mut lifecycle = Lifecycle::default();
         let mut expected = Expected::default();
         let mut now = Timestamp::from_micros(1);
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -14,7 +14,8 @@
     value.parse().expect("a value is a number")
 }
 
-/// Guards against a class whose name forges a line or takes another's, and against names without end.
+/// Guards against a class whose name forges a line or takes another's, and against names without
+/// end.
 #[test]
 fn class_names_forge_no_lines_and_their_number_is_bounded() {
     let mut metrics = Metrics::default();
