--- a/crates/server/src/operator.rs
+++ b/crates/server/src/operator.rs
@@ -19,7 +19,7 @@
     pub fleet: Option<Section>,
 }
 
-/// Routers that know each other (docs/fleet.md has the reasons for the times).
+/// Routers that know each other (docs/cluster.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Section {
@@ -56,7 +56,7 @@
     pub limits: Option<Leases>,
 }
 
-/// Parts of limits on lease (docs/fleet-limits.md has the reasons for the times).
+/// Parts of limits on lease (docs/quota-leases.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
@@ -184,14 +184,14 @@
 impl Dns {
     /// The zone as labels; empty if it is no name, which the check of the file rules out.
     pub fn name(&self) -> dns::Name {
-        dns::name(&self.zone).unwrap_or_default()
+        dns::parse_name(&self.zone).unwrap_or_default()
     }
 }
 
 impl Check for Operator {
     fn check(&self, faults: &mut Faults) {
         if let Some(d) = &self.dns {
-            faults.unless(dns::name(&d.zone).is_some(), "dns.zone", "is no domain name");
+            faults.unless(dns::parse_name(&d.zone).is_some(), "dns.zone", "is no domain name");
             let some = d.listen.is_some() || d.follow.is_some();
             faults.unless(some, "dns", "neither listen nor follow is given");
         }
