--- a/crates/router/src/endpoint_table.rs
+++ b/crates/router/src/endpoint_table.rs
@@ -71,14 +71,15 @@
     /// The ready endpoint of that name, in upper or lower case.
     pub(crate) fn ready_by_name(&self, uid: &[u8]) -> Option<EndpointId> {
         let mut ready = self.by_id.iter().filter(|(_, endpoint)| endpoint.is_ready());
-        ready.find(|(_, endpoint)| endpoint.uid.as_bytes().eq_ignore_ascii_case(uid)).map(|(id, _)| *id)
+        let named = ready.find(|(_, endpoint)| endpoint.uid.as_bytes().eq_ignore_ascii_case(uid));
+        named.map(|(id, _)| *id)
     }
 
     /// The ready endpoint of that kind with the lowest identity, so that the choice is stable.
     pub(crate) fn first_ready_of_kind(&self, kind: u16) -> Option<EndpointId> {
-        let is_candidate =
-            |endpoint: &KnownEndpoint| endpoint.is_ready() && endpoint.listed.entry.kind == kind;
-        self.by_id.iter().filter(|(_, endpoint)| is_candidate(endpoint)).map(|(id, _)| *id).min()
+        let ready = self.by_id.iter().filter(|(_, endpoint)| endpoint.is_ready());
+        let of_kind = ready.filter(|(_, endpoint)| endpoint.listed.entry.kind == kind);
+        of_kind.map(|(id, _)| *id).min()
     }
 
     /// An endpoint and the source of its fill by name and address; `None` if one of them is not
@@ -105,7 +106,7 @@
     }
 
     /// Applies an update of the endpoint list. Appends what is to be done with the connections, and
-    /// returns what the decision module is told. Endpoints that are gone stay known until
+    /// returns the entries for the decision module. Endpoints that are gone stay known until
     /// [`EndpointTable::forget_gone`].
     pub(crate) fn apply_update(
         &mut self,
@@ -118,7 +119,8 @@
         }
         let mut entries = Vec::with_capacity(updates.len());
         for mut update in updates {
-            // Only an update that tells an address itself says who is there now.
+            // An address that is only known from an earlier update may have another occupant by
+            // now.
             let address_in_use = update.addr.filter(|_| update.entry.state == EndpointState::Ready);
             if let Some(address) = address_in_use {
                 self.mark_displaced_gone(update.entry.id, address, &mut entries, commands);
--- a/crates/router/src/pending_writes.rs
+++ b/crates/router/src/pending_writes.rs
@@ -35,7 +35,7 @@
     by_id: HashMap<u64, RememberedWrite>,
     by_arrival: VecDeque<Arrival>,
     max_entries: usize,
-    /// Entries added since they were last taken, while a successor is to be told of them.
+    /// Entries added since they were last taken, while a successor needs them.
     untransferred: Option<Vec<PendingWrite>>,
 }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -42,8 +42,8 @@
     pub seed: u64,
     /// The memory limit in MB: it bounds the table of pending writes.
     pub memory_mb: u64,
-    /// The throughput of a single transfer; 0: unknown, so that the size of a response tells no
-    /// transfer time.
+    /// The throughput of a single transfer; 0: unknown, so that no transfer time follows from the
+    /// size of a response.
     pub flow_bytes_per_s: f64,
 }
 
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -111,10 +111,9 @@
         self.reserve_room(now, write_id)
     }
 
-    /// An endpoint can't tell two open requests of one id apart.
+    /// Endpoints know a request by its id: two open ones must not share it.
     fn check_request_id(&self, request: &ClientRequest) -> Result<(), ResultReason> {
-        let is_open = self.open_client_ids.contains(&request.request_id.value);
-        if is_open {
+        if self.open_client_ids.contains(&request.request_id.value) {
             return Err(ResultReason::InvalidRequest);
         }
         Ok(())
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -30,7 +30,7 @@
     /// This router sends it.
     Sent,
     /// The endpoint was only named to the caller of a lookup. The attempt counts as in flight for a
-    /// while, and nothing will be heard of it.
+    /// while, and no response to it will come.
     Named,
 }
 
@@ -48,7 +48,8 @@
 /// How an attempt ended.
 struct AttemptEnd {
     status: AttemptStatus,
-    /// How long the transfer of the response took the endpoint, in seconds, if its size tells.
+    /// How long the transfer of the response took the endpoint, in seconds, as far as it follows
+    /// from the size.
     transfer_time_s: Option<f64>,
     /// What the endpoint said of its cache.
     cache_status: Option<CacheStatus>,
@@ -216,8 +217,8 @@
         may_have_run_since.map(|since| since + window)
     }
 
-    /// Ends a lookup with the endpoint that was chosen; the caller is held to send the request
-    /// there.
+    /// Ends a lookup with the endpoint that was chosen. The attempt stays in flight for the latency
+    /// objective of the class, as the caller is expected to send the request.
     fn answer_lookup(
         &mut self,
         now: Timestamp,
