--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,16 +1,47 @@
-//! Settings by path, as both the simulator's wire and the configuration file give them.
+//! Settings by path, as both the simulator's protocol and the configuration file give them.
 
-use crate::interface::*;
+use crate::interface::{
+    CacheStatusReporting, DeduplicationScope, Discovery, Idempotency, ListedWeights, RequestClass, Settings,
+    SiblingCaches,
+};
 use std::collections::BTreeMap;
+use std::str::FromStr;
 use std::time::Duration;
 
+const SIBLING_CACHES: [(&str, SiblingCaches); 3] =
+    [("none", SiblingCaches::None), ("location", SiblingCaches::Location), ("any", SiblingCaches::Any)];
+const CACHE_STATUS_REPORTING: [(&str, CacheStatusReporting); 3] = [
+    ("none", CacheStatusReporting::None),
+    ("hit", CacheStatusReporting::Hit),
+    ("all", CacheStatusReporting::All),
+];
+const LISTED_WEIGHTS: [(&str, ListedWeights); 4] = [
+    ("none", ListedWeights::None),
+    ("nominal", ListedWeights::Size),
+    ("rough", ListedWeights::Size),
+    ("live", ListedWeights::Live),
+];
+const DISCOVERY: [(&str, Discovery); 2] = [("push", Discovery::Push), ("ask", Discovery::Ask)];
+const IDEMPOTENCY: [(&str, Idempotency); 3] = [
+    ("retryable", Idempotency::Idempotent),
+    ("dedup", Idempotency::WithKey),
+    ("fragile", Idempotency::NotIdempotent),
+];
+const DEDUPLICATION_SCOPE: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("cell", DeduplicationScope::Cell),
+];
+/// Stands for "no such kind".
+const NO_KIND: i64 = -1;
+
 /// A setting that can't be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("setting {key}: can't read {value:?}")]
 pub struct SettingParseError {
     /// The path.
     pub key: String,
-    /// What stands there.
+    /// The value that stands there.
     pub value: String,
 }
 
@@ -22,144 +53,161 @@
     pub fn new(map: BTreeMap<String, String>) -> SettingsMap {
         SettingsMap(map)
     }
+
     /// One value, or none where it is absent or empty.
-    pub fn read<T: std::str::FromStr>(&self, key: &str) -> Result<Option<T>, SettingParseError> {
-        match self.0.get(key).filter(|v| !v.is_empty()) {
+    pub fn read<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingParseError> {
+        match self.non_empty(key) {
             None => Ok(None),
-            Some(v) => v.parse().map(Some).map_err(|_| self.bad(key)),
+            Some(value) => value.parse().map(Some).map_err(|_| self.unreadable(key)),
         }
     }
-    fn num(&self, key: &str, into: &mut f64) -> Result<(), SettingParseError> {
-        if let Some(v) = self.read::<f64>(key)? {
-            *into = if v.is_finite() {
-                v
-            } else {
-                return Err(self.bad(key));
-            };
+
+    /// A comma-separated list; empty if absent.
+    pub fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>, SettingParseError> {
+        let Some(values) = self.non_empty(key) else { return Ok(Vec::new()) };
+        let parse = |value: &str| value.trim().parse().map_err(|_| self.unreadable(key));
+        values.split(',').map(parse).collect()
+    }
+
+    fn non_empty(&self, key: &str) -> Option<&String> {
+        self.0.get(key).filter(|value| !value.is_empty())
+    }
+
+    fn read_number(&self, key: &str, target: &mut f64) -> Result<(), SettingParseError> {
+        match self.read::<f64>(key)? {
+            Some(value) if !value.is_finite() => return Err(self.unreadable(key)),
+            Some(value) => *target = value,
+            None => {}
         }
         Ok(())
     }
-    fn put<T: std::str::FromStr>(&self, key: &str, into: &mut T) -> Result<(), SettingParseError> {
-        if let Some(v) = self.read(key)? {
-            *into = v;
+
+    fn read_value<T: FromStr>(&self, key: &str, target: &mut T) -> Result<(), SettingParseError> {
+        if let Some(value) = self.read(key)? {
+            *target = value;
         }
         Ok(())
     }
-    fn span(&self, key: &str, into: &mut Duration) -> Result<(), SettingParseError> {
+
+    /// A duration in microseconds.
+    fn read_duration(&self, key: &str, target: &mut Duration) -> Result<(), SettingParseError> {
         if let Some(micros) = self.read(key)? {
-            *into = Duration::from_micros(micros);
+            *target = Duration::from_micros(micros);
         }
         Ok(())
     }
-    fn spans(&self, key: &str) -> Result<Vec<Duration>, SettingParseError> {
+
+    fn duration_list(&self, key: &str) -> Result<Vec<Duration>, SettingParseError> {
         Ok(self.list(key)?.into_iter().map(Duration::from_micros).collect())
     }
-    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], into: &mut T) -> Result<(), SettingParseError> {
-        if let Some(v) = self.0.get(key) {
-            let hit = words.iter().find(|(w, _)| w == v);
-            *into = hit.map(|(_, t)| *t).ok_or_else(|| self.bad(key))?;
+
+    /// One of several words; unlike other values it must not be empty.
+    fn read_word<T: Copy>(
+        &self,
+        key: &str,
+        words: &[(&str, T)],
+        target: &mut T,
+    ) -> Result<(), SettingParseError> {
+        if let Some(value) = self.0.get(key) {
+            let known = words.iter().find(|(word, _)| word == value);
+            *target = known.map(|(_, meaning)| *meaning).ok_or_else(|| self.unreadable(key))?;
         }
         Ok(())
     }
-    /// A comma-separated list; empty if absent.
-    pub fn list<T: std::str::FromStr>(&self, key: &str) -> Result<Vec<T>, SettingParseError> {
-        match self.0.get(key).filter(|v| !v.is_empty()) {
-            None => Ok(Vec::new()),
-            Some(v) => v.split(',').map(|p| p.trim().parse().map_err(|_| self.bad(key))).collect(),
+
+    fn kind(&self, key: &str) -> Result<Option<u16>, SettingParseError> {
+        match self.read::<i64>(key)? {
+            None | Some(NO_KIND) => Ok(None),
+            Some(kind) => u16::try_from(kind).map(Some).map_err(|_| self.unreadable(key)),
         }
     }
-    fn bad(&self, key: &str) -> SettingParseError {
-        SettingParseError { key: key.to_string(), value: self.0.get(key).cloned().unwrap_or_default() }
+
+    fn unreadable(&self, key: &str) -> SettingParseError {
+        let value = self.0.get(key).cloned().unwrap_or_default();
+        SettingParseError { key: key.to_string(), value }
     }
 }
 
 /// Reads the settings; unknown keys are skipped, absent ones keep their defaults.
-pub fn parse_settings(p: &SettingsMap) -> Result<Settings, SettingParseError> {
-    let mut s = Settings::default();
-    p.put("az", &mut s.zone)?;
-    p.put("groupSize", &mut s.router_count)?;
-    s.router_count_by_zone = p.list("familyInfo.countByZone")?;
-    let kind = |key: &str| -> Result<Option<u16>, SettingParseError> {
-        match p.read::<i64>(key)? {
-            None | Some(-1) => Ok(None),
-            Some(v) => u16::try_from(v).map(Some).map_err(|_| p.bad(key)),
-        }
-    };
-    s.parent_kind = kind("familyInfo.shieldKind")?;
-    s.origin_kind = kind("familyInfo.storeKind")?;
-    p.put("familyInfo.bypassAllowed", &mut s.bypass_edge_cache)?;
-    p.put("familyInfo.sharesFills", &mut s.coalesce_fills)?;
-    p.num("familyInfo.flowKbPerS", &mut s.flow_kb_per_s)?;
-    p.num("familyInfo.originFallMultiple", &mut s.origin_overload_multiple)?;
-    p.span("familyInfo.purgeSlack", &mut s.purge_slack)?;
-    p.span("familyInfo.clearedWithin", &mut s.purge_done)?;
-    p.num("familyInfo.parentFloor", &mut s.parent_warm_up_floor)?;
-    p.span("familyInfo.upperCold", &mut s.parent_warm_up_period)?;
-    p.num("familyInfo.parentFallMultiple", &mut s.parent_overload_multiple)?;
-    let sibling_caches =
-        [("none", SiblingCaches::None), ("location", SiblingCaches::Location), ("any", SiblingCaches::Any)];
-    p.word("familyInfo.neighbours", &sibling_caches, &mut s.sibling_caches)?;
-    let notes = [
-        ("none", CacheStatusReporting::None),
-        ("hit", CacheStatusReporting::Hit),
-        ("all", CacheStatusReporting::All),
-    ];
-    p.word("familyInfo.tells", &notes, &mut s.cache_status_reporting)?;
-    let weights = [
-        ("none", ListedWeights::None),
-        ("nominal", ListedWeights::Size),
-        ("rough", ListedWeights::Size),
-        ("live", ListedWeights::Live),
-    ];
-    p.word("weightSource", &weights, &mut s.weights)?;
-    let discovery = [("push", Discovery::Push), ("ask", Discovery::Ask)];
-    p.word("discovery", &discovery, &mut s.discovery)?;
-    p.span("rules.mustAskIn", &mut s.list_silence_timeout)?;
-    p.span("rules.drainGrace", &mut s.drain_grace)?;
-    p.span("rules.graceToAnswer", &mut s.answer_slack)?;
-    p.num("rules.coldFrom", &mut s.warm_up_floor)?;
-    p.span("rules.warmAfter", &mut s.warm_up_period)?;
-    p.num("rules.overloadFactor", &mut s.overload_multiple)?;
-    p.span("rules.tipAfter", &mut s.overload_window)?;
-    p.put("limits.sendCap", &mut s.max_attempts)?;
-    p.put("limits.secondCopies", &mut s.hedging_allowed)?;
-    p.put("limits.cancel", &mut s.cancel)?;
-    p.put("limits.probes", &mut s.probes)?;
-    p.put("limits.retryAfter", &mut s.retry_after)?;
-    p.span("limits.maxRetryAfter", &mut s.max_retry_after)?;
-    p.span("limits.dialTimeout", &mut s.connect_timeout)?;
-    let count: u16 = p.read("classes.count")?.unwrap_or(0);
-    let writes: Vec<bool> = p.list("familyInfo.classWrite")?;
-    let fresh = p.spans("familyInfo.maxAge")?;
-    let grace = p.spans("familyInfo.usableAfter")?;
-    let stale: Vec<f64> = p.list("familyInfo.staleEarns")?;
-    for i in 0..usize::from(count) {
-        let mut c = RequestClass::default();
-        let key = |k: &str| format!("classes.{i}.{k}");
-        p.span(&key("onTime"), &mut c.latency_objective)?;
-        p.num(&key("aimStretch"), &mut c.latency_objective_stretch)?;
-        p.span(&key("hardLimit"), &mut c.deadline)?;
-        p.num(&key("worth"), &mut c.priority_weight)?;
-        p.num(&key("lateShare"), &mut c.late_weight)?;
-        let effects = [
-            ("retryable", Idempotency::Idempotent),
-            ("dedup", Idempotency::WithKey),
-            ("fragile", Idempotency::NotIdempotent),
-        ];
-        p.word(&key("effect"), &effects, &mut c.idempotency)?;
-        let scopes = [
-            ("all", DeduplicationScope::All),
-            ("zone", DeduplicationScope::Zone),
-            ("cell", DeduplicationScope::Cell),
-        ];
-        p.word(&key("dedupScope"), &scopes, &mut c.scope)?;
-        p.span(&key("keyTtl"), &mut c.window)?;
-        p.put(&key("stream"), &mut c.stream)?;
-        c.write = writes.get(i).copied().unwrap_or(false);
-        c.fresh = fresh.get(i).copied().unwrap_or_default();
-        c.grace = grace.get(i).copied().unwrap_or_default();
-        c.stale_weight = stale.get(i).copied().unwrap_or(1.0);
-        s.classes.push(c);
+pub fn parse_settings(map: &SettingsMap) -> Result<Settings, SettingParseError> {
+    let mut settings = Settings::default();
+    map.read_value("az", &mut settings.zone)?;
+    map.read_value("groupSize", &mut settings.router_count)?;
+    read_family(map, &mut settings)?;
+    map.read_word("weightSource", &LISTED_WEIGHTS, &mut settings.weights)?;
+    map.read_word("discovery", &DISCOVERY, &mut settings.discovery)?;
+    read_rules(map, &mut settings)?;
+    read_limits(map, &mut settings)?;
+    read_classes(map, &mut settings)?;
+    Ok(settings)
+}
+
+fn read_family(map: &SettingsMap, settings: &mut Settings) -> Result<(), SettingParseError> {
+    settings.router_count_by_zone = map.list("familyInfo.countByZone")?;
+    settings.parent_kind = map.kind("familyInfo.shieldKind")?;
+    settings.origin_kind = map.kind("familyInfo.storeKind")?;
+    map.read_value("familyInfo.bypassAllowed", &mut settings.bypass_edge_cache)?;
+    map.read_value("familyInfo.sharesFills", &mut settings.coalesce_fills)?;
+    map.read_number("familyInfo.flowKbPerS", &mut settings.flow_kb_per_s)?;
+    map.read_number("familyInfo.originFallMultiple", &mut settings.origin_overload_multiple)?;
+    map.read_duration("familyInfo.purgeSlack", &mut settings.purge_slack)?;
+    map.read_duration("familyInfo.clearedWithin", &mut settings.purge_done)?;
+    map.read_number("familyInfo.parentFloor", &mut settings.parent_warm_up_floor)?;
+    map.read_duration("familyInfo.upperCold", &mut settings.parent_warm_up_period)?;
+    map.read_number("familyInfo.parentFallMultiple", &mut settings.parent_overload_multiple)?;
+    map.read_word("familyInfo.neighbours", &SIBLING_CACHES, &mut settings.sibling_caches)?;
+    map.read_word("familyInfo.tells", &CACHE_STATUS_REPORTING, &mut settings.cache_status_reporting)
+}
+
+fn read_rules(map: &SettingsMap, settings: &mut Settings) -> Result<(), SettingParseError> {
+    map.read_duration("rules.mustAskIn", &mut settings.list_silence_timeout)?;
+    map.read_duration("rules.drainGrace", &mut settings.drain_grace)?;
+    map.read_duration("rules.graceToAnswer", &mut settings.answer_slack)?;
+    map.read_number("rules.coldFrom", &mut settings.warm_up_floor)?;
+    map.read_duration("rules.warmAfter", &mut settings.warm_up_period)?;
+    map.read_number("rules.overloadFactor", &mut settings.overload_multiple)?;
+    map.read_duration("rules.tipAfter", &mut settings.overload_window)
+}
+
+fn read_limits(map: &SettingsMap, settings: &mut Settings) -> Result<(), SettingParseError> {
+    map.read_value("limits.sendCap", &mut settings.max_attempts)?;
+    map.read_value("limits.secondCopies", &mut settings.hedging_allowed)?;
+    map.read_value("limits.cancel", &mut settings.cancel)?;
+    map.read_value("limits.probes", &mut settings.probes)?;
+    map.read_value("limits.retryAfter", &mut settings.retry_after)?;
+    map.read_duration("limits.maxRetryAfter", &mut settings.max_retry_after)?;
+    map.read_duration("limits.dialTimeout", &mut settings.connect_timeout)
+}
+
+/// Some attributes of classes stand in lists by class number, the others under the class.
+fn read_classes(map: &SettingsMap, settings: &mut Settings) -> Result<(), SettingParseError> {
+    let count: u16 = map.read("classes.count")?.unwrap_or(0);
+    let write: Vec<bool> = map.list("familyInfo.classWrite")?;
+    let fresh = map.duration_list("familyInfo.maxAge")?;
+    let grace = map.duration_list("familyInfo.usableAfter")?;
+    let stale_weight: Vec<f64> = map.list("familyInfo.staleEarns")?;
+    for index in 0..usize::from(count) {
+        let mut class = read_class(map, index)?;
+        class.write = write.get(index).copied().unwrap_or(false);
+        class.fresh = fresh.get(index).copied().unwrap_or_default();
+        class.grace = grace.get(index).copied().unwrap_or_default();
+        class.stale_weight = stale_weight.get(index).copied().unwrap_or(1.0);
+        settings.classes.push(class);
     }
-    Ok(s)
+    Ok(())
+}
+
+fn read_class(map: &SettingsMap, index: usize) -> Result<RequestClass, SettingParseError> {
+    let mut class = RequestClass::default();
+    let key = |name: &str| format!("classes.{index}.{name}");
+    map.read_duration(&key("onTime"), &mut class.latency_objective)?;
+    map.read_number(&key("aimStretch"), &mut class.latency_objective_stretch)?;
+    map.read_duration(&key("hardLimit"), &mut class.deadline)?;
+    map.read_number(&key("worth"), &mut class.priority_weight)?;
+    map.read_number(&key("lateShare"), &mut class.late_weight)?;
+    map.read_word(&key("effect"), &IDEMPOTENCY, &mut class.idempotency)?;
+    map.read_word(&key("dedupScope"), &DEDUPLICATION_SCOPE, &mut class.scope)?;
+    map.read_duration(&key("keyTtl"), &mut class.window)?;
+    map.read_value(&key("stream"), &mut class.stream)?;
+    Ok(class)
 }
