--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,11 +1,10 @@
-//! The wire: frames built by hand from the record tables, round trips, and malformed frames.
-
-#[path = "../src/wire.rs"]
-mod wire;
+//! The simulator's protocol: frames built by hand from the record tables, round trips, and malformed frames.
 
 use hollymux_decision::*;
+use hollymux_simulator_adapter::protocol::{
+    frame_len, parse_settings_text, Decoder, Encoder, Input, ProtocolError,
+};
 use std::time::Duration;
-use wire::{Decoder, Encoder, Input, WireError};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| b.is_ascii_hexdigit()).collect();
@@ -39,7 +38,7 @@
 
 fn event(hex: &str) -> Event {
     match only(&[padded(hex, 48)], &[]).pop() {
-        Some(Input::Event { inst: 3, event }) => event,
+        Some(Input::Event { instance: 3, event }) => event,
         other => panic!("{other:?}"),
     }
 }
@@ -102,7 +101,7 @@
     assert_eq!(event("32 0300 03"), Event::EndpointListFailed);
     let probed = event("78 0300 0a9011f2 b413 fc");
     assert!(matches!(probed, Event::Probed { status: AttemptStatus::ConnectFailed, .. }));
-    assert_eq!(only(&[padded("6e 0300", 48)], &[]), vec![Input::PowerOff { inst: 3 }]);
+    assert_eq!(only(&[padded("6e 0300", 48)], &[]), vec![Input::PowerOff { instance: 3 }]);
     assert_eq!(only(&[padded("5a 0300 02000000 00000000 04000000", 48)], b"hi 7"), vec![]);
 }
 
@@ -203,15 +202,15 @@
     }
     let err = |records: &[Vec<u8>], tail: &[u8]| Decoder::default().batch(&batch(records, tail)).unwrap_err();
     let unknown = err(&[padded("1e 0300", 48), padded("c8 0300", 48)], &[]);
-    assert_eq!(unknown, WireError::Code { index: 1, code: 200 });
+    assert_eq!(unknown, ProtocolError::UnknownEvent { record: 1, code: 200 });
     let rc = err(&[padded("64 0300 c4913a5d b8240000 0a124a07 8b13 44480000 0200 09", 48)], &[]);
-    assert!(matches!(rc, WireError::Value { field: "rc", value: 9, .. }));
+    assert!(matches!(rc, ProtocolError::InvalidField { field: "rc", value: 9, .. }));
     let list = err(&[padded("28 10000000", 48)], &[]);
-    assert!(matches!(list, WireError::Value { field: "list", .. }));
+    assert!(matches!(list, ProtocolError::InvalidField { field: "list", .. }));
     let unnamed = err(&[padded("32 0300 01 00000000 05000000", 48)], &[]);
-    assert!(matches!(unnamed, WireError::Value { field: "list", value: 5, .. }));
+    assert!(matches!(unnamed, ProtocolError::InvalidField { field: "list", value: 5, .. }));
     let past = err(&[padded("28 00000000 00000000 02000000", 48)], &[0; 24]);
-    assert!(matches!(past, WireError::Frame { .. }));
+    assert!(matches!(past, ProtocolError::Frame { .. }));
     let setup = |text: &str| {
         let mut r = bytes("46 0300 0100000000000000 00000000");
         r.extend((text.len() as u32).to_le_bytes());
@@ -220,7 +219,7 @@
     };
     let key = setup("limits.sendCap=many");
     assert_eq!(key.to_string(), "setting limits.sendCap: can't read \"many\"");
-    assert!(matches!(setup("no pair"), WireError::Setting(_)));
+    assert!(matches!(setup("no pair"), ProtocolError::Setting(_)));
     let mut long = good.clone();
     long.push(0);
     assert!(Decoder::default().batch(&long).is_err());
@@ -228,7 +227,7 @@
 
 #[test]
 fn settings_are_read_skipped_and_defaulted() {
-    let s = wire::settings(
+    let s = parse_settings_text(
         "az=2\nnew.key=x\nclasses.count=1\nclasses.0.effect=dedup\nclasses.0.dedupScope=zone\n\
          classes.0.onTime=500\nfamilyInfo.classWrite=true\nfamilyInfo.countByZone=0,1,2\n\
          familyInfo.shieldKind=-1\nfamilyInfo.storeKind=2\nweightSource=rough\ngroupSize=3\n",
@@ -243,8 +242,8 @@
         (Idempotency::WithKey, DeduplicationScope::Zone, Duration::from_micros(500), true)
     );
     assert_eq!((c.fresh, c.stale_weight), (Duration::ZERO, 1.0));
-    assert_eq!(wire::settings("").unwrap(), Settings::default());
-    assert!(wire::frame_len(&[0; 16]).is_err());
+    assert_eq!(parse_settings_text("").unwrap(), Settings::default());
+    assert!(frame_len(&[0; 16]).is_err());
 }
 
 /// What a site, its classes, kinds and zones are called reaches no decision: the settings come out the same.
@@ -258,8 +257,8 @@
              familyInfo.shieldKind=1\nfamilyInfo.storeKind=2\ngroupSize=3\n"
         )
     };
-    let one = wire::settings(&text("edge", "video", "sheet")).unwrap();
-    let other = wire::settings(&text("other", "x_1", "zz")).unwrap();
+    let one = parse_settings_text(&text("edge", "video", "sheet")).unwrap();
+    let other = parse_settings_text(&text("other", "x_1", "zz")).unwrap();
     assert_eq!(one, other);
     assert_eq!((one.classes.len(), one.router_count), (2, 3));
 }
