--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -36,22 +36,20 @@
             let route = self.route_to_cache(&candidates, endpoint, 0);
             return Some(RouteDecision { is_recovery_probe: true, ..route });
         }
-        let first = self.first_candidate(&candidates);
-        // The drawn cache, then the rest of the order as stand-ins; last, one that was tried before.
-        let ring: Vec<usize> = (first..candidates.available.len()).chain(0..first).collect();
-        let is_free = |index: usize| self.is_free(&candidates, candidates.available[index]);
-        let is_avoided = |index: usize| open.avoided.contains(&candidates.available[index].entry.id);
-        let is_untried = |index: usize| !is_avoided(index) && is_free(index);
+        let preferences = self.preference_order(&candidates);
+        let cache = |index: usize| candidates.available[index];
+        let is_free = |index: usize| self.is_free(&candidates, cache(index));
+        let is_untried = |index: usize| !open.avoided.contains(&cache(index).entry.id) && is_free(index);
         let has_capacity = |index: usize| {
-            let required = if index == first { 0.0 } else { MIN_STAND_IN_CAPACITY };
-            self.spare_capacity(now, &open.request, candidates.available[index]) >= required
+            let required = if preferences.first() == Some(&index) { 0.0 } else { MIN_STAND_IN_CAPACITY };
+            self.spare_capacity(now, &open.request, cache(index)) >= required
         };
-        let route = |index: usize| Some(self.route_to_cache(&candidates, candidates.available[index], index));
-        let suitable = ring.iter().copied().find(|index| is_untried(*index) && has_capacity(*index));
+        let route = |index: usize| Some(self.route_to_cache(&candidates, cache(index), index));
+        let suitable = preferences.iter().copied().find(|index| is_untried(*index) && has_capacity(*index));
         if let Some(index) = suitable {
             return route(index);
         }
-        let untried = ring.iter().copied().find(|index| is_untried(*index));
+        let untried = preferences.iter().copied().find(|index| is_untried(*index));
         let is_exhausted = !candidates.available.is_empty() && candidates.is_idempotent && untried.is_none();
         // No cache is in, or those that warm up may get no more: past them, if allowed.
         if self.settings.bypass_edge_cache && (candidates.available.is_empty() || is_exhausted) {
@@ -61,7 +59,7 @@
                 BypassDecision::AllAtCapacity | BypassDecision::NoneUsable => {}
             }
         }
-        let free = ring.iter().copied().find(|index| is_free(*index));
+        let free = preferences.iter().copied().find(|index| is_free(*index));
         match untried.or(free) {
             // All that may be tried are at capacity: what may be rejected is.
             Some(_) if untried.is_some() && candidates.is_idempotent => None,
@@ -105,7 +103,7 @@
         let home = candidates.available.first().copied().filter(|_| index > 0);
         RouteDecision {
             endpoint: cache.entry.id,
-            fill_source: self.choose_fill_source(candidates.now, candidates.open, cache, home),
+            fill_source: self.choose_fill_source(candidates, cache, home),
             retention: self.retention(candidates.open, index),
             is_recovery_probe: false,
         }
@@ -149,19 +147,18 @@
         }
     }
 
-    /// The index among the available caches that is tried first: of a first attempt the one drawn among the
-    /// replicas, of one whose response was lost the same as before, of another retry the home cache.
-    fn first_candidate(&self, candidates: &CandidateCaches) -> usize {
+    /// The indices of the available caches in the order in which they are tried: the one drawn among the
+    /// replicas (of a lost response the same as before, of another retry the home cache), then the rest of the
+    /// hash order as stand-ins; last, those ahead of it.
+    fn preference_order(&self, candidates: &CandidateCaches) -> Vec<usize> {
         let open = candidates.open;
+        let count = candidates.available.len();
         let repeated = open.attempts.last().filter(|_| open.response_lost);
         let is_same = |cache: &&Endpoint| repeated.is_some_and(|attempt| attempt.endpoint == cache.entry.id);
-        if let Some(index) = candidates.available.iter().position(is_same) {
-            return index;
-        }
-        if open.is_retry() {
-            return 0;
-        }
-        let replicas = replica_count(self.request_counter.level(open.hash_key));
-        (open.random_draw % replicas.min(candidates.available.len()).max(1) as u64) as usize
+        let replicas = replica_count(self.request_counter.level(open.hash_key)).min(count).max(1);
+        let drawn = (open.random_draw % replicas as u64) as usize;
+        let preferred = if open.is_retry() { 0 } else { drawn };
+        let first = candidates.available.iter().position(is_same).unwrap_or(preferred);
+        (first..count).chain(0..first).collect()
     }
 }
--- a/crates/decision/src/policy/fill_source.rs
+++ b/crates/decision/src/policy/fill_source.rs
@@ -2,8 +2,7 @@
 
 use crate::interface::{EndpointId, SiblingCaches};
 use crate::module::DecisionModule;
-use crate::state::{Endpoint, EndpointRole, OpenRequest};
-use crate::time::Timestamp;
+use crate::state::{CandidateCaches, Endpoint, EndpointRole, OpenRequest};
 
 /// A fill goes to parents with this much spare capacity for it: it has a way to go yet, and all routers learn
 /// late what all of them sent.
@@ -16,20 +15,16 @@
     /// the home parent, else what stands in for it. None: it is served from copies alone.
     pub(crate) fn choose_fill_source(
         &self,
-        now: Timestamp,
-        open: &OpenRequest,
+        candidates: &CandidateCaches,
         cache: &Endpoint,
         home: Option<&Endpoint>,
     ) -> Option<EndpointId> {
+        let (now, open) = (candidates.now, candidates.open);
         let origin = self.hash_order(open.hash_key, EndpointRole::Origin);
         if open.is_write && !origin.is_empty() {
             return origin.first().map(|origin| origin.entry.id);
         }
-        let work = self.mean_work(&open.request);
-        let is_usable = |source: &&Endpoint| {
-            let id = source.entry.id;
-            id != cache.entry.id && !open.avoided.contains(&id) && self.admits(now, source, work)
-        };
+        let is_usable = |source: &&Endpoint| self.is_usable_source(candidates, cache, source);
         let is_replicated = self.settings.sibling_caches != SiblingCaches::None
             && self.request_counter.levels.contains_key(&open.hash_key);
         let home = home.filter(|home| is_replicated && is_usable(home));
@@ -59,6 +54,12 @@
         preferred.or(last_resort).map(|source| source.entry.id)
     }
 
+    fn is_usable_source(&self, candidates: &CandidateCaches, cache: &Endpoint, source: &Endpoint) -> bool {
+        let id = source.entry.id;
+        let is_excluded = id == cache.entry.id || candidates.open.avoided.contains(&id);
+        !is_excluded && self.admits(candidates.now, source, candidates.work)
+    }
+
     /// The caches of other zones that may have an object, its home there first; none if not allowed.
     fn remote_siblings(&self, open: &OpenRequest) -> Vec<&Endpoint> {
         if self.settings.sibling_caches != SiblingCaches::Any || open.is_write {
--- a/crates/simulator-adapter/src/protocol/encoder.rs
+++ b/crates/simulator-adapter/src/protocol/encoder.rs
@@ -9,6 +9,8 @@
 const REPLY_HEADER_BYTES: usize = 8;
 /// Size of an action record.
 const ACTION_BYTES: usize = 32;
+/// Argument of a subscription to the endpoint list.
+const SUBSCRIBE_TO_CHANGES: u8 = 1;
 /// Flags of a fill.
 const FLAG_COALESCE: u8 = 1;
 const FLAG_ONLY_IF_CACHED: u8 = 1 << 1;
@@ -38,50 +40,36 @@
     /// Adds one action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
         let mut record = ActionRecord { instance, fields: Vec::with_capacity(ACTION_BYTES) };
-        let code = match action {
+        match action {
             Action::Attempt { request, endpoint, timeout, fill } => {
                 record.u32(*request);
                 record.endpoint(*endpoint);
                 record.micros(*timeout);
                 record.fill(*endpoint, fill);
-                code::ATTEMPT
             }
             Action::Cancel { request, attempt } => {
                 record.u32(*request);
                 record.bytes(&attempt.to_le_bytes());
-                code::CANCEL
             }
             Action::Refuse { request, retry_after } => {
                 record.u32(*request);
                 record.micros(*retry_after);
-                code::REFUSE
-            }
-            Action::Fail { request } => {
-                record.u32(*request);
-                code::FAIL
             }
+            Action::Fail { request } => record.u32(*request),
             Action::Timer { after, token } => {
                 record.micros(*after);
                 record.bytes(&token.to_le_bytes());
-                code::TIMER
-            }
-            Action::Subscribe => {
-                record.bytes(&[1]);
-                code::SUBSCRIBE
-            }
-            Action::FetchHosts => code::FETCH_LIST,
-            Action::Probe { endpoint } => {
-                record.endpoint(*endpoint);
-                code::PROBE
             }
+            Action::Subscribe => record.bytes(&[SUBSCRIBE_TO_CHANGES]),
+            Action::FetchHosts => {}
+            Action::Probe { endpoint } => record.endpoint(*endpoint),
             Action::Log(text) => {
                 record.u32(self.tail.len() as u32);
                 record.u32(text.len() as u32);
                 self.tail.extend_from_slice(text.as_bytes());
-                code::LOG
             }
-        };
-        self.push(code, &record);
+        }
+        self.push(action_code(action), &record);
     }
 
     fn push(&mut self, code: u8, record: &ActionRecord) {
@@ -105,6 +93,20 @@
     }
 }
 
+fn action_code(action: &Action) -> u8 {
+    match action {
+        Action::Attempt { .. } => code::ATTEMPT,
+        Action::Cancel { .. } => code::CANCEL,
+        Action::Refuse { .. } => code::REFUSE,
+        Action::Fail { .. } => code::FAIL,
+        Action::Timer { .. } => code::TIMER,
+        Action::Subscribe => code::SUBSCRIBE,
+        Action::FetchHosts => code::FETCH_LIST,
+        Action::Probe { .. } => code::PROBE,
+        Action::Log(_) => code::LOG,
+    }
+}
+
 /// The fields of an action record behind its code and instance.
 struct ActionRecord {
     instance: u16,
