--- /dev/null
+++ b/crates/decision/tests/purges.rs
@@ -0,0 +1,46 @@
+//! How purges bound the age of copies.
+
+mod common;
+
+use common::{sent, settings, Harness};
+use hollymux_decision::time::MICROSECOND;
+use hollymux_decision::*;
+use std::time::Duration;
+
+#[test]
+fn purges_bound_the_age_at_once_until_all_copies_are_cleared() {
+    let mut harness = Harness::new(settings());
+    assert_eq!(harness.request(42).fill.max_age, None);
+    let purge = |object, group, since| Event::Purged(Purge { since, object, group });
+    harness.event(purge(Some(42), 1, Duration::from_millis(300)));
+    let age = harness.request(42).fill.max_age.unwrap();
+    assert!((MICROSECOND..Duration::from_millis(300)).contains(&age));
+    assert_eq!(harness.request(43).fill.max_age, None);
+    harness.event(purge(None, 7, Duration::ZERO));
+    assert_eq!(harness.request(43).fill.max_age, Some(MICROSECOND), "a zero bound would mean none");
+    harness.now += Duration::from_secs(1);
+    let s = harness.request(43);
+    let age = s.fill.max_age.unwrap();
+    assert!(
+        age < Duration::from_secs(1) && age > Duration::from_millis(900),
+        "the bound grows with the time since the purge"
+    );
+    // A later attempt of a request that was out when the purge came is bound too.
+    let before = harness.request(77);
+    harness.event(purge(Some(77), 1, Duration::ZERO));
+    let actions = harness.end_attempt(&before, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
+    assert_eq!(sent(&actions).unwrap().fill.max_age, Some(MICROSECOND));
+    harness.now += Duration::from_secs(8);
+    assert_eq!(harness.request(43).fill.max_age, None);
+}
+
+#[test]
+fn the_purge_history_is_bounded_and_forgets_no_purge() {
+    let mut harness = Harness::new(settings());
+    for object in 0..50_000 {
+        harness.event(Event::Purged(Purge { since: Duration::ZERO, object: Some(object + 1), group: 0 }));
+    }
+    for object in [1, 20_000, 50_000] {
+        assert!(harness.request(object).fill.max_age.is_some());
+    }
+}
