--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -148,8 +148,8 @@
     }
 
     /// The indices of the available caches in the order in which they are tried: the one drawn among the
-    /// replicas (of a lost response the same as before, of another retry the home cache), then the rest of the
-    /// hash order as stand-ins; last, those ahead of it.
+    /// replicas (of a lost response the same as before, of another retry the home cache), then the rest of
+    /// the hash order as stand-ins; last, those ahead of it.
     fn preference_order(&self, candidates: &CandidateCaches) -> Vec<usize> {
         let open = candidates.open;
         let count = candidates.available.len();
--- a/crates/decision/tests/endpoint_choice.rs
+++ b/crates/decision/tests/endpoint_choice.rs
@@ -44,7 +44,7 @@
             let after = harness.homes();
             for (k, (cache, parent)) in &before {
                 let (c, p) = after[k];
-                assert!(c != id && p != id, "nothing new for a {state:?} host");
+                assert!(c != id && p != id, "nothing new for a {state:?} endpoint");
                 assert!(if is_cache { p == *parent } else { c == *cache });
                 assert!(*cache == id || c == *cache);
                 assert!(*parent == id || p == *parent);
@@ -73,7 +73,7 @@
             endpoints.insert(s.endpoint);
             if s.endpoint != home {
                 assert_eq!(s.fill.source, Some(EndpointId(home)), "extra copies come from home");
-                assert_eq!(s.fill.retention, 1, "and take the lowest rank");
+                assert_eq!(s.fill.retention, 1, "and have the lowest retention priority");
             }
         }
         harness.now += Duration::from_millis(20);
@@ -90,7 +90,7 @@
 fn small_samples_and_the_backlog_of_a_stall_raise_no_level() {
     let mut harness = Harness::new(settings());
     let home = harness.serve(42).endpoint;
-    // Three of four requests in a round: a large share of nothing.
+    // Three of four requests in an interval: a large share of too few.
     for i in 0..3 {
         harness.serve(42);
         harness.now += Duration::from_millis(300);
@@ -141,8 +141,8 @@
     assert!(stood_in > 0 && refused > 0, "{stood_in} {refused}");
 }
 
-/// Names carry no meaning: other numbers for zones and kinds give the same actions, and instances that take
-/// turns act as each would alone.
+/// Names carry no meaning: other numbers for zones and kinds give the same actions, and instances
+/// that take turns act as each would alone.
 #[test]
 fn other_zone_and_kind_numbers_and_interleaving_change_no_action() {
     let moved = |entries: Vec<EndpointEntry>| -> Vec<EndpointEntry> {
--- a/crates/decision/tests/health.rs
+++ b/crates/decision/tests/health.rs
@@ -20,10 +20,10 @@
     harness.now += Duration::from_secs(1);
     let recovery_probe = harness.request(objects[4]);
     assert_eq!(recovery_probe.endpoint, 2);
-    assert_ne!(harness.request(objects[5]).endpoint, 2, "one recovery_probe at a time");
+    assert_ne!(harness.request(objects[5]).endpoint, 2, "one recovery probe at a time");
     harness.end_attempt(&recovery_probe, 0, AttemptStatus::Ok, Some(CacheStatus::Filled));
     assert_eq!(harness.request(objects[6]).endpoint, 2);
-    // Seen dead, so held to be cold: a burst is not all sent there.
+    // Its process was lost, so it warms up: a burst is not all sent there.
     let burst =
         (0..60).filter(|_| sent(&harness.request_part(objects[6], 0, 0)).is_some_and(|s| s.endpoint == 2));
     assert!(burst.count() < 30);
@@ -45,13 +45,14 @@
             }
         }
         let after = harness.homes();
-        assert!(after.values().all(|h| h.1 != 22), "the parent is out");
+        assert!(after.values().all(|h| h.1 != 22), "the parent is ejected");
         assert!(after.iter().all(|(k, h)| h.0 == homes[k].0), "no cache is");
     }
 }
 
-/// Guards against a parent that is held to have started anew, and so to be cold, as fills from it broke off on their way:
-/// connections that are reset under fills tell that now and then. One that refuses them tells so at once.
+/// Guards against a parent that is held to have started anew, and so to warm up, because fills from
+/// it broke off on their way: connections that are reset under fills look like that now and then.
+/// One that refuses them does so at once.
 #[test]
 fn a_fill_that_broke_off_does_not_mean_a_lost_parent() {
     for (told_after, cold) in [
@@ -79,7 +80,7 @@
             );
             harness.end_attempt(&sent(&actions).unwrap(), 1, AttemptStatus::Ok, Some(CacheStatus::Filled));
         }
-        // It is back, if it was away: a request that names it is filled.
+        // It is readmitted, if it was ejected: a request that names it is filled.
         harness.now += Duration::from_millis(700);
         let named = objects.iter().any(|object| {
             let s = harness.request(*object);
@@ -92,12 +93,13 @@
     }
 }
 
-/// Guards against a parent that is held to be cold after one error, with its fills sent where the objects are not,
-/// and against clients that take endpoints out by asking for what nobody can use; errors of a request that another
-/// parent then serves are still a death.
+/// Guards against a parent that warms up after one error, with its fills sent where the objects are
+/// not, and against clients that get endpoints ejected by requests that nobody can serve; errors of
+/// a request that another parent then serves still mean a lost parent.
 #[test]
 fn errors_mean_a_lost_parent_only_where_another_parent_serves() {
-    // Errors of one request, how many such requests, whether it is served in the end, and whether that is a death.
+    // Errors of one request, how many such requests, whether it is served in the end, and whether
+    // the parent is lost.
     for (errors, requests, served, dead) in
         [(1, 1, true, false), (2, 1, true, true), (3, 40, false, false), (1, 40, true, false)]
     {
@@ -136,8 +138,8 @@
     }
 }
 
-/// Asks for these objects and refuses each fill by that parent at once, with a hit after each; tells whether the parent
-/// is asked itself.
+/// Requests these objects and refuses each fill by that parent at once, with a hit after each;
+/// returns whether the parent is probed.
 fn refuse_fills(harness: &mut Harness, requested: &[u64], parent: u64) -> bool {
     let mut asked = false;
     for object in requested {
@@ -155,8 +157,9 @@
     asked
 }
 
-/// Guards against naming a dead parent for as long as it is dead: its fills are refused at once, and each hit that
-/// names it looked like a sign of its life. A probe settles it, and a probe alone leads it back, cold.
+/// Guards against naming a lost parent for as long as it is lost: its fills are refused at once,
+/// and each hit that names it looked like its response. A probe settles it, and a probe alone
+/// readmits it, to warm up.
 #[test]
 fn a_parent_that_refuses_is_probed_and_readmitted_by_a_probe_alone() {
     let probes = |probes| Settings {
@@ -178,19 +181,19 @@
         });
         all.count()
     };
-    // A refusal now and then among hits asks for nothing.
+    // A refusal now and then among hits causes no probe.
     for object in &objects {
         assert!(!refuse_fills(&mut harness, &[*object], 22));
         objects.iter().cycle().take(60).for_each(|o| {
             harness.serve(*o);
         });
     }
-    // Many do. It answers: nothing is held against it, and it is not asked again at once.
+    // Many do. It responds: nothing is held against it, and it is not probed again at once.
     assert!(refuse_fills(&mut harness, &objects[..6], 22));
     harness.event(Event::Probed { endpoint: parent, status: AttemptStatus::Error });
     assert!(fills_named(&mut harness) > objects.len() * 9 / 10);
     assert!(!refuse_fills(&mut harness, &objects[..6], 22));
-    // It does not: no hit leads it back, and it is asked again when that is due.
+    // It does not: no hit readmits it, and it is probed again when that is due.
     harness.now += Duration::from_secs(10);
     assert!(refuse_fills(&mut harness, &objects[..6], 22));
     harness.event(Event::Probed { endpoint: parent, status: AttemptStatus::Timeout });
@@ -201,13 +204,13 @@
     assert_eq!(fills_named(&mut harness), 0);
     harness.event(Event::Probed { endpoint: parent, status: AttemptStatus::Ok });
     let back = fills_named(&mut harness);
-    assert!(0 < back && back * 5 < objects.len(), "named {back} times: it is cold, and its budget is small");
-    // Without probes nobody is asked.
+    assert!(0 < back && back * 5 < objects.len(), "named {back} times: it warms up, and its budget is small");
+    // Without probes nobody is probed.
     assert!(!refuse_fills(&mut Harness::new(probes(false)), &objects, 22));
 }
 
-/// Guards against evidence against a cache, and against leaving it for one that holds nothing, where only a
-/// connection broke: it has answered others since.
+/// Guards against blaming a cache, and against leaving it for one that holds nothing, where only a
+/// connection broke: it has responded to others since.
 #[test]
 fn a_reset_at_a_cache_that_has_responded_since_is_retried_there() {
     let mut harness =
@@ -224,8 +227,9 @@
     }
 }
 
-/// Guards against a cache that answers most requests with an error and a few as it should: each success cleared
-/// it, so that it kept its place for as long as it failed. It comes back once several trials succeed.
+/// Guards against a cache that answers most requests with an error and a few as it should: each
+/// success cleared it, so that it kept its place for as long as it failed. It is readmitted once
+/// several recovery probes succeed.
 #[test]
 fn a_cache_that_fails_most_requests_is_ejected_until_recovery_probes_succeed() {
     let mut harness =
@@ -240,7 +244,7 @@
         if s.endpoint == 1 && n < 500 && n % 5 != 0 {
             let actions = harness.end_attempt(&s, 0, AttemptStatus::Error, None);
             let again = sent(&actions).unwrap();
-            assert_ne!(again.endpoint, 1, "another cache is asked");
+            assert_ne!(again.endpoint, 1, "another cache is used");
             assert_eq!(again.fill.source, s.fill.source, "by way of the same parent");
             s = again;
             harness.end_attempt(&s, 1, AttemptStatus::Ok, None);
@@ -252,10 +256,11 @@
     assert!(times(&asked[..500]) < 60, "asked {} times while it fails", times(&asked[..500]));
     assert!(times(&asked[800..]) == 200, "asked {} times of 200 when it is well again", times(&asked[800..]));
     let parents: Vec<u64> = harness.homes().values().map(|h| h.1).collect();
-    assert!(parents.contains(&22) && parents.contains(&21), "no parent is held to be dead");
+    assert!(parents.contains(&22) && parents.contains(&21), "no parent is held to be lost");
 }
 
-/// A line that breaks a quarter of all attempts takes no endpoint out, unlike one that breaks all of them.
+/// A link that breaks a quarter of all attempts gets no endpoint ejected, unlike one that breaks
+/// all of them.
 #[test]
 fn occasional_resets_eject_no_endpoint() {
     let mut harness = Harness::new(settings());
@@ -279,7 +284,8 @@
     assert_ne!(harness.request(objects[7]).endpoint, 2);
 }
 
-/// A location whose caches all fall silent is not taken for a jam: requests go past them where they may.
+/// Caches of a zone that all fall silent are not taken for overloaded: requests bypass them where
+/// they may.
 #[test]
 fn caches_of_a_silent_zone_are_bypassed() {
     let mut harness = Harness::new(Settings { bypass_edge_cache: true, ..settings() });
@@ -296,7 +302,7 @@
         for a in actions {
             match a {
                 Action::Timer { after, token } => timers.push((harness.now + after, token)),
-                // Calling an attempt off is the only thing that ends one here.
+                // Cancelling an attempt is the only thing that ends one here.
                 Action::Cancel { request, attempt } => {
                     let e = AttemptOutcome {
                         request,
@@ -317,5 +323,5 @@
         }
         harness.now += Duration::from_millis(20);
     }
-    assert!(past > 20, "{past} went past the silent caches");
+    assert!(past > 20, "{past} bypassed the silent caches");
 }
--- a/crates/decision/tests/purges.rs
+++ b/crates/decision/tests/purges.rs
@@ -25,7 +25,7 @@
         age < Duration::from_secs(1) && age > Duration::from_millis(900),
         "the bound grows with the time since the purge"
     );
-    // A later attempt of a request that was out when the purge came is bound too.
+    // A later attempt of a request that was in flight when the purge came is bound too.
     let before = harness.request(77);
     harness.event(purge(Some(77), 1, Duration::ZERO));
     let actions = harness.end_attempt(&before, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -27,8 +27,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Random lawful events: one final answer each, nothing sent after it or to an endpoint that drains, no two
-    /// attempts at once where that is forbidden, no repeated effect, and the same again from the same seed.
+    /// Random lawful events: one final answer each, nothing sent after it or to an endpoint that
+    /// drains, no two attempts at once where that is forbidden, no repeated effect, and the same
+    /// again from the same seed.
     #[test]
     fn random_events_keep_the_rules(
         steps in prop::collection::vec((0u8..6, any::<u64>()), 50..400),
@@ -41,7 +42,8 @@
         let s = Settings { hedging_allowed, bypass_edge_cache, cache_status_reporting: notes, classes, ..settings() };
         let mut harnesses = [Harness::new(s.clone()), Harness::new(s)];
         let mut shut: BTreeSet<u64> = BTreeSet::new();
-        // Per request: attempts out, how many were sent, whether one may have run, whether it has ended.
+        // Per request: attempts out, how many were sent, whether one may have run, whether it has
+        // ended.
         let mut open: BTreeMap<RequestId, (BTreeMap<u16, u64>, u16, bool, bool)> = BTreeMap::new();
         let mut timers: Vec<(Timestamp, u64)> = Vec::new();
         let mut deadlines: BTreeMap<RequestId, Timestamp> = BTreeMap::new();
--- a/crates/decision/tests/service.rs
+++ b/crates/decision/tests/reconfigure_and_restore.rs
@@ -1,4 +1,5 @@
-//! The module in service: other settings, a successor that goes on with what this one knows, two that share.
+//! A module in service: new settings, a successor that restores a snapshot, and two processes that
+//! share endpoints.
 
 use hollymux_decision::*;
 use proptest::prelude::*;
@@ -47,10 +48,10 @@
     Event::EndpointList { kind: ListKind::Full, entries }
 }
 
-fn module(started: Timestamp) -> DecisionModule {
-    let mut c = DecisionModule::new(settings(), 7).unwrap();
-    c.handle(START, endpoints(started), &mut Vec::new());
-    c
+fn module_with_list(started: Timestamp) -> DecisionModule {
+    let mut module = DecisionModule::new(settings(), 7).unwrap();
+    module.handle(START, endpoints(started), &mut Vec::new());
+    module
 }
 
 fn request(id: RequestId, class: u16, object: u64, now: Timestamp) -> Event {
@@ -58,9 +59,9 @@
     Event::Request(Request { id, class, object, group: 1, deadline, ..Request::default() })
 }
 
-/// The attempt among these actions.
-fn attempt(acts: &[Action]) -> Option<(EndpointId, CacheFill)> {
-    acts.iter().find_map(|a| match a {
+/// The attempt among the actions.
+fn attempt(actions: &[Action]) -> Option<(EndpointId, CacheFill)> {
+    actions.iter().find_map(|a| match a {
         Action::Attempt { endpoint, fill, .. } => Some((*endpoint, fill.clone())),
         _ => None,
     })
@@ -80,20 +81,21 @@
     })
 }
 
-/// How many attempts a request gets whose every one is refused a connection; other settings come after the first.
-fn attempts(c: &mut DecisionModule, id: RequestId, other: Option<Settings>) -> u16 {
-    let mut acts = Vec::new();
-    c.handle(START, request(id, 0, 5, START), &mut acts);
+/// How many attempts a request gets if each is refused a connection; other settings come after the
+/// first.
+fn attempts(module: &mut DecisionModule, id: RequestId, other: Option<Settings>) -> u16 {
+    let mut actions = Vec::new();
+    module.handle(START, request(id, 0, 5, START), &mut actions);
     let mut n = 0;
-    while let Some((endpoint, _)) = attempt(&acts) {
+    while let Some((endpoint, _)) = attempt(&actions) {
         if let Some(s) = other.clone().filter(|_| n == 0) {
-            c.reconfigure(s, &[Some(0), Some(1)]).unwrap();
+            module.reconfigure(s, &[Some(0), Some(1)]).unwrap();
         }
-        acts.clear();
-        c.handle(
+        actions.clear();
+        module.handle(
             START + Duration::from_micros(u64::from(n)),
             outcome(id, n, endpoint, AttemptStatus::Moot),
-            &mut acts,
+            &mut actions,
         );
         n += 1;
     }
@@ -102,71 +104,77 @@
 
 /// Guards against more attempts than were allowed when a request came, or than are allowed now.
 #[test]
-fn the_lower_number_of_attempts_binds() {
+fn the_lower_limit_of_attempts_applies() {
     let allowed = |n| Some(Settings { max_attempts: n, ..settings() });
-    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, None), 6);
-    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, allowed(2)), 2);
-    assert_eq!(attempts(&mut module(Timestamp::ZERO), 1, allowed(9)), 6);
-    let mut c = module(Timestamp::ZERO);
-    c.reconfigure(allowed(3).unwrap(), &[Some(0), Some(1)]).unwrap();
-    assert_eq!(attempts(&mut c, 1, None), 3, "of a request that comes afterwards");
-    assert!(c.reconfigure(Settings { router_count: 0, ..settings() }, &[]).is_err());
-    assert_eq!(attempts(&mut c, 2, None), 3, "what is impossible changes nothing");
+    assert_eq!(attempts(&mut module_with_list(Timestamp::ZERO), 1, None), 6);
+    assert_eq!(attempts(&mut module_with_list(Timestamp::ZERO), 1, allowed(2)), 2);
+    assert_eq!(attempts(&mut module_with_list(Timestamp::ZERO), 1, allowed(9)), 6);
+    let mut module = module_with_list(Timestamp::ZERO);
+    module.reconfigure(allowed(3).unwrap(), &[Some(0), Some(1)]).unwrap();
+    assert_eq!(attempts(&mut module, 1, None), 3, "of a request that comes afterwards");
+    assert!(module.reconfigure(Settings { router_count: 0, ..settings() }, &[]).is_err());
+    assert_eq!(attempts(&mut module, 2, None), 3, "what is impossible changes nothing");
 }
 
-/// Guards against a successor that sends to a dead endpoint, serves what was purged, or holds cold endpoints to be warm.
+/// Guards against a successor that sends to an ejected endpoint, serves what was purged, or holds
+/// endpoints that warm up to be warm.
 #[test]
-fn a_successor_avoids_and_bounds_what_its_predecessor_did() {
-    let mut old = module(Timestamp::ZERO);
-    let mut acts = Vec::new();
+fn a_successor_keeps_the_ejections_and_bounds_of_its_predecessor() {
+    let mut old = module_with_list(Timestamp::ZERO);
+    let mut actions = Vec::new();
     // Endpoint by endpoint: every connection to 1 is refused.
     for id in 1..200 {
-        acts.clear();
+        actions.clear();
         let now = START + id * Duration::from_millis(10);
-        old.handle(now, request(id, 0, u64::from(id), now), &mut acts);
-        let (endpoint, _) = attempt(&acts).unwrap();
+        old.handle(now, request(id, 0, u64::from(id), now), &mut actions);
+        let (endpoint, _) = attempt(&actions).unwrap();
         let status = if endpoint == EndpointId(1) { AttemptStatus::ConnectFailed } else { AttemptStatus::Ok };
-        old.handle(now, outcome(id, 0, endpoint, status), &mut acts);
-        old.handle(now, Event::Withdrawn { request: id }, &mut acts);
+        old.handle(now, outcome(id, 0, endpoint, status), &mut actions);
+        old.handle(now, Event::Withdrawn { request: id }, &mut actions);
     }
     let now = START + Duration::from_secs(2);
-    old.handle(now, Event::Purged(Purge { since: Duration::ZERO, object: Some(77), group: 0 }), &mut acts);
+    old.handle(now, Event::Purged(Purge { since: Duration::ZERO, object: Some(77), group: 0 }), &mut actions);
     assert_eq!(old.rotation(), Rotation { listed: 7, avoided: 1 });
-    let mut new = module(Timestamp::ZERO);
+    let mut new = module_with_list(Timestamp::ZERO);
     assert_eq!(new.rotation().avoided, 0);
     new.restore(now, &old.snapshot());
     assert_eq!(new.rotation(), old.rotation());
     assert_eq!(new.snapshot(), old.snapshot());
-    acts.clear();
-    new.handle(now + Duration::from_millis(5), request(1, 0, 77, now + Duration::from_millis(5)), &mut acts);
-    let (endpoint, fill) = attempt(&acts).unwrap();
+    actions.clear();
+    new.handle(
+        now + Duration::from_millis(5),
+        request(1, 0, 77, now + Duration::from_millis(5)),
+        &mut actions,
+    );
+    let (endpoint, fill) = attempt(&actions).unwrap();
     assert_ne!(endpoint, EndpointId(1));
     assert_eq!(fill.max_age, Some(Duration::from_millis(4)), "no copy from before the purge");
 }
 
-/// Guards against cold endpoints that bear two processes at one place as if they were one.
+/// Guards against two processes of one router that each use its whole warm-up budget.
 #[test]
-fn two_that_share_send_no_more_to_cold_hosts_than_one() {
-    let sent = |c: &mut DecisionModule| {
-        let mut acts = Vec::new();
+fn two_processes_that_share_send_no_more_within_warm_up_budgets_than_one() {
+    let sent = |module: &mut DecisionModule| {
+        let mut actions = Vec::new();
         for id in 1..=2_000u32 {
             let now = START + Duration::from_micros(u64::from(id) * 500);
-            c.handle(now, request(id, 0, u64::from(id), now), &mut acts);
+            module.handle(now, request(id, 0, u64::from(id), now), &mut actions);
         }
-        acts.iter().filter(|a| matches!(a, Action::Attempt { endpoint, .. } if endpoint.0 < 9)).count()
+        actions.iter().filter(|a| matches!(a, Action::Attempt { endpoint, .. } if endpoint.0 < 9)).count()
     };
-    let (mut alone, mut shared, mut again) = (module(START), module(START), module(START));
+    let (mut alone, mut shared, mut again) =
+        (module_with_list(START), module_with_list(START), module_with_list(START));
     shared.share(1);
     again.share(1);
     again.share(0);
     let (alone, shared, again) = (sent(&mut alone), sent(&mut shared), sent(&mut again));
     assert!(alone > 10, "{alone}");
-    // Two of them beside another router: a third each in the place of a half.
+    // Two of them beside another router: a third each in place of a half.
     assert!(shared * 3 <= alone * 2 + 6, "{shared} where {alone} go alone");
     assert_eq!(again, alone);
 }
 
-fn any_memory() -> impl Strategy<Value = DecisionSnapshot> {
+fn any_snapshot() -> impl Strategy<Value = DecisionSnapshot> {
     let f = || prop_oneof![Just(f64::NAN), Just(f64::INFINITY), Just(-1.0), any::<f64>()];
     let t = || prop_oneof![Just(0), Just(u64::MAX), any::<u64>()].prop_map(Timestamp::from_micros);
     let endpoint = (0u64..12, t(), f(), t(), f(), t(), any::<bool>(), (f(), t())).prop_map(
@@ -204,22 +212,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a predecessor whose numbers are none, or whose clock is another one: whatever it says, each
-    /// request goes somewhere or is ended, and nothing panics.
+    /// Guards against a predecessor whose numbers are not finite, or whose clock is another one:
+    /// whatever it hands over, each request goes somewhere or is ended, and nothing panics.
     #[test]
-    fn any_memory_can_be_gone_on_with(memory in any_memory()) {
-        let mut c = module(Timestamp::ZERO);
-        c.restore(START, &memory);
+    fn any_snapshot_can_be_restored(snapshot in any_snapshot()) {
+        let mut module = module_with_list(Timestamp::ZERO);
+        module.restore(START, &snapshot);
         for id in 1..60u32 {
             let now = START + id * Duration::from_millis(100);
-            let mut acts = Vec::new();
-            c.handle(now, request(id, (id % 2) as u16, u64::from(id % 7), now), &mut acts);
-            if let Some((endpoint, _)) = attempt(&acts) {
-                acts.clear();
-                c.handle(now, outcome(id, 0, endpoint, AttemptStatus::Ok), &mut acts);
+            let mut actions = Vec::new();
+            module.handle(now, request(id, (id % 2) as u16, u64::from(id % 7), now), &mut actions);
+            if let Some((endpoint, _)) = attempt(&actions) {
+                actions.clear();
+                module.handle(now, outcome(id, 0, endpoint, AttemptStatus::Ok), &mut actions);
             } else {
                 let ended = |a: &Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
-                prop_assert!(acts.iter().any(ended), "{acts:?}");
+                prop_assert!(actions.iter().any(ended), "{actions:?}");
             }
         }
     }
--- a/crates/decision/tests/requests.rs
+++ b/crates/decision/tests/requests.rs
@@ -13,7 +13,7 @@
         s.classes = vec![RequestClass { idempotency, scope, write: true, ..class() }];
         Harness::new(s)
     };
-    // Unsafe: no second attempt and no refusal once it may have run; both before.
+    // Not idempotent: no second attempt and no rejection once it may have run; both before.
     let mut harness = with(Idempotency::NotIdempotent, DeduplicationScope::All);
     let s = harness.request(42);
     let actions = harness.end_attempt(&s, 0, AttemptStatus::Reset, None);
@@ -21,7 +21,7 @@
     assert!(actions.contains(&Action::Fail { request: s.id }));
     let s = harness.request(43);
     assert!(sent(&harness.end_attempt(&s, 0, AttemptStatus::ConnectFailed, None)).is_some());
-    // Keyed, in its own cell only, and only within the window.
+    // With a key: in its own cell only, and only within the window.
     let mut harness = with(Idempotency::WithKey, DeduplicationScope::Cell);
     let mut cells = endpoint_list();
     cells[..4].iter_mut().zip(1..).for_each(|(e, cell)| e.cell = cell);
@@ -37,7 +37,7 @@
     harness.now += Duration::from_secs(3);
     let late = harness.end_attempt(&s, 0, AttemptStatus::Error, None);
     assert!(sent(&late).is_none() && final_answers(&late) == 1);
-    // Writes go to the origin and are never kept.
+    // Writes go to the origin and leave no copy.
     let s = harness.request(44);
     assert_eq!((s.fill.source, s.fill.retention), (Some(EndpointId(31)), 0));
 }
@@ -50,7 +50,7 @@
     let told = Duration::from_millis(200)..=Duration::from_millis(400);
     let advised = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if told.contains(retry_after));
     assert!(actions.iter().any(advised), "{actions:?}");
-    // Nothing to send to at all.
+    // There is no endpoint at all.
     let mut harness = Harness::new(settings());
     harness.apply_list(ListKind::Full, vec![]);
     assert_eq!(final_answers(&harness.request_part(42, 0, 0)), 1);
@@ -61,7 +61,7 @@
 fn an_overdue_attempt_at_a_silent_cache_is_moved() {
     for hedging_allowed in [false, true] {
         let mut harness = Harness::new(Settings { hedging_allowed, ..settings() });
-        // Its caches are heard of often: their silence says something.
+        // Its caches respond often: their silence is evidence.
         harness.homes();
         harness.homes();
         let actions = harness.request_part(42, 0, 0);
@@ -84,7 +84,7 @@
     }
 }
 
-/// A failed origin is not asked again through other parents; a stale copy is asked for once.
+/// A failed origin is not retried through other parents; a stale copy is requested once.
 #[test]
 fn a_failed_origin_is_not_retried_through_every_parent() {
     let mut harness = Harness::new(settings());
--- a/crates/decision/tests/time.rs
+++ b/crates/decision/tests/time.rs
@@ -16,7 +16,8 @@
     assert_eq!(whole_micros(Duration::MAX), u64::MAX);
 }
 
-/// Guards against a half of an odd span that keeps half a microsecond: it would differ from the integers' in comparisons.
+/// Guards against a half of an odd span that keeps half a microsecond: it would differ from the
+/// integers' in comparisons.
 #[test]
 fn fractions_of_microseconds_are_dropped() {
     let odd = Duration::from_micros(5);
--- a/crates/decision/tests/warm_up.rs
+++ b/crates/decision/tests/warm_up.rs
@@ -25,7 +25,7 @@
         harness.apply_list(ListKind::Delta, vec![entry]);
         let mut times = Vec::new();
         for i in 0..3_000 {
-            // Misses all of them: what is asked of the parent stays asked.
+            // All are misses: the work of the parent stays in its budget.
             let s = harness.request(10_000 + i);
             harness.end_attempt(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Filled));
             if s.endpoint == id || s.fill.source == Some(EndpointId(id)) {
@@ -33,7 +33,7 @@
             }
             harness.now += Duration::from_millis(2);
         }
-        assert!(times.len() > 5, "a cold host gets its part: {}", times.len());
+        assert!(times.len() > 5, "an endpoint that warms up gets its share: {}", times.len());
         for t in &times {
             let n = times.iter().filter(|x| **x >= *t && **x < *t + Duration::from_secs(1)).count() as f64;
             let age = t.duration_since(started).as_micros() as f64 / over.as_micros() as f64;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Guards against a whole cold budget for a box that took over an address, on top of what was sent there before its
-/// start was told.
+/// Guards against a whole warm-up budget for an endpoint that took over an address, on top of what
+/// was sent there before its start was announced.
 #[test]
 fn load_sent_to_an_address_counts_against_the_endpoint_that_took_it_over() {
     let sent_after = |in_place_of| {
@@ -67,8 +67,9 @@
     assert_eq!(sent_after(Some(EndpointId(1))), 0);
 }
 
-/// Guards against refusing a location whose caches have all started anew: what they may not get yet parents serve
-/// straight, as far as that is allowed, and the caches go on being warmed.
+/// Guards against rejecting the requests of a zone whose caches have all started anew: parents
+/// serve directly what these may not get yet, as far as that is allowed, and the caches go on
+/// warming up.
 #[test]
 fn requests_beyond_the_warm_up_budgets_bypass_the_caches() {
     let served = |bypass_edge_cache| {
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! The simulator's protocol: frames built by hand from the record tables, round trips, and malformed frames.
+//! The simulator's protocol: frames built by hand from the record tables, round trips, and
+//! malformed frames.
 
 use hollymux_decision::*;
 use hollymux_simulator_adapter::protocol::{
@@ -246,7 +247,8 @@
     assert!(frame_len(&[0; 16]).is_err());
 }
 
-/// What a site, its classes, kinds and zones are called reaches no decision: the settings come out the same.
+/// What a site, its classes, kinds and zones are called reaches no decision: the settings come out
+/// the same.
 #[test]
 fn names_are_not_read() {
     let text = |site: &str, a: &str, b: &str| {
