--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -18,6 +18,237 @@
     AttemptStatus::Reset,
     AttemptStatus::Cancelled,
 ];
+const STATES: [EndpointState; 3] = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
+/// These prove that an attempt did not run.
+const NEVER_RAN: [AttemptStatus; 3] =
+    [AttemptStatus::Miss, AttemptStatus::Full, AttemptStatus::ConnectFailed];
+/// The greatest identity of a cache of the own zone.
+const LAST_LOCAL_CACHE: u64 = 4;
+/// An answer may come this long after the deadline.
+const ANSWER_SLACK: Duration = Duration::from_millis(100);
+/// After the last step all timers within this time are due.
+const LAST_WAIT: Duration = Duration::from_secs(60);
+
+/// What may happen next, by the first number of a step.
+#[derive(Clone, Copy, PartialEq)]
+enum Step {
+    Request,
+    Outcome,
+    ListChange,
+    Purge,
+    End,
+}
+
+impl Step {
+    fn of(kind: u8) -> Step {
+        match kind {
+            0 | 1 => Step::Request,
+            2 | 3 => Step::Outcome,
+            4 => Step::ListChange,
+            _ => Step::Purge,
+        }
+    }
+}
+
+/// What is known of a request from outside of the module.
+#[derive(Default)]
+struct OpenRequest {
+    /// The endpoints of attempts in flight, by number.
+    in_flight: BTreeMap<u16, u64>,
+    attempts: u16,
+    may_have_run: bool,
+    has_ended: bool,
+    deadline: Timestamp,
+}
+
+/// Two modules from the same seed that receive the same events, and the rules that are checked.
+struct RuleChecker {
+    modules: [Harness; 2],
+    settings: Settings,
+    idempotency: Idempotency,
+    unavailable: BTreeSet<u64>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    timers: Vec<(Timestamp, u64)>,
+}
+
+impl RuleChecker {
+    fn new(settings: Settings) -> RuleChecker {
+        RuleChecker {
+            modules: [Harness::new(settings.clone()), Harness::new(settings.clone())],
+            idempotency: settings.classes[0].idempotency,
+            settings,
+            unavailable: BTreeSet::new(),
+            requests: BTreeMap::new(),
+            timers: Vec::new(),
+        }
+    }
+
+    /// Plays a step: the timers that are due by then come first, at their time.
+    fn step(&mut self, step: Step, random: u64) -> Result<(), TestCaseError> {
+        let now = self.modules[0].now + Duration::from_micros(random % 80_000);
+        let until = if step == Step::End { now + LAST_WAIT } else { now };
+        self.timers.sort();
+        let due: Vec<_> = self.timers.iter().copied().filter(|timer| timer.0 <= until).collect();
+        self.timers.retain(|timer| timer.0 > until);
+        let event = match step {
+            Step::Request => Some(self.request(now, random)),
+            Step::Outcome => self.outcome(random),
+            Step::ListChange => Some(list_change(now, random)),
+            Step::Purge => Some(purge(random)),
+            Step::End => None,
+        };
+        for (at, token) in due {
+            self.apply(at, Event::Timer { token })?;
+        }
+        event.map_or(Ok(()), |event| self.apply(now, event))
+    }
+
+    fn request(&mut self, now: Timestamp, random: u64) -> Event {
+        let id = self.modules[0].last_request + 1;
+        self.modules.iter_mut().for_each(|module| module.last_request = id);
+        let deadline = now + Duration::from_millis(500) + Duration::from_micros(random % 3_000_000);
+        self.requests.insert(id, OpenRequest { deadline, ..OpenRequest::default() });
+        Event::Request(Request {
+            id,
+            class: 0,
+            object: random % 20,
+            part: 0,
+            group: 3,
+            size_kb: None,
+            deadline,
+            repeat: false,
+            write: false,
+        })
+    }
+
+    /// The end of an attempt in flight, if there is one.
+    fn outcome(&self, random: u64) -> Option<Event> {
+        let (request, attempt, endpoint, has_ended) = self.requests.iter().find_map(|(id, open)| {
+            let (attempt, endpoint) = open.in_flight.iter().nth(random as usize % 3)?;
+            Some((*id, *attempt, *endpoint, open.has_ended))
+        })?;
+        let status = STATUSES[(random >> 8) as usize % STATUSES.len()];
+        Some(Event::AttemptOutcome(AttemptOutcome {
+            request,
+            attempt,
+            endpoint: EndpointId(endpoint),
+            latency: Duration::from_micros(random % 1_000_000),
+            status,
+            ended: has_ended || status == AttemptStatus::Ok,
+            note: None,
+            work: None,
+        }))
+    }
+
+    /// Hands an event to both modules and checks the actions.
+    fn apply(&mut self, at: Timestamp, event: Event) -> Result<(), TestCaseError> {
+        for module in &mut self.modules {
+            module.now = at.max(module.now);
+        }
+        self.observe(&event);
+        let actions = self.modules[0].event(event.clone());
+        prop_assert_eq!(&actions, &self.modules[1].event(event));
+        for action in actions {
+            self.check_action(action)?;
+        }
+        let now = self.modules[0].now;
+        for open in self.requests.values() {
+            let is_in_time = now <= open.deadline + ANSWER_SLACK;
+            prop_assert!(open.has_ended || is_in_time, "left without an answer");
+        }
+        Ok(())
+    }
+
+    fn observe(&mut self, event: &Event) {
+        match event {
+            Event::EndpointList { entries, .. } => {
+                let entry = &entries[0];
+                self.unavailable.remove(&entry.id.0);
+                if entry.state != EndpointState::Ready {
+                    self.unavailable.insert(entry.id.0);
+                }
+            }
+            Event::AttemptOutcome(outcome) => {
+                let open = self.requests.get_mut(&outcome.request).unwrap();
+                open.in_flight.remove(&outcome.attempt);
+                open.may_have_run |= !NEVER_RAN.contains(&outcome.status);
+                open.has_ended |= outcome.ended;
+            }
+            _ => {}
+        }
+    }
+
+    fn check_action(&mut self, action: Action) -> Result<(), TestCaseError> {
+        match action {
+            Action::Attempt { request, endpoint, fill, .. } => {
+                self.check_attempt(request, endpoint, &fill)?;
+            }
+            Action::Refuse { request, .. } => {
+                let open = self.requests.get_mut(&request).unwrap();
+                prop_assert!(!std::mem::replace(&mut open.has_ended, true), "answered twice");
+                let never_ran = !open.may_have_run && open.in_flight.is_empty();
+                prop_assert!(self.idempotency == Idempotency::Idempotent || never_ran);
+            }
+            Action::Fail { request } => {
+                let open = self.requests.get_mut(&request).unwrap();
+                prop_assert!(!std::mem::replace(&mut open.has_ended, true), "answered twice");
+            }
+            Action::Cancel { request, attempt } => {
+                prop_assert!(attempt < self.requests[&request].attempts);
+            }
+            Action::Timer { after, token } => self.timers.push((self.modules[0].now + after, token)),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn check_attempt(
+        &mut self,
+        request: RequestId,
+        endpoint: EndpointId,
+        fill: &CacheFill,
+    ) -> Result<(), TestCaseError> {
+        let open = self.requests.get_mut(&request).unwrap();
+        let never_ran = !open.may_have_run && open.in_flight.is_empty();
+        let is_available = |endpoint: EndpointId| !self.unavailable.contains(&endpoint.0);
+        prop_assert!(!open.has_ended, "sent after the end");
+        prop_assert!(is_available(endpoint) && fill.source.is_none_or(is_available));
+        prop_assert!(self.settings.hedging_allowed || open.in_flight.is_empty(), "two at once");
+        prop_assert!(self.idempotency != Idempotency::NotIdempotent || never_ran);
+        prop_assert!(open.attempts < 4, "the attempt limit");
+        prop_assert!(
+            self.settings.bypass_edge_cache || endpoint.0 <= LAST_LOCAL_CACHE,
+            "caches of the own zone only"
+        );
+        open.in_flight.insert(open.attempts, endpoint.0);
+        open.attempts += 1;
+        Ok(())
+    }
+}
+
+fn list_change(now: Timestamp, random: u64) -> Event {
+    let mut entry = endpoint_list().swap_remove(random as usize % 10);
+    entry.state = STATES[(random >> 8) as usize % STATES.len()];
+    entry.started = if random.is_multiple_of(2) { now } else { Timestamp::ZERO };
+    Event::EndpointList { kind: ListKind::Delta, entries: vec![entry] }
+}
+
+fn purge(random: u64) -> Event {
+    let object = (!random.is_multiple_of(3)).then_some(random % 20 + 1);
+    Event::Purged(Purge { since: Duration::from_micros(random % 1_000_000), object, group: 3 })
+}
+
+fn any_idempotency() -> impl Strategy<Value = Idempotency> {
+    prop::sample::select(vec![Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent])
+}
+
+fn any_reporting() -> impl Strategy<Value = CacheStatusReporting> {
+    prop::sample::select(vec![
+        CacheStatusReporting::None,
+        CacheStatusReporting::Hit,
+        CacheStatusReporting::All,
+    ])
+}
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -27,126 +258,33 @@
         ..ProptestConfig::default()
     })]
 
-    /// Random lawful events: one final answer each, nothing sent after it or to an endpoint that
-    /// drains, no two attempts at once where that is forbidden, no repeated effect, and the same
-    /// again from the same seed.
+    /// Random permitted events: one final answer each, nothing sent after it or to an endpoint that
+    /// drains, no two attempts at once where that is forbidden, no repeat that idempotency forbids, and
+    /// the same again from the same seed.
     #[test]
     fn random_events_keep_the_rules(
         steps in prop::collection::vec((0u8..6, any::<u64>()), 50..400),
         hedging_allowed: bool,
-        idempotency in prop::sample::select(vec![Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent]),
+        idempotency in any_idempotency(),
         bypass_edge_cache: bool,
-        notes in prop::sample::select(vec![CacheStatusReporting::None, CacheStatusReporting::Hit, CacheStatusReporting::All]),
+        cache_status_reporting in any_reporting(),
     ) {
-        let classes = vec![RequestClass { idempotency, scope: DeduplicationScope::Zone, ..class() }];
-        let s = Settings { hedging_allowed, bypass_edge_cache, cache_status_reporting: notes, classes, ..settings() };
-        let mut harnesses = [Harness::new(s.clone()), Harness::new(s)];
-        let mut shut: BTreeSet<u64> = BTreeSet::new();
-        // Per request: attempts out, how many were sent, whether one may have run, whether it has
-        // ended.
-        let mut open: BTreeMap<RequestId, (BTreeMap<u16, u64>, u16, bool, bool)> = BTreeMap::new();
-        let mut timers: Vec<(Timestamp, u64)> = Vec::new();
-        let mut deadlines: BTreeMap<RequestId, Timestamp> = BTreeMap::new();
-        let last = (9u8, 0u64);
-        for (kind, x) in steps.into_iter().chain([last]) {
-            let now = harnesses[0].now + Duration::from_micros(x % 80_000);
-            let mut events = Vec::new();
-            timers.sort();
-            let until = if kind == 9 { now + Duration::from_secs(60) } else { now };
-            // Timers that fall due come first, at their time.
-            let due: Vec<_> = timers.iter().copied().filter(|t| t.0 <= until).collect();
-            timers.retain(|t| t.0 > until);
-            events.extend(due.into_iter().map(|(at, token)| (at, Event::Timer { token })));
-            let busy = open.iter().find_map(|(id, o)| {
-                o.0.iter().nth(x as usize % 3).map(|(n, h)| (*id, *n, *h, o.3))
-            });
-            match (kind, busy) {
-                (0 | 1, _) => {
-                    let id = harnesses[0].last_request + 1;
-                    harnesses.iter_mut().for_each(|b| b.last_request = id);
-                    let deadline = now + Duration::from_millis(500) + Duration::from_micros(x % 3_000_000);
-                    open.insert(id, Default::default());
-                    deadlines.insert(id, deadline);
-                    events.push((now, Event::Request(Request {
-                        id, class: 0, object: x % 20, part: 0, group: 3, size_kb: None, deadline,
-                        repeat: false, write: false,
-                    })));
-                }
-                (2 | 3, Some((request, attempt, endpoint, done))) => {
-                    let status = STATUSES[(x >> 8) as usize % STATUSES.len()];
-                    let ended = done || status == AttemptStatus::Ok;
-                    events.push((now, Event::AttemptOutcome(AttemptOutcome {
-                        request, attempt, endpoint: EndpointId(endpoint), latency: Duration::from_micros(x % 1_000_000),
-                        status, ended, note: None, work: None,
-                    })));
-                }
-                (4, _) => {
-                    let mut e = endpoint_list().swap_remove(x as usize % 10);
-                    e.state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][(x >> 8) as usize % 3];
-                    e.started = if x % 2 == 0 { now } else { Timestamp::ZERO };
-                    events.push((now, Event::EndpointList { kind: ListKind::Delta, entries: vec![e] }));
-                }
-                (5, _) => {
-                    let object = (x % 3 > 0).then_some(x % 20 + 1);
-                    let since = Duration::from_micros(x % 1_000_000);
-                    events.push((now, Event::Purged(Purge { since, object, group: 3 })));
-                }
-                _ => {}
-            }
-            for (at, event) in events {
-                for b in harnesses.iter_mut() {
-                    b.now = at.max(b.now);
-                }
-                if let Event::EndpointList { entries, .. } = &event {
-                    let e = &entries[0];
-                    shut.remove(&e.id.0);
-                    if e.state != EndpointState::Ready {
-                        shut.insert(e.id.0);
-                    }
-                }
-                if let Event::AttemptOutcome(o) = &event {
-                    let r = open.get_mut(&o.request).unwrap();
-                    r.0.remove(&o.attempt);
-                    let proven = [AttemptStatus::Miss, AttemptStatus::Full, AttemptStatus::ConnectFailed];
-                    r.2 |= !proven.contains(&o.status);
-                    r.3 |= o.ended;
-                }
-                let actions = harnesses[0].event(event.clone());
-                prop_assert_eq!(&actions, &harnesses[1].event(event));
-                for a in actions {
-                    match a {
-                        Action::Attempt { request, endpoint, fill, .. } => {
-                            let r = open.get_mut(&request).unwrap();
-                            prop_assert!(!r.3, "sent after the end");
-                            prop_assert!(!shut.contains(&endpoint.0) && fill.source.is_none_or(|s| !shut.contains(&s.0)));
-                            prop_assert!(hedging_allowed || r.0.is_empty(), "two at once");
-                            prop_assert!(idempotency != Idempotency::NotIdempotent || (!r.2 && r.0.is_empty()));
-                            prop_assert!(r.1 < 4, "the attempt limit");
-                            prop_assert!(bypass_edge_cache || endpoint.0 <= 4, "own caches only");
-                            r.0.insert(r.1, endpoint.0);
-                            r.1 += 1;
-                        }
-                        Action::Refuse { request, .. } => {
-                            let r = open.get_mut(&request).unwrap();
-                            prop_assert!(!std::mem::replace(&mut r.3, true), "answered twice");
-                            prop_assert!(idempotency == Idempotency::Idempotent || (!r.2 && r.0.is_empty()));
-                        }
-                        Action::Fail { request } => {
-                            let r = open.get_mut(&request).unwrap();
-                            prop_assert!(!std::mem::replace(&mut r.3, true), "answered twice");
-                        }
-                        Action::Cancel { request, attempt } => {
-                            prop_assert!(attempt < open[&request].1);
-                        }
-                        Action::Timer { after, token } => timers.push((harnesses[0].now + after, token)),
-                        _ => {}
-                    }
-                }
-                for (id, r) in &open {
-                    prop_assert!(r.3 || harnesses[0].now <= deadlines[id] + Duration::from_millis(100), "left without an answer");
-                }
-            }
+        let class = RequestClass { idempotency, scope: DeduplicationScope::Zone, ..class() };
+        let classes = vec![class];
+        let mut checker = RuleChecker::new(Settings {
+            hedging_allowed,
+            bypass_edge_cache,
+            cache_status_reporting,
+            classes,
+            ..settings()
+        });
+        for (kind, random) in steps {
+            checker.step(Step::of(kind), random)?;
         }
-        prop_assert!(open.values().all(|o| o.3), "some request was never answered");
+        checker.step(Step::End, 0)?;
+        prop_assert!(
+            checker.requests.values().all(|open| open.has_ended),
+            "some request was never answered"
+        );
     }
 }
