--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -6,7 +6,8 @@
 //! `docs/fleet.md` and `docs/fleet-limits.md` have the design and its guarantees.
 
 mod counters;
-mod envelope;
+#[doc(hidden)]
+pub mod envelope;
 pub mod membership;
 pub mod quota;
 mod transmit;
--- a/crates/cluster/src/membership/record.rs
+++ b/crates/cluster/src/membership/record.rs
@@ -1,47 +1,53 @@
-//! What is said of a router, and which of two sayings holds. Records are ordered, and the greater one holds: so it
-//! doesn't matter in which order they come, how often, or which ones never do.
+//! What routers say of a router, and which of two such records holds.
+//!
+//! Records are totally ordered and the greater one holds: a join of a semilattice, so that order, repetition and loss
+//! of datagrams do not matter.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest name of a router or an office, in bytes.
+/// The longest name of a router or a zone, in bytes.
 pub const MAX_NAME_LEN: usize = 32;
-/// No start is later than this: the next start must have a number as well.
-const START_MOST: u64 = 1 << 60;
-/// Nor is an incarnation: before it comes to that a router takes a new start's number.
-pub(crate) const INCARNATION_MOST: u32 = 1 << 30;
+/// No generation is greater: the next start must be able to take a greater one.
+const MAX_GENERATION: u64 = 1 << 60;
+/// At this incarnation a router takes the next generation instead.
+pub(super) const MAX_INCARNATION: u32 = 1 << 30;
+/// An encoded record with its address is never longer, as names are bounded.
+const MAX_ENCODED_LEN: usize = 192;
+/// Hash seed of records; part of the wire format.
+const RECORD_HASH_SEED: u64 = 0;
 
-/// How a router stands, as far as others can tell; the later one holds within an incarnation.
+/// Whether a router is held to be running; within an incarnation the later state holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers somebody.
+    /// It answers some router.
     Alive,
-    /// A probe of it went unanswered, direct and by way of others.
+    /// It answered a probe neither directly nor through other routers.
     Suspect,
-    /// Nobody reaches it: dead, cut off or slow.
+    /// It did not refute a suspicion in time: stopped, cut off or slow.
     Failed,
-    /// It said that it ends.
+    /// It announced that it stops.
     Left,
 }
 
-/// What an alive router does, by its own word.
+/// What a running router is doing, as it says itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RouterPhase {
-    /// It has not heard from the fleet yet, or must hear from it anew.
+    /// It has not received an answer from the cluster yet.
     Joining,
     /// It serves.
     Ready,
-    /// It is emptied.
+    /// It serves no new clients.
     Standby,
     /// Another process has its clients' address.
     Replaced,
-    /// It finishes what is open and ends.
+    /// It finishes what is in progress and stops.
     Stopping,
 }
 
 impl MemberState {
-    /// Its name, the same in log, metrics, door and docs.
+    /// The name that operators see in logs, metrics and the admin endpoint.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -50,10 +56,15 @@
             MemberState::Left => "left",
         }
     }
+
+    /// Whether the router is taken to answer: alive or merely suspected.
+    pub fn is_reachable(self) -> bool {
+        self <= MemberState::Suspect
+    }
 }
 
 impl RouterPhase {
-    /// Its name, the same in log, metrics, door and docs.
+    /// The name that operators see in logs, metrics and the admin endpoint.
     pub fn name(self) -> &'static str {
         match self {
             RouterPhase::Joining => "joining",
@@ -65,73 +76,53 @@
     }
 }
 
-/// What is said of the router at an address. The fields are in the order by which two are compared.
+/// What is said of the router at an address. The fields stand in the order in which two records are compared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The number of its start: the next start at the address has a greater one.
     pub generation: u64,
-    /// Counted by the router itself, within a start.
+    /// Raised by the router itself to replace what is said of it, within a generation.
     pub incarnation: u32,
-    /// How it stands.
+    /// Whether it is held to be running.
     pub state: MemberState,
-    /// What it does.
+    /// What it is doing.
     pub phase: RouterPhase,
-    /// What people call it.
+    /// Its name for people.
     pub name: String,
-    /// Its office.
+    /// Its zone.
     pub zone: String,
 }
 
 impl MemberRecord {
-    /// Whether its fields are within bounds.
-    pub(crate) fn usable(&self) -> bool {
-        let fits = |s: &str| s.len() <= MAX_NAME_LEN;
-        self.generation <= START_MOST
-            && self.incarnation <= INCARNATION_MOST
+    /// Whether all fields are within their bounds.
+    pub fn is_valid(&self) -> bool {
+        self.generation <= MAX_GENERATION
+            && self.incarnation <= MAX_INCARNATION
             && !self.name.is_empty()
-            && fits(&self.name)
-            && fits(&self.zone)
+            && self.name.len() <= MAX_NAME_LEN
+            && self.zone.len() <= MAX_NAME_LEN
     }
 
-    /// The same router under another rank.
-    pub(crate) fn ranked(&self, state: MemberState) -> MemberRecord {
+    /// The same record in another state.
+    pub(super) fn with_state(&self, state: MemberState) -> MemberRecord {
         MemberRecord { state, ..self.clone() }
     }
 
-    /// What digests are made of. A suspicion is no fact yet and counts as alive: two views that differ in it alone
-    /// are settled.
-    pub(crate) fn digest(&self, addr: SocketAddr) -> u64 {
-        let state = if self.state == MemberState::Suspect { MemberState::Alive } else { self.state };
-        let text = (addr, self.generation, self.incarnation, state, self.phase, &self.name, &self.zone);
-        // Names are bounded, so that all of it fits.
-        let mut bytes = [0; 192];
-        postcard::to_slice(&text, &mut bytes).map_or(0, |bytes| xxh3_64_with_seed(bytes, 0))
-    }
-}
-
-/// The digests of a view, as a whole and in parts, so that two that differ find out cheaply where.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Digests {
-    pub(crate) parts: [u64; Digests::PARTS],
-}
-
-impl Digests {
-    /// 300 routers are some 20 a part, which fit a datagram.
-    pub(crate) const PARTS: usize = 16;
-
-    pub(crate) fn part(addr: SocketAddr) -> usize {
-        let mut text = [0; 32];
-        let used = postcard::to_slice(&addr, &mut text).map_or(0, |t| t.len());
-        (xxh3_64_with_seed(&text[..used], 1) % Digests::PARTS as u64) as usize
-    }
-
-    /// A record came or went.
-    pub(crate) fn turn(&mut self, addr: SocketAddr, record: &MemberRecord) {
-        self.parts[Digests::part(addr)] ^= record.digest(addr);
+    /// The same record with a suspicion taken back: a suspicion is not a fact yet.
+    pub(super) fn without_suspicion(&self) -> MemberRecord {
+        match self.state {
+            MemberState::Suspect => self.with_state(MemberState::Alive),
+            _ => self.clone(),
+        }
     }
 
-    pub(crate) fn whole(&self) -> u64 {
-        let text: Vec<u8> = self.parts.iter().flat_map(|p| p.to_le_bytes()).collect();
-        xxh3_64_with_seed(&text, 2)
+    /// A hash of the record at this address. A suspect counts as alive: views that differ in suspicions alone have
+    /// converged.
+    pub(super) fn digest(&self, address: SocketAddr) -> u64 {
+        let state = if self.state == MemberState::Suspect { MemberState::Alive } else { self.state };
+        let fields = (address, self.generation, self.incarnation, state, self.phase, &self.name, &self.zone);
+        let mut buffer = [0; MAX_ENCODED_LEN];
+        postcard::to_slice(&fields, &mut buffer)
+            .map_or(0, |encoded| xxh3_64_with_seed(encoded, RECORD_HASH_SEED))
     }
 }
--- a/crates/cluster/src/quota/mod.rs
+++ b/crates/cluster/src/quota/mod.rs
@@ -21,7 +21,7 @@
 pub use status::{LeaseStatus, OwnShareStatus, QuotaAllocation, QuotaCounters};
 
 use crate::counters::RouterCounts;
-use crate::envelope::{fleet_hash, MAX_DATAGRAM_LEN};
+use crate::envelope::{cluster_hash, MAX_DATAGRAM_LEN};
 use crate::transmit::Transmit;
 use crate::{Time, MS};
 use hollymux_decision::{EndpointId, QuotaScope, QuotaShare, Timestamp, WarmUpDemand};
@@ -133,7 +133,7 @@
     pub fn new(setup: QuotaOptions, now: Time) -> QuotaManager {
         let among = (setup.configured_routers.all.max(1), setup.configured_routers.own_zone.max(1));
         let mut limits = QuotaManager {
-            fleet: fleet_hash(&setup.cluster_name),
+            fleet: cluster_hash(&setup.cluster_name),
             now,
             began: now,
             peers: BTreeMap::new(),
--- a/crates/cluster/tests/common/mod.rs
+++ b/crates/cluster/tests/common/mod.rs
@@ -1,4 +1,7 @@
-//! What the models share.
+//! Helpers that several tests share.
+
+// Each test crate uses a part of these helpers only.
+#![allow(dead_code, unused_imports, unused_macros)]
 
 use std::net::SocketAddr;
 
