--- a/crates/cluster/src/quota/ledger.rs
+++ b/crates/cluster/src/quota/ledger.rs
@@ -1,247 +1,241 @@
-//! One limit at one router: the parts that are its own, those it holds from others for a time, and those it has given
-//! away for a time. It decides what may be given and until when; it does not decide to whom.
+//! The lease ledger of one limit at one router: what is borrowed and what is lent, and until when.
 //!
-//! Whatever is given is counted out here first, under a number of its own, until its taker can no longer use it by any
-//! clock. What is lost on the way is void until then; what comes twice is the same lot.
+//! It decides what may be lent and for how long, not to whom. Whatever is lent is subtracted here first, under a number
+//! of its own, until the borrower can no longer use it by any clock. A transfer that is lost is void until then; one
+//! that arrives twice is the same lease.
 
-use super::message::GIFTS_MOST;
-use super::{LeaseHolder, LeaseTimings, WHOLE_QUOTA};
+use super::lease::{LeaseHolder, LeaseTransfer, MAX_TRANSFERS_PER_LIMIT};
+use super::options::LeaseTimings;
+use super::WHOLE_QUOTA;
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Lots that are held, and given, of one limit at most; what is beyond is refused, and stays void until it ends.
-const LOTS_MOST: usize = 256;
-/// Nothing smaller is given: it would cost more words than it serves requests.
-const LEAST: u32 = WHOLE_QUOTA / 4_096;
+/// Leases of one limit that are borrowed, and lent, at most. Further ones are refused; what they would have
+/// transferred stays unusable until they expire.
+pub const MAX_LEASES: usize = 256;
+/// The smallest lease: a smaller one would cost more messages than it serves requests.
+const MIN_LEASE: u32 = WHOLE_QUOTA / 4_096;
+/// A new lease is at least this fraction of what the borrower should have in all: every lease of many small ones would
+/// have to be renewed in every message.
+const MIN_LEASE_FRACTION: u32 = 16;
 
-/// Parts from another router, for a time.
+/// A lease in the ledger of its borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
-    parts: u32,
-    /// By the own clock, from when the giver was last asked.
-    ends: Time,
+struct BorrowedLease {
+    quota: u32,
+    /// By the local clock, counted from when the lender was last asked.
+    expires_at: Time,
 }
 
-/// Parts that another router has, for a time.
+/// Identifies a borrowed lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct BorrowedLeaseKey {
+    lender: LeaseHolder,
+    lease_id: u64,
+}
+
+/// A lease in the ledger of its lender.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct LentLease {
+    borrower: LeaseHolder,
+    quota: u32,
+    /// Until then the borrower may use it by any clock; the usage counts for the expiry delay beyond.
+    expires_at: Time,
+}
+
+/// Quota that another router may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct LentQuota {
-    to: LeaseHolder,
-    parts: u32,
-    /// Until then the taker may use it, by whichever clock; a window later it is here again.
-    until: Time,
+struct OutstandingQuota {
+    quota: u32,
+    expires_at: Time,
 }
 
-/// What is told to a taker: the lot, what it holds from now on, and for how long from when he asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
-pub(crate) struct LeaseTransfer {
-    pub(crate) lot: u64,
-    pub(crate) parts: u32,
-    pub(crate) long: Time,
+/// What a borrower is to have, and what the lender can spare.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GrantRequest {
+    /// Who borrows.
+    pub borrower: LeaseHolder,
+    /// What it is to have from this lender in all.
+    pub target: u32,
+    /// For how long from when the borrower asked.
+    pub duration: Time,
+    /// The lender's own share.
+    pub own_share: u32,
+    /// What the lender has used within the last window.
+    pub used: u32,
 }
 
-/// The account of one limit at one router.
+/// The account of one limit at one router. Amounts are parts of [`WHOLE_QUOTA`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct LeaseLedger {
-    held: BTreeMap<(LeaseHolder, u64), Held>,
-    lent: BTreeMap<u64, LentQuota>,
-    /// What a lot held beyond what it was renewed with: as good as lent until it ends.
-    fading: Vec<(u32, Time)>,
+pub struct LeaseLedger {
+    borrowed: BTreeMap<BorrowedLeaseKey, BorrowedLease>,
+    lent: BTreeMap<u64, LentLease>,
+    /// What leases were reduced by when they were renewed: borrowers may use it until the leases would have expired.
+    reduced: Vec<OutstandingQuota>,
 }
 
 impl LeaseLedger {
-    /// Forgets what has ended.
-    pub(crate) fn expire(&mut self, now: Time, terms: &LeaseTimings) {
-        self.held.retain(|_, h| h.ends > now);
-        self.lent.retain(|_, l| l.until + terms.expiry_delay() > now);
-        self.fading.retain(|f| f.1 + terms.expiry_delay() > now);
+    /// Removes what has expired.
+    pub fn expire(&mut self, now: Time, timings: &LeaseTimings) {
+        let delay = timings.expiry_delay();
+        self.borrowed.retain(|_, lease| lease.expires_at > now);
+        self.lent.retain(|_, lease| lease.expires_at + delay > now);
+        self.reduced.retain(|reduced| reduced.expires_at + delay > now);
     }
 
-    /// Whether nothing is held or lent.
-    pub(crate) fn idle(&self) -> bool {
-        self.held.is_empty() && self.lent.is_empty() && self.fading.is_empty()
+    /// Whether nothing is borrowed or lent.
+    pub fn is_empty(&self) -> bool {
+        self.borrowed.is_empty() && self.lent.is_empty() && self.reduced.is_empty()
     }
 
-    /// Parts held from others at that time, by what is known now.
-    pub(crate) fn held(&self, at: Time) -> u32 {
-        self.held.values().filter(|h| h.ends > at).fold(0, |sum, h| sum.saturating_add(h.parts))
+    /// What is borrowed at a point in time, as far as it is known now.
+    pub fn borrowed(&self, at: Time) -> u32 {
+        let valid = self.borrowed.values().filter(|lease| lease.expires_at > at);
+        saturating_sum(valid.map(|lease| lease.quota))
     }
 
-    /// Parts that others may use, or have used within the window before that time.
-    pub(crate) fn lent(&self, at: Time, terms: &LeaseTimings) -> u32 {
-        self.out().filter(|l| l.1 + terms.expiry_delay() > at).fold(0, |sum, l| sum.saturating_add(l.0))
+    /// What others may use at a point in time, or have used within the window before it.
+    pub fn lent(&self, at: Time, timings: &LeaseTimings) -> u32 {
+        let delay = timings.expiry_delay();
+        let counted = self.all_lent().filter(|lent| lent.expires_at + delay > at);
+        saturating_sum(counted.map(|lent| lent.quota))
     }
 
-    /// All that was given: how many parts, and until when they may be used.
-    fn out(&self) -> impl Iterator<Item = (u32, Time)> + '_ {
-        self.lent.values().map(|l| (l.parts, l.until)).chain(self.fading.iter().copied())
+    /// What one other router may use now.
+    pub fn lent_to(&self, borrower: &LeaseHolder, now: Time) -> u32 {
+        let valid = self.lent.values().filter(|lease| lease.borrower == *borrower && lease.expires_at > now);
+        saturating_sum(valid.map(|lease| lease.quota))
     }
 
-    /// Parts that one other router may use now.
-    pub(crate) fn lent_to(&self, to: &LeaseHolder, now: Time) -> u32 {
-        let live = self.lent.values().filter(|l| l.to == *to && l.until > now);
-        live.fold(0, |sum, l| sum.saturating_add(l.parts))
+    /// What may be used here at a point in time, of the own share and of what is borrowed.
+    pub fn usable(&self, at: Time, own_share: u32, timings: &LeaseTimings) -> u32 {
+        own_share.saturating_add(self.borrowed(at)).saturating_sub(self.lent(at, timings))
     }
 
-    /// Parts that may be used here at that time.
-    pub(crate) fn has(&self, at: Time, home: u32, terms: &LeaseTimings) -> u32 {
-        home.saturating_add(self.held(at)).saturating_sub(self.lent(at, terms))
+    /// When the next borrowed lease expires.
+    pub fn next_expiry(&self, now: Time) -> Option<Time> {
+        self.borrowed.values().map(|lease| lease.expires_at).filter(|at| *at > now).min()
     }
 
-    /// When the next lot that is held ends.
-    pub(crate) fn ends(&self, now: Time) -> Option<Time> {
-        self.held.values().map(|h| h.ends).filter(|e| *e > now).min()
+    /// When the next lent quota may be used here again.
+    pub fn next_reclaim(&self, now: Time, timings: &LeaseTimings) -> Option<Time> {
+        let delay = timings.expiry_delay();
+        self.all_lent().map(|lent| lent.expires_at + delay).filter(|at| *at > now).min()
     }
 
-    /// When the next lot that was given is back.
-    pub(crate) fn back(&self, now: Time, terms: &LeaseTimings) -> Option<Time> {
-        self.out().map(|l| l.1 + terms.expiry_delay()).filter(|b| *b > now).min()
-    }
-
-    /// Takes a lot. `ends` is counted from when its giver was asked, by the own clock, so it is over here before it is
-    /// over there. The same lot again is longer, never more.
-    pub(crate) fn take(&mut self, now: Time, from: LeaseHolder, gift: &LeaseTransfer, ends: Time) {
-        let room = self.held.len() < LOTS_MOST || self.held.contains_key(&(from, gift.lot));
-        if ends <= now || gift.parts == 0 || gift.parts > WHOLE_QUOTA || !room {
+    /// Adds or renews a borrowed lease. `expires_at` counts from when the lender was asked, by the local clock, so that
+    /// the lease expires here before it expires there. A renewal may last longer but never grants more.
+    pub fn borrow(&mut self, now: Time, lender: LeaseHolder, transfer: &LeaseTransfer, expires_at: Time) {
+        let key = BorrowedLeaseKey { lender, lease_id: transfer.lease_id };
+        let has_room = self.borrowed.len() < MAX_LEASES || self.borrowed.contains_key(&key);
+        let is_valid = transfer.quota > 0 && transfer.quota <= WHOLE_QUOTA;
+        if expires_at <= now || !is_valid || !has_room {
             return;
         }
-        let held = self.held.entry((from, gift.lot)).or_insert(Held { parts: gift.parts, ends });
-        (held.parts, held.ends) = (held.parts.min(gift.parts), held.ends.max(ends));
+        let lease = self.borrowed.entry(key).or_insert(BorrowedLease { quota: transfer.quota, expires_at });
+        lease.quota = lease.quota.min(transfer.quota);
+        lease.expires_at = lease.expires_at.max(expires_at);
     }
 
-    /// Gives one router so many parts in all, as far as there are, for so long from when it asked: first what it has
-    /// already, for longer, then more. `used` is what was used here within the last window; `next` numbers lots.
-    #[allow(clippy::too_many_arguments)]
-    pub(crate) fn give(
+    /// Lends a router what it is to have in all, as far as that is available: renews its leases first, then adds one.
+    /// `last_lease_id` is the last number that was given to any lease.
+    pub fn grant(
         &mut self,
         now: Time,
-        to: LeaseHolder,
-        target: u32,
-        long: Time,
-        home: u32,
-        used: u32,
-        terms: &LeaseTimings,
-        next: &mut u64,
+        request: &GrantRequest,
+        timings: &LeaseTimings,
+        last_lease_id: &mut u64,
     ) -> Vec<LeaseTransfer> {
-        self.expire(now, terms);
-        let until = now + terms.with_drift_margin(long);
-        let mut gifts = Vec::new();
-        let mut total = 0;
-        let mut live: Vec<u64> =
-            self.lent.iter().filter(|(_, l)| l.to == to && l.until > now).map(|(lot, _)| *lot).collect();
-        // As many lots as a word holds, and more is wanted: the smallest one ends, to make room for a larger one.
-        let size = |lot: &u64| self.lent.get(lot).map_or(0, |l| l.parts);
-        let more = target.saturating_sub(live.iter().map(size).sum());
-        if live.len() >= GIFTS_MOST && more >= LEAST.max(target / 16) {
-            let least = live.iter().copied().min_by_key(size);
-            live.retain(|lot| Some(*lot) != least);
+        self.expire(now, timings);
+        let expires_at = now + timings.with_drift_margin(request.duration);
+        let mut transfers = self.renew_leases(now, expires_at, request);
+        let renewed: u32 = transfers.iter().map(|transfer| transfer.quota).sum();
+        let unused = self.usable(now, request.own_share, timings).saturating_sub(request.used);
+        let quota = (request.target - renewed).min(unused).min(self.available_until(
+            now,
+            expires_at,
+            request.own_share,
+        ));
+        let fits_message = transfers.len() < MAX_TRANSFERS_PER_LIMIT;
+        let fits_ledger = self.lent.len() + self.reduced.len() < MAX_LEASES;
+        if quota >= min_new_lease(request.target) && fits_message && fits_ledger {
+            *last_lease_id += 1;
+            let lease_id = *last_lease_id;
+            self.lent.insert(lease_id, LentLease { borrower: request.borrower, quota, expires_at });
+            transfers.push(LeaseTransfer { lease_id, quota, duration: request.duration });
         }
-        for lot in live {
-            let Some(old) = self.lent.remove(&lot) else { continue };
-            let parts = old.parts.min(target - total).min(self.free_until(now, until, home));
-            if parts < LEAST || gifts.len() >= GIFTS_MOST {
-                // It ends when it ends.
-                self.lent.insert(lot, old);
+        transfers
+    }
+
+    /// Renews the borrower's leases as far as it is to have them; the others expire as they would have.
+    fn renew_leases(&mut self, now: Time, expires_at: Time, request: &GrantRequest) -> Vec<LeaseTransfer> {
+        let mut transfers = Vec::new();
+        let mut renewed = 0;
+        for lease_id in self.renewable_leases(now, request) {
+            let Some(lease) = self.lent.remove(&lease_id) else { continue };
+            let available = self.available_until(now, expires_at, request.own_share);
+            let quota = lease.quota.min(request.target - renewed).min(available);
+            if quota < MIN_LEASE || transfers.len() >= MAX_TRANSFERS_PER_LIMIT {
+                self.lent.insert(lease_id, lease);
                 continue;
             }
-            if parts < old.parts {
-                self.fading.push((old.parts - parts, old.until));
+            if quota < lease.quota {
+                let reduced_by = lease.quota - quota;
+                self.reduced.push(OutstandingQuota { quota: reduced_by, expires_at: lease.expires_at });
             }
-            self.lent.insert(lot, LentQuota { to, parts, until: until.max(old.until) });
-            gifts.push(LeaseTransfer { lot, parts, long });
-            total += parts;
+            let expires_at = expires_at.max(lease.expires_at);
+            self.lent.insert(lease_id, LentLease { borrower: request.borrower, quota, expires_at });
+            transfers.push(LeaseTransfer { lease_id, quota, duration: request.duration });
+            renewed += quota;
         }
-        let unused = self.has(now, home, terms).saturating_sub(used);
-        let parts = (target - total).min(unused).min(self.free_until(now, until, home));
-        // Many small lots would each want to be told again in every word.
-        let worth_it = parts >= LEAST.max(target / 16) && gifts.len() < GIFTS_MOST;
-        if worth_it && self.lent.len() + self.fading.len() < LOTS_MOST {
-            *next += 1;
-            self.lent.insert(*next, LentQuota { to, parts, until });
-            gifts.push(LeaseTransfer { lot: *next, parts, long });
+        transfers
+    }
+
+    /// The borrower's valid leases, by number. If they fill a message and more is wanted, the smallest one is left to
+    /// expire, to make room for a larger one.
+    fn renewable_leases(&self, now: Time, request: &GrantRequest) -> Vec<u64> {
+        let mut valid: Vec<u64> = self
+            .lent
+            .iter()
+            .filter(|(_, lease)| lease.borrower == request.borrower && lease.expires_at > now)
+            .map(|(lease_id, _)| *lease_id)
+            .collect();
+        let quota_of = |lease_id: &u64| self.lent.get(lease_id).map_or(0, |lease| lease.quota);
+        let missing = request.target.saturating_sub(valid.iter().map(quota_of).sum());
+        if valid.len() >= MAX_TRANSFERS_PER_LIMIT && missing >= min_new_lease(request.target) {
+            let smallest = valid.iter().copied().min_by_key(quota_of);
+            valid.retain(|lease_id| Some(*lease_id) != smallest);
         }
-        gifts
+        valid
     }
 
-    /// The least that there is and that nobody has been given, at any time from now to then: what is held ends.
-    fn free_until(&self, now: Time, then: Time, home: u32) -> u32 {
-        let ends = self.held.values().map(|h| h.ends).filter(|e| *e > now && *e < then);
-        let free = |at: Time| {
-            let out = self.out().filter(|l| l.1 > at).fold(0u32, |sum, l| sum.saturating_add(l.0));
-            home.saturating_add(self.held(at)).saturating_sub(out)
+    /// The least that is available and not lent at any time from now until `until`: borrowed leases expire in between.
+    fn available_until(&self, now: Time, until: Time, own_share: u32) -> u32 {
+        let available = |at: Time| {
+            let valid = self.all_lent().filter(|lent| lent.expires_at > at);
+            let lent = saturating_sum(valid.map(|lent| lent.quota));
+            own_share.saturating_add(self.borrowed(at)).saturating_sub(lent)
         };
-        ends.chain([now]).map(free).min().unwrap_or(0)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{MS, SEC};
-    use std::net::SocketAddr;
-
-    fn holder(n: u8) -> LeaseHolder {
-        LeaseHolder(SocketAddr::from(([10, 0, 0, n], 7_946)), u64::from(n))
+        let expiries =
+            self.borrowed.values().map(|lease| lease.expires_at).filter(|at| *at > now && *at < until);
+        expiries.chain([now]).map(available).min().unwrap_or(0)
     }
 
-    /// Guards against a lease that ends later by the taker's slow clock than by the giver's fast one.
-    #[test]
-    fn a_part_is_back_a_window_after_the_slowest_clock_has_ended_it() {
-        let terms = LeaseTimings::default();
-        let (mut giver, mut taker) = (LeaseLedger::default(), LeaseLedger::default());
-        let gifts =
-            giver.give(0, holder(2), WHOLE_QUOTA / 2, terms.lease_duration, WHOLE_QUOTA, 0, &terms, &mut 0);
-        assert_eq!(gifts.len(), 1);
-        taker.take(0, holder(1), &gifts[0], terms.lease_duration);
-        let drift = terms.max_clock_drift_per_mille as f64 / 1_000.0;
-        let by = |t: u64, rate: f64| (t as f64 * (1.0 + rate)) as Time;
-        let last = (0..9_000).rfind(|t| taker.has(by(t * MS, -drift), 0, &terms) > 0).unwrap();
-        let back =
-            (0..9_000).find(|t| giver.has(by(t * MS, drift), WHOLE_QUOTA, &terms) == WHOLE_QUOTA).unwrap();
-        assert!(
-            back * MS >= last * MS + terms.usage_window,
-            "back after {back} ms, last used after {last} ms"
-        );
-        assert!(back * MS <= terms.max_claim_lifetime() + 100 * MS, "back after {back} ms only");
-    }
-
-    /// Guards against a broker that passes on for longer what it has for a while.
-    #[test]
-    fn what_is_passed_on_ends_before_what_was_passed() {
-        let terms = LeaseTimings::default();
-        let mut broker = LeaseLedger::default();
-        broker.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE_QUOTA / 2, long: SEC }, SEC);
-        assert!(broker.give(0, holder(3), WHOLE_QUOTA, SEC, 0, 0, &terms, &mut 0).is_empty());
-        let gifts = broker.give(0, holder(3), WHOLE_QUOTA, 900 * MS, 0, 0, &terms, &mut 0);
-        assert_eq!(gifts.iter().map(|g| g.parts).sum::<u32>(), WHOLE_QUOTA / 2);
-        // Later in the lease the same lot can't be renewed for as long.
-        assert!(broker.give(500 * MS, holder(3), WHOLE_QUOTA, 900 * MS, 0, 0, &terms, &mut 1).is_empty());
-        assert_eq!(broker.lent(500 * MS, &terms), WHOLE_QUOTA / 2);
+    /// All that others may use, and until when.
+    fn all_lent(&self) -> impl Iterator<Item = OutstandingQuota> + '_ {
+        let leases = self
+            .lent
+            .values()
+            .map(|lease| OutstandingQuota { quota: lease.quota, expires_at: lease.expires_at });
+        leases.chain(self.reduced.iter().copied())
     }
+}
 
-    /// Guards against a lot that is counted twice, or that grows or lives on by an older word.
-    #[test]
-    fn a_lot_that_comes_twice_or_late_is_the_same_lot_or_none() {
-        let mut book = LeaseLedger::default();
-        let gift = |parts| LeaseTransfer { lot: 9, parts, long: SEC };
-        book.take(0, holder(1), &gift(1_000), SEC);
-        book.take(10, holder(1), &gift(1_000), SEC);
-        assert_eq!(book.held(20), 1_000);
-        book.take(20, holder(1), &gift(400), 2 * SEC);
-        book.take(30, holder(1), &gift(1_000), SEC);
-        assert_eq!((book.held(40), book.held(2 * SEC)), (400, 0));
-        book.take(3 * SEC, holder(1), &gift(400), 2 * SEC);
-        assert_eq!(book.held(3 * SEC), 0);
-    }
+/// The smallest lease that is added for a borrower that is to have `target` in all.
+fn min_new_lease(target: u32) -> u32 {
+    MIN_LEASE.max(target / MIN_LEASE_FRACTION)
+}
 
-    /// Guards against tables that grow with what others send.
-    #[test]
-    fn lots_are_bounded() {
-        let mut book = LeaseLedger::default();
-        for lot in 0..10_000 {
-            book.take(0, holder(1), &LeaseTransfer { lot, parts: 1, long: SEC }, SEC);
-        }
-        assert_eq!(book.held(1), LOTS_MOST as u32);
-        book.take(0, holder(1), &LeaseTransfer { lot: 1, parts: WHOLE_QUOTA + 1, long: SEC }, SEC);
-        assert_eq!(book.held(1), LOTS_MOST as u32);
-    }
+fn saturating_sum(quotas: impl Iterator<Item = u32>) -> u32 {
+    quotas.fold(0, u32::saturating_add)
 }
--- a/crates/cluster/src/quota/message.rs
+++ b/crates/cluster/src/quota/message.rs
@@ -1,70 +1,89 @@
-//! Words on limits between two routers: a version, a head, what is wanted and given of each limit, a checksum. Lengths
-//! are bounded before anything is read; a datagram that is not understood whole is none.
+//! Quota datagrams: a header, then one entry for each limit, in the envelope of all datagrams.
+//!
+//! The order and the types of fields are the wire format (postcard). A datagram that can't be decoded as a whole is
+//! rejected as a whole.
 
-use super::ledger::LeaseTransfer;
+use super::lease::{LeaseTransfer, MAX_TRANSFERS_PER_LIMIT};
 use crate::envelope::{self, DatagramError};
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The first byte of a datagram of this kind.
-pub(crate) const VERSION: u8 = 0x40;
-/// QuotaManager in a datagram, and gifts of one limit: more go into the next.
-pub(crate) const ITEMS_MOST: usize = 7;
-pub(crate) const GIFTS_MOST: usize = 8;
+/// Kind and version of quota datagrams.
+pub(super) const VERSION: u8 = 0x40;
+/// Limits in one datagram at most; more go into the next.
+pub(super) const MAX_ENTRIES: usize = 7;
 
-/// What every datagram begins with.
+/// What every quota datagram begins with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Head {
-    /// The fleet, by a hash of its name.
-    pub(crate) fleet: u64,
-    /// The sender, and its start; and the start of the one it is meant for: the next one must not believe it.
-    pub(crate) from: SocketAddr,
-    pub(crate) start: u64,
-    pub(crate) to: u64,
-    /// The sender's clock now, and the last that it heard of the receiver's clock; 0: none yet.
-    pub(crate) stamp: Time,
-    pub(crate) echo: Time,
-    /// The set of routers, by its digest, that the sender's shares and all that it has given away fit under.
-    pub(crate) counts: u64,
-    /// The sender uses a share of its own.
-    pub(crate) open: bool,
-    /// The sender knows that the receiver, or an earlier start of it, used a share of its own.
-    pub(crate) knew: bool,
-    /// It answers one of the receiver's.
-    pub(crate) answer: bool,
+pub(super) struct MessageHeader {
+    /// The hash of the cluster's name.
+    pub(super) cluster: u64,
+    /// The address of the sender that others send to.
+    pub(super) sender: SocketAddr,
+    /// The sender's process.
+    pub(super) sender_instance: u64,
+    /// The receiver's process that it is meant for: a later one must not act on it. 0 if the sender knows none.
+    pub(super) receiver_instance: u64,
+    /// The sender's clock now.
+    pub(super) sent_at: Time,
+    /// The latest that the sender knows of the receiver's clock; 0 if nothing.
+    pub(super) echoed_at: Time,
+    /// The digest of the set of routers by which the sender divides, and under which all that it has lent fits.
+    pub(super) acknowledged_set: u64,
+    /// The sender uses its own share.
+    pub(super) uses_own_share: bool,
+    /// The sender knows that the receiver, or an earlier process at its address, used its own share.
+    pub(super) knows_receiver_share: bool,
+    /// This answers a message of the receiver.
+    pub(super) is_reply: bool,
 }
 
-/// One limit.
+/// What is wanted and granted of one limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct LimitEntry {
-    pub(crate) limit: u64,
-    /// Parts that the sender would have from the receiver in all.
-    pub(crate) want: u32,
-    /// What one request takes of it: less is of no use to the sender.
-    pub(crate) unit: u32,
-    pub(crate) gifts: Vec<LeaseTransfer>,
+pub(super) struct LimitEntry {
+    pub(super) limit_id: u64,
+    /// What the sender would have from the receiver in all, in parts of [`super::WHOLE_QUOTA`].
+    pub(super) wanted: u32,
+    /// What one request takes of the limit: less is of no use to the sender.
+    pub(super) request_size: u32,
+    /// Leases that the sender grants or renews.
+    pub(super) transfers: Vec<LeaseTransfer>,
 }
 
-/// Writes a word.
-pub(crate) fn write(head: &Head, items: &[LimitEntry]) -> Vec<u8> {
-    debug_assert!(items.len() <= ITEMS_MOST && items.iter().all(|i| i.gifts.len() <= GIFTS_MOST));
+/// A datagram that was received and decoded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Message {
+    pub(super) header: MessageHeader,
+    pub(super) entries: Vec<LimitEntry>,
+}
+
+/// Encodes a datagram.
+pub(super) fn encode(header: &MessageHeader, entries: &[LimitEntry]) -> Vec<u8> {
+    debug_assert!(is_within_bounds(entries), "more entries or transfers than a receiver accepts");
     envelope::seal(VERSION, |bytes| {
-        bytes.extend(postcard::to_stdvec(&(head, items)).unwrap_or_default());
+        bytes.extend(postcard::to_stdvec(&(header, entries)).unwrap_or_default());
     })
 }
 
-/// Reads a word of this fleet.
-pub(crate) fn read(bytes: &[u8], fleet: u64) -> Result<(Head, Vec<LimitEntry>), DatagramError> {
-    let text = envelope::open(VERSION, bytes)?;
-    let ((head, items), rest) = postcard::take_from_bytes::<(Head, Vec<LimitEntry>)>(text)
+/// Decodes a datagram of the cluster with this hash.
+///
+/// # Errors
+/// Every cause of [`DatagramError`].
+pub(super) fn decode(bytes: &[u8], cluster: u64) -> Result<Message, DatagramError> {
+    let contents = envelope::open(VERSION, bytes)?;
+    let ((header, entries), rest) = postcard::take_from_bytes::<(MessageHeader, Vec<LimitEntry>)>(contents)
         .map_err(|_| DatagramError::InvalidFields)?;
-    let bounded = items.len() <= ITEMS_MOST && items.iter().all(|i| i.gifts.len() <= GIFTS_MOST);
-    if !rest.is_empty() || !bounded {
+    if !rest.is_empty() || !is_within_bounds(&entries) {
         return Err(DatagramError::InvalidFields);
     }
-    if head.fleet != fleet {
+    if header.cluster != cluster {
         return Err(DatagramError::OtherCluster);
     }
-    Ok((head, items))
+    Ok(Message { header, entries })
+}
+
+fn is_within_bounds(entries: &[LimitEntry]) -> bool {
+    let transfers_fit = |entry: &LimitEntry| entry.transfers.len() <= MAX_TRANSFERS_PER_LIMIT;
+    entries.len() <= MAX_ENTRIES && entries.iter().all(transfers_fit)
 }
--- a/crates/cluster/src/quota/peers.rs
+++ b/crates/cluster/src/quota/peers.rs
@@ -1,6 +1,10 @@
 //! The other routers that limits are shared with.
 
+use super::lease::LeaseHolder;
+use super::message::MessageHeader;
 use crate::membership::{MemberState, Membership};
+use crate::Time;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Another router that may be active.
@@ -42,3 +46,54 @@
         ActivePeers { peers, unlisted }
     }
 }
+
+/// What another router last wanted of a limit from the local one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PeerDemand {
+    pub(super) wanted: u32,
+    /// What one request takes there.
+    pub(super) request_size: u32,
+    pub(super) received_at: Time,
+}
+
+/// What is known of another router.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Peer {
+    pub(super) same_zone: bool,
+    pub(super) reachable: bool,
+    /// The process that sent the last message; 0 before the first one.
+    pub(super) instance_id: u64,
+    /// The latest of its clock that it has sent.
+    pub(super) latest_sent_at: Time,
+    /// The digest of the set of routers by which it divides, and under which all that it has lent fits.
+    pub(super) acknowledged_set: u64,
+    /// What it wants, by limit.
+    pub(super) demands: BTreeMap<u64, PeerDemand>,
+    /// Its present process uses its own share.
+    pub(super) uses_own_share: bool,
+    /// Its present process or an earlier one used its own share.
+    pub(super) ever_used_own_share: bool,
+    /// It has said that a process at the local address used its own share.
+    pub(super) knows_local_share: bool,
+}
+
+impl Peer {
+    /// Takes a message's header.
+    pub(super) fn update(&mut self, header: &MessageHeader) {
+        if self.instance_id != header.sender_instance {
+            self.instance_id = header.sender_instance;
+            self.latest_sent_at = 0;
+            self.demands.clear();
+        }
+        self.latest_sent_at = self.latest_sent_at.max(header.sent_at);
+        self.acknowledged_set = header.acknowledged_set;
+        self.uses_own_share = header.uses_own_share;
+        self.ever_used_own_share |= header.uses_own_share;
+        self.knows_local_share |= header.knows_receiver_share;
+    }
+
+    /// Its present process as a lender or a borrower.
+    pub(super) fn holder(&self, address: SocketAddr) -> LeaseHolder {
+        LeaseHolder { address, instance_id: self.instance_id }
+    }
+}
