--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -4,7 +4,7 @@
     encode_words, find_field, parse_decimal, parse_hex_u64, push_array_header, push_bulk_length,
     push_bulk_string, Decoder, FieldList, Frame, RespError,
 };
-use crate::MAX_TAG_BYTES;
+use crate::{GROUP_COUNT, MAX_TAG_BYTES};
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{ClientRequest, ReceivedNumber, Reply};
 
@@ -15,8 +15,6 @@
 /// Longest time a client may ask to wait, in milliseconds. More is an invalid field; the limit of
 /// the request's class is the router's to apply.
 const MAX_TIMEOUT_MILLIS: u64 = 3_600_000;
-/// Groups are numbered below this.
-const GROUP_COUNT: u32 = 256;
 /// Most ranges kept in [`UsedTags`]; a client that counts upwards needs one.
 const MAX_TAG_RANGES: usize = 256;
 
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -11,6 +11,7 @@
 };
 use crate::endpoint::fill_hint_fields;
 use crate::resp::{parse_decimal, parse_hex_u64};
+use crate::GROUP_COUNT;
 use hollymux_decision::Idempotency;
 use hollymux_router::classes::Classes;
 use hollymux_router::{FillHint, RequestedObject, RoutingHint, Target};
@@ -19,8 +20,6 @@
 
 /// The label below the zone that holds the endpoints' names.
 const ENDPOINTS_LABEL: &[u8] = b"box";
-/// Groups are numbered below this.
-const GROUP_COUNT: u32 = 256;
 /// The highest retention priority of a copy.
 const MAX_RETENTION: u8 = 3;
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -24,3 +24,5 @@
 /// Longest version tag of a cached copy, and longest idempotency key, in bytes: the platform's
 /// limit for both.
 pub(crate) const MAX_TAG_BYTES: usize = 64;
+/// Groups of objects are numbered below this.
+pub(crate) const GROUP_COUNT: u32 = 256;
