--- a/crates/hollymux/tests/admin_bytes.rs
+++ b/crates/hollymux/tests/admin_bytes.rs
@@ -9,9 +9,9 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 
 struct Bed {
-    node: Node,
-    feed: Feed,
-    endpoints: [Shelf; 3],
+    node: RouterProcess,
+    feed: StubFeed,
+    endpoints: [StubEndpoint; 3],
 }
 
 /// Routers that know each other, and limits on lease.
@@ -24,28 +24,28 @@
     }
 
     fn named(name: &str, sections: &str) -> Bed {
-        let feed = Feed::start();
-        let data = Does::Data(b"some bytes".to_vec());
-        let endpoints = [data.clone(), data.clone(), data].map(Shelf::start);
-        feed.members(true, &listed(&endpoints));
+        let feed = StubFeed::start();
+        let data = StubBehavior::Data(b"some bytes".to_vec());
+        let endpoints = [data.clone(), data.clone(), data].map(StubEndpoint::start);
+        feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let config = config(feed.addr).replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
-        let node = Node::with_sections(&with_door(&config), sections);
+        let node = RouterProcess::with_config_and_operator_file(&with_admin_endpoint(&config), sections);
         let bed = Bed { node, feed, endpoints };
-        until("a yes", || (call(bed.addr(), "GET /status").0 == 200).then_some(()));
-        until("the list", || {
-            call(bed.addr(), "GET /status/metrics").1.contains("svc.registry_entries=3\n").then_some(())
+        wait_until("a yes", || (admin_call(bed.addr(), "GET /status").0 == 200).then_some(()));
+        wait_until("the list", || {
+            admin_call(bed.addr(), "GET /status/metrics").1.contains("svc.registry_entries=3\n").then_some(())
         });
         bed
     }
 
     fn addr(&self) -> SocketAddr {
-        door(&self.node)
+        admin_address(&self.node)
     }
 
     /// All bytes of the answer to these.
     fn answer(&self, request: &str) -> String {
         let mut socket = TcpStream::connect(self.addr()).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket.write_all(request.as_bytes()).unwrap();
         let mut text = String::new();
         socket.read_to_string(&mut text).unwrap();
@@ -116,7 +116,7 @@
         let bed = Bed::start(sections);
         let mut client = Client::connect(bed.node.addr);
         assert!(client.get(1, "docs", 1, 7).contains("good"));
-        let (status, text) = call(bed.addr(), "GET /status/metrics");
+        let (status, text) = admin_call(bed.addr(), "GET /status/metrics");
         assert_eq!(status, 200);
         insta::assert_snapshot!(name, text.lines().map(masked_metric).collect::<Vec<_>>().join("\n"));
     }
@@ -139,7 +139,7 @@
 }
 
 fn state(bed: &Bed, path: &str) -> Value {
-    let (status, text) = call(bed.addr(), &format!("GET {path}"));
+    let (status, text) = admin_call(bed.addr(), &format!("GET {path}"));
     assert_eq!(status, 200);
     serde_json::from_str(&text).unwrap()
 }
@@ -163,7 +163,7 @@
 
 /// The state at a path, masked, once it shows what is waited for.
 fn state_when(bed: &Bed, path: &str, shows: impl Fn(&Value) -> bool) -> String {
-    let state = until(path, || Some(state(bed, path)).filter(&shows));
+    let state = wait_until(path, || Some(state(bed, path)).filter(&shows));
     serde_json::to_string_pretty(&masked(&state)).unwrap()
 }
 
@@ -185,12 +185,12 @@
     let [bed, _other] = two_routers();
     let shared = |state: &Value| state["share_in_use"] == true;
     state_when(&bed, "/status/fleet/limits", shared);
-    let cold = started("s-a", bed.endpoints[0].addr, "std", "ready", unix_ms());
-    bed.feed.members(false, &[cold]);
+    let cold = endpoint_line_started_at("s-a", bed.endpoints[0].addr, "std", "ready", unix_ms());
+    bed.feed.publish_endpoints(false, &[cold]);
     let mut client = Client::connect(bed.node.addr);
     let mut tag = 0;
     let asked = |state: &Value| shared(state) && state["limits"].as_array().is_some_and(|all| all.len() == 1);
-    let state = until("a limit", || {
+    let state = wait_until("a limit", || {
         tag += 1;
         client.get(tag, "docs", u64::from(tag), u64::from(tag));
         Some(state(&bed, "/status/fleet/limits")).filter(&asked)
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -16,12 +16,12 @@
 
 const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
-/// Routers behind a relay, each with the same shelfs and control feed.
+/// Routers behind a relay, each with the same endpoints and endpoint feed.
 struct Fleet {
-    feed: Feed,
-    shelfs: [Shelf; 3],
+    feed: StubFeed,
+    endpoints: [StubEndpoint; 3],
     relay: Relay,
-    nodes: Vec<Option<Node>>,
+    nodes: Vec<Option<RouterProcess>>,
     seeds: Vec<usize>,
     /// More of the section.
     more: &'static str,
@@ -29,14 +29,14 @@
 
 impl Fleet {
     fn new(routers: usize) -> Fleet {
-        let feed = Feed::start();
-        let does = Does::Data(b"some bytes".to_vec());
-        let shelfs = [does.clone(), does.clone(), does].map(Shelf::start);
-        feed.members(true, &listed(&shelfs));
+        let feed = StubFeed::start();
+        let does = StubBehavior::Data(b"some bytes".to_vec());
+        let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
+        feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let relay = Relay::start(routers, 7).unwrap();
         Fleet {
             feed,
-            shelfs,
+            endpoints,
             relay,
             nodes: (0..routers).map(|_| None).collect(),
             seeds: vec![0, 1],
@@ -45,7 +45,7 @@
     }
 
     /// All are started, and agree.
-    fn started(routers: usize) -> Fleet {
+    fn endpoint_line_started_at(routers: usize) -> Fleet {
         let mut fleet = Fleet::new(routers);
         (0..routers).for_each(|r| fleet.start(r));
         fleet.settles(&(0..routers).collect::<Vec<_>>());
@@ -57,7 +57,7 @@
         let mut fleet = Fleet { more: ", limits: {}", ..Fleet::new(places) };
         FIVE.iter().for_each(|r| fleet.start(*r));
         fleet.settles(&FIVE);
-        until("five shares in use", || FIVE.iter().all(|r| fleet.uses_its_share(*r, 5)).then_some(()));
+        wait_until("five shares in use", || FIVE.iter().all(|r| fleet.uses_its_share(*r, 5)).then_some(()));
         fleet
     }
 
@@ -76,11 +76,11 @@
     }
 
     fn start_as(&mut self, router: usize, name: &str, fleet: &str) {
-        let config =
-            with_door(&config(self.feed.addr)).replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
+        let config = with_admin_endpoint(&config(self.feed.addr))
+            .replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
         let config = config.replace("\"groupSize\":1", "\"groupSize\":2").replace("[1,0]", "[2,0]");
-        let node = Node::with_sections(&config, &self.section(router, fleet));
-        let heard = node.heard.expect("the program says where it hears others");
+        let node = RouterProcess::with_config_and_operator_file(&config, &self.section(router, fleet));
+        let heard = node.cluster.expect("the program says where it hears others");
         self.relay.behind(router, heard);
         self.nodes[router] = Some(node);
     }
@@ -89,18 +89,18 @@
         self.nodes[router] = None;
     }
 
-    fn node(&self, router: usize) -> &Node {
+    fn node(&self, router: usize) -> &RouterProcess {
         self.nodes[router].as_ref().expect("it runs")
     }
 
     fn status(&self, router: usize) -> Value {
-        let (code, body) = call(door(self.node(router)), "GET /status/fleet");
+        let (code, body) = admin_call(admin_address(self.node(router)), "GET /status/fleet");
         assert_eq!(code, 200, "{body}");
         serde_json::from_str(&body).unwrap()
     }
 
     fn limits(&self, router: usize) -> Value {
-        let (code, body) = call(door(self.node(router)), "GET /status/fleet/limits");
+        let (code, body) = admin_call(admin_address(self.node(router)), "GET /status/fleet/limits");
         assert_eq!(code, 200, "{body}");
         serde_json::from_str(&body).unwrap()
     }
@@ -111,7 +111,7 @@
     }
 
     /// What a router says of another.
-    fn says(&self, by: usize, of: usize) -> Option<String> {
+    fn wait_for_log(&self, by: usize, of: usize) -> Option<String> {
         let at = self.relay.addrs[of].to_string();
         let status = self.status(by);
         let other = status["others"].as_array()?.iter().find(|o| o["address"] == at.as_str())?;
@@ -119,7 +119,7 @@
     }
 
     fn all_say(&self, by: &[usize], of: usize, state: &str) -> bool {
-        by.iter().filter(|b| **b != of).all(|b| self.says(*b, of).as_deref() == Some(state))
+        by.iter().filter(|b| **b != of).all(|b| self.wait_for_log(*b, of).as_deref() == Some(state))
     }
 
     /// Those routers hold one settled view, in which all of them are alive.
@@ -132,11 +132,11 @@
     }
 
     fn settles(&self, who: &[usize]) {
-        until(&format!("{who:?} to hold one view"), || self.same(who).then_some(()));
+        wait_until(&format!("{who:?} to hold one view"), || self.same(who).then_some(()));
     }
 
     fn lost(&self, by: &[usize], of: usize) {
-        until(&format!("{of} to be lost to {by:?}"), || self.all_say(by, of, "lost").then_some(()));
+        wait_until(&format!("{of} to be lost to {by:?}"), || self.all_say(by, of, "lost").then_some(()));
     }
 
     fn number(&self, router: usize, key: &str) -> u64 {
@@ -144,8 +144,8 @@
     }
 
     /// How often the logs of those routers have said that since their starts.
-    fn said(&self, by: &[usize], words: &str) -> usize {
-        by.iter().map(|r| self.node(*r).said(words)).sum()
+    fn count_log_lines(&self, by: &[usize], words: &str) -> usize {
+        by.iter().map(|r| self.node(*r).count_log_lines(words)).sum()
     }
 }
 
@@ -189,8 +189,8 @@
 const FIVE: [usize; 5] = [0, 1, 2, 3, 4];
 
 #[test]
-fn a_partition_counts_all_on_both_sides_and_heals_while_a_third_side_falls_off() {
-    let f = Fleet::started(5);
+fn both_sides_of_a_partition_count_all_and_it_heals_while_a_third_side_is_cut_off() {
+    let f = Fleet::endpoint_line_started_at(5);
     let load = Load::at(&f, &FIVE);
     f.relay.part(&[0, 1, 2], &[3, 4]);
     for (side, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice()), (&[3, 4], &[0, 1, 2])] {
@@ -211,20 +211,23 @@
 }
 
 #[test]
-fn one_who_is_heard_by_none_or_hears_none_condemns_nobody() {
+fn an_isolated_router_declares_no_other_failed() {
     for hears in [true, false] {
-        let f = Fleet::started(5);
+        let f = Fleet::endpoint_line_started_at(5);
         if hears {
             f.relay.fault(&[4], &FIVE, CUT);
         } else {
             f.relay.fault(&FIVE, &[4], CUT);
         }
         f.lost(&[0, 1, 2, 3], 4);
-        until("the one to know that nobody answers it", || (f.status(4)["deaf"] == true).then_some(()));
+        wait_until("the one to know that nobody answers it", || (f.status(4)["deaf"] == true).then_some(()));
         let healthy: Vec<usize> = (0..4).filter(|of| f.all_say(&[0, 1, 2, 3], *of, "alive")).collect();
         assert_eq!(healthy, [0, 1, 2, 3]);
         for n in 1..=4 {
-            assert_eq!(f.said(&[0, 1, 2, 3], &format!("n{n} at {} is lost", f.relay.addrs[n - 1])), 0);
+            assert_eq!(
+                f.count_log_lines(&[0, 1, 2, 3], &format!("n{n} at {} is lost", f.relay.addrs[n - 1])),
+                0
+            );
         }
         f.relay.heal();
         f.settles(&FIVE);
@@ -232,24 +235,24 @@
 }
 
 #[test]
-fn ends_of_a_chain_that_cant_reach_each_other_hold_each_other_alive() {
-    let f = Fleet::started(6);
+fn routers_that_reach_each_other_only_indirectly_hold_each_other_alive() {
+    let f = Fleet::endpoint_line_started_at(6);
     f.relay.part(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
-    assert_eq!(f.said(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
+    assert_eq!(f.count_log_lines(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
     f.settles(&[0, 1, 2, 3, 4, 5]);
 }
 
 #[test]
-fn a_next_start_supersedes_unnoticed_or_suspected_and_late_datagrams_change_nothing() {
-    let mut f = Fleet::started(5);
+fn a_restart_supersedes_the_earlier_start_and_late_datagrams_change_nothing() {
+    let mut f = Fleet::endpoint_line_started_at(5);
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
         f.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
         if suspected {
-            until("a suspicion", || {
-                rest.iter().any(|r| f.says(*r, 2).as_deref() == Some("suspect")).then_some(())
+            wait_until("a suspicion", || {
+                rest.iter().any(|r| f.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
             });
         }
         f.kill(2);
@@ -257,9 +260,9 @@
         f.start(2);
         f.settles(&FIVE);
         let start = f.status(2)["own"]["start"].as_u64();
-        let before = f.said(&FIVE, "is lost");
+        let before = f.count_log_lines(&FIVE, "is lost");
         thread::sleep(Duration::from_secs(11));
-        assert_eq!(f.said(&FIVE, "is lost"), before);
+        assert_eq!(f.count_log_lines(&FIVE, "is lost"), before);
         assert!(f.same(&FIVE));
         assert_eq!(f.status(2)["own"]["start"].as_u64(), start);
         assert_eq!(f.number(0, "at_work_perhaps"), 5);
@@ -267,26 +270,26 @@
 }
 
 #[test]
-fn a_pause_of_a_second_loses_nobody_and_one_of_fifteen_is_over_soon() {
-    let f = Fleet::started(5);
+fn a_pause_of_1_s_fails_no_router_and_one_of_15_s_heals_soon() {
+    let f = Fleet::endpoint_line_started_at(5);
     let rest = [0, 2, 3, 4];
     f.node(1).signal("-STOP");
     thread::sleep(Duration::from_secs(1));
     f.node(1).signal("-CONT");
     thread::sleep(Duration::from_secs(5));
-    assert_eq!(f.said(&FIVE, "is lost"), 0);
+    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0);
     let paused = Instant::now();
     f.node(1).signal("-STOP");
     f.lost(&rest, 1);
     thread::sleep(Duration::from_secs(15).saturating_sub(paused.elapsed()));
     f.node(1).signal("-CONT");
     f.settles(&FIVE);
-    assert!(f.said(&[1], "this process stood still") >= 1);
-    assert_eq!(f.said(&[1], "is suspect"), 0, "it blames nobody for its own pause");
+    assert!(f.count_log_lines(&[1], "this process stood still") >= 1);
+    assert_eq!(f.count_log_lines(&[1], "is suspect"), 0, "it blames nobody for its own pause");
 }
 
 #[test]
-fn two_under_one_name_are_counted_and_another_fleet_and_a_lone_seed_are_no_harm() {
+fn two_routers_with_one_name_are_counted_and_another_cluster_or_a_dead_seed_does_no_harm() {
     let mut f = Fleet::new(6);
     // The seeds are down at first: nobody knows anybody.
     for r in 2..5 {
@@ -304,26 +307,31 @@
     f.settles(&FIVE);
     thread::sleep(Duration::from_secs(5));
     assert!(FIVE.iter().all(|r| f.number(*r, "at_work_perhaps") == 5), "both of one name are counted");
-    assert!(FIVE.iter().all(|r| f.said(&[*r], "are both called n3") <= 1), "it is said once");
-    assert_eq!(f.said(&FIVE, "is lost"), 0, "and they don't flap");
+    assert!(FIVE.iter().all(|r| f.count_log_lines(&[*r], "are both called n3") <= 1), "it is said once");
+    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0, "and they don't flap");
     assert_eq!(f.number(5, "at_work_perhaps"), 1);
 }
 
 #[test]
-fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
-    let f = Fleet::started(5);
+fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
+    let f = Fleet::endpoint_line_started_at(5);
     let half = Link { loss: 0.5, ..Link::default() };
     f.relay.fault(&[4], &FIVE, half);
     f.relay.fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
-        assert_eq!(f.said(&FIVE, &format!("at {} is lost", f.relay.addrs[n])), 0, "n{} is condemned", n + 1);
+        assert_eq!(
+            f.count_log_lines(&FIVE, &format!("at {} is lost", f.relay.addrs[n])),
+            0,
+            "n{} is condemned",
+            n + 1
+        );
     }
 }
 
 #[test]
-fn junk_and_replays_by_the_thousand_stop_no_service_and_change_no_view() {
-    let f = Fleet::started(5);
+fn thousands_of_invalid_and_replayed_datagrams_stop_no_service_and_change_no_membership() {
+    let f = Fleet::endpoint_line_started_at(5);
     let before = f.status(0);
     let real = f.relay.last(1, 0).unwrap();
     let load = Load::at(&f, &[0]);
@@ -332,7 +340,7 @@
         let line = text.lines().find(|l| l.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap()
     };
-    let (start, at) = (memory(), f.node(0).heard.unwrap());
+    let (start, at) = (memory(), f.node(0).cluster.unwrap());
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..60_000u32 {
         let mut bytes = real.clone();
@@ -353,41 +361,44 @@
     assert!(unread > 10_000, "{unread} of 45000 are counted as junk");
     assert_eq!(after["digest"], before["digest"]);
     assert!(memory() < start + 4_096, "{start} KB before, {} KB now", memory());
-    assert_eq!(f.said(&FIVE, "is lost"), 0);
+    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0);
 }
 
 /// Guards against a replacement that others see as an end and a start, or count twice; and against one after which
 /// nobody is heard at the address.
 #[test]
-fn a_replacement_keeps_its_identity_and_an_heir_that_dies_gives_it_back() {
+fn a_handover_keeps_the_identity_and_a_successor_that_dies_gives_it_back() {
     let mut f = Fleet::new(5);
     // The address that others are heard at goes over too, so it is one of the system's choice that is free again.
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let heard = free();
     let reserved = ReservedAddress::new();
     let clients = reserved.addr;
-    let dir = file("nothing", "").parent().unwrap().to_path_buf();
+    let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
     let section = f.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
     let listen = format!("\"listen\":\"{clients}\"");
-    let config = with_door(&config(f.feed.addr)).replace("\"listen\":\"127.0.0.1:0\"", &listen);
+    let config = with_admin_endpoint(&config(f.feed.addr)).replace("\"listen\":\"127.0.0.1:0\"", &listen);
     let config = config.replace("\"name\":\"n1\"", "\"name\":\"n5\"");
     (0..4).for_each(|r| f.start(r));
-    f.nodes[4] = Some(Node::meeting_with(&config, &section, &dir));
+    f.nodes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
     f.relay.behind(4, heard);
     f.settles(&FIVE);
-    let own =
-        |node: &Node| -> Value { serde_json::from_str(&call(door(node), "GET /status/fleet").1).unwrap() };
-    let ready = |node: &Node| until("a yes", || (call(door(node), "GET /status").0 == 200).then_some(()));
+    let own = |node: &RouterProcess| -> Value {
+        serde_json::from_str(&admin_call(admin_address(node), "GET /status/fleet").1).unwrap()
+    };
+    let ready = |node: &RouterProcess| {
+        wait_until("a yes", || (admin_call(admin_address(node), "GET /status").0 == 200).then_some(()))
+    };
     let before = f.status(4);
     for dies in [true, false] {
         ready(f.node(4));
-        let heir = Node::meeting_with(&config, &section, &dir);
-        until("the heir to have the address", || (own(&heir)["heard"] == true).then_some(()));
+        let heir = RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir);
+        wait_until("the heir to have the address", || (own(&heir)["heard"] == true).then_some(()));
         assert_eq!(own(f.node(4))["heard"], false);
         assert_eq!(own(&heir)["own"]["start"], before["own"]["start"]);
         if dies {
             drop(heir);
-            until("the address to be taken back", || (own(f.node(4))["heard"] == true).then_some(()));
+            wait_until("the address to be taken back", || (own(f.node(4))["heard"] == true).then_some(()));
         } else {
             f.nodes[4] = Some(heir);
         }
@@ -396,7 +407,7 @@
     }
     let rest = [0, 1, 2, 3];
     for words in ["is lost", "started anew", "has left", "both called"] {
-        assert_eq!(f.said(&rest, words), 0, "{words}");
+        assert_eq!(f.count_log_lines(&rest, words), 0, "{words}");
     }
     let _gone = std::fs::remove_dir_all(&dir);
 }
@@ -404,13 +415,14 @@
 /// Guards against anything of it in a router that has no section for it: the same descriptors and threads as before,
 /// no number, no page.
 #[test]
-fn without_the_section_there_is_nothing_of_it() {
-    let f = Fleet::started(2);
-    let alone = Node::with_sections(&with_door(&config(f.feed.addr)), "{}");
-    let count = |node: &Node, what: &str| {
+fn without_the_section_there_is_no_membership() {
+    let f = Fleet::endpoint_line_started_at(2);
+    let alone =
+        RouterProcess::with_config_and_operator_file(&with_admin_endpoint(&config(f.feed.addr)), "{}");
+    let count = |node: &RouterProcess, what: &str| {
         std::fs::read_dir(format!("/proc/{}/{what}", node.child.id())).unwrap().count()
     };
-    let udp = |node: &Node| {
+    let udp = |node: &RouterProcess| {
         let inodes: BTreeSet<String> = std::fs::read_to_string("/proc/net/udp")
             .unwrap()
             .lines()
@@ -422,19 +434,21 @@
             .filter(|l| inodes.contains(&l.to_string_lossy().into_owned()))
             .count()
     };
-    until("its start", || (call(door(&alone), "GET /status").0 == 200).then_some(()));
+    wait_until("its start", || (admin_call(admin_address(&alone), "GET /status").0 == 200).then_some(()));
     assert_eq!((udp(&alone), udp(f.node(0))), (0, 1));
     assert_eq!((count(&alone, "task"), count(f.node(0), "task")), (1, 1));
-    assert_eq!(call(door(&alone), "GET /status/fleet").0, 404);
-    assert!(!call(door(&alone), "GET /status/metrics").1.contains("fleet"));
-    assert!(call(door(f.node(0)), "GET /status/metrics").1.contains("svc.fleet_at_work_perhaps=2"));
-    let _used = &f.shelfs;
+    assert_eq!(admin_call(admin_address(&alone), "GET /status/fleet").0, 404);
+    assert!(!admin_call(admin_address(&alone), "GET /status/metrics").1.contains("fleet"));
+    assert!(admin_call(admin_address(f.node(0)), "GET /status/metrics")
+        .1
+        .contains("svc.fleet_at_work_perhaps=2"));
+    let _used = &f.endpoints;
 }
 
 /// Guards against a newcomer that uses a share before everybody who may be at work divides by one more, and against one
 /// that never gets it back: a router that is cut off can't say that it counts the newcomer.
 #[test]
-fn a_share_is_used_only_when_all_others_count_it() {
+fn an_own_share_is_used_only_when_all_others_count_it() {
     let mut f = Fleet::on_lease(6);
     f.relay.part(&[4], &[0, 1, 2, 3, 5]);
     f.lost(&[0, 1, 2, 3], 4);
@@ -444,22 +458,22 @@
         assert_eq!(l["share_in_use"], false, "{l}");
         assert_eq!(l["not_counted_by"], serde_json::json!([f.relay.addrs[not].to_string()]));
     };
-    until("all but the one who is cut off to count the newcomer", || {
+    wait_until("all but the one who is cut off to count the newcomer", || {
         let l = f.limits(5);
         (l["not_counted_by"].as_array().map(Vec::len) == Some(1)).then_some(())
     });
     counted(4);
     // The others have made room all the same, and the one who is cut off has kept no more than its own.
-    until("room for six", || [0, 1, 2, 3].iter().all(|r| f.uses_its_share(*r, 6)).then_some(()));
+    wait_until("room for six", || [0, 1, 2, 3].iter().all(|r| f.uses_its_share(*r, 6)).then_some(()));
     assert!(f.uses_its_share(4, 5));
     f.relay.heal();
-    until("six shares in use", || (0..6).all(|r| f.uses_its_share(r, 6)).then_some(()));
+    wait_until("six shares in use", || (0..6).all(|r| f.uses_its_share(r, 6)).then_some(()));
 }
 
 /// Guards against routers that are restarted one by one, as in a deploy, while one machine is dead: each must have its
 /// share back on the word of those that knew it.
 #[test]
-fn a_restarted_router_has_its_share_back_though_another_is_dead() {
+fn a_restarted_router_gets_its_share_back_though_another_is_dead() {
     let mut f = Fleet::on_lease(5);
     f.kill(4);
     f.lost(&[0, 1, 2, 3], 4);
@@ -467,15 +481,15 @@
         f.kill(r);
         f.start(r);
         assert_eq!(f.limits(r)["share_in_use"], false, "what the earlier life gave may still be used");
-        until("the share to be back", || f.uses_its_share(r, 5).then_some(()));
+        wait_until("the share to be back", || f.uses_its_share(r, 5).then_some(()));
     }
     assert!((0..4).all(|r| f.uses_its_share(r, 5)));
 }
 
-/// Guards against routers that together send a hub that came back cold more than it bears: shares move to the busy ones
+/// Guards against routers that together send a parent cache that came back cold more than it bears: shares move to the busy ones
 /// while links between routers fail, one is killed and one stands still.
 #[test]
-fn seven_routers_never_push_over_a_cold_hub_whatever_fails_between_them() {
+fn seven_routers_never_overload_a_parent_cache_that_warms_up_whatever_fails_between_them() {
     for day in ["cold-hub", "split-limits"] {
         let path = format!("{}/../../examples/fleet/{day}.json5", env!("CARGO_MANIFEST_DIR"));
         let run = ["lab", "run", &path, "--json", "--log", "error"];
@@ -491,9 +505,9 @@
 
 /// Guards against limits on lease that nobody switched on.
 #[test]
-fn without_the_section_nothing_is_on_lease() {
-    let f = Fleet::started(2);
-    let (code, body) = call(door(f.node(0)), "GET /status/fleet/limits");
+fn without_the_section_no_quota_is_on_lease() {
+    let f = Fleet::endpoint_line_started_at(2);
+    let (code, body) = admin_call(admin_address(f.node(0)), "GET /status/fleet/limits");
     assert_eq!((code, body.trim()), (404, "no: the section fleet.limits is off"));
-    assert_eq!(f.said(&[0, 1], "limits: "), 0);
+    assert_eq!(f.count_log_lines(&[0, 1], "limits: "), 0);
 }
--- a/crates/hollymux/tests/line.rs
+++ b/crates/hollymux/tests/command_line.rs
@@ -5,17 +5,17 @@
 use common::*;
 
 fn run(args: &[&str]) -> (i32, String, String) {
-    let path = file("config.json", "");
-    let out = command(&path, args).stdout(std::process::Stdio::piped()).output().unwrap();
+    let path = temp_file("config.json", "");
+    let out = hollymux_command(&path, args).stdout(std::process::Stdio::piped()).output().unwrap();
     let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
     (out.status.code().unwrap(), text(out.stdout), text(out.stderr))
 }
 
 #[test]
-fn every_fault_of_an_operators_file_is_told_with_its_place() {
+fn every_error_of_an_operators_file_is_reported_with_its_position() {
     let text = "{\n  dns: {\n    zone: 'a..b',\n    lisen: '127.0.0.1:5300',\n    follow: 'nowhere',\n  },\n  dsn: 1,\n}";
     let fleet = "{fleet: {name: '', listen: '0.0.0.0:7946', seeds: ['10.0.0.1:0'], answer_ms: 500, suspect_least_ms: 900}}";
-    let path = file("operator.json5", text);
+    let path = temp_file("operator.json5", text);
     let (code, out, err) = run(&["check", path.to_str().unwrap()]);
     let err = err.replace(path.to_str().unwrap(), "FILE");
     assert_eq!((code, out.as_str()), (2, ""));
@@ -25,7 +25,7 @@
     hollymux: FILE:5:13: dns.follow: invalid socket address syntax
     hollymux: FILE:7:8: dsn: unknown field `dsn`, expected one of `dns`, `record`, `fleet`
     ");
-    let path = file("operator.json5", fleet);
+    let path = temp_file("operator.json5", fleet);
     let err = run(&["check", path.to_str().unwrap()]).2.replace(path.to_str().unwrap(), "FILE");
     insta::assert_snapshot!(err, @r"
     hollymux: FILE:1:16: fleet.name: must have 1 to 64 bytes
@@ -37,8 +37,9 @@
 }
 
 #[test]
-fn a_good_operators_file_is_printed_with_its_defaults_and_its_schema_names_every_field() {
-    let path = file("operator.json5", "{dns: {zone: 'route.example', listen: '127.0.0.1:0'}} // enough\n");
+fn a_valid_operators_file_is_printed_with_its_defaults_and_the_schema_names_every_field() {
+    let path =
+        temp_file("operator.json5", "{dns: {zone: 'route.example', listen: '127.0.0.1:0'}} // enough\n");
     let (code, out, err) = run(&["check", path.to_str().unwrap()]);
     assert_eq!((code, err.as_str()), (0, ""));
     assert!(out.contains("\"follow\": null"), "{out}");
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn usage_help_version_and_completions() {
+fn usage_help_version_and_completions_are_printed() {
     assert_eq!(run(&["--nonsense"]).0, 2);
     assert_eq!(run(&["check"]).0, 2);
     assert_eq!(run(&["check", "no-such-file"]).0, 2);
@@ -64,22 +65,25 @@
 }
 
 #[test]
-fn a_request_is_followed_through_the_log_by_its_id() {
-    let feed = Feed::start();
-    let shelf = Shelf::start(Does::Data(b"bytes".to_vec()));
-    let origin = Shelf::start(Does::Data(b"bytes".to_vec()));
-    let list = [line("s-a", shelf.addr, "std", "ready"), line("s-o", origin.addr, "origin", "ready")];
-    feed.members(true, &list);
-    let node = Node::logging(&feed, &["--log", "debug", "--log-format", "json"]);
+fn a_request_can_be_followed_through_the_log_by_its_id() {
+    let feed = StubFeed::start();
+    let endpoint = StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()));
+    let origin = StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()));
+    let list = [
+        endpoint_line("s-a", endpoint.addr, "std", "ready"),
+        endpoint_line("s-o", origin.addr, "origin", "ready"),
+    ];
+    feed.publish_endpoints(true, &list);
+    let node = RouterProcess::with_arguments(&feed, &["--log", "debug", "--log-format", "json"]);
     let mut client = Client::connect(node.addr);
     let mut tag = 0;
-    until("the list", || {
+    wait_until("the list", || {
         tag += 1;
         let rid = 0x9b1f_03aa_5c7e_2d40 + u64::from(tag);
         client.get(tag, "docs", rid, 7).contains(" good ").then_some(())
     });
-    let closed = until("the request's end", || {
-        let line = node.says("request closed");
+    let closed = wait_until("the request's end", || {
+        let line = node.wait_for_log("request closed");
         let event: serde_json::Value = serde_json::from_str(&line).unwrap();
         (event["result"] == "Served").then_some(event)
     });
@@ -112,11 +116,11 @@
     // Nothing serves there: both connect, and fail alike.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
     for words in [vec!["cluster"], vec!["cluster", "limits"]] {
-        let call = |option: &str| run(&[&words[..1], &[option, &closed], &words[1..]].concat());
-        let (code, out, err) = call("--admin");
+        let run_with = |option: &str| run(&[&words[..1], &[option, &closed], &words[1..]].concat());
+        let (code, out, err) = run_with("--admin");
         assert_eq!((code, out.as_str()), (1, ""));
         assert!(err.contains(&closed), "{err}");
-        assert_eq!(call("--door"), (code, out, err));
+        assert_eq!(run_with("--door"), (code, out, err));
     }
     let help = run(&["--help"]).1;
     for new in ["simulate", "cluster", "capture"] {
--- a/crates/hollymux/tests/dns.rs
+++ b/crates/hollymux/tests/dns.rs
@@ -1,5 +1,5 @@
-//! The DNS front: queries answered over UDP and TCP, and answers followed, against stand-ins on loopback. What
-//! runs is counted at the shelfs.
+//! The DNS front: queries answered over UDP and TCP, and answers followed, against stubs on loopback. What
+//! runs is counted at the endpoints.
 
 mod common;
 
@@ -103,7 +103,7 @@
 
 fn exchange(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket.send_to(bytes, to).unwrap();
     let mut buffer = [0; 4096];
     let n = socket.recv(&mut buffer).unwrap();
@@ -133,56 +133,57 @@
     srv.split(' ').nth(3)?.parse().ok()
 }
 
-/// An address at which nobody listens: a hub that has failed.
+/// An address at which nobody listens: a parent cache that has failed.
 fn dead() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-struct Bed {
-    feed: Feed,
-    shelfs: Vec<Shelf>,
-    node: Node,
+struct Setup {
+    feed: StubFeed,
+    endpoints: Vec<StubEndpoint>,
+    node: RouterProcess,
     dns: SocketAddr,
 }
 
-fn served(zone: &str) -> Bed {
+fn served(zone: &str) -> Setup {
     served_by(zone, ["s-a", "s-b"])
 }
 
-fn served_by(zone: &str, uids: [&str; 2]) -> Bed {
-    let feed = Feed::start();
-    let shelfs: Vec<Shelf> = (0..3).map(|_| Shelf::start(Does::Data(b"bytes".to_vec()))).collect();
-    feed.members(true, &lines(&shelfs, uids));
-    let node = Node::with_dns(&feed, &format!("listen: '127.0.0.1:0', zone: '{zone}'"));
+fn served_by(zone: &str, uids: [&str; 2]) -> Setup {
+    let feed = StubFeed::start();
+    let endpoints: Vec<StubEndpoint> =
+        (0..3).map(|_| StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()))).collect();
+    feed.publish_endpoints(true, &lines(&endpoints, uids));
+    let node = RouterProcess::with_dns(&feed, &format!("listen: '127.0.0.1:0', zone: '{zone}'"));
     let dns = node.dns.unwrap();
     let name = DOCS.replace(ZONE, zone);
-    until("the list", || (ask(dns, &name, A)[0] == "NOERROR").then_some(()));
-    Bed { feed, shelfs, node, dns }
+    wait_until("the list", || (ask(dns, &name, A)[0] == "NOERROR").then_some(()));
+    Setup { feed, endpoints, node, dns }
 }
 
-fn lines(shelfs: &[Shelf], uids: [&str; 2]) -> Vec<String> {
-    let of = |i: usize, uid, model| line(uid, shelfs[i].addr, model, "ready");
+fn lines(endpoints: &[StubEndpoint], uids: [&str; 2]) -> Vec<String> {
+    let of = |i: usize, uid, model| endpoint_line(uid, endpoints[i].addr, model, "ready");
     vec![
         of(0, uids[0], "std"),
         of(1, uids[1], "std"),
         of(2, "s-o", "origin"),
-        line("s-h", dead(), "parent", "ready"),
+        endpoint_line("s-h", dead(), "parent", "ready"),
     ]
 }
 
 #[test]
 fn answers_by_the_standard() {
-    let bed = served(ZONE);
+    let setup = served(ZONE);
     let mut said = String::new();
     let mut note = |what: &str, answer: Vec<String>| {
         let mut text =
             format!("{what}: {}\n", answer.join("; ")).replace("s-a.", "BOX.").replace("s-b.", "BOX.");
-        for s in &bed.shelfs {
+        for s in &setup.endpoints {
             text = text.replace(&s.addr.port().to_string(), "PORT");
         }
         said.push_str(&text);
     };
-    let of = |name: &str, kind| ask(bed.dns, name, kind);
+    let of = |name: &str, kind| ask(setup.dns, name, kind);
     note("srv", of(DOCS, SRV));
     note("any case", of(&DOCS.to_uppercase(), A));
     note("text alone", of(DOCS, TXT));
@@ -199,7 +200,7 @@
     note("no such box", of("s-z.box.route.example", A));
     note("elsewhere", of("www.example.org", A));
     note("transfer", of(ZONE, 252));
-    let raw = |bytes: &[u8]| words(&exchange(bed.dns, bytes));
+    let raw = |bytes: &[u8]| words(&exchange(setup.dns, bytes));
     note("opcode", raw(&query(7, 0x2000, DOCS, A, None)));
     let whole = query(7, 0, DOCS, A, None);
     note("half a question", raw(&whole[..30]));
@@ -216,10 +217,10 @@
 
 /// Guards against two queries in one segment, or one in many, and against lengths that no query has.
 #[test]
-fn queries_over_tcp_come_in_any_pieces() {
-    let bed = served(ZONE);
-    let mut tcp = TcpStream::connect(bed.dns).unwrap();
-    tcp.set_read_timeout(Some(LONG)).unwrap();
+fn queries_over_tcp_may_arrive_in_any_pieces() {
+    let setup = served(ZONE);
+    let mut tcp = TcpStream::connect(setup.dns).unwrap();
+    tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let two = [framed(query(1, 0, DOCS, SRV, None)), framed(query(2, 0, ZONE, SOA, None))].concat();
     for piece in two.chunks(7) {
         tcp.write_all(piece).unwrap();
@@ -235,8 +236,8 @@
 
 /// Guards against panics on whatever a datagram holds: queries with bytes changed, the same in every run.
 #[test]
-fn broken_queries_end_nothing() {
-    let mut bed = served(ZONE);
+fn malformed_queries_do_not_stop_service() {
+    let mut setup = served(ZONE);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut number = 0x9e37_79b9_7f4a_7c15_u64;
     for n in 0..2_000_usize {
@@ -247,22 +248,22 @@
             bytes[at] = (number >> 20) as u8;
         }
         bytes.truncate(bytes.len() - n % 7);
-        socket.send_to(&bytes, bed.dns).unwrap();
+        socket.send_to(&bytes, setup.dns).unwrap();
         if n % 100 == 99 {
-            assert_eq!(ask(bed.dns, ZONE, SOA)[0], "NOERROR");
+            assert_eq!(ask(setup.dns, ZONE, SOA)[0], "NOERROR");
         }
     }
-    assert!(bed.node.child.try_wait().unwrap().is_none());
+    assert!(setup.node.child.try_wait().unwrap().is_none());
 }
 
 /// Guards against datagrams larger than the client takes.
 #[test]
-fn what_does_not_fit_is_shortened_then_cut() {
+fn an_answer_that_does_not_fit_is_shortened_then_truncated() {
     let label = "z".repeat(60);
     let zone = format!("{label}.{label}.example");
-    let bed = served(&zone);
+    let setup = served(&zone);
     let name = DOCS.replace(ZONE, &zone);
-    let sized = |edns| exchange(bed.dns, &query(7, 0, &name, SRV, edns));
+    let sized = |edns| exchange(setup.dns, &query(7, 0, &name, SRV, edns));
     let (plain, large) = (sized(None), sized(Some(1232)));
     assert!(
         plain.len() <= 512 && large.len() > 512 && large.len() <= 1232,
@@ -273,47 +274,49 @@
     let marks = |b: &[u8]| (words(b).iter().any(|w| w == "cut"), port(&words(b)).is_some());
     assert_eq!((marks(&plain), marks(&large)), ((false, true), (false, true)));
     let long = format!("{label}.{label}.{}.example", "y".repeat(50));
-    let bed = served_by(&long, ["a", "b"].map(|first| first.repeat(60)).each_ref().map(String::as_str));
+    let setup = served_by(&long, ["a", "b"].map(|first| first.repeat(60)).each_ref().map(String::as_str));
     let name = FILING.replace(ZONE, &long);
-    let cut = exchange(bed.dns, &query(7, 0, &name, SRV, None));
+    let cut = exchange(setup.dns, &query(7, 0, &name, SRV, None));
     assert!(cut.len() <= 512);
     assert_eq!(marks(&cut), (true, false));
 }
 
-/// Guards against an answer that names what drains or is gone, and against a second target for a filing.
+/// Guards against an answer that names what drains or is gone, and against a second target for a non-idempotent request.
 #[test]
-fn what_drains_is_never_named_again() {
-    let bed = served(ZONE);
-    let first = port(&ask(bed.dns, FILING, SRV)).unwrap();
+fn a_draining_edge_cache_is_never_named_again() {
+    let setup = served(ZONE);
+    let first = port(&ask(setup.dns, FILING, SRV)).unwrap();
     for _ in 0..5 {
-        assert_eq!(port(&ask(bed.dns, FILING, SRV)), Some(first), "one target for good");
+        assert_eq!(port(&ask(setup.dns, FILING, SRV)), Some(first), "one target for good");
     }
-    let (at, uid) = if first == bed.shelfs[0].addr.port() { (0, "s-a") } else { (1, "s-b") };
-    bed.feed.members(false, &[line(uid, bed.shelfs[at].addr, "std", "draining")]);
-    until("the drain", || (ask(bed.dns, &format!("{uid}.box.{ZONE}"), A)[0] == "NXDOMAIN").then_some(()));
-    let other = Some(bed.shelfs[1 - at].addr.port());
+    let (at, uid) = if first == setup.endpoints[0].addr.port() { (0, "s-a") } else { (1, "s-b") };
+    setup.feed.publish_endpoints(false, &[endpoint_line(uid, setup.endpoints[at].addr, "std", "draining")]);
+    wait_until("the drain", || {
+        (ask(setup.dns, &format!("{uid}.box.{ZONE}"), A)[0] == "NXDOMAIN").then_some(())
+    });
+    let other = Some(setup.endpoints[1 - at].addr.port());
     let mut named = 0;
     for n in 0..40 {
         let name = format!("g17.p{n}.7f3a9c21e0b4d655.docs.{ZONE}");
-        let answer = ask(bed.dns, &name, SRV);
+        let answer = ask(setup.dns, &name, SRV);
         // The one that is left may be full for a while: lookups are load.
         assert!(port(&answer) == other || answer == ["REFUSED"], "{answer:?}");
         named += usize::from(port(&answer) == other);
     }
     assert!(named > 0, "the one box that is left is never named");
-    assert_eq!(ask(bed.dns, FILING, SRV), ["REFUSED"], "its one target takes no work");
+    assert_eq!(ask(setup.dns, FILING, SRV), ["REFUSED"], "its one target takes no work");
     // Who was told where to go with it may have sent it: it is not taken by the other front either.
-    let mut client = Client::connect(bed.node.addr);
+    let mut client = Client::connect(setup.node.addr);
     assert_eq!(client.get(1, "cert-filing", 0x9b1f_03aa_5c7e_2d41, 9), "1 broken");
-    assert!(bed.shelfs.iter().all(|s| s.count() == 0), "a lookup sends nothing");
+    assert!(setup.endpoints.iter().all(|s| s.count() == 0), "a lookup sends nothing");
 }
 
-/// Guards against lookups that count as nothing: many at one moment are more than two boxes can do.
+/// Guards against lookups that count as nothing: many at one moment are more than two edge caches can do.
 #[test]
-fn lookups_are_load() {
-    let bed = served(ZONE);
-    let mut tcp = TcpStream::connect(bed.dns).unwrap();
-    tcp.set_read_timeout(Some(LONG)).unwrap();
+fn lookups_count_as_load() {
+    let setup = served(ZONE);
+    let mut tcp = TcpStream::connect(setup.dns).unwrap();
+    tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let name = |n| format!("g1.p{n}.7f3a9c21e0b4d655.docs.{ZONE}");
     let asked: Vec<u8> = (1..=64).flat_map(|n| framed(query(n, 0, &name(n), A, None))).collect();
     assert!(asked.len() < 4096, "one read takes them all");
@@ -325,14 +328,14 @@
 
 /// Guards against lookups that teach health: nobody hears of what became of them.
 #[test]
-fn lookups_take_no_box_out() {
-    let bed = served(ZONE);
+fn lookups_eject_no_edge_cache() {
+    let setup = served(ZONE);
     let start = Instant::now();
     let mut named = std::collections::BTreeSet::new();
     let mut n = 0;
     while start.elapsed() < Duration::from_millis(2_500) {
         n += 1;
-        let answer = ask(bed.dns, &format!("g1.p{n}.7f3a9c21e0b4d655.docs.{ZONE}"), SRV);
+        let answer = ask(setup.dns, &format!("g1.p{n}.7f3a9c21e0b4d655.docs.{ZONE}"), SRV);
         if start.elapsed() > Duration::from_millis(1_500) {
             named.extend(port(&answer));
         }
@@ -343,7 +346,7 @@
 
 // ---- following ----
 
-/// What a stand-in DNS server answers: a box by name and address, or a code.
+/// What a stubs DNS server answers: an edge cache by name and address, or a code.
 #[derive(Clone)]
 enum Names {
     Box(&'static str, SocketAddr, &'static str),
@@ -354,19 +357,19 @@
 struct Server {
     addr: SocketAddr,
     names: Arc<Mutex<Names>>,
-    asked: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
 fn answering(names: Names) -> Server {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let addr = socket.local_addr().unwrap();
-    let (names, asked) = (Arc::new(Mutex::new(names)), Arc::new(Mutex::new(Vec::new())));
-    let server = Server { addr, names: names.clone(), asked: asked.clone() };
+    let (names, received) = (Arc::new(Mutex::new(names)), Arc::new(Mutex::new(Vec::new())));
+    let server = Server { addr, names: names.clone(), received: received.clone() };
     thread::spawn(move || {
         let mut buffer = [0; 4096];
         while let Ok((n, peer)) = socket.recv_from(&mut buffer) {
             let mut at = 12;
-            asked.lock().unwrap().push(read_name(&buffer[..n], &mut at));
+            received.lock().unwrap().push(read_name(&buffer[..n], &mut at));
             let question = &buffer[12..at + 4];
             let head = |code: u16, records: [u16; 2]| {
                 let fields = [u16_at(&buffer, 0), 0x8400 | code, 1, records[0], 0, records[1]];
@@ -397,29 +400,32 @@
     server
 }
 
-/// A follower of a stand-in server that names the first of three shelfs.
-fn following() -> (Bed, Server, Client) {
-    let feed = Feed::start();
-    let shelfs: Vec<Shelf> = (0..3).map(|_| Shelf::start(Does::Data(b"bytes".to_vec()))).collect();
-    feed.members(true, &lines(&shelfs, ["s-a", "s-b"]));
-    let server = answering(Names::Box("s-a", shelfs[0].addr, "parent=s-o"));
+/// A follower of a stubs server that names the first of three endpoints.
+fn following() -> (Setup, Server, Client) {
+    let feed = StubFeed::start();
+    let endpoints: Vec<StubEndpoint> =
+        (0..3).map(|_| StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()))).collect();
+    feed.publish_endpoints(true, &lines(&endpoints, ["s-a", "s-b"]));
+    let server = answering(Names::Box("s-a", endpoints[0].addr, "parent=s-o"));
     let dns = server.addr;
-    let node = Node::with_dns(&feed, &format!("follow: '{dns}', zone: '{ZONE}'"));
+    let node = RouterProcess::with_dns(&feed, &format!("follow: '{dns}', zone: '{ZONE}'"));
     let mut client = Client::connect(node.addr);
     let mut tag = 1_000;
-    until("the list", || {
+    wait_until("the list", || {
         tag += 1;
         client.get(tag, "docs", tag.into(), 5).contains("good").then_some(())
     });
-    (Bed { feed, shelfs, node, dns }, server, client)
+    (Setup { feed, endpoints, node, dns }, server, client)
 }
 
-/// Guards against work to a drained box while an answer that names it is still given out: none after 500 ms.
+/// Guards against work to a drained edge cache while an answer that names it is still given out: none after 500 ms.
 #[test]
-fn a_held_answer_does_not_reach_a_drained_box() {
-    let (bed, server, mut client) = following();
-    assert!(bed.shelfs[0].asked()[0].fields.contains("parent=s-o"));
-    let told = bed.feed.members(false, &[line("s-a", bed.shelfs[0].addr, "std", "draining")]);
+fn a_delayed_dns_answer_does_not_reach_a_draining_edge_cache() {
+    let (setup, server, mut client) = following();
+    assert!(setup.endpoints[0].received()[0].fields.contains("parent=s-o"));
+    let told = setup
+        .feed
+        .publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
     let (mut tag, mut refused) = (0, 0);
     while told.elapsed() < Duration::from_millis(1_200) {
         tag += 1;
@@ -429,55 +435,55 @@
     }
     assert!(refused > 0, "an answer that names only what drains is no answer");
     let late = told + Duration::from_millis(500);
-    assert!(bed.shelfs[0].asked().iter().all(|a| a.at < late), "work after the drain");
-    // Nor does a filing go there, or anywhere else.
+    assert!(setup.endpoints[0].received().iter().all(|a| a.at < late), "work after the drain");
+    // Nor does a non-idempotent request go there, or anywhere else.
     assert!(client.get(5_000, "cert-filing", 5_000, 9).starts_with("5000 refused"));
-    *server.names.lock().unwrap() = Names::Box("s-b", bed.shelfs[1].addr, "parent=s-a");
+    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[1].addr, "parent=s-a");
     assert!(client.get(5_001, "docs", 5_001, 9).contains("refused"), "a source that drains is no source");
-    *server.names.lock().unwrap() = Names::Box("s-b", bed.shelfs[0].addr, "parent=s-o");
+    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[0].addr, "parent=s-o");
     assert!(client.get(5_002, "docs", 5_002, 9).contains("refused"), "the address is another box's");
-    *server.names.lock().unwrap() = Names::Box("s-b", bed.shelfs[1].addr, "parent=s-o");
+    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[1].addr, "parent=s-o");
     assert_eq!(client.get(5_003, "docs", 5_003, 9), "5003 good ver=d1 bytes");
-    assert!(bed.shelfs[0].asked().iter().all(|a| a.at < late));
+    assert!(setup.endpoints[0].received().iter().all(|a| a.at < late));
 }
 
 /// Guards against an old copy by way of a lookup: the follower heeds the purges that it was told itself.
 #[test]
-fn a_purge_bounds_what_is_followed() {
-    let (bed, _server, mut client) = following();
-    bed.feed.tell(&format!("\"purge\":{{\"group\":17,\"at\":{}}}", unix_ms()));
+fn a_purge_bounds_requests_that_follow_dns() {
+    let (setup, _server, mut client) = following();
+    setup.feed.publish(&format!("\"purge\":{{\"group\":17,\"at\":{}}}", unix_ms()));
     let mut tag = 0;
-    let bound: u64 = until("the purge", || {
+    let bound: u64 = wait_until("the purge", || {
         tag += 1;
         assert!(client.get(tag, "docs", tag.into(), 9).contains("good"));
-        let last = bed.shelfs[0].asked().pop().unwrap().fields;
+        let last = setup.endpoints[0].received().pop().unwrap().fields;
         last.split(',').find_map(|f| f.strip_prefix("accept="))?.parse().ok()
     });
     assert!((1..8_000).contains(&bound), "no copy older than the purge will do, not {bound} ms");
 }
 
-/// Guards against a filing that runs twice by way of lookups, also while hub and boxes fail: one lookup, one
+/// Guards against a non-idempotent request that runs twice by way of lookups, also while parent cache and edge caches fail: one lookup, one
 /// run at most, and a failure where it may have run.
 #[test]
-fn a_followed_filing_runs_once_at_most() {
-    let (bed, server, mut client) = following();
+fn a_non_idempotent_request_that_follows_dns_runs_once_at_most() {
+    let (setup, server, mut client) = following();
     let lookups = |rid: u64| {
         let id = format!("r{rid:016x}.");
-        server.asked.lock().unwrap().iter().filter(|n| n.starts_with(&id)).count()
+        server.received.lock().unwrap().iter().filter(|n| n.starts_with(&id)).count()
     };
     let runs = |rid: u64| {
         let id = format!("{rid:016x}");
-        bed.shelfs.iter().flat_map(Shelf::asked).filter(|a| a.rid == id).count()
+        setup.endpoints.iter().flat_map(StubEndpoint::received).filter(|a| a.rid == id).count()
     };
     let mut tag = 0;
     for (does, word, ran) in [
-        (Does::Close, "broken", 1),
-        (Does::Word("failed"), "broken", 1),
-        (Does::Nothing, "broken", 1),
-        (Does::Word("full"), "refused", 1),
-        (Does::Data(b"stamp".to_vec()), "good", 1),
+        (StubBehavior::CloseConnection, "broken", 1),
+        (StubBehavior::Status("failed"), "broken", 1),
+        (StubBehavior::NoAnswer, "broken", 1),
+        (StubBehavior::Status("full"), "refused", 1),
+        (StubBehavior::Data(b"stamp".to_vec()), "good", 1),
     ] {
-        bed.shelfs[0].does(does.clone());
+        setup.endpoints[0].set_behavior(does.clone());
         tag += 1;
         let answer = client.get(tag, "cert-filing", tag.into(), 9);
         assert_eq!(answer.split(' ').nth(1), Some(word), "{does:?}");
@@ -490,33 +496,33 @@
         assert!(client.get(tag, "cert-filing", tag.into(), 9).contains("refused"));
         assert_eq!(runs(tag.into()), 0);
     }
-    assert!(bed.shelfs[1].count() + bed.shelfs[2].count() == 0, "nothing went where no answer led");
+    assert!(setup.endpoints[1].count() + setup.endpoints[2].count() == 0, "nothing went where no answer led");
 }
 
-/// The whole path: one router answers, another follows it; while boxes drain and break under filings, none is
-/// asked 500 ms after its drain and none runs a filing that another has run.
+/// The whole path: one router answers, another follows it; while edge caches drain and break under non-idempotent requests, none is
+/// asked 500 ms after its drain and none runs a non-idempotent request that another has run.
 #[test]
 fn two_routers_in_a_row_keep_the_rules() {
     let first = served(ZONE);
     let text = format!("follow: '{}', zone: '{ZONE}'", first.dns);
-    let second = Node::with_dns(&first.feed, &text);
+    let second = RouterProcess::with_dns(&first.feed, &text);
     let mut client = Client::connect(second.addr);
     let mut tag = 0;
-    until("the list", || {
+    wait_until("the list", || {
         tag += 1;
         client.get(tag, "docs", tag.into(), 5).contains("good").then_some(())
     });
     let mut drained = None;
     for n in 1..=120 {
         match n {
-            // The hub fails: fills behind the box break off, or are not begun; then the box itself breaks.
-            15 => first.shelfs[0].does(Does::Word("failed")),
-            25 => first.shelfs[0].does(Does::Word("full")),
-            40 => first.shelfs[0].does(Does::Close),
-            60 => first.shelfs[0].does(Does::Data(b"bytes".to_vec())),
+            // The parent cache fails: fills behind the edge cache break off, or are not begun; then the edge cache itself breaks.
+            15 => first.endpoints[0].set_behavior(StubBehavior::Status("failed")),
+            25 => first.endpoints[0].set_behavior(StubBehavior::Status("full")),
+            40 => first.endpoints[0].set_behavior(StubBehavior::CloseConnection),
+            60 => first.endpoints[0].set_behavior(StubBehavior::Data(b"bytes".to_vec())),
             70 => {
-                let off = line("s-b", first.shelfs[1].addr, "std", "draining");
-                drained = Some(first.feed.members(false, &[off]));
+                let off = endpoint_line("s-b", first.endpoints[1].addr, "std", "draining");
+                drained = Some(first.feed.publish_endpoints(false, &[off]));
             }
             _ => {}
         }
@@ -527,8 +533,9 @@
     }
     let late = drained.unwrap() + Duration::from_millis(500);
     assert!(Instant::now() > late, "it went on for longer than the grace");
-    assert!(first.shelfs[1].asked().iter().all(|a| a.at < late), "work after the drain");
-    let filings = first.shelfs.iter().flat_map(Shelf::asked).filter(|a| a.fields.contains("cert-filing"));
+    assert!(first.endpoints[1].received().iter().all(|a| a.at < late), "work after the drain");
+    let filings =
+        first.endpoints.iter().flat_map(StubEndpoint::received).filter(|a| a.fields.contains("cert-filing"));
     let mut ids: Vec<String> = filings.map(|a| a.rid).collect();
     let all = ids.len();
     ids.sort();
--- a/crates/hollymux/tests/file_formats.rs
+++ b/crates/hollymux/tests/file_formats.rs
@@ -20,7 +20,7 @@
 /// Runs the program in the folder of the fixtures.
 fn run(args: &[&str]) -> Outcome {
     let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
-    let mut program = command(Path::new(""), args);
+    let mut program = hollymux_command(Path::new(""), args);
     let output = program.current_dir(folder).stdout(Stdio::piped()).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     Outcome { code: output.status.code().unwrap(), out: text(output.stdout), err: text(output.stderr) }
--- a/crates/hollymux/tests/replacement.rs
+++ b/crates/hollymux/tests/handover.rs
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-struct Bed {
-    feed: Feed,
-    shelfs: [Shelf; 3],
+struct Setup {
+    feed: StubFeed,
+    endpoints: [StubEndpoint; 3],
     /// Clients' address, the same for all processes.
     addr: SocketAddr,
     _reserved: ReservedAddress,
@@ -23,27 +23,27 @@
     dir: PathBuf,
 }
 
-impl Bed {
-    fn new(does: Does) -> Bed {
-        let feed = Feed::start();
-        let shelfs = [does.clone(), does.clone(), does].map(Shelf::start);
-        feed.members(true, &listed(&shelfs));
+impl Setup {
+    fn new(does: StubBehavior) -> Setup {
+        let feed = StubFeed::start();
+        let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
+        feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let reserved = ReservedAddress::new();
-        let dir = file("nothing", "").parent().unwrap().to_path_buf();
-        Bed { feed, shelfs, addr: reserved.addr, _reserved: reserved, dir }
+        let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
+        Setup { feed, endpoints, addr: reserved.addr, _reserved: reserved, dir }
     }
 
     /// A process for that address, once it says yes.
-    fn start(&self) -> Node {
+    fn start(&self) -> RouterProcess {
         self.start_with(&self.feed)
     }
 
-    fn start_with(&self, feed: &Feed) -> Node {
+    fn start_with(&self, feed: &StubFeed) -> RouterProcess {
         let listen = format!("\"listen\":\"{}\"", self.addr);
         let config = config(feed.addr).replace("\"listen\":\"127.0.0.1:0\"", &listen);
         let start = Instant::now();
-        let node = Node::meeting(&with_door(&config), &self.dir);
-        until("a yes", || ready(&node).then_some(()));
+        let node = RouterProcess::with_handover_dir(&with_admin_endpoint(&config), &self.dir);
+        wait_until("a yes", || ready(&node).then_some(()));
         assert!(start.elapsed() < Duration::from_secs(6), "ready after {:?}", start.elapsed());
         node
     }
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for Bed {
+impl Drop for Setup {
     fn drop(&mut self) {
         let _gone = std::fs::remove_dir_all(&self.dir);
     }
@@ -69,16 +69,16 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-fn ready(node: &Node) -> bool {
-    call(door(node), "GET /status").0 == 200
+fn ready(node: &RouterProcess) -> bool {
+    admin_call(admin_address(node), "GET /status").0 == 200
 }
 
 /// What a client did.
 #[derive(Clone, Copy, Default)]
 struct Load {
-    asked: u64,
+    sent: u64,
     served: u64,
-    /// Refused, and asked for once more after a wait.
+    /// Rejected, and sent once more after a wait.
     refused: u64,
     /// Met the end of its connection, and sent again on another one.
     again: u64,
@@ -91,10 +91,11 @@
     let mut tag = 0;
     while !over.load(Ordering::Relaxed) {
         let rid = fresh();
-        sum.asked += 1;
+        sum.sent += 1;
         for _ in 0..3 {
             tag += 1;
-            let answer = if client.try_ask(tag, "docs", rid) { client.answer() } else { "end".into() };
+            let answer =
+                if client.try_send_request(tag, "docs", rid) { client.answer() } else { "end".into() };
             if answer.starts_with(&format!("{tag} good")) {
                 sum.served += 1;
                 break;
@@ -102,7 +103,7 @@
             if answer.starts_with(&format!("{tag} refused backoff=")) {
                 sum.refused += 1;
                 thread::sleep(Duration::from_millis(100));
-                if client.closed() {
+                if client.is_closed() {
                     client = Client::connect(addr);
                 }
             } else {
@@ -140,33 +141,34 @@
 /// Guards against a replacement that loses, refuses or repeats anything, twice in a row, and against an old process
 /// that stays.
 #[test]
-fn nothing_is_lost_over_two_replacements() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let mut old = bed.start();
-    let loads = Loads::start(bed.addr, 6);
+fn no_request_is_lost_over_two_handovers() {
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let mut old = setup.start();
+    let loads = Loads::start(setup.addr, 6);
     let mut started = Vec::new();
     for _ in 0..2 {
         thread::sleep(Duration::from_millis(150));
-        let new = bed.start();
+        let new = setup.start();
         assert!(!ready(&old), "whom another one replaced takes nobody new");
         old.signal("-TERM");
-        let (status, log) = old.ended();
+        let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log:?}");
         assert!(log.iter().any(|l| l.contains("invariants broken: 0")), "{log:?}");
-        new.says("the process that was replaced has ended");
+        new.wait_for_log("the process that was replaced has ended");
         started.push(std::mem::replace(&mut old, new));
     }
     for sum in loads.end() {
-        assert_eq!(sum.asked, sum.served, "each is served");
+        assert_eq!(sum.sent, sum.served, "each is served");
         // One refusal a process makes the pause in which its connection is closed.
         assert!(sum.refused <= 2 && sum.again <= 4, "{} refused, {} sent again", sum.refused, sum.again);
     }
-    let mut rids: Vec<String> = bed.shelfs.iter().flat_map(Shelf::asked).map(|a| a.rid).collect();
+    let mut rids: Vec<String> =
+        setup.endpoints.iter().flat_map(StubEndpoint::received).map(|a| a.rid).collect();
     let all = rids.len();
     rids.sort();
     rids.dedup();
     assert!(all - rids.len() <= 24, "{} of {all} ran again", all - rids.len());
-    bed.served();
+    setup.served();
 }
 
 /// How often the measurement replaces; each takes some 3 s.
@@ -176,41 +178,41 @@
 #[test]
 #[ignore = "takes minutes; prints figures"]
 fn many_replacements() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let mut old = bed.start();
-    let loads = Loads::start(bed.addr, 12);
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let mut old = setup.start();
+    let loads = Loads::start(setup.addr, 12);
     for _ in 0..REPLACEMENTS {
-        let new = bed.start();
+        let new = setup.start();
         old.signal("-TERM");
-        assert!(old.ended().0.success());
+        assert!(old.wait_for_exit().0.success());
         old = new;
     }
     let each = loads.end();
     let sum = |of: fn(&Load) -> u64| each.iter().map(of).sum::<u64>();
-    let (asked, served) = (sum(|l| l.asked), sum(|l| l.served));
+    let (sent, served) = (sum(|l| l.sent), sum(|l| l.served));
     let (refused, again) = (sum(|l| l.refused), sum(|l| l.again));
     println!(
-        "{REPLACEMENTS} replacements, 12 clients: {asked} asked, {served} served, {refused} refused, {again} sent again"
+        "{REPLACEMENTS} replacements, 12 clients: {sent} asked, {served} served, {refused} refused, {again} sent again"
     );
-    assert_eq!(asked, served, "each is served");
+    assert_eq!(sent, served, "each is served");
 }
 
-/// Guards against a filing that runs again at the process that takes over, whether it came before or during that.
+/// Guards against a non-idempotent request that runs again at the process that takes over, whether it came before or during that.
 #[test]
-fn no_filing_runs_twice_over_a_replacement() {
-    let bed = Bed::new(Does::Nothing);
-    let old = bed.start();
-    let mut client = Client::connect(bed.addr);
-    client.ask(1, "cert-filing", 0xf1, ",obj=0000000000000009");
+fn no_non_idempotent_request_runs_twice_over_a_handover() {
+    let setup = Setup::new(StubBehavior::NoAnswer);
+    let old = setup.start();
+    let mut client = Client::connect(setup.addr);
+    client.send_request(1, "cert-filing", 0xf1, ",obj=0000000000000009");
     let runs = |rid: &str| -> usize {
-        bed.shelfs.iter().map(|s| s.asked().iter().filter(|a| a.rid.ends_with(rid)).count()).sum()
+        setup.endpoints.iter().map(|s| s.received().iter().filter(|a| a.rid.ends_with(rid)).count()).sum()
     };
-    until("the first", || (runs("00f1") == 1).then_some(()));
-    let _new = bed.start();
+    wait_until("the first", || (runs("00f1") == 1).then_some(()));
+    let _new = setup.start();
     // The old one's connection is still open: what it takes now, the new one is told.
-    client.ask(2, "cert-filing", 0xf2, ",obj=0000000000000009");
-    until("the second", || (runs("00f2") == 1).then_some(()));
-    let mut other = Client::connect(bed.addr);
+    client.send_request(2, "cert-filing", 0xf2, ",obj=0000000000000009");
+    wait_until("the second", || (runs("00f2") == 1).then_some(()));
+    let mut other = Client::connect(setup.addr);
     assert_eq!(other.get(1, "cert-filing", 0xf1, 9), "1 broken");
     assert_eq!(other.get(2, "cert-filing", 0xf2, 9), "2 broken");
     assert_eq!((runs("00f1"), runs("00f2")), (1, 1));
@@ -220,54 +222,54 @@
 /// Guards against a drain that the new process has not heard of, as its feed is silent.
 #[test]
 fn a_drain_is_handed_over_though_the_feed_is_silent() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let _old = bed.start();
-    bed.feed.members(false, &[line("s-a", bed.shelfs[0].addr, "std", "draining")]);
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let _old = setup.start();
+    setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
     thread::sleep(Duration::from_millis(300));
-    bed.feed.fail(bed.feed.calls().len() + 1, usize::MAX);
-    let before = bed.shelfs[0].count();
-    let new = bed.start();
-    all_go_elsewhere(&bed, before);
+    setup.feed.break_connections(setup.feed.resumed_after().len() + 1, usize::MAX);
+    let before = setup.endpoints[0].count();
+    let new = setup.start();
+    all_go_elsewhere(&setup, before);
     drop(new);
 }
 
 /// Guards against a drain that is untold by a feed that is behind.
 #[test]
 fn a_drain_holds_against_a_feed_that_is_behind() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let _old = bed.start();
-    bed.feed.members(false, &[line("s-a", bed.shelfs[0].addr, "std", "draining")]);
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let _old = setup.start();
+    setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
     thread::sleep(Duration::from_millis(300));
-    let behind = Feed::start();
-    behind.members(true, &listed(&bed.shelfs));
-    let before = bed.shelfs[0].count();
-    let _new = bed.start_with(&behind);
-    all_go_elsewhere(&bed, before);
+    let behind = StubFeed::start();
+    behind.publish_endpoints(true, &endpoint_lines(&setup.endpoints));
+    let before = setup.endpoints[0].count();
+    let _new = setup.start_with(&behind);
+    all_go_elsewhere(&setup, before);
 }
 
-fn all_go_elsewhere(bed: &Bed, before: usize) {
-    let mut client = Client::connect(bed.addr);
+fn all_go_elsewhere(setup: &Setup, before: usize) {
+    let mut client = Client::connect(setup.addr);
     for tag in 1..40 {
         assert!(client.get(tag, "docs", fresh(), tag.into()).contains("good"));
     }
-    assert_eq!(bed.shelfs[0].count(), before);
-    assert!(bed.shelfs[1].count() >= 39);
+    assert_eq!(setup.endpoints[0].count(), before);
+    assert!(setup.endpoints[1].count() >= 39);
 }
 
 /// Guards against an old process that stops serving because the new one dies on the way, at whichever step.
 #[test]
-fn whoever_dies_on_the_way_leaves_the_old_one_serving() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let old = bed.start();
+fn a_successor_that_dies_leaves_the_predecessor_serving() {
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let old = setup.start();
     let hello = {
-        let listen = bed.addr.to_string();
+        let listen = setup.addr.to_string();
         let head = [b'h', b'm', b'x', 1, 1, 0, 0, 0, listen.len() as u8 + 1, listen.len() as u8];
         [&head[..], listen.as_bytes()].concat()
     };
     let take = [b'h', b'm', b'x', 1, 3, 0, 0, 0, 0];
     let steps: [&[&[u8]]; 5] = [&[], &[&hello[..6]], &[&hello], &[&hello, &take], &[b"anything else at all"]];
     for (i, said) in steps.iter().enumerate() {
-        let mut dying = until("a meeting", || UnixStream::connect(bed.meeting()).ok());
+        let mut dying = wait_until("a meeting", || UnixStream::connect(setup.meeting()).ok());
         dying.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
         for words in *said {
             dying.write_all(words).unwrap();
@@ -276,47 +278,47 @@
         }
         assert_eq!(ready(&old), i != 3, "step {i}");
         drop(dying);
-        until("the old one's return", || ready(&old).then_some(()));
-        bed.served();
+        wait_until("the old one's return", || ready(&old).then_some(()));
+        setup.served();
     }
     // And a real one can still take over, also when the old one is on standby.
-    assert_eq!(call(door(&old), "PUT /standby").0, 200);
-    let _new = bed.start();
-    bed.served();
+    assert_eq!(admin_call(admin_address(&old), "PUT /standby").0, 200);
+    let _new = setup.start();
+    setup.served();
 }
 
 /// Guards against requests that fall between two processes, when the old one is told to end before the new one has taken
 /// over: that one still waits for its feed.
 #[test]
-fn sigterm_during_a_handover_loses_nobody() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    let mut old = bed.start();
-    bed.feed.fail(bed.feed.calls().len() + 1, usize::MAX);
-    let config =
-        config(bed.feed.addr).replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", bed.addr));
-    let new = Node::meeting(&with_door(&config), &bed.dir);
-    old.says("another process takes over");
+fn sigterm_during_a_handover_loses_no_client() {
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    let mut old = setup.start();
+    setup.feed.break_connections(setup.feed.resumed_after().len() + 1, usize::MAX);
+    let config = config(setup.feed.addr)
+        .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", setup.addr));
+    let new = RouterProcess::with_handover_dir(&with_admin_endpoint(&config), &setup.dir);
+    old.wait_for_log("another process takes over");
     old.signal("-TERM");
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(2_500) {
-        bed.served();
+        setup.served();
         thread::sleep(Duration::from_millis(10));
     }
-    let (status, log) = old.ended();
+    let (status, log) = old.wait_for_exit();
     assert!(status.success() && log.last().unwrap().ends_with("invariants broken: 0"), "{log:?}");
-    until("the new one's yes", || ready(&new).then_some(()));
+    wait_until("the new one's yes", || ready(&new).then_some(()));
 }
 
 /// Guards against a start that waits for what is not there: a stale socket, one that hangs, one that says anything.
 #[test]
-fn a_start_gets_by_without_the_old_one() {
-    let bed = Bed::new(Does::Data(b"some bytes".to_vec()));
-    drop(UnixListener::bind(bed.meeting()).unwrap());
-    assert!(bed.meeting().exists());
-    drop(bed.start());
+fn a_process_starts_without_an_answer_of_the_old_one() {
+    let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
+    drop(UnixListener::bind(setup.meeting()).unwrap());
+    assert!(setup.meeting().exists());
+    drop(setup.start());
     for answer in [None, Some(&b"anything else at all"[..]), Some(&b"hmx\x01\x06\0\0\0\0"[..])] {
-        let _gone = std::fs::remove_file(bed.meeting());
-        let hangs = UnixListener::bind(bed.meeting()).unwrap();
+        let _gone = std::fs::remove_file(setup.meeting());
+        let hangs = UnixListener::bind(setup.meeting()).unwrap();
         let (done, stop) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         hangs.set_nonblocking(true).unwrap();
         let (d, s) = (done.clone(), stop.clone());
@@ -331,9 +333,9 @@
                 thread::sleep(Duration::from_millis(5));
             }
         });
-        let node = bed.start();
+        let node = setup.start();
         assert!(done.load(Ordering::Relaxed), "it was called");
-        bed.served();
+        setup.served();
         stop.store(true, Ordering::Relaxed);
         thread.join().unwrap();
         drop(node);
@@ -344,17 +346,17 @@
 /// on as long as their connection does.
 #[test]
 fn a_replaced_process_ends_in_time_though_its_clients_never_pause() {
-    let bed = Bed::new(Does::Nothing);
-    let mut old = bed.start();
-    let mut busy = Client::connect(bed.addr);
+    let setup = Setup::new(StubBehavior::NoAnswer);
+    let mut old = setup.start();
+    let mut busy = Client::connect(setup.addr);
     // Each takes 1.5 s to fail: there are always some open.
-    assert!(busy.try_ask(1, "docs", fresh()));
-    let _new = bed.start();
+    assert!(busy.try_send_request(1, "docs", fresh()));
+    let _new = setup.start();
     old.signal("-TERM");
     let (start, mut asked) = (Instant::now(), 1);
     while start.elapsed() < Duration::from_millis(3_000) {
         asked += 1;
-        assert!(busy.try_ask(asked, "docs", fresh()), "it is held while something is open");
+        assert!(busy.try_send_request(asked, "docs", fresh()), "it is held while something is open");
         thread::sleep(Duration::from_millis(100));
     }
     let mut answers = std::collections::BTreeSet::new();
@@ -367,7 +369,7 @@
     }
     assert_eq!(answers.len() as u32, asked, "each is answered");
     drop(busy);
-    let (status, log) = old.ended();
+    let (status, log) = old.wait_for_exit();
     assert!(status.success(), "{log:?}");
     // The platform kills it 0.7 s after the longest deadline, which is 3 s here.
     assert!(start.elapsed() < Duration::from_millis(3_700), "ended after {:?}", start.elapsed());
--- a/crates/hollymux/tests/handover_bytes.rs
+++ b/crates/hollymux/tests/handover_bytes.rs
@@ -209,8 +209,8 @@
 // ---- what both directions need ----
 
 struct Bed {
-    feed: Feed,
-    endpoints: [Shelf; 3],
+    feed: StubFeed,
+    endpoints: [StubEndpoint; 3],
     /// Clients' address, the same for all processes.
     addr: SocketAddr,
     folder: PathBuf,
@@ -232,21 +232,21 @@
     }
 
     fn at(addr: SocketAddr) -> Bed {
-        let feed = Feed::start();
-        let data = Does::Data(b"some bytes".to_vec());
-        let endpoints = [data.clone(), data.clone(), data].map(Shelf::start);
-        feed.members(true, &listed(&endpoints));
-        let folder = file("nothing", "").parent().unwrap().to_path_buf();
+        let feed = StubFeed::start();
+        let data = StubBehavior::Data(b"some bytes".to_vec());
+        let endpoints = [data.clone(), data.clone(), data].map(StubEndpoint::start);
+        feed.publish_endpoints(true, &endpoint_lines(&endpoints));
+        let folder = temp_file("nothing", "").parent().unwrap().to_path_buf();
         Bed { feed, endpoints, addr, folder, _reserved: None }
     }
 
     fn config(&self) -> String {
         let listen = format!("\"listen\":\"{}\"", self.addr);
-        with_door(&config(self.feed.addr).replace("\"listen\":\"127.0.0.1:0\"", &listen))
+        with_admin_endpoint(&config(self.feed.addr).replace("\"listen\":\"127.0.0.1:0\"", &listen))
     }
 
-    fn start(&self) -> Node {
-        Node::meeting_with(&self.config(), FLEET_SECTION, &self.folder)
+    fn start(&self) -> RouterProcess {
+        RouterProcess::with_operator_file_and_handover_dir(&self.config(), FLEET_SECTION, &self.folder)
     }
 
     fn meeting(&self) -> PathBuf {
@@ -255,7 +255,7 @@
 
     /// How often a request was sent to an endpoint.
     fn runs(&self, id: &str) -> usize {
-        let asked = self.endpoints.iter().flat_map(Shelf::asked);
+        let asked = self.endpoints.iter().flat_map(StubEndpoint::received);
         asked.filter(|request| request.rid.ends_with(id)).count()
     }
 }
@@ -266,19 +266,19 @@
     }
 }
 
-fn metric(node: &Node, name: &str) -> Option<u64> {
-    let (status, text) = call(door(node), "GET /status/metrics");
+fn metric(node: &RouterProcess, name: &str) -> Option<u64> {
+    let (status, text) = admin_call(admin_address(node), "GET /status/metrics");
     assert_eq!(status, 200);
     let value = text.lines().find_map(|line| line.strip_prefix(&format!("svc.{name}=")));
     value.and_then(|value| value.parse().ok())
 }
 
-fn wait_for_metric(node: &Node, name: &str, value: u64) {
-    until(name, || (metric(node, name) == Some(value)).then_some(()));
+fn wait_for_metric(node: &RouterProcess, name: &str, value: u64) {
+    wait_until(name, || (metric(node, name) == Some(value)).then_some(()));
 }
 
-fn wait_until_ready(node: &Node) {
-    until("a yes", || (call(door(node), "GET /status").0 == 200).then_some(()));
+fn wait_until_ready(node: &RouterProcess) {
+    wait_until("a yes", || (admin_call(admin_address(node), "GET /status").0 == 200).then_some(()));
 }
 
 // ---- a stand-in successor of a serving program ----
@@ -323,21 +323,21 @@
     let node = bed.start();
     wait_until_ready(&node);
     wait_for_metric(&node, "registry_entries", 3);
-    bed.feed.members(false, &[line("s-a", bed.endpoints[0].addr, "std", "draining")]);
+    bed.feed.publish_endpoints(false, &[endpoint_line("s-a", bed.endpoints[0].addr, "std", "draining")]);
     let now = unix_ms();
-    bed.feed.tell(&format!("\"purge\":{{\"group\":17,\"at\":{now}}}"));
-    bed.feed.tell(&format!("\"purge\":{{\"key\":\"0000000000000007\",\"at\":{now}}}"));
+    bed.feed.publish(&format!("\"purge\":{{\"group\":17,\"at\":{now}}}"));
+    bed.feed.publish(&format!("\"purge\":{{\"key\":\"0000000000000007\",\"at\":{now}}}"));
     wait_for_metric(&node, "out_of_rotation", 1);
     let mut client = Client::connect(bed.addr);
     assert_eq!(client.get(1, "docs", 0xd1, 9), "1 good ver=d1 some bytes");
     assert_eq!(client.get(2, "cert-filing", 0xf1, 9), "2 good ver=d1 some bytes");
     // One that has started late is cold.
-    let cold = Shelf::start(Does::Data(b"some bytes".to_vec()));
-    let late = started("s-c", cold.addr, "std", "ready", unix_ms());
-    bed.feed.members(false, &[late]);
+    let cold = StubEndpoint::start(StubBehavior::Data(b"some bytes".to_vec()));
+    let late = endpoint_line_started_at("s-c", cold.addr, "std", "ready", unix_ms());
+    bed.feed.publish_endpoints(false, &[late]);
     wait_for_metric(&node, "registry_entries", 4);
-    let mut socket = until("a meeting", || UnixStream::connect(bed.meeting()).ok());
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    let mut socket = wait_until("a meeting", || UnixStream::connect(bed.meeting()).ok());
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut given = None;
     socket.write_all(&hello(bed.addr)).unwrap();
     let mut all = receive_until(LEGACY, &socket, &mut given);
@@ -345,7 +345,7 @@
     assert_eq!(client.get(3, "cert-filing", 0xf2, 9), "3 good ver=d1 some bytes");
     socket.write_all(&frame(TAKE, &[])).unwrap();
     all.extend(receive_until(YOURS, &socket, &mut given));
-    client.ask(4, "cert-filing", 0xf3, ",obj=0000000000000009");
+    client.send_request(4, "cert-filing", 0xf3, ",obj=0000000000000009");
     all.extend(receive_until(FILINGS, &socket, &mut given));
     all
 }
@@ -402,7 +402,7 @@
 /// Hands over to whoever calls, with the frames of the fixture; the call stays open.
 fn hand_over(meeting: &UnixListener, listener: &TcpListener) -> UnixStream {
     let (mut socket, _) = meeting.accept().unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     expect(&mut socket, &hello(listener.local_addr().unwrap()));
     let frames = frames(&std::fs::read(fixture()).unwrap());
     assert_eq!(frames[0].0, LEGACY);
@@ -413,11 +413,11 @@
 }
 
 /// A program that has taken over from the fixture, and the call that it did so by.
-fn successor(feed_is_silent: bool) -> (Bed, Node, UnixStream) {
+fn successor(feed_is_silent: bool) -> (Bed, RouterProcess, UnixStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let bed = Bed::at(listener.local_addr().unwrap());
     if feed_is_silent {
-        bed.feed.fail(1, usize::MAX);
+        bed.feed.break_connections(1, usize::MAX);
     }
     // As a serving program's is; the two processes share that state of the socket.
     listener.set_nonblocking(true).unwrap();
@@ -454,7 +454,7 @@
     let (_bed, node, _old) = successor(true);
     assert_eq!(metric(&node, "registry_entries"), Some(4));
     assert_eq!(metric(&node, "out_of_rotation"), Some(1));
-    let (status, text) = call(door(&node), "GET /status/fleet");
+    let (status, text) = admin_call(admin_address(&node), "GET /status/fleet");
     assert_eq!(status, 200);
     let state: Value = serde_json::from_str(&text).unwrap();
     assert_eq!(state["own"]["start"].as_u64(), Some(start_in_fixture()));
--- a/crates/hollymux/tests/lab_figures.rs
+++ b/crates/hollymux/tests/lab_figures.rs
@@ -17,7 +17,7 @@
 
 /// The exit code and the printed report of a day in virtual time.
 fn played(day: &str, seed: &str, more: &[&str]) -> (i32, String) {
-    let mut program = command(Path::new(""), &["lab", "run", day, "--virtual", "--seed", seed]);
+    let mut program = hollymux_command(Path::new(""), &["lab", "run", day, "--virtual", "--seed", seed]);
     let output = program.args(more).current_dir(fixtures()).stdout(Stdio::piped()).output().unwrap();
     assert!(!output.stdout.is_empty(), "{}", String::from_utf8_lossy(&output.stderr));
     (output.status.code().unwrap(), String::from_utf8(output.stdout).unwrap())
@@ -79,7 +79,7 @@
 /// Guards against a key that the fixture does not try.
 #[test]
 fn the_day_with_every_key_has_every_key() {
-    let mut program = command(Path::new(""), &["lab", "schema"]);
+    let mut program = hollymux_command(Path::new(""), &["lab", "schema"]);
     let output = program.stdout(Stdio::piped()).output().unwrap();
     let mut names = BTreeSet::new();
     property_names(&serde_json::from_slice(&output.stdout).unwrap(), &mut names);
--- a/crates/hollymux/tests/together.rs
+++ b/crates/hollymux/tests/many_routers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::puppets::{Held, Puppets};
+use common::manual_endpoints::{HeldAttempt, ManualEndpoints};
 use common::reserved_address::ReservedAddress;
 use common::*;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 const ROUTERS: usize = 24;
 
 /// Configurations of so many routers, each with a seed of its own.
-fn configs(feeds: &[Feed], count: usize) -> Vec<String> {
+fn configs(feeds: &[StubFeed], count: usize) -> Vec<String> {
     let one = |i: usize| {
         config(feeds[i % feeds.len()].addr)
             .replace(
@@ -27,20 +27,20 @@
     (0..count).map(one).collect()
 }
 
-/// Guards against a cold box that falls under the sum of what all routers send it: none of them hears of the others, their
+/// Guards against a cold edge cache that falls under the sum of what all routers send it: none of them hears of the others, their
 /// traffic is uneven, and they are told of its start at different times.
 #[test]
-fn the_sum_of_all_routers_stays_within_what_a_cold_box_bears() {
+fn all_routers_together_stay_within_the_warm_up_budget_of_an_edge_cache() {
     // An answer takes 0.2 s to send at the rate that the configuration gives.
     const BYTES: usize = 62_000;
     const WORK: f64 = BYTES as f64 / 310_000.0;
-    let feeds = [Feed::start(), Feed::start(), Feed::start()];
-    let [a, b, cold] = [(); 3].map(|()| Shelf::start(Does::Data(vec![b'x'; BYTES])));
-    let lines = [line("s-a", a.addr, "std", "ready"), line("s-b", b.addr, "std", "ready")];
+    let feeds = [StubFeed::start(), StubFeed::start(), StubFeed::start()];
+    let [a, b, cold] = [(); 3].map(|()| StubEndpoint::start(StubBehavior::Data(vec![b'x'; BYTES])));
+    let lines = [endpoint_line("s-a", a.addr, "std", "ready"), endpoint_line("s-b", b.addr, "std", "ready")];
     for feed in &feeds {
-        feed.members(true, &lines);
+        feed.publish_endpoints(true, &lines);
     }
-    let nodes = Node::all(&configs(&feeds, ROUTERS));
+    let nodes = RouterProcess::start_all(&configs(&feeds, ROUTERS));
     let rids = AtomicU64::new(1);
     let over = Instant::now() + Duration::from_secs(10);
     let load = |i: usize, addr: SocketAddr| {
@@ -64,14 +64,17 @@
         thread::sleep(Duration::from_secs(2));
         let boot = (Instant::now(), unix_ms());
         for feed in &feeds {
-            feed.members(false, &[started("s-c", cold.addr, "std", "ready", boot.1)]);
+            feed.publish_endpoints(
+                false,
+                &[endpoint_line_started_at("s-c", cold.addr, "std", "ready", boot.1)],
+            );
             thread::sleep(Duration::from_millis(400));
         }
         boot.0
     });
     // SETTINGS: from 0.18 of 4 transfers to all of them in 17 s; it falls at 2.5 times that for 1.5 s.
     let window = Duration::from_millis(1_500);
-    let at: Vec<Instant> = cold.asked().iter().map(|asked| asked.at).collect();
+    let at: Vec<Instant> = cold.received().iter().map(|asked| asked.at).collect();
     let warm = a.count() + b.count();
     assert!(at.len() >= 3 && warm > 1_000, "{} at the cold box, {warm} at the others", at.len());
     for from in &at {
@@ -87,24 +90,24 @@
 /// Guards against restarted processes that wait for a feed that says nothing: clients come back within 10 s.
 #[test]
 fn restarted_processes_are_ready_though_the_feed_is_silent() {
-    let feeds = [Feed::start()];
+    let feeds = [StubFeed::start()];
     let configs = configs(&feeds, 20);
     let reserved: Vec<ReservedAddress> = configs.iter().map(|_| ReservedAddress::new()).collect();
     let at = |(config, reserved): (&String, &ReservedAddress)| {
         config.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", reserved.addr))
     };
     let configs: Vec<String> = configs.iter().zip(&reserved).map(at).collect();
-    let mut nodes = Node::all(&configs);
+    let mut nodes = RouterProcess::start_all(&configs);
     // The front asks on a connection that it keeps.
     let held: Vec<Client> = nodes.iter().map(|n| Client::connect(n.addr)).collect();
     nodes.iter().for_each(|n| n.signal("-KILL"));
-    nodes.iter_mut().for_each(|n| drop(n.ended()));
-    feeds[0].silence(true);
+    nodes.iter_mut().for_each(|n| drop(n.wait_for_exit()));
+    feeds[0].set_silent(true);
     let start = Instant::now();
-    let again = Node::all(&configs);
-    let fit = |node: &Node| {
+    let again = RouterProcess::start_all(&configs);
+    let fit = |node: &RouterProcess| {
         let mut client = Client::connect(node.addr);
-        client.send(&array(&[b"PING", b"1", b""]));
+        client.send(&resp_array(&[b"PING", b"1", b""]));
         let answer = client.answer();
         (answer == "1 fit").then(|| start.elapsed())
     };
@@ -116,15 +119,19 @@
 
 /// Guards against all routers calling the feed in step, when all their watches have fallen silent at once.
 #[test]
-fn silent_watches_are_called_anew_out_of_step() {
-    let feeds = [Feed::start()];
-    let nodes = Node::all(&configs(&feeds, 12));
-    let calls = |more: usize| until("calls", || (feeds[0].called().len() >= more).then(|| feeds[0].called()));
+fn silent_watches_are_reconnected_at_different_times() {
+    let feeds = [StubFeed::start()];
+    let nodes = RouterProcess::start_all(&configs(&feeds, 12));
+    let calls = |more: usize| {
+        wait_until("calls", || {
+            (feeds[0].connection_times().len() >= more).then(|| feeds[0].connection_times())
+        })
+    };
     calls(12);
     // In step to begin with: all call again at once, and hear nothing from then on.
-    feeds[0].cut();
+    feeds[0].close_connections();
     let before = calls(24);
-    feeds[0].silence(true);
+    feeds[0].set_silent(true);
     let after = calls(36);
     let (first, last) = (after[24], after[35]);
     let heard = before[23];
@@ -137,10 +144,10 @@
 /// Guards against further attempts for clients that left while their routers stood still, at several routers at once: what
 /// each sends on is counted over all of them.
 #[test]
-fn nobody_is_sent_on_for_clients_that_left_during_a_stall_of_all_routers() {
-    let (feeds, puppets) = ([Feed::start()], Puppets::start(3));
-    feeds[0].members(true, &puppets.lines());
-    let nodes = Node::all(&configs(&feeds, 6));
+fn nothing_is_sent_for_clients_that_left_during_a_stall_of_all_routers() {
+    let (feeds, manual) = ([StubFeed::start()], ManualEndpoints::start(3));
+    feeds[0].publish_endpoints(true, &manual.lines());
+    let nodes = RouterProcess::start_all(&configs(&feeds, 6));
     let mut held = Vec::new();
     let leavers: Vec<Client> = nodes
         .iter()
@@ -149,48 +156,48 @@
         .map(|(addr, n)| {
             let mut client = Client::connect(addr);
             // Until the list is known there requests are refused.
-            held.push(until("a request at a shelf", || {
-                client.ask(
+            held.push(wait_until("a request at a shelf", || {
+                client.send_request(
                     n as u32 + held.len() as u32 * 1_000,
                     "docs",
                     unix_ms() as u64 * 100 + n,
                     &format!(",obj={n:016x}"),
                 );
-                puppets.soon()
+                manual.next_soon()
             }));
             client
         })
         .collect();
-    nodes.iter().for_each(Node::freeze);
-    held.iter().for_each(|h| h.say("failed", b""));
+    nodes.iter().for_each(RouterProcess::pause);
+    held.iter().for_each(|h| h.respond("failed", b""));
     drop(leavers);
     thread::sleep(Duration::from_millis(600));
-    nodes.iter().for_each(Node::thaw);
-    let more: Vec<String> = puppets.rest().into_iter().map(|h| h.rid).collect();
+    nodes.iter().for_each(RouterProcess::resume);
+    let more: Vec<String> = manual.remaining().into_iter().map(|h| h.rid).collect();
     assert!(more.is_empty(), "{} of {} sent on: {more:?}", more.len(), held.len());
 }
 
 /// Guards against large objects being given up for small ones: of a class's largest tenth two thirds as many are answered as
-/// of the class on a quiet day, and half as many while one of three boxes is silent.
+/// of the class on a quiet day, and half as many while one of three edge caches is silent.
 #[test]
 fn the_largest_objects_keep_their_share() {
     const RATE: f64 = 310_000.0;
-    let (feeds, puppets) = ([Feed::start()], Puppets::start(3));
-    let kinds = ["s-a", "s-b", "s-c"].iter().zip(&puppets.addrs);
-    let lines: Vec<String> = kinds.map(|(uid, addr)| line(uid, *addr, "std", "ready")).collect();
-    feeds[0].members(true, &lines);
+    let (feeds, manual) = ([StubFeed::start()], ManualEndpoints::start(3));
+    let kinds = ["s-a", "s-b", "s-c"].iter().zip(&manual.addrs);
+    let lines: Vec<String> = kinds.map(|(uid, addr)| endpoint_line(uid, *addr, "std", "ready")).collect();
+    feeds[0].publish_endpoints(true, &lines);
     let silent = Arc::new(AtomicBool::new(false));
     let quiet = silent.clone();
-    puppets.serve(move |held: Held| {
-        if held.shelf == 0 && quiet.load(Ordering::Relaxed) {
+    manual.serve(move |held: HeldAttempt| {
+        if held.endpoint == 0 && quiet.load(Ordering::Relaxed) {
             return;
         }
         // One in ten takes 0.7 s to send, the others 0.03 s.
         let bytes = if held.rid.ends_with('0') { 220_000 } else { 9_000 };
         thread::sleep(Duration::from_secs_f64(bytes as f64 / RATE));
-        held.say("data", &vec![b'x'; bytes]);
+        held.respond("data", &vec![b'x'; bytes]);
     });
-    let nodes = Node::all(&configs(&feeds, 4));
+    let nodes = RouterProcess::start_all(&configs(&feeds, 4));
     let rids = AtomicU64::new(1);
     // Requests and answers, of all and of the largest.
     let play = |long: Duration| {
@@ -229,42 +236,46 @@
     assert!(counts[2] >= 20.0 && all > 0.5 && large * 2.0 >= all, "one box silent: {counts:?}");
 }
 
-/// Guards against idle clients that hold every descriptor while discovery is down: checks, connections to boxes, the feed
+/// Guards against idle clients that hold every descriptor while discovery is down: checks, connections to edge caches, the feed
 /// and a process that replaces this one get theirs.
 #[test]
 fn idle_clients_leave_descriptors_for_everything_else() {
-    let feed = Feed::start();
-    let [a, b] = [(); 2].map(|()| Shelf::start(Does::Data(b"some bytes".to_vec())));
-    feed.members(true, &[line("s-a", a.addr, "std", "ready"), line("s-b", b.addr, "std", "ready")]);
+    let feed = StubFeed::start();
+    let [a, b] = [(); 2].map(|()| StubEndpoint::start(StubBehavior::Data(b"some bytes".to_vec())));
+    feed.publish_endpoints(
+        true,
+        &[endpoint_line("s-a", a.addr, "std", "ready"), endpoint_line("s-b", b.addr, "std", "ready")],
+    );
     let reserved = ReservedAddress::new();
     let addr = reserved.addr;
-    let dir = file("nothing", "").parent().unwrap().to_path_buf();
-    let config = with_door(&config(feed.addr))
+    let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
+    let config = with_admin_endpoint(&config(feed.addr))
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{addr}\""))
         .replace("\"sockets\":1024", "\"sockets\":256");
-    let old = Node::meeting(&config, &dir);
+    let old = RouterProcess::with_handover_dir(&config, &dir);
     let mut tag = 0;
     let mut get = |object: u64| {
         tag += 1;
         Client::connect(addr).get(1, "docs", 0xd00 + tag, object)
     };
-    until("the list", || Some(()).filter(|()| get(1).contains("good")));
-    feed.silence(true);
+    wait_until("the list", || Some(()).filter(|()| get(1).contains("good")));
+    feed.set_silent(true);
     let idle: Vec<Client> = (0..400).map(|_| Client::connect(addr)).collect();
-    let open = |node: &Node| std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
-    until("the descriptors to be taken", || (open(&old) > 100).then_some(()));
+    let open =
+        |node: &RouterProcess| std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+    wait_until("the descriptors to be taken", || (open(&old) > 100).then_some(()));
     let mut front = Client::connect(addr);
-    front.send(&array(&[b"PING", b"1", b""]));
+    front.send(&resp_array(&[b"PING", b"1", b""]));
     assert_eq!(front.answer(), "1 fit");
-    // To both boxes, on connections of their own.
+    // To both edge caches, on connections of their own.
     let before = (a.count(), b.count());
-    until("both boxes", || {
+    wait_until("both boxes", || {
         assert!(get(a.count() as u64 + 7).contains("good"));
         (a.count() > before.0 && b.count() > before.1).then_some(())
     });
     // The feed is called anew, and what it tells is heard.
-    feed.silence(false);
-    feed.members(false, &[line("s-a", a.addr, "std", "draining")]);
+    feed.set_silent(false);
+    feed.publish_endpoints(false, &[endpoint_line("s-a", a.addr, "std", "draining")]);
     thread::sleep(Duration::from_millis(3_500));
     let before = a.count();
     for object in 0..20 {
@@ -272,10 +283,12 @@
     }
     assert_eq!(a.count(), before, "the drain was not heard");
     let start = Instant::now();
-    let new = Node::meeting(&config, &dir);
-    until("the new process's yes", || (call(door(&new), "GET /status").0 == 200).then_some(()));
+    let new = RouterProcess::with_handover_dir(&config, &dir);
+    wait_until("the new process's yes", || {
+        (admin_call(admin_address(&new), "GET /status").0 == 200).then_some(())
+    });
     assert!(start.elapsed() < Duration::from_secs(6));
-    until("both within one's descriptors", || (open(&old) + open(&new) <= 256).then_some(()));
+    wait_until("both within one's descriptors", || (open(&old) + open(&new) <= 256).then_some(()));
     assert!(get(3).contains("good"));
     drop((idle, old, new));
 }
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 
 fn run(args: &[&str]) -> (i32, String, String) {
-    let out = command(Path::new(""), args).stdout(Stdio::piped()).output().unwrap();
+    let out = hollymux_command(Path::new(""), args).stdout(Stdio::piped()).output().unwrap();
     let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
     (out.status.code().unwrap(), text(out.stdout), text(out.stderr))
 }
@@ -20,7 +20,7 @@
                     {{name: 'luxor', hub: 'south', boxes: 2, routers: 1, link_in_flows: 10}}],
           hubs: [{{name: 'north', link_flows: 12}}, {{name: 'south', link_flows: 12}}], faults: [{faults}]}}"
     );
-    file("day.json5", &text)
+    temp_file("day.json5", &text)
 }
 
 fn seen(day: &Path, seed: &str) -> serde_json::Value {
@@ -39,7 +39,7 @@
 }
 
 fn fleet(boxes: usize) -> PathBuf {
-    file(
+    temp_file(
         "fleet.json5",
         &format!(
             "{{offices: [{{name: 'cairo', hub: 'north', boxes: {boxes}, link_in_flows: 14, keep_bytes: 4e6}},
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_plan_foretells_days_of_the_laboratory_within_ten_percent() {
+fn a_plan_predicts_simulated_days_within_ten_percent() {
     let load = recorded(&day(80, ""));
     for (rate, scale) in [(80, "1"), (112, "1.4")] {
         let plan = planned(&load, &fleet(3), &["--scale", scale]);
@@ -76,17 +76,17 @@
 }
 
 #[test]
-fn what_cant_be_read_ends_with_code_2_and_a_line_for_each_fault() {
+fn invalid_input_ends_with_code_2_and_a_line_for_each_error() {
     // Enough requests for several blocks.
     let load = recorded(&day(240, ""));
     let fleet = fleet(3);
     let fleet = fleet.to_str().unwrap();
-    let bad = file(
+    let bad = temp_file(
         "fleet.json5",
         "{offices: [{name: 'cairo', hub: 'nowhere', boxes: 0, link_in_flows: 3}], hubs: []}",
     );
-    let text = file("load.hmxload", "this is no recording");
-    let empty = file("load.hmxload", "");
+    let text = temp_file("load.hmxload", "this is no recording");
+    let empty = temp_file("load.hmxload", "");
     let (text, empty) = (text.to_str().unwrap(), empty.to_str().unwrap());
     for (args, says) in [
         (vec!["plan", "--fleet", fleet, "--load", text], "is no recording of load"),
@@ -108,7 +108,7 @@
     }
     // A recording that was cut off is planned with, and the loss is said.
     let bytes = std::fs::read(&load[0]).unwrap();
-    let cut = file("cut.hmxload", "");
+    let cut = temp_file("cut.hmxload", "");
     std::fs::write(&cut, &bytes[..bytes.len() * 2 / 3]).unwrap();
     let plan = planned(&[cut.to_str().unwrap().to_string()], Path::new(fleet), &[]);
     assert!(plan["quality"]["doubts"].to_string().contains("lacks"), "{plan}");
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn the_examples_are_read() {
+fn the_example_files_are_valid_and_describe_one_cluster() {
     let example = |name: &str| format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"));
     let day: hollymux_simulation::day::Day =
         hollymux_config_file::load(Path::new(&example("day.json5"))).unwrap();
     let fleet: hollymux_planner::Fleet =
         hollymux_config_file::load(Path::new(&example("fleet.json5"))).unwrap();
-    // They speak of one fleet.
+    // They speak of one cluster.
     for (d, f) in day.offices.iter().zip(&fleet.offices) {
         assert_eq!((&d.name, d.boxes, d.link_in_flows), (&f.name, f.boxes, f.link_in_flows));
     }
--- a/crates/hollymux/tests/platform_bytes.rs
+++ b/crates/hollymux/tests/platform_bytes.rs
@@ -59,11 +59,11 @@
 fn serve(socket: TcpStream, log: Arc<Mutex<Vec<u8>>>, answer: &Mutex<Answer>) {
     let mut out = socket.try_clone().unwrap();
     let mut input = BufReader::new(Logged { socket, log });
-    while let Some(words) = read_array(&mut input) {
+    while let Some(words) = read_resp_array(&mut input) {
         let answer = *answer.lock().unwrap();
         let Some(rest) = answer.filter(|_| words[0] == b"ASK") else { continue };
         let rest = rest.map(str::as_bytes);
-        if out.write_all(&array(&[&words[1], rest[0], rest[1], rest[2]])).is_err() {
+        if out.write_all(&resp_array(&[&words[1], rest[0], rest[1], rest[2]])).is_err() {
             return;
         }
     }
@@ -77,8 +77,8 @@
 fn line_of(bytes: &[u8]) -> String {
     let (mut words, mut encoded) = (Vec::new(), Vec::new());
     let mut input = bytes;
-    while let Some(read) = read_array(&mut input) {
-        encoded.extend(array(&read.iter().map(Vec::as_slice).collect::<Vec<_>>()));
+    while let Some(read) = read_resp_array(&mut input) {
+        encoded.extend(resp_array(&read.iter().map(Vec::as_slice).collect::<Vec<_>>()));
         let masked = read.iter().map(|word| masked(&String::from_utf8_lossy(word)));
         words.push(format!("[{}]", masked.collect::<Vec<_>>().join("|")));
     }
@@ -99,31 +99,37 @@
 }
 
 struct Bed {
-    node: Node,
+    node: RouterProcess,
     endpoints: [Endpoint; 3],
     client: TcpStream,
     log: Arc<Mutex<Vec<u8>>>,
     input: BufReader<Logged>,
     said: Vec<String>,
-    _feed: Feed,
+    _feed: StubFeed,
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let client = TcpStream::connect(addr).unwrap();
-    client.set_read_timeout(Some(LONG)).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     client
 }
 
 impl Bed {
     fn start() -> Bed {
-        let feed = Feed::start();
+        let feed = StubFeed::start();
         let endpoints = ["box", "parent", "origin"].map(Endpoint::start);
         let [a, p, o] = &endpoints;
         let lines = [("s-a", a, "std"), ("s-p", p, "parent"), ("s-o", o, "origin")];
-        feed.members(true, &lines.map(|(uid, e, model)| line(uid, e.addr, model, "ready")));
-        let node = Node::configured(&with_door(&config(feed.addr)));
-        until("the list", || {
-            call(door(&node), "GET /status/metrics").1.contains("svc.registry_entries=3\n").then_some(())
+        feed.publish_endpoints(
+            true,
+            &lines.map(|(uid, e, model)| endpoint_line(uid, e.addr, model, "ready")),
+        );
+        let node = RouterProcess::with_config(&with_admin_endpoint(&config(feed.addr)));
+        wait_until("the list", || {
+            admin_call(admin_address(&node), "GET /status/metrics")
+                .1
+                .contains("svc.registry_entries=3\n")
+                .then_some(())
         });
         let client = connect(node.addr);
         let log = Arc::new(Mutex::new(Vec::new()));
@@ -135,16 +141,16 @@
         self.endpoints.iter().for_each(|endpoint| *endpoint.answer.lock().unwrap() = answer);
     }
 
-    fn ask(&mut self, tag: u32, class: &str, more: &str) {
+    fn send_request(&mut self, tag: u32, class: &str, more: &str) {
         let fields = format!("rid={:016x},budget=1500,piece=0,lot=17{more}", 0xa0 + tag);
         let tag = tag.to_string();
-        let request = array(&[b"DO", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), b"a body"]);
+        let request = resp_array(&[b"DO", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), b"a body"]);
         self.client.write_all(&request).unwrap();
     }
 
     /// Waits for an answer; with it, all that was sent to endpoints since the last one is in the conversation.
     fn answered(&mut self, what: &str) {
-        read_array(&mut self.input).expect("an answer");
+        read_resp_array(&mut self.input).expect("an answer");
         let bytes = std::mem::take(&mut *self.log.lock().unwrap());
         self.said.push(format!("{what}: {}", line_of(&bytes)));
         if !MASKED.iter().any(|key| String::from_utf8_lossy(&bytes).contains(key)) {
@@ -168,28 +174,28 @@
 #[test]
 fn a_scripted_conversation() {
     let mut bed = Bed::start();
-    bed.client.write_all(&array(&[b"PING", b"1", b""])).unwrap();
+    bed.client.write_all(&resp_array(&[b"PING", b"1", b""])).unwrap();
     bed.answered("ping");
-    bed.ask(2, "docs", OBJECT);
+    bed.send_request(2, "docs", OBJECT);
     bed.answered("served");
     bed.endpoints_answer(UNCHANGED);
-    bed.ask(3, "docs", &format!("{OBJECT},ver=d1"));
+    bed.send_request(3, "docs", &format!("{OBJECT},ver=d1"));
     bed.answered("unchanged");
     bed.endpoints_answer(DATA);
-    bed.ask(4, "cert-filing", OBJECT);
+    bed.send_request(4, "cert-filing", OBJECT);
     bed.answered("not to be repeated, served");
-    bed.ask(8, "no-such-class", OBJECT);
+    bed.send_request(8, "no-such-class", OBJECT);
     bed.answered("unknown class");
-    bed.ask(5, "docs", ",obj=seven");
+    bed.send_request(5, "docs", ",obj=seven");
     bed.answered("unusable field");
-    bed.ask(6, "docs", "");
+    bed.send_request(6, "docs", "");
     bed.answered("no object");
     bed.endpoints_answer(FAILED);
-    bed.ask(7, "cert-filing", OBJECT);
+    bed.send_request(7, "cert-filing", OBJECT);
     bed.answered("not to be repeated, failed");
     bed.endpoints_answer(DATA);
-    bed.ask(4, "cert-filing", OBJECT);
-    assert!(read_array(&mut bed.input).is_none(), "a tag that was used before ends the connection");
+    bed.send_request(4, "cert-filing", OBJECT);
+    assert!(read_resp_array(&mut bed.input).is_none(), "a tag that was used before ends the connection");
     insta::assert_snapshot!("conversation", bed.said.join("\n"));
 }
 
@@ -197,7 +203,7 @@
 fn a_refused_request() {
     let mut bed = Bed::start();
     bed.endpoints_answer(ABSENT);
-    bed.ask(1, "docs", OBJECT);
+    bed.send_request(1, "docs", OBJECT);
     bed.answered("refused");
     insta::assert_snapshot!("refused", bed.said.join("\n"));
 }
@@ -206,7 +212,7 @@
 fn a_failed_request() {
     let mut bed = Bed::start();
     bed.endpoints_answer(FAILED);
-    bed.ask(1, "docs", OBJECT);
+    bed.send_request(1, "docs", OBJECT);
     bed.answered("failed");
     insta::assert_snapshot!("failed", bed.said.join("\n"));
 }
@@ -215,16 +221,16 @@
 fn a_cancelled_request() {
     let mut bed = Bed::start();
     bed.endpoints_answer(None);
-    bed.ask(1, "docs", OBJECT);
+    bed.send_request(1, "docs", OBJECT);
     let heard = |bed: &Bed, word: &[u8]| {
         let all = bed.endpoints.iter().map(|endpoint| endpoint.log.lock().unwrap().clone());
         all.into_iter().any(|log| log.windows(word.len()).any(|part| part == word))
     };
-    until("the attempt", || heard(&bed, b"a body\r\n").then_some(()));
-    bed.client.write_all(&array(&[b"UNDO", b"1"])).unwrap();
-    until("its end", || heard(&bed, b"QUIT").then_some(()));
+    wait_until("the attempt", || heard(&bed, b"a body\r\n").then_some(()));
+    bed.client.write_all(&resp_array(&[b"UNDO", b"1"])).unwrap();
+    wait_until("its end", || heard(&bed, b"QUIT").then_some(()));
     thread::sleep(Duration::from_millis(50));
-    bed.client.write_all(&array(&[b"PING", b"2", b""])).unwrap();
+    bed.client.write_all(&resp_array(&[b"PING", b"2", b""])).unwrap();
     bed.answered("cancelled, then a ping");
     insta::assert_snapshot!("cancelled", bed.said.join("\n"));
 }
--- a/crates/hollymux/tests/lab.rs
+++ b/crates/hollymux/tests/simulate.rs
@@ -5,8 +5,8 @@
 use common::*;
 
 #[test]
-fn a_short_day_on_sockets_is_played_to_its_end_and_reported() {
-    let day = file(
+fn a_short_scenario_on_sockets_runs_to_its_end_and_is_reported() {
+    let day = temp_file(
         "day.json5",
         "{seconds: 4, warm_s: 1, rate_per_s: 40, purges_per_s: 1, roster_lag_ms: 300,
           offices: [{name: 'a', hub: 'h', boxes: 2, routers: 1, link_in_flows: 30}],
@@ -16,10 +16,12 @@
     let dir = day.parent().unwrap().join("out");
     let recorded = day.parent().unwrap().join("load");
     let (day, out, load) = (day.to_str().unwrap(), dir.to_str().unwrap(), recorded.to_str().unwrap());
-    let done =
-        command(std::path::Path::new(""), &["lab", "run", day, "--json", "--report", out, "--record", load])
-            .output()
-            .unwrap();
+    let done = hollymux_command(
+        std::path::Path::new(""),
+        &["lab", "run", day, "--json", "--report", out, "--record", load],
+    )
+    .output()
+    .unwrap();
     let report: serde_json::Value =
         serde_json::from_slice(&std::fs::read(dir.join("report.json")).unwrap()).unwrap();
     let asked: u64 = report["classes"].as_array().unwrap().iter().map(|c| c["asked"].as_u64().unwrap()).sum();
@@ -39,8 +41,10 @@
         .collect();
     let mut args = vec!["record", "info", "--json"];
     args.extend(files.iter().map(String::as_str));
-    let info =
-        command(std::path::Path::new(""), &args).stdout(std::process::Stdio::piped()).output().unwrap();
+    let info = hollymux_command(std::path::Path::new(""), &args)
+        .stdout(std::process::Stdio::piped())
+        .output()
+        .unwrap();
     let info: serde_json::Value = serde_json::from_slice(&info.stdout).unwrap();
     assert!(info["requests"].as_u64().unwrap() >= asked, "{info}");
     assert_eq!((&info["offices"][0], &info["dropped"]), (&"a".into(), &0.into()));
