--- a/crates/hollymux/examples/ask.rs
+++ b/crates/hollymux/examples/ask.rs
@@ -1,4 +1,5 @@
-//! Asks a router one thing by the platform's protocol: `ask CLASS [OBJECT]`, the object in 16 hex digits.
+//! Sends one request to a router by the platform's protocol: `ask CLASS [OBJECT]`, the object in 16
+//! hex digits.
 
 #[path = "../tests/common/stubs/mod.rs"]
 mod stubs;
--- a/crates/hollymux/examples/toy_server.rs
+++ b/crates/hollymux/examples/toy_server.rs
@@ -1,5 +1,6 @@
-//! Stands in for two cache edge caches, a parent cache, the origin and the endpoint feed of `examples/config.json`, on loopback.
-//! Every edge cache says what it is asked. Press Enter to let the first edge cache drain, and again to bring it back.
+//! Simulates two edge caches, a parent cache, the origin and the endpoint feed of
+//! `examples/config.json`, on loopback. Every endpoint prints the attempts that it receives. Press
+//! Enter to let the first edge cache drain, and again to bring it back.
 
 #[path = "../tests/common/stubs/mod.rs"]
 mod stubs;
--- a/crates/hollymux/src/cluster/mod.rs
+++ b/crates/hollymux/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! `hollymux cluster`: shows what a running router knows of the other routers, as its admin endpoint reports it.
+//! `hollymux cluster`: shows what a running router knows of the other routers, as its admin
+//! endpoint reports it.
 
 mod admin_client;
 mod members_table;
--- a/crates/hollymux/src/cluster/quota_table.rs
+++ b/crates/hollymux/src/cluster/quota_table.rs
@@ -1,11 +1,12 @@
-//! The report of the cluster's limits, as text: for each kind of limit its bounds, and for each limit in use who holds
-//! which share of it.
+//! The report of the cluster's limits, as text: for each kind of limit its bounds, and for each
+//! limit in use who holds which share of it.
 
 use super::{elements_of, is_true, number_of};
 use crate::output;
 use serde_json::Value;
 
-/// This router's share, the bounds of each kind of limit, then a row for each endpoint that is warming up.
+/// This router's share, the bounds of each kind of limit, then a row for each endpoint that is
+/// warming up.
 pub fn render(status: &Value) -> String {
     let summary = format!(
         "{}; the whole is divided by {}, here by {}\n\n",
@@ -25,8 +26,8 @@
     format!("this router has NO share of its own: not counted yet by {routers}")
 }
 
-/// The bounds of each kind of limit: what all routers together may use while they reach each other, while they
-/// don't, and when lost quota is back.
+/// The bounds of each kind of limit: what all routers together may use while they reach each other,
+/// while they don't, and when lost quota is back.
 fn bounds_table(status: &Value) -> String {
     let headings = [
         "limit",
@@ -74,7 +75,8 @@
     ]
 }
 
-/// A limit that each router applies by itself, with the same sum whether routers reach each other or not.
+/// A limit that each router applies by itself, with the same sum whether routers reach each other
+/// or not.
 fn local_row(limit: &str, protects: &str, sum: &str) -> [String; 8] {
     [limit, protects, "itself", "none", sum, sum, "as before", "-"].map(str::to_string)
 }
--- a/crates/hollymux/src/error.rs
+++ b/crates/hollymux/src/error.rs
@@ -1,4 +1,5 @@
-//! Why a command failed, and the exit code that scripts go by. This is the only place that maps one to the other.
+//! Why a command failed, and the exit code that scripts go by. This is the only place that maps one
+//! to the other.
 
 use crate::cluster::AdminError;
 use std::process::ExitCode;
@@ -38,7 +39,8 @@
     /// Recordings that the program itself has just made can't be read: a line each.
     #[error("{}", .0.join("; "))]
     OwnRecording(Vec<String>),
-    /// A simulation ran to its end, and rules that must always hold were broken; its report names them.
+    /// A simulation ran to its end, and rules that must always hold were broken; its report names
+    /// them.
     #[error("rules were broken")]
     RulesBroken,
 
--- a/crates/hollymux/src/logging.rs
+++ b/crates/hollymux/src/logging.rs
@@ -16,7 +16,8 @@
 /// Options of the log.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Log level (error, warn, info, debug, trace), or a filter such as `info,hollymux_server=debug`
+    /// Log level (error, warn, info, debug, trace), or a filter such as
+    /// `info,hollymux_server=debug`
     #[arg(long, global = true, value_name = "FILTER", default_value = "info")]
     log: Targets,
     /// Log format
@@ -24,8 +25,8 @@
     log_format: Format,
 }
 
-/// Starts logging. A line that can't be written is lost: it must neither end the program nor be reported on the same
-/// stream, which is why internal errors of the logger are not logged.
+/// Starts logging. A line that can't be written is lost: it must neither end the program nor be
+/// reported on the same stream, which is why internal errors of the logger are not logged.
 pub fn start(options: &Options) -> Result<(), CommandError> {
     let lines = fmt::layer().with_writer(io::stderr).log_internal_errors(false).with_ansi(false);
     let layer = match options.log_format {
--- a/crates/hollymux/src/main.rs
+++ b/crates/hollymux/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: reads its arguments, runs one command, and turns the command's error into an exit code. What the
-//! commands do stands in their modules.
+//! The program: reads its arguments, runs one command, and turns the command's error into an exit
+//! code. What the commands do stands in their modules.
 
 mod arguments;
 mod capture;
--- a/crates/hollymux/src/output.rs
+++ b/crates/hollymux/src/output.rs
@@ -18,7 +18,8 @@
     print(&(serde_json::to_string_pretty(result)? + "\n"))
 }
 
-/// Prints one line on standard error. A line that can't be written is lost, which must not end the program.
+/// Prints one line on standard error. A line that can't be written is lost, which must not end the
+/// program.
 pub fn print_error(line: &str) {
     let _lost = writeln!(std::io::stderr(), "hollymux: {}", line.replace('\n', " "));
 }
--- a/crates/hollymux/src/simulate/cluster_table.rs
+++ b/crates/hollymux/src/simulate/cluster_table.rs
@@ -1,4 +1,5 @@
-//! `hollymux simulate cluster`: how fast routers learn of changes in their cluster, by its size and by packet loss.
+//! `hollymux simulate cluster`: how fast routers learn of changes in their cluster, by its size and
+//! by packet loss.
 
 use crate::error::CommandError;
 use crate::output;
--- a/crates/hollymux/src/simulate/mod.rs
+++ b/crates/hollymux/src/simulate/mod.rs
@@ -1,5 +1,5 @@
-//! `hollymux simulate`: scenarios of load and faults against real routers with simulated endpoints, on sockets or in
-//! virtual time.
+//! `hollymux simulate`: scenarios of load and faults against real routers with simulated endpoints,
+//! on sockets or in virtual time.
 
 mod cluster_table;
 mod recorders;
--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -1,4 +1,5 @@
-//! What a simulation records: each router's traffic as input for a plan, and why requests were not served.
+//! What a simulation records: each router's traffic as input for a plan, and why requests were not
+//! served.
 
 use crate::error::{Cause, CommandError};
 use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
@@ -8,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Size of one recording's file, in bytes. A scenario in virtual time is short, so that no limit here is reached.
+/// Size of one recording's file, in bytes. A scenario in virtual time is short, so that no limit
+/// here is reached.
 const MAX_FILE_BYTES: u64 = 64 << 20;
 /// Files of each router; the oldest is removed for a further one.
 const MAX_FILES: usize = 64;
@@ -40,8 +42,8 @@
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Counts what the routers of a scenario on sockets recorded in `dir` since `start`, in microseconds of Unix time.
-    /// The directory may hold recordings of earlier scenarios.
+    /// Counts what the routers of a scenario on sockets recorded in `dir` since `start`, in
+    /// microseconds of Unix time. The directory may hold recordings of earlier scenarios.
     pub fn count_recorded(&mut self, dir: &Path, start: u64) -> Result<(), CommandError> {
         let entries = std::fs::read_dir(dir)?.filter_map(Result::ok);
         let files: Vec<PathBuf> = entries.map(|entry| entry.path()).collect();
@@ -53,7 +55,8 @@
     }
 }
 
-/// Listens to the routers of a scenario in virtual time, and records what they do if that is wanted.
+/// Listens to the routers of a scenario in virtual time, and records what they do if that is
+/// wanted.
 pub struct VirtualRecorders<'a, 'd> {
     unserved: &'a mut UnservedRequests<'d>,
     /// One for each router in the order of their numbers, or none at all.
--- a/crates/hollymux/src/simulate/run.rs
+++ b/crates/hollymux/src/simulate/run.rs
@@ -1,4 +1,5 @@
-//! `hollymux simulate run`: one scenario, on real sockets against router processes, or in virtual time.
+//! `hollymux simulate run`: one scenario, on real sockets against router processes, or in virtual
+//! time.
 
 use super::recorders::{UnservedRequests, VirtualRecorders};
 use crate::error::CommandError;
--- a/crates/hollymux/tests/admin_endpoint.rs
+++ b/crates/hollymux/tests/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The program as operators meet it: the admin endpoint, the numbers, standby, new settings.
+//! The admin endpoint, as operators use it: metrics, standby, new settings.
 
 mod common;
 
@@ -32,7 +32,8 @@
     line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
 }
 
-/// Guards against an admin endpoint that only the file can open, and against a start that fails for want of one.
+/// Guards against an admin endpoint that only the file can enable, and against a start that fails
+/// without one.
 #[test]
 fn the_admin_address_may_be_given_by_the_environment() {
     let feed = StubFeed::start();
@@ -43,7 +44,7 @@
     assert_eq!(admin_call(admin_address(&named), "GET /status").1, "ready\n");
 }
 
-/// Guards against numbers that are not what clients and endpoints saw.
+/// Guards against metrics that differ from what clients and endpoints counted.
 #[test]
 fn the_metrics_are_what_peers_counted() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
@@ -77,8 +78,8 @@
     assert_eq!(figure("registry_entries"), 3);
 }
 
-/// Guards against a slow reader whose connection is closed over more answers than may be held for him, and against
-/// numbers that say otherwise than he was told.
+/// Guards against a slow reader whose connection is closed because of more answers than may be
+/// buffered for it, and against metrics that differ from what it was answered.
 #[test]
 fn a_slow_reader_gets_every_answer_complete_or_rejected() {
     let feed = StubFeed::start();
@@ -115,7 +116,7 @@
     assert_eq!(figure(door, "operations.docs.throttled"), refused);
 }
 
-/// Guards against callers who never finish, or a flood of clients, keeping an honest call waiting.
+/// Guards against calls that are never complete, or a flood of clients, delaying a call.
 #[test]
 fn the_admin_endpoint_answers_under_load() {
     let setup = setup(StubBehavior::NoAnswer);
@@ -141,8 +142,8 @@
     assert_eq!(admin_call(setup.door, "GET /status").1, "ready\n");
 }
 
-/// Guards against a router that says yes while it is emptied, holds connections, or loses what it has taken; and
-/// against one that doesn't come back.
+/// Guards against a router that reports ready while it drains, keeps connections, or loses what it
+/// has accepted; and against one that doesn't come back.
 #[test]
 fn standby_drains_all_connections_and_can_be_undone() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
@@ -161,9 +162,9 @@
     assert_eq!(admin_call(setup.door, "PUT /standby").0, 200, "in force already");
     idle.send(&resp_array(&[b"PING", b"2", b""]));
     assert_eq!(idle.answer(), "2 unfit");
-    // Who comes before it is noticed is served.
+    // A client that comes before the front has noticed is served.
     assert!(Client::connect(setup.node.addr).get(1, "docs", 100, 7).contains("good"));
-    // One that always has something open is let go all the same, with one answer to each request.
+    // One that always has a request open is closed all the same, with one answer to each request.
     let (mut asked, mut answered) = (0, 0);
     loop {
         if start.elapsed() < Duration::from_secs(5)
@@ -192,8 +193,9 @@
     assert!(back.get(2, "docs", 301, 7).contains("good"), "nobody is let go any more");
 }
 
-/// Guards against a connection on which something is open at all times: it has no moment at which it could be closed
-/// without a loss, and must have gone 4 s after the call all the same, each request answered once.
+/// Guards against a connection on which something is open at all times: it has no moment at which
+/// it could be closed without a loss, and must have gone 4 s after the call all the same, each
+/// request answered once.
 #[test]
 fn standby_closes_connections_that_never_pause() {
     let setup = setup(StubBehavior::NoAnswer);
@@ -223,7 +225,8 @@
     assert_eq!(answers.len() as u32, asked, "each is answered");
 }
 
-/// Guards against a SIGHUP that applies half a file, and against requests whose class changes under them.
+/// Guards against a SIGHUP that applies half a file, and against requests whose class changes under
+/// them.
 #[test]
 fn new_settings_apply_whole_or_not_at_all() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
@@ -246,7 +249,8 @@
     }
     assert_eq!(client.get(1, "maps", 1, 7), "1 broken", "nothing of it applies");
     assert_eq!(figure(setup.door, "cfg_accepted"), 0);
-    // A non-idempotent request is under way while its class becomes one that may be repeated, and docs vanish.
+    // A non-idempotent request is under way while its class becomes one that may be repeated, and
+    // docs is removed.
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoAnswer));
     client.send_request(2, "cert-filing", 2, ",obj=0000000000000009");
     wait_until("the attempt", || {
--- a/crates/hollymux/tests/client_protocol.rs
+++ b/crates/hollymux/tests/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The program as a process, spoken to as clients, endpoints and the endpoint feed speak on the platform.
+//! The program as a process, with clients, endpoints and an endpoint feed as on the platform.
 
 mod common;
 
@@ -16,7 +16,7 @@
     (feed, node, client, endpoints)
 }
 
-/// Asks until the list is known there; before, requests are refused.
+/// Sends requests until the list is known there; before, they are rejected.
 fn settled(client: &mut Client) {
     let mut tag = 1_000_000;
     wait_until("the list", || {
@@ -36,7 +36,8 @@
     client.send(&resp_array(&[b"PING", b"1", b""]));
     said.push(client.answer());
     said.push(client.get(2, "docs", 2, 7));
-    // A readable request with an unknown class, or with fields that can't be used, gets one failed answer.
+    // A readable request with an unknown class, or with fields that can't be used, gets one failed
+    // answer.
     said.push(client.get(3, "no-such-class", 3, 7));
     client.send_request(4, "docs", 4, ",obj=seven");
     said.push(client.answer());
@@ -68,8 +69,8 @@
     insta::assert_snapshot!(held.join(" "), @"profile=docs thing=0000000000000007 nth=0 parent=s-o shelf=2 hints=freshen got=d1");
 }
 
-/// Guards against one client's bytes ending anything but its own connection, and against buffers for lengths
-/// that nobody may send.
+/// Guards against one client's bytes ending anything but its own connection, and against buffers
+/// for lengths that nobody may send.
 #[test]
 fn malformed_frames_close_only_their_connection() {
     let (_feed, mut node, mut client, _shelfs) = setup([data(), data(), data()]);
@@ -91,8 +92,8 @@
     assert!(node.child.try_wait().unwrap().is_none());
 }
 
-/// Guards against clients that take up descriptors and send nothing, or half a message: each is closed within 3 s
-/// of connecting, and whoever asks for something gets in meanwhile.
+/// Guards against clients that use descriptors and send nothing, or half a message: each is closed
+/// within 3 s of connecting, and a client that sends a request gets in meanwhile.
 #[test]
 fn a_silent_client_is_closed_and_first_when_descriptors_are_needed() {
     let feed = StubFeed::start();
@@ -113,8 +114,8 @@
     assert_eq!(client.get(1, "docs", 1, 7), "1 good ver=d1 some bytes");
 }
 
-/// Guards against answering 'served' under an id or a tag that belongs to another request, and against budgets
-/// that would hold a request open for an hour.
+/// Guards against answering 'served' under an id or a tag that belongs to another request, and
+/// against timeouts that would hold a request open for an hour.
 #[test]
 fn invalid_ids_tags_and_timeouts_are_not_served() {
     let (_feed, node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -138,7 +139,8 @@
     assert_eq!(client.answer(), "1 broken", "the first still has its own answer");
 }
 
-/// Guards against work at the endpoints for requests that are withdrawn as soon as they are sent, and against floods.
+/// Guards against attempts at the endpoints for requests that are cancelled as soon as they are
+/// sent, and against floods.
 #[test]
 fn floods_close_their_own_connection_and_hardly_reach_an_endpoint() {
     let (_feed, node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -162,7 +164,7 @@
         }
         assert!(count() - before <= 32, "{} requests reached a shelf", count() - before);
     }
-    // Who withdraws now and then, among answers, is no flood.
+    // A client that cancels now and then, among answers, is no flood.
     for tag in (1..200).step_by(2) {
         client.send(&[request(tag), undo(tag)].concat());
         endpoints.iter().for_each(|s| s.set_behavior(data()));
@@ -170,7 +172,8 @@
     }
 }
 
-/// Guards against a break or garbage at one endpoint reaching a client where the other endpoint could serve.
+/// Guards against a break or garbage at one endpoint reaching a client where the other endpoint
+/// could serve.
 #[test]
 fn a_failure_before_the_answer_is_retried_elsewhere() {
     let bad: [StubBehavior; 3] = [
@@ -193,8 +196,8 @@
     }
 }
 
-/// Guards against passing on what can't be an answer to what was asked, and against using a connection on which
-/// such a thing came: every request is served by the other endpoint. What is not the request's is passed over.
+/// Guards against passing on invalid answers, and against using a connection on which
+/// one came: every request is served by the other endpoint. What belongs to no request is ignored.
 #[test]
 fn invalid_answers_are_not_passed_on() {
     let spoilt: [&'static [&'static str]; 7] = [
@@ -238,14 +241,15 @@
         endpoints[0].received().iter().all(|a| a.conn < 2),
         "what is not the request's spoils no connection"
     );
-    // A non-idempotent request's answer has no tag; one that can't be its answer leaves open whether it ran.
+    // A non-idempotent request's answer has no tag; one that can't be its answer leaves open
+    // whether it ran.
     endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Responses(&["ID data - done"])));
     assert_eq!(client.get(50, "cert-filing", 50, 9), "50 good  done");
     endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Responses(&["ID unchanged digest=d1"])));
     assert_eq!(client.get(51, "cert-filing", 51, 9), "51 broken");
 }
 
-/// Guards against new work on a connection that owes an overdue answer: it may never bring another.
+/// Guards against new attempts on a connection with an overdue answer: it may never bring another.
 #[test]
 fn a_connection_with_an_overdue_answer_is_not_used_again() {
     let (_feed, _node, mut client, endpoints) =
@@ -272,7 +276,8 @@
     }
 }
 
-/// Guards against work sent to an edge cache that has gone without being told: its address is another's now.
+/// Guards against attempts sent to an edge cache that has gone without notice: its address is
+/// another's now.
 #[test]
 fn a_new_edge_cache_at_an_address_replaces_the_old_one() {
     let (feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -289,8 +294,9 @@
     });
 }
 
-/// Guards against a non-idempotent request that runs twice: after a whole write neither a reset, an error nor silence lets it
-/// go out again, whatever the client is told; and its id is not taken a second time.
+/// Guards against a non-idempotent request that runs twice: after a complete write neither a reset,
+/// an error nor silence lets it go out again, whatever the client is answered; and its id is not
+/// accepted a second time.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_never_sent_again() {
     let (_feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -309,7 +315,7 @@
             endpoints.iter().flat_map(StubEndpoint::received).filter(|a| a.rid == format!("{rid:016x}"));
         assert_eq!(runs.count(), 1, "{does:?}");
     }
-    // What never ran is refused and may be asked for again, with the same body.
+    // What never ran is rejected and may be sent again, with the same body.
     endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Status("full")));
     assert!(client.get(200, "cert-filing", 200, 9).starts_with("200 refused"));
     endpoints.iter().for_each(|s| s.set_behavior(data()));
@@ -318,7 +324,8 @@
     assert!(all.iter().filter(|a| a.fields.contains("cert-filing")).all(|a| a.body == b"a body"));
 }
 
-/// Guards against work to a drained edge cache, or with a drained edge cache as source, later than 500 ms after it was told.
+/// Guards against attempts at a draining edge cache, or with one as fill source, later than 500 ms
+/// after its drain was published.
 #[test]
 fn a_draining_edge_cache_gets_no_new_requests() {
     let (feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -353,8 +360,8 @@
     assert!(bound < 8_000, "no copy older than the purge will do, not {bound} ms");
 }
 
-/// Guards against what a feed that falls silent, or breaks off within an event, would have told. Every event is told
-/// twice here.
+/// Guards against what a feed that falls silent, or breaks off within an event, would have sent.
+/// Every event is sent twice here.
 #[test]
 fn the_feed_is_reconnected_after_silence_and_after_half_an_event() {
     let (feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -375,7 +382,8 @@
     });
 }
 
-/// Guards against clients that connect after SIGTERM and are left waiting because accepting was paused.
+/// Guards against clients that connect after SIGTERM and are left waiting because accepting was
+/// paused.
 #[test]
 fn new_clients_are_served_after_sigterm_with_all_descriptors_in_use() {
     let feed = StubFeed::start();
@@ -391,7 +399,8 @@
     assert!(status.success() && said.last().unwrap().ends_with("invariants broken: 0"), "{said:?}");
 }
 
-/// Guards against connections to a process that has gone: its address belongs to another edge cache now.
+/// Guards against connections to a process that has gone: its address belongs to another edge cache
+/// now.
 #[test]
 fn a_reassigned_address_gets_new_connections() {
     let (feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -431,7 +440,7 @@
     assert!(!endpoints[2].received()[0].fields.contains("parent="), "{:?}", endpoints[2].received()[0]);
 }
 
-/// Guards against an answer that is owed to somebody who has left, and against work for it going on.
+/// Guards against an answer to a client that has left, and against its attempt going on.
 #[test]
 fn a_cancelled_request_is_not_answered_and_its_attempt_is_cancelled() {
     let (_feed, _node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -445,14 +454,14 @@
     wait_until("the end of the attempt", || quits().contains(&format!("{:016x}", 77)).then_some(()));
     client.send(&resp_array(&[b"PING", b"2", b""]));
     assert_eq!(client.answer(), "2 fit");
-    // And with nobody leaving, a deadline brings the one final answer in time.
+    // And with no client leaving, a deadline brings the one final answer in time.
     let start = Instant::now();
     assert_eq!(client.get(3, "cert-filing", 78, 7), "3 broken");
     assert!(start.elapsed() >= Duration::from_millis(1_400), "{:?}", start.elapsed());
 }
 
-/// Guards against SIGHUP ending the program, against events lost between the old feed and the new one, and
-/// against a file that can't be used.
+/// Guards against SIGHUP ending the program, against events lost between the old feed and the new
+/// one, and against a file that can't be used.
 #[test]
 fn sighup_connects_to_the_feed_of_the_new_configuration() {
     let (old, node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -462,7 +471,7 @@
         node.reload(unusable);
         node.wait_for_log("the old configuration stays");
     }
-    // The new feed knows what the old one told, and more.
+    // The new feed has the events of the old one, and more.
     let new = StubFeed::start();
     new.publish_endpoints(true, &endpoint_lines(&endpoints));
     new.publish_endpoints(false, &[endpoint_line("s-a", endpoints[0].addr, "std", "gone")]);
@@ -506,8 +515,8 @@
     insta::assert_snapshot!(rest, @", 0 lookups; invariants broken: 0");
 }
 
-/// Guards against panics on whatever an endpoint sends: answers with bytes changed, in an order that is the same in
-/// every run. Each request still gets one answer that the protocol knows.
+/// Guards against panics on whatever an endpoint sends: answers with bytes changed, in an order
+/// that is the same in every run. Each request still gets one answer that the protocol knows.
 #[test]
 fn broken_answers_of_endpoints_do_not_stop_service() {
     let (_feed, mut node, mut client, endpoints) = setup([data(), data(), data()]);
@@ -522,7 +531,7 @@
         }
         endpoints[..2].iter().for_each(|s| s.set_behavior(StubBehavior::RawBytes(answer.clone())));
         client.send_request(n, "docs", n.into(), ",obj=0000000000000007");
-        // One that hangs is given up by the client.
+        // The client gives up if an answer hangs.
         client.send(&resp_array(&[b"UNDO", n.to_string().as_bytes()]));
         client.send(&resp_array(&[b"PING", (n + 1_000).to_string().as_bytes(), b""]));
         let mut answer = client.answer();
@@ -562,8 +571,8 @@
     });
 }
 
-/// Guards against more descriptors than are allowed, and against connections that wait for ever, or keep the
-/// driver awake, while a third of the descriptors is taken.
+/// Guards against more descriptors than are allowed, and against connections that wait for ever, or
+/// keep the event loop busy, while a third of the descriptors is taken.
 #[test]
 fn clients_hold_a_third_of_the_descriptors_at_most() {
     let feed = StubFeed::start();
@@ -572,7 +581,7 @@
     let fds = std::path::PathBuf::from(format!("/proc/{}/fd", node.child.id()));
     for client in &mut clients {
         client.send(&resp_array(&[b"PING", b"1", b""]));
-        // An idle connection makes way for one that waits; none of those answered is taken back.
+        // An idle connection is closed for one that waits; none of those answered is.
         assert_eq!(client.answer(), "1 fit");
         let open = std::fs::read_dir(&fds).unwrap().count();
         assert!(open <= 64 / 3 + 12, "{open} descriptors");
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -17,7 +17,7 @@
 const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
 /// Routers behind a relay, each with the same endpoints and endpoint feed.
-struct Fleet {
+struct Cluster {
     feed: StubFeed,
     endpoints: [StubEndpoint; 3],
     relay: Relay,
@@ -27,14 +27,14 @@
     more: &'static str,
 }
 
-impl Fleet {
-    fn new(routers: usize) -> Fleet {
+impl Cluster {
+    fn new(routers: usize) -> Cluster {
         let feed = StubFeed::start();
         let does = StubBehavior::Data(b"some bytes".to_vec());
         let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
         feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let relay = Relay::start(routers, 7).unwrap();
-        Fleet {
+        Cluster {
             feed,
             endpoints,
             relay,
@@ -45,20 +45,20 @@
     }
 
     /// All are started, and agree.
-    fn endpoint_line_started_at(routers: usize) -> Fleet {
-        let mut fleet = Fleet::new(routers);
-        (0..routers).for_each(|r| fleet.start(r));
-        fleet.settles(&(0..routers).collect::<Vec<_>>());
-        fleet
+    fn all_started(routers: usize) -> Cluster {
+        let mut cluster = Cluster::new(routers);
+        (0..routers).for_each(|r| cluster.start(r));
+        cluster.settles(&(0..routers).collect::<Vec<_>>());
+        cluster
     }
 
-    /// Five routers of so many places whose shares of what cold servers bear are in use.
-    fn on_lease(places: usize) -> Fleet {
-        let mut fleet = Fleet { more: ", limits: {}", ..Fleet::new(places) };
-        FIVE.iter().for_each(|r| fleet.start(*r));
-        fleet.settles(&FIVE);
-        wait_until("five shares in use", || FIVE.iter().all(|r| fleet.uses_its_share(*r, 5)).then_some(()));
-        fleet
+    /// Five routers of so many places whose shares of warm-up budgets are in use.
+    fn on_lease(places: usize) -> Cluster {
+        let mut cluster = Cluster { more: ", limits: {}", ..Cluster::new(places) };
+        FIVE.iter().for_each(|r| cluster.start(*r));
+        cluster.settles(&FIVE);
+        wait_until("five shares in use", || FIVE.iter().all(|r| cluster.uses_its_share(*r, 5)).then_some(()));
+        cluster
     }
 
     fn section(&self, router: usize, name: &str) -> String {
@@ -75,11 +75,11 @@
         self.start_as(router, &format!("n{}", router + 1), "test");
     }
 
-    fn start_as(&mut self, router: usize, name: &str, fleet: &str) {
+    fn start_as(&mut self, router: usize, name: &str, cluster_name: &str) {
         let config = with_admin_endpoint(&config(self.feed.addr))
             .replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
         let config = config.replace("\"groupSize\":1", "\"groupSize\":2").replace("[1,0]", "[2,0]");
-        let node = RouterProcess::with_config_and_operator_file(&config, &self.section(router, fleet));
+        let node = RouterProcess::with_config_and_operator_file(&config, &self.section(router, cluster_name));
         let heard = node.cluster.expect("the program says where it hears others");
         self.relay.behind(router, heard);
         self.nodes[router] = Some(node);
@@ -110,7 +110,7 @@
         l["share_in_use"] == true && l["divided_by"] == of
     }
 
-    /// What a router says of another.
+    /// What a router reports of another.
     fn wait_for_log(&self, by: usize, of: usize) -> Option<String> {
         let at = self.relay.addrs[of].to_string();
         let status = self.status(by);
@@ -122,7 +122,7 @@
         by.iter().filter(|b| **b != of).all(|b| self.wait_for_log(*b, of).as_deref() == Some(state))
     }
 
-    /// Those routers hold one settled view, in which all of them are alive.
+    /// Those routers have converged on one membership, in which all of them are alive.
     fn same(&self, who: &[usize]) -> bool {
         let all: Vec<Value> = who.iter().map(|r| self.status(*r)).collect();
         let digests: BTreeSet<&str> = all.iter().filter_map(|s| s["digest"].as_str()).collect();
@@ -143,23 +143,24 @@
         self.status(router)[key].as_u64().unwrap()
     }
 
-    /// How often the logs of those routers have said that since their starts.
+    /// How often the logs of those routers contain that since their starts.
     fn count_log_lines(&self, by: &[usize], words: &str) -> usize {
         by.iter().map(|r| self.node(*r).count_log_lines(words)).sum()
     }
 }
 
-/// Clients that ask these routers all the time, until they are told to stop; each request must have its answer.
+/// Clients that send requests to these routers all the time, until they are told to stop; each
+/// request must have its answer.
 struct Load {
     over: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<(u64, u64)>>,
 }
 
 impl Load {
-    fn at(fleet: &Fleet, routers: &[usize]) -> Load {
+    fn at(cluster: &Cluster, routers: &[usize]) -> Load {
         let over = Arc::new(AtomicBool::new(false));
         let one = |r: &usize| {
-            let (over, addr, seed) = (over.clone(), fleet.node(*r).addr, (*r as u64 + 1) << 32);
+            let (over, addr, seed) = (over.clone(), cluster.node(*r).addr, (*r as u64 + 1) << 32);
             thread::spawn(move || {
                 let mut client = Client::connect(addr);
                 let (mut asked, mut good) = (0, 0);
@@ -176,7 +177,7 @@
         Load { threads: routers.iter().map(one).collect(), over }
     }
 
-    /// All that was asked was served.
+    /// Every request was served.
     fn ends(self) {
         self.over.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -190,138 +191,149 @@
 
 #[test]
 fn both_sides_of_a_partition_count_all_and_it_heals_while_a_third_side_is_cut_off() {
-    let f = Fleet::endpoint_line_started_at(5);
-    let load = Load::at(&f, &FIVE);
-    f.relay.part(&[0, 1, 2], &[3, 4]);
+    let cluster = Cluster::all_started(5);
+    let load = Load::at(&cluster, &FIVE);
+    cluster.relay.part(&[0, 1, 2], &[3, 4]);
     for (side, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice()), (&[3, 4], &[0, 1, 2])] {
-        other.iter().for_each(|of| f.lost(side, *of));
+        other.iter().for_each(|of| cluster.lost(side, *of));
         for r in side {
-            assert_eq!(f.number(*r, "at_work_perhaps"), 5, "no side may take the other's part");
-            assert_eq!(f.number(*r, "limits_divided_by"), 5);
+            assert_eq!(cluster.number(*r, "at_work_perhaps"), 5, "no side may take the other's part");
+            assert_eq!(cluster.number(*r, "limits_divided_by"), 5);
         }
     }
-    f.relay.heal();
-    f.relay.part(&[1], &[0, 2, 3, 4]);
-    f.settles(&[0, 2, 3, 4]);
-    f.lost(&[0, 2, 3, 4], 1);
-    assert_eq!(f.number(0, "at_work_perhaps"), 5);
-    f.relay.heal();
-    f.settles(&FIVE);
+    cluster.relay.heal();
+    cluster.relay.part(&[1], &[0, 2, 3, 4]);
+    cluster.settles(&[0, 2, 3, 4]);
+    cluster.lost(&[0, 2, 3, 4], 1);
+    assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
+    cluster.relay.heal();
+    cluster.settles(&FIVE);
     load.ends();
 }
 
 #[test]
 fn an_isolated_router_declares_no_other_failed() {
     for hears in [true, false] {
-        let f = Fleet::endpoint_line_started_at(5);
+        let cluster = Cluster::all_started(5);
         if hears {
-            f.relay.fault(&[4], &FIVE, CUT);
+            cluster.relay.fault(&[4], &FIVE, CUT);
         } else {
-            f.relay.fault(&FIVE, &[4], CUT);
+            cluster.relay.fault(&FIVE, &[4], CUT);
         }
-        f.lost(&[0, 1, 2, 3], 4);
-        wait_until("the one to know that nobody answers it", || (f.status(4)["deaf"] == true).then_some(()));
-        let healthy: Vec<usize> = (0..4).filter(|of| f.all_say(&[0, 1, 2, 3], *of, "alive")).collect();
+        cluster.lost(&[0, 1, 2, 3], 4);
+        wait_until("the one to know that nobody answers it", || {
+            (cluster.status(4)["deaf"] == true).then_some(())
+        });
+        let healthy: Vec<usize> = (0..4).filter(|of| cluster.all_say(&[0, 1, 2, 3], *of, "alive")).collect();
         assert_eq!(healthy, [0, 1, 2, 3]);
         for n in 1..=4 {
             assert_eq!(
-                f.count_log_lines(&[0, 1, 2, 3], &format!("n{n} at {} is lost", f.relay.addrs[n - 1])),
+                cluster.count_log_lines(
+                    &[0, 1, 2, 3],
+                    &format!("n{n} at {} is lost", cluster.relay.addrs[n - 1])
+                ),
                 0
             );
         }
-        f.relay.heal();
-        f.settles(&FIVE);
+        cluster.relay.heal();
+        cluster.settles(&FIVE);
     }
 }
 
 #[test]
 fn routers_that_reach_each_other_only_indirectly_hold_each_other_alive() {
-    let f = Fleet::endpoint_line_started_at(6);
-    f.relay.part(&[0, 1], &[4, 5]);
+    let cluster = Cluster::all_started(6);
+    cluster.relay.part(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
-    assert_eq!(f.count_log_lines(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
-    f.settles(&[0, 1, 2, 3, 4, 5]);
+    assert_eq!(cluster.count_log_lines(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
+    cluster.settles(&[0, 1, 2, 3, 4, 5]);
 }
 
 #[test]
 fn a_restart_supersedes_the_earlier_start_and_late_datagrams_change_nothing() {
-    let mut f = Fleet::endpoint_line_started_at(5);
+    let mut cluster = Cluster::all_started(5);
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        f.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
+        cluster.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
         if suspected {
             wait_until("a suspicion", || {
-                rest.iter().any(|r| f.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
+                rest.iter().any(|r| cluster.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
             });
         }
-        f.kill(2);
-        f.relay.heal();
-        f.start(2);
-        f.settles(&FIVE);
-        let start = f.status(2)["own"]["start"].as_u64();
-        let before = f.count_log_lines(&FIVE, "is lost");
+        cluster.kill(2);
+        cluster.relay.heal();
+        cluster.start(2);
+        cluster.settles(&FIVE);
+        let start = cluster.status(2)["own"]["start"].as_u64();
+        let before = cluster.count_log_lines(&FIVE, "is lost");
         thread::sleep(Duration::from_secs(11));
-        assert_eq!(f.count_log_lines(&FIVE, "is lost"), before);
-        assert!(f.same(&FIVE));
-        assert_eq!(f.status(2)["own"]["start"].as_u64(), start);
-        assert_eq!(f.number(0, "at_work_perhaps"), 5);
+        assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), before);
+        assert!(cluster.same(&FIVE));
+        assert_eq!(cluster.status(2)["own"]["start"].as_u64(), start);
+        assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
     }
 }
 
 #[test]
 fn a_pause_of_1_s_fails_no_router_and_one_of_15_s_heals_soon() {
-    let f = Fleet::endpoint_line_started_at(5);
+    let cluster = Cluster::all_started(5);
     let rest = [0, 2, 3, 4];
-    f.node(1).signal("-STOP");
+    cluster.node(1).signal("-STOP");
     thread::sleep(Duration::from_secs(1));
-    f.node(1).signal("-CONT");
+    cluster.node(1).signal("-CONT");
     thread::sleep(Duration::from_secs(5));
-    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0);
+    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0);
     let paused = Instant::now();
-    f.node(1).signal("-STOP");
-    f.lost(&rest, 1);
+    cluster.node(1).signal("-STOP");
+    cluster.lost(&rest, 1);
     thread::sleep(Duration::from_secs(15).saturating_sub(paused.elapsed()));
-    f.node(1).signal("-CONT");
-    f.settles(&FIVE);
-    assert!(f.count_log_lines(&[1], "this process stood still") >= 1);
-    assert_eq!(f.count_log_lines(&[1], "is suspect"), 0, "it blames nobody for its own pause");
+    cluster.node(1).signal("-CONT");
+    cluster.settles(&FIVE);
+    assert!(cluster.count_log_lines(&[1], "this process stood still") >= 1);
+    assert_eq!(cluster.count_log_lines(&[1], "is suspect"), 0, "it blames nobody for its own pause");
 }
 
 #[test]
 fn two_routers_with_one_name_are_counted_and_another_cluster_or_a_dead_seed_does_no_harm() {
-    let mut f = Fleet::new(6);
-    // The seeds are down at first: nobody knows anybody.
+    let mut cluster = Cluster::new(6);
+    // The seeds are down at first: no router knows another.
     for r in 2..5 {
-        f.start_as(r, if r == 4 { "n3" } else { "n9" }, "test");
+        cluster.start_as(r, if r == 4 { "n3" } else { "n9" }, "test");
     }
-    f.start_as(5, "n6", "other");
+    cluster.start_as(5, "n6", "other");
     thread::sleep(Duration::from_secs(2));
-    assert!((2..6).all(|r| f.number(r, "at_work_perhaps") == 1));
-    assert!((2..5).all(|r| f.number(r, "limits_divided_by") == 2), "the configured number is the floor");
+    assert!((2..6).all(|r| cluster.number(r, "at_work_perhaps") == 1));
+    assert!(
+        (2..5).all(|r| cluster.number(r, "limits_divided_by") == 2),
+        "the configured number is the floor"
+    );
     // A list of seeds that names only the router itself: it is found all the same.
-    f.seeds = vec![0];
-    f.start_as(0, "n3", "test");
-    f.seeds = vec![0, 1];
-    f.start(1);
-    f.settles(&FIVE);
+    cluster.seeds = vec![0];
+    cluster.start_as(0, "n3", "test");
+    cluster.seeds = vec![0, 1];
+    cluster.start(1);
+    cluster.settles(&FIVE);
     thread::sleep(Duration::from_secs(5));
-    assert!(FIVE.iter().all(|r| f.number(*r, "at_work_perhaps") == 5), "both of one name are counted");
-    assert!(FIVE.iter().all(|r| f.count_log_lines(&[*r], "are both called n3") <= 1), "it is said once");
-    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0, "and they don't flap");
-    assert_eq!(f.number(5, "at_work_perhaps"), 1);
+    assert!(FIVE.iter().all(|r| cluster.number(*r, "at_work_perhaps") == 5), "both of one name are counted");
+    assert!(
+        FIVE.iter().all(|r| cluster.count_log_lines(&[*r], "are both called n3") <= 1),
+        "it is said once"
+    );
+    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0, "and they don't flap");
+    assert_eq!(cluster.number(5, "at_work_perhaps"), 1);
 }
 
 #[test]
 fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
-    let f = Fleet::endpoint_line_started_at(5);
+    let cluster = Cluster::all_started(5);
     let half = Link { loss: 0.5, ..Link::default() };
-    f.relay.fault(&[4], &FIVE, half);
-    f.relay.fault(&FIVE, &[4], half);
+    cluster.relay.fault(&[4], &FIVE, half);
+    cluster.relay.fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
         assert_eq!(
-            f.count_log_lines(&FIVE, &format!("at {} is lost", f.relay.addrs[n])),
+            cluster.count_log_lines(&FIVE, &format!("at {} is lost", cluster.relay.addrs[n])),
             0,
             "n{} is condemned",
             n + 1
@@ -331,16 +343,16 @@
 
 #[test]
 fn thousands_of_invalid_and_replayed_datagrams_stop_no_service_and_change_no_membership() {
-    let f = Fleet::endpoint_line_started_at(5);
-    let before = f.status(0);
-    let real = f.relay.last(1, 0).unwrap();
-    let load = Load::at(&f, &[0]);
+    let cluster = Cluster::all_started(5);
+    let before = cluster.status(0);
+    let real = cluster.relay.last(1, 0).unwrap();
+    let load = Load::at(&cluster, &[0]);
     let memory = || {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", f.node(0).child.id())).unwrap();
+        let text = std::fs::read_to_string(format!("/proc/{}/status", cluster.node(0).child.id())).unwrap();
         let line = text.lines().find(|l| l.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap()
     };
-    let (start, at) = (memory(), f.node(0).cluster.unwrap());
+    let (start, at) = (memory(), cluster.node(0).cluster.unwrap());
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..60_000u32 {
         let mut bytes = real.clone();
@@ -356,69 +368,73 @@
         }
     }
     load.ends();
-    let after = f.status(0);
+    let after = cluster.status(0);
     let unread: u64 = after["datagrams"]["unread"].as_array().unwrap().iter().filter_map(Value::as_u64).sum();
     assert!(unread > 10_000, "{unread} of 45000 are counted as junk");
     assert_eq!(after["digest"], before["digest"]);
     assert!(memory() < start + 4_096, "{start} KB before, {} KB now", memory());
-    assert_eq!(f.count_log_lines(&FIVE, "is lost"), 0);
+    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0);
 }
 
-/// Guards against a replacement that others see as an end and a start, or count twice; and against one after which
-/// nobody is heard at the address.
+/// Guards against a handover that others see as an end and a start, or count twice; and against one
+/// after which no datagram is received at the address.
 #[test]
 fn a_handover_keeps_the_identity_and_a_successor_that_dies_gives_it_back() {
-    let mut f = Fleet::new(5);
-    // The address that others are heard at goes over too, so it is one of the system's choice that is free again.
+    let mut cluster = Cluster::new(5);
+    // The address for datagrams of others is handed over too, so it is one of the system's choice
+    // that is free again.
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let heard = free();
     let reserved = ReservedAddress::new();
     let clients = reserved.addr;
     let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
-    let section = f.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
+    let section = cluster.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
     let listen = format!("\"listen\":\"{clients}\"");
-    let config = with_admin_endpoint(&config(f.feed.addr)).replace("\"listen\":\"127.0.0.1:0\"", &listen);
+    let config =
+        with_admin_endpoint(&config(cluster.feed.addr)).replace("\"listen\":\"127.0.0.1:0\"", &listen);
     let config = config.replace("\"name\":\"n1\"", "\"name\":\"n5\"");
-    (0..4).for_each(|r| f.start(r));
-    f.nodes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
-    f.relay.behind(4, heard);
-    f.settles(&FIVE);
+    (0..4).for_each(|r| cluster.start(r));
+    cluster.nodes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
+    cluster.relay.behind(4, heard);
+    cluster.settles(&FIVE);
     let own = |node: &RouterProcess| -> Value {
         serde_json::from_str(&admin_call(admin_address(node), "GET /status/fleet").1).unwrap()
     };
     let ready = |node: &RouterProcess| {
         wait_until("a yes", || (admin_call(admin_address(node), "GET /status").0 == 200).then_some(()))
     };
-    let before = f.status(4);
+    let before = cluster.status(4);
     for dies in [true, false] {
-        ready(f.node(4));
+        ready(cluster.node(4));
         let heir = RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir);
         wait_until("the heir to have the address", || (own(&heir)["heard"] == true).then_some(()));
-        assert_eq!(own(f.node(4))["heard"], false);
+        assert_eq!(own(cluster.node(4))["heard"], false);
         assert_eq!(own(&heir)["own"]["start"], before["own"]["start"]);
         if dies {
             drop(heir);
-            wait_until("the address to be taken back", || (own(f.node(4))["heard"] == true).then_some(()));
+            wait_until("the address to be taken back", || {
+                (own(cluster.node(4))["heard"] == true).then_some(())
+            });
         } else {
-            f.nodes[4] = Some(heir);
+            cluster.nodes[4] = Some(heir);
         }
-        f.settles(&FIVE);
-        assert_eq!(f.number(0, "at_work_perhaps"), 5);
+        cluster.settles(&FIVE);
+        assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
     }
     let rest = [0, 1, 2, 3];
     for words in ["is lost", "started anew", "has left", "both called"] {
-        assert_eq!(f.count_log_lines(&rest, words), 0, "{words}");
+        assert_eq!(cluster.count_log_lines(&rest, words), 0, "{words}");
     }
     let _gone = std::fs::remove_dir_all(&dir);
 }
 
-/// Guards against anything of it in a router that has no section for it: the same descriptors and threads as before,
-/// no number, no page.
+/// Guards against anything of it in a router that has no section for it: the same descriptors and
+/// threads as before, no metric, no report.
 #[test]
 fn without_the_section_there_is_no_membership() {
-    let f = Fleet::endpoint_line_started_at(2);
+    let cluster = Cluster::all_started(2);
     let alone =
-        RouterProcess::with_config_and_operator_file(&with_admin_endpoint(&config(f.feed.addr)), "{}");
+        RouterProcess::with_config_and_operator_file(&with_admin_endpoint(&config(cluster.feed.addr)), "{}");
     let count = |node: &RouterProcess, what: &str| {
         std::fs::read_dir(format!("/proc/{}/{what}", node.child.id())).unwrap().count()
     };
@@ -435,59 +451,61 @@
             .count()
     };
     wait_until("its start", || (admin_call(admin_address(&alone), "GET /status").0 == 200).then_some(()));
-    assert_eq!((udp(&alone), udp(f.node(0))), (0, 1));
-    assert_eq!((count(&alone, "task"), count(f.node(0), "task")), (1, 1));
+    assert_eq!((udp(&alone), udp(cluster.node(0))), (0, 1));
+    assert_eq!((count(&alone, "task"), count(cluster.node(0), "task")), (1, 1));
     assert_eq!(admin_call(admin_address(&alone), "GET /status/fleet").0, 404);
     assert!(!admin_call(admin_address(&alone), "GET /status/metrics").1.contains("fleet"));
-    assert!(admin_call(admin_address(f.node(0)), "GET /status/metrics")
+    assert!(admin_call(admin_address(cluster.node(0)), "GET /status/metrics")
         .1
         .contains("svc.fleet_at_work_perhaps=2"));
-    let _used = &f.endpoints;
+    let _used = &cluster.endpoints;
 }
 
-/// Guards against a newcomer that uses a share before everybody who may be at work divides by one more, and against one
-/// that never gets it back: a router that is cut off can't say that it counts the newcomer.
+/// Guards against a newcomer that uses a share before all possibly active routers divide by one
+/// more, and against one that never gets it back: a router that is cut off can't say that it counts
+/// the newcomer.
 #[test]
 fn an_own_share_is_used_only_when_all_others_count_it() {
-    let mut f = Fleet::on_lease(6);
-    f.relay.part(&[4], &[0, 1, 2, 3, 5]);
-    f.lost(&[0, 1, 2, 3], 4);
-    f.start(5);
+    let mut cluster = Cluster::on_lease(6);
+    cluster.relay.part(&[4], &[0, 1, 2, 3, 5]);
+    cluster.lost(&[0, 1, 2, 3], 4);
+    cluster.start(5);
     let counted = |not: usize| {
-        let l = f.limits(5);
+        let l = cluster.limits(5);
         assert_eq!(l["share_in_use"], false, "{l}");
-        assert_eq!(l["not_counted_by"], serde_json::json!([f.relay.addrs[not].to_string()]));
+        assert_eq!(l["not_counted_by"], serde_json::json!([cluster.relay.addrs[not].to_string()]));
     };
     wait_until("all but the one who is cut off to count the newcomer", || {
-        let l = f.limits(5);
+        let l = cluster.limits(5);
         (l["not_counted_by"].as_array().map(Vec::len) == Some(1)).then_some(())
     });
     counted(4);
-    // The others have made room all the same, and the one who is cut off has kept no more than its own.
-    wait_until("room for six", || [0, 1, 2, 3].iter().all(|r| f.uses_its_share(*r, 6)).then_some(()));
-    assert!(f.uses_its_share(4, 5));
-    f.relay.heal();
-    wait_until("six shares in use", || (0..6).all(|r| f.uses_its_share(r, 6)).then_some(()));
+    // The others have shrunk their shares all the same, and the one that is cut off has kept no
+    // more than its own.
+    wait_until("room for six", || [0, 1, 2, 3].iter().all(|r| cluster.uses_its_share(*r, 6)).then_some(()));
+    assert!(cluster.uses_its_share(4, 5));
+    cluster.relay.heal();
+    wait_until("six shares in use", || (0..6).all(|r| cluster.uses_its_share(r, 6)).then_some(()));
 }
 
-/// Guards against routers that are restarted one by one, as in a deploy, while one machine is dead: each must have its
-/// share back on the word of those that knew it.
+/// Guards against routers that are restarted one by one, as in a deploy, while one machine is dead:
+/// each must have its share back by the evidence of those that knew it.
 #[test]
 fn a_restarted_router_gets_its_share_back_though_another_is_dead() {
-    let mut f = Fleet::on_lease(5);
-    f.kill(4);
-    f.lost(&[0, 1, 2, 3], 4);
+    let mut cluster = Cluster::on_lease(5);
+    cluster.kill(4);
+    cluster.lost(&[0, 1, 2, 3], 4);
     for r in 0..4 {
-        f.kill(r);
-        f.start(r);
-        assert_eq!(f.limits(r)["share_in_use"], false, "what the earlier life gave may still be used");
-        wait_until("the share to be back", || f.uses_its_share(r, 5).then_some(()));
+        cluster.kill(r);
+        cluster.start(r);
+        assert_eq!(cluster.limits(r)["share_in_use"], false, "what the earlier life gave may still be used");
+        wait_until("the share to be back", || cluster.uses_its_share(r, 5).then_some(()));
     }
-    assert!((0..4).all(|r| f.uses_its_share(r, 5)));
+    assert!((0..4).all(|r| cluster.uses_its_share(r, 5)));
 }
 
-/// Guards against routers that together send a parent cache that came back cold more than it bears: shares move to the busy ones
-/// while links between routers fail, one is killed and one stands still.
+/// Guards against routers that together send a parent cache that warms up more than it bears:
+/// shares move to the busy ones while links between routers fail, one is killed and one is stopped.
 #[test]
 fn seven_routers_never_overload_a_parent_cache_that_warms_up_whatever_fails_between_them() {
     for day in ["cold-hub", "split-limits"] {
@@ -503,11 +521,11 @@
     }
 }
 
-/// Guards against limits on lease that nobody switched on.
+/// Guards against leases that nobody enabled.
 #[test]
 fn without_the_section_no_quota_is_on_lease() {
-    let f = Fleet::endpoint_line_started_at(2);
-    let (code, body) = admin_call(admin_address(f.node(0)), "GET /status/fleet/limits");
+    let cluster = Cluster::all_started(2);
+    let (code, body) = admin_call(admin_address(cluster.node(0)), "GET /status/fleet/limits");
     assert_eq!((code, body.trim()), (404, "no: the section fleet.limits is off"));
-    assert_eq!(f.count_log_lines(&[0, 1], "limits: "), 0);
+    assert_eq!(cluster.count_log_lines(&[0, 1], "limits: "), 0);
 }
--- a/crates/hollymux/tests/common/manual_endpoints.rs
+++ b/crates/hollymux/tests/common/manual_endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoints whose answers a test gives one by one, and one whose machine takes no connections until it is told to.
+//! Endpoints whose answers a test gives one by one, and one whose machine takes no connections
+//! until it is told to.
 
 use super::{endpoint_line, read_resp_array, resp_array, TEST_TIMEOUT};
 use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
@@ -112,7 +113,8 @@
     }
 }
 
-/// An endpoint whose machine answers no connection attempt until it is opened: its accept queue is full.
+/// An endpoint whose machine answers no connection attempt until it is opened: its accept queue is
+/// full.
 pub struct FullBacklogEndpoint {
     pub addr: SocketAddr,
     listener: TcpListener,
@@ -133,8 +135,8 @@
         FullBacklogEndpoint { addr, listener, queued }
     }
 
-    /// Accepts connections from now on. The attempts are those of an endpoint with the number 0; the connections that
-    /// filled the queue stay open as long as the caller keeps them.
+    /// Accepts connections from now on. The attempts are those of an endpoint with the number 0;
+    /// the connections that filled the queue stay open as long as the caller keeps them.
     pub fn open(self) -> (Receiver<HeldAttempt>, Vec<TcpStream>) {
         let (sender, attempts) = channel();
         listen(&self.listener, 128).unwrap();
--- a/crates/hollymux/tests/common/mod.rs
+++ b/crates/hollymux/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: the program as a process, its configuration and admin endpoint, and simulated peers.
+//! What the tests share: the program as a process, its configuration and admin endpoint, and
+//! simulated peers.
 #![allow(dead_code, unused_imports, reason = "every test uses a part of this")]
 
 mod admin;
--- a/crates/hollymux/tests/common/process.rs
+++ b/crates/hollymux/tests/common/process.rs
@@ -111,7 +111,8 @@
         RouterProcess::wait_for_start(command.env_remove("TMPDIR").env(name, value), &path)
     }
 
-    /// A router that hands over to another one, or takes over from it, by a socket in that directory.
+    /// A router that hands over to another one, or takes over from it, by a socket in that
+    /// directory.
     pub fn with_handover_dir(config: &str, dir: &Path) -> RouterProcess {
         let path = temp_file("config.json", config);
         let mut command = hollymux_command(&path, &[]);
@@ -196,8 +197,8 @@
         wait_until(words, || self.log.try_iter().find(|line| line.contains(words)))
     }
 
-    /// How many lines of its log so far contain these words, but for those that [`RouterProcess::wait_for_log`] has
-    /// passed.
+    /// How many lines of its log so far contain these words, but for those that
+    /// [`RouterProcess::wait_for_log`] has passed.
     pub fn count_log_lines(&self, words: &str) -> usize {
         let mut counted = self.counted_log.borrow_mut();
         counted.extend(self.log.try_iter());
--- a/crates/hollymux/tests/common/stubs/feed.rs
+++ b/crates/hollymux/tests/common/stubs/feed.rs
@@ -69,8 +69,8 @@
         self.publish(&format!("\"members\":{{\"rev\":1,\"all\":{all},\"targets\":[{lines}]}}"))
     }
 
-    /// Of the connections that are still to come, counted from 1 with those that there were: one that sends nothing,
-    /// and one that breaks off within an event.
+    /// Of the connections that are still to come, counted from 1 with those that there were: one
+    /// that sends nothing, and one that breaks off within an event.
     pub fn break_connections(&self, silent: usize, broken: usize) {
         let mut state = self.state.lock().unwrap();
         state.silent_connection = Some(silent);
--- a/crates/hollymux/tests/common/stubs/mod.rs
+++ b/crates/hollymux/tests/common/stubs/mod.rs
@@ -1,5 +1,5 @@
-//! Servers and clients on loopback that speak to a router: endpoints, the endpoint feed, and a client of the platform's
-//! protocol. Examples use them too.
+//! Servers and clients on loopback that speak to a router: endpoints, the endpoint feed, and a
+//! client of the platform's protocol. Examples use them too.
 #![allow(dead_code, unused_imports, reason = "every test and example uses a part of this")]
 
 mod client;
@@ -14,5 +14,5 @@
 
 use std::time::Duration;
 
-/// Nothing here takes nearly this long; a test that waits for it has failed.
+/// Nothing in the tests takes nearly this long; a test that waits for it has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/hollymux/tests/dns.rs
+++ b/crates/hollymux/tests/dns.rs
@@ -1,4 +1,4 @@
-//! The DNS front: queries answered over UDP and TCP, and answers followed, against stubs on loopback. What
+//! DNS: queries answered over UDP and TCP, and answers followed, with stubs on loopback. What
 //! runs is counted at the endpoints.
 
 mod common;
@@ -215,7 +215,8 @@
     insta::assert_snapshot!(said);
 }
 
-/// Guards against two queries in one segment, or one in many, and against lengths that no query has.
+/// Guards against two queries in one segment, or one in many, and against lengths that no query
+/// has.
 #[test]
 fn queries_over_tcp_may_arrive_in_any_pieces() {
     let setup = served(ZONE);
@@ -234,7 +235,8 @@
     assert_eq!(tcp.read(&mut [0; 2]).unwrap_or(0), 0, "a length over the bound ends the connection");
 }
 
-/// Guards against panics on whatever a datagram holds: queries with bytes changed, the same in every run.
+/// Guards against panics on whatever a datagram holds: queries with bytes changed, the same in
+/// every run.
 #[test]
 fn malformed_queries_do_not_stop_service() {
     let mut setup = served(ZONE);
@@ -281,7 +283,8 @@
     assert_eq!(marks(&cut), (true, false));
 }
 
-/// Guards against an answer that names what drains or is gone, and against a second target for a non-idempotent request.
+/// Guards against an answer that names an endpoint that drains or is gone, and against a second
+/// target for a non-idempotent request.
 #[test]
 fn a_draining_edge_cache_is_never_named_again() {
     let setup = served(ZONE);
@@ -305,13 +308,15 @@
     }
     assert!(named > 0, "the one box that is left is never named");
     assert_eq!(ask(setup.dns, FILING, SRV), ["REFUSED"], "its one target takes no work");
-    // Who was told where to go with it may have sent it: it is not taken by the other front either.
+    // A client that was given its endpoint may have sent it: it is not accepted by the platform's
+    // protocol either.
     let mut client = Client::connect(setup.node.addr);
     assert_eq!(client.get(1, "cert-filing", 0x9b1f_03aa_5c7e_2d41, 9), "1 broken");
     assert!(setup.endpoints.iter().all(|s| s.count() == 0), "a lookup sends nothing");
 }
 
-/// Guards against lookups that count as nothing: many at one moment are more than two edge caches can do.
+/// Guards against lookups that count as nothing: many at one moment are more than two edge caches
+/// can do.
 #[test]
 fn lookups_count_as_load() {
     let setup = served(ZONE);
@@ -326,7 +331,7 @@
     assert!((8..60).contains(&named) && codes[63] == "REFUSED", "{codes:?}");
 }
 
-/// Guards against lookups that teach health: nobody hears of what became of them.
+/// Guards against lookups that change health: their outcome is unknown.
 #[test]
 fn lookups_eject_no_edge_cache() {
     let setup = served(ZONE);
@@ -346,7 +351,7 @@
 
 // ---- following ----
 
-/// What a stubs DNS server answers: an edge cache by name and address, or a code.
+/// What a stub DNS server answers: an edge cache by name and address, or a code.
 #[derive(Clone)]
 enum Names {
     Box(&'static str, SocketAddr, &'static str),
@@ -400,7 +405,7 @@
     server
 }
 
-/// A follower of a stubs server that names the first of three endpoints.
+/// A follower of a stub server that names the first of three endpoints.
 fn following() -> (Setup, Server, Client) {
     let feed = StubFeed::start();
     let endpoints: Vec<StubEndpoint> =
@@ -418,7 +423,8 @@
     (Setup { feed, endpoints, node, dns }, server, client)
 }
 
-/// Guards against work to a drained edge cache while an answer that names it is still given out: none after 500 ms.
+/// Guards against attempts at a draining edge cache while an answer that names it is still given
+/// out: none after 500 ms.
 #[test]
 fn a_delayed_dns_answer_does_not_reach_a_draining_edge_cache() {
     let (setup, server, mut client) = following();
@@ -447,7 +453,8 @@
     assert!(setup.endpoints[0].received().iter().all(|a| a.at < late));
 }
 
-/// Guards against an old copy by way of a lookup: the follower heeds the purges that it was told itself.
+/// Guards against an old copy by way of a lookup: the follower applies the purges that it received
+/// itself.
 #[test]
 fn a_purge_bounds_requests_that_follow_dns() {
     let (setup, _server, mut client) = following();
@@ -462,8 +469,8 @@
     assert!((1..8_000).contains(&bound), "no copy older than the purge will do, not {bound} ms");
 }
 
-/// Guards against a non-idempotent request that runs twice by way of lookups, also while parent cache and edge caches fail: one lookup, one
-/// run at most, and a failure where it may have run.
+/// Guards against a non-idempotent request that runs twice by way of lookups, also while parent
+/// cache and edge caches fail: one lookup, one run at most, and a failure where it may have run.
 #[test]
 fn a_non_idempotent_request_that_follows_dns_runs_once_at_most() {
     let (setup, server, mut client) = following();
@@ -489,7 +496,7 @@
         assert_eq!(answer.split(' ').nth(1), Some(word), "{does:?}");
         assert_eq!((lookups(tag.into()), runs(tag.into())), (1, ran), "{does:?}");
     }
-    // Refused by the server, or never answered: it went nowhere, and the client may try again.
+    // Rejected by the server, or never answered: it was not sent, and the client may try again.
     for names in [Names::Code(5), Names::Code(2), Names::Silence] {
         *server.names.lock().unwrap() = names;
         tag += 1;
@@ -499,8 +506,9 @@
     assert!(setup.endpoints[1].count() + setup.endpoints[2].count() == 0, "nothing went where no answer led");
 }
 
-/// The whole path: one router answers, another follows it; while edge caches drain and break under non-idempotent requests, none is
-/// asked 500 ms after its drain and none runs a non-idempotent request that another has run.
+/// The whole path: one router answers, another follows it; while edge caches drain and break under
+/// non-idempotent requests, none is used 500 ms after its drain and none runs a non-idempotent
+/// request that another has run.
 #[test]
 fn two_routers_in_a_row_keep_the_rules() {
     let first = served(ZONE);
@@ -515,7 +523,8 @@
     let mut drained = None;
     for n in 1..=120 {
         match n {
-            // The parent cache fails: fills behind the edge cache break off, or are not begun; then the edge cache itself breaks.
+            // The parent cache fails: fills behind the edge cache break off, or are not begun; then
+            // the edge cache itself breaks.
             15 => first.endpoints[0].set_behavior(StubBehavior::Status("failed")),
             25 => first.endpoints[0].set_behavior(StubBehavior::Status("full")),
             40 => first.endpoints[0].set_behavior(StubBehavior::CloseConnection),
--- a/crates/hollymux/tests/handover.rs
+++ b/crates/hollymux/tests/handover.rs
@@ -1,4 +1,4 @@
-//! One process replaces another while clients go on.
+//! One process takes over from another while clients go on.
 
 mod common;
 
@@ -19,7 +19,7 @@
     /// Clients' address, the same for all processes.
     addr: SocketAddr,
     _reserved: ReservedAddress,
-    /// Where processes meet.
+    /// Where the handover socket is.
     dir: PathBuf,
 }
 
@@ -33,7 +33,7 @@
         Setup { feed, endpoints, addr: reserved.addr, _reserved: reserved, dir }
     }
 
-    /// A process for that address, once it says yes.
+    /// A process for that address, once it is ready.
     fn start(&self) -> RouterProcess {
         self.start_with(&self.feed)
     }
@@ -84,7 +84,8 @@
     again: u64,
 }
 
-/// A client that asks for the next thing as soon as it has the last, from connection to connection.
+/// A client that sends the next request as soon as the last is answered, from connection to
+/// connection.
 fn load(addr: SocketAddr, over: &AtomicBool) -> Load {
     let mut sum = Load::default();
     let mut client = Client::connect(addr);
@@ -138,8 +139,8 @@
     }
 }
 
-/// Guards against a replacement that loses, refuses or repeats anything, twice in a row, and against an old process
-/// that stays.
+/// Guards against a handover that loses, rejects or repeats anything, twice in a row, and against
+/// an old process that stays.
 #[test]
 fn no_request_is_lost_over_two_handovers() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -159,7 +160,7 @@
     }
     for sum in loads.end() {
         assert_eq!(sum.sent, sum.served, "each is served");
-        // One refusal a process makes the pause in which its connection is closed.
+        // One rejection by each process makes the pause in which its connection is closed.
         assert!(sum.refused <= 2 && sum.again <= 4, "{} refused, {} sent again", sum.refused, sum.again);
     }
     let mut rids: Vec<String> =
@@ -171,10 +172,11 @@
     setup.served();
 }
 
-/// How often the measurement replaces; each takes some 3 s.
+/// How many handovers the measurement makes; each takes some 3 s.
 const REPLACEMENTS: u32 = 100;
 
-/// A measurement, not a check of its own: how many requests a replacement costs. `--ignored --nocapture` runs it.
+/// A measurement, not a check of its own: how many requests a handover costs. `--ignored
+/// --nocapture` runs it.
 #[test]
 #[ignore = "takes minutes; prints figures"]
 fn many_replacements() {
@@ -197,7 +199,8 @@
     assert_eq!(sent, served, "each is served");
 }
 
-/// Guards against a non-idempotent request that runs again at the process that takes over, whether it came before or during that.
+/// Guards against a non-idempotent request that runs again at the process that takes over, whether
+/// it came before or during that.
 #[test]
 fn no_non_idempotent_request_runs_twice_over_a_handover() {
     let setup = Setup::new(StubBehavior::NoAnswer);
@@ -209,7 +212,7 @@
     };
     wait_until("the first", || (runs("00f1") == 1).then_some(()));
     let _new = setup.start();
-    // The old one's connection is still open: what it takes now, the new one is told.
+    // The old one's connection is still open: the successor is told what it accepts now.
     client.send_request(2, "cert-filing", 0xf2, ",obj=0000000000000009");
     wait_until("the second", || (runs("00f2") == 1).then_some(()));
     let mut other = Client::connect(setup.addr);
@@ -219,7 +222,7 @@
     drop(old);
 }
 
-/// Guards against a drain that the new process has not heard of, as its feed is silent.
+/// Guards against a drain that the new process does not know, as its feed is silent.
 #[test]
 fn a_drain_is_handed_over_though_the_feed_is_silent() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -233,7 +236,7 @@
     drop(new);
 }
 
-/// Guards against a drain that is untold by a feed that is behind.
+/// Guards against a drain that is undone by a feed that is behind.
 #[test]
 fn a_drain_holds_against_a_feed_that_is_behind() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -256,7 +259,8 @@
     assert!(setup.endpoints[1].count() >= 39);
 }
 
-/// Guards against an old process that stops serving because the new one dies on the way, at whichever step.
+/// Guards against an old process that stops serving because the new one dies on the way, at
+/// whichever step.
 #[test]
 fn a_successor_that_dies_leaves_the_predecessor_serving() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -287,8 +291,8 @@
     setup.served();
 }
 
-/// Guards against requests that fall between two processes, when the old one is told to end before the new one has taken
-/// over: that one still waits for its feed.
+/// Guards against requests that fall between two processes, when the old one is told to end before
+/// the new one has taken over: that one still waits for its feed.
 #[test]
 fn sigterm_during_a_handover_loses_no_client() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -309,7 +313,8 @@
     wait_until("the new one's yes", || ready(&new).then_some(()));
 }
 
-/// Guards against a start that waits for what is not there: a stale socket, one that hangs, one that says anything.
+/// Guards against a start that waits for what is not there: a stale socket, one that hangs, one
+/// that sends invalid bytes.
 #[test]
 fn a_process_starts_without_an_answer_of_the_old_one() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -342,8 +347,8 @@
     }
 }
 
-/// Guards against requests that a replaced process takes and is killed over: its clients don't know that it ends, and go
-/// on as long as their connection does.
+/// Guards against requests that a replaced process accepts and is killed before it answers: its
+/// clients don't know that it ends, and go on as long as their connection does.
 #[test]
 fn a_replaced_process_ends_in_time_though_its_clients_never_pause() {
     let setup = Setup::new(StubBehavior::NoAnswer);
--- a/crates/hollymux/tests/many_routers.rs
+++ b/crates/hollymux/tests/many_routers.rs
@@ -1,4 +1,4 @@
-//! Many processes at once, none of which hears of the others: what each does alone adds up.
+//! Many processes at once, none of which knows the others: what each does alone adds up.
 
 mod common;
 
@@ -27,8 +27,9 @@
     (0..count).map(one).collect()
 }
 
-/// Guards against a cold edge cache that falls under the sum of what all routers send it: none of them hears of the others, their
-/// traffic is uneven, and they are told of its start at different times.
+/// Guards against an edge cache that warms up and fails under the sum of what all routers send it:
+/// none of them knows the others, their traffic is uneven, and they learn of its start at different
+/// times.
 #[test]
 fn all_routers_together_stay_within_the_warm_up_budget_of_an_edge_cache() {
     // An answer takes 0.2 s to send at the rate that the configuration gives.
@@ -72,7 +73,8 @@
         }
         boot.0
     });
-    // SETTINGS: from 0.18 of 4 transfers to all of them in 17 s; it falls at 2.5 times that for 1.5 s.
+    // SETTINGS: from 0.18 of 4 transfers to all of them in 17 s; it falls at 2.5 times that for 1.5
+    // s.
     let window = Duration::from_millis(1_500);
     let at: Vec<Instant> = cold.received().iter().map(|asked| asked.at).collect();
     let warm = a.count() + b.count();
@@ -87,7 +89,8 @@
     }
 }
 
-/// Guards against restarted processes that wait for a feed that says nothing: clients come back within 10 s.
+/// Guards against restarted processes that wait for a feed that says nothing: clients come back
+/// within 10 s.
 #[test]
 fn restarted_processes_are_ready_though_the_feed_is_silent() {
     let feeds = [StubFeed::start()];
@@ -117,7 +120,8 @@
     drop(held);
 }
 
-/// Guards against all routers calling the feed in step, when all their watches have fallen silent at once.
+/// Guards against all routers connecting to the feed at the same time, when all their watches have
+/// fallen silent at once.
 #[test]
 fn silent_watches_are_reconnected_at_different_times() {
     let feeds = [StubFeed::start()];
@@ -128,7 +132,7 @@
         })
     };
     calls(12);
-    // In step to begin with: all call again at once, and hear nothing from then on.
+    // At the same time to begin with: all connect again at once, and receive nothing from then on.
     feeds[0].close_connections();
     let before = calls(24);
     feeds[0].set_silent(true);
@@ -141,8 +145,8 @@
     drop(nodes);
 }
 
-/// Guards against further attempts for clients that left while their routers stood still, at several routers at once: what
-/// each sends on is counted over all of them.
+/// Guards against retry for clients that left while their routers were stopped, at several routers
+/// at once: what each sends on is counted over all of them.
 #[test]
 fn nothing_is_sent_for_clients_that_left_during_a_stall_of_all_routers() {
     let (feeds, manual) = ([StubFeed::start()], ManualEndpoints::start(3));
@@ -155,7 +159,7 @@
         .flat_map(|(n, node)| (0..4).map(move |k| (node.addr, 1 + 4 * n as u64 + k)))
         .map(|(addr, n)| {
             let mut client = Client::connect(addr);
-            // Until the list is known there requests are refused.
+            // Until the list is known there requests are rejected.
             held.push(wait_until("a request at a shelf", || {
                 client.send_request(
                     n as u32 + held.len() as u32 * 1_000,
@@ -177,8 +181,9 @@
     assert!(more.is_empty(), "{} of {} sent on: {more:?}", more.len(), held.len());
 }
 
-/// Guards against large objects being given up for small ones: of a class's largest tenth two thirds as many are answered as
-/// of the class on a quiet day, and half as many while one of three edge caches is silent.
+/// Guards against large objects being given up for small ones: of a class's largest tenth two
+/// thirds as many are answered as of the class on a quiet day, and half as many while one of three
+/// edge caches is silent.
 #[test]
 fn the_largest_objects_keep_their_share() {
     const RATE: f64 = 310_000.0;
@@ -236,8 +241,8 @@
     assert!(counts[2] >= 20.0 && all > 0.5 && large * 2.0 >= all, "one box silent: {counts:?}");
 }
 
-/// Guards against idle clients that hold every descriptor while discovery is down: checks, connections to edge caches, the feed
-/// and a process that replaces this one get theirs.
+/// Guards against idle clients that hold every descriptor while discovery is down: checks,
+/// connections to edge caches, the feed and a process that replaces this one get theirs.
 #[test]
 fn idle_clients_leave_descriptors_for_everything_else() {
     let feed = StubFeed::start();
@@ -273,7 +278,7 @@
         assert!(get(a.count() as u64 + 7).contains("good"));
         (a.count() > before.0 && b.count() > before.1).then_some(())
     });
-    // The feed is called anew, and what it tells is heard.
+    // The feed is connected again, and what it sends is received.
     feed.set_silent(false);
     feed.publish_endpoints(false, &[endpoint_line("s-a", a.addr, "std", "draining")]);
     thread::sleep(Duration::from_millis(3_500));
--- a/crates/hollymux/tests/origin_protection.rs
+++ b/crates/hollymux/tests/origin_protection.rs
@@ -1,10 +1,12 @@
-//! Several routers as processes, none of which hears of the others, before one origin that turns away what parent caches ask.
+//! Several routers as processes, none of which knows the others, before one origin that rejects the
+//! requests of parent caches.
 
 mod common;
 
 use common::*;
 
-/// Of the attempts at the edge caches that name a parent cache, how many there are, and how many were to be given only what it holds.
+/// Of the attempts at the edge caches that name a parent cache, how many there are, and how many
+/// were to be given only what it holds.
 fn shallow(endpoints: &[StubEndpoint]) -> (usize, usize) {
     let asked = endpoints.iter().flat_map(|s| s.received()).filter(|a| a.fields.contains("parent=s-h"));
     let (spared, whole): (Vec<ReceivedAttempt>, Vec<ReceivedAttempt>) =
@@ -12,8 +14,9 @@
     (spared.len() + whole.len(), spared.len())
 }
 
-/// Guards against three hundred routers that each go on asking: all of them together keep the origin down. Each has
-/// to find out by its own answers, and all have to be back when it is well.
+/// Guards against three hundred routers that each go on sending requests: all of them together keep
+/// the origin down. Each has to detect it by its own answers, and all have to recover when it is
+/// healthy.
 #[test]
 fn routers_that_do_not_know_each_other_all_protect_the_origin_and_recover() {
     let feed = StubFeed::start();
@@ -36,7 +39,7 @@
         client.send_request(1, "docs", 5_000_000, ",obj=0000000000000005");
         client.answer();
     }
-    // One round: a request of an object of its own to each router.
+    // A request for an object of its own to each router.
     let (mut tag, mut rid) = (1, 0);
     let mut round = |clients: &mut [Client]| {
         tag += 1;
@@ -51,7 +54,7 @@
     });
     (0..30).for_each(|_| round(&mut clients));
     assert_eq!(shallow(&boxes).1, 0, "nothing was refused yet");
-    // The origin turns away: every miss is refused, by whichever parent cache.
+    // The origin rejects requests: every miss is rejected, by whichever parent cache.
     boxes.iter().for_each(|b| b.set_behavior(StubBehavior::Status("full")));
     (0..30).for_each(|_| round(&mut clients));
     boxes.iter().for_each(|b| drop(b.take_received()));
@@ -59,7 +62,7 @@
     (0..10).for_each(|_| round(&mut clients));
     let (named, spared) = shallow(&boxes);
     assert!(spared * 10 >= named * 7, "{spared} of {named} fills spared the library");
-    // It is well again, and every router finds that out by what it still asks.
+    // It is healthy again, and every router detects that by the requests that it still sends.
     wait_until("all fills whole again", || {
         boxes.iter().for_each(|b| drop(b.take_received()));
         (0..10).for_each(|_| round(&mut clients));
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -1,5 +1,5 @@
-//! A plan from the command line: load recorded by a day in virtual time, predictions held against other such days,
-//! and what is refused.
+//! A plan from the command line: traffic recorded by a scenario in virtual time, predictions
+//! compared with other such scenarios, and what is refused.
 
 mod common;
 
@@ -28,7 +28,7 @@
     serde_json::from_str(&out).unwrap_or_else(|_| panic!("{err}"))
 }
 
-/// The recording of a day, as arguments.
+/// The recording of a scenario, as arguments.
 fn recorded(day: &Path) -> Vec<String> {
     let dir = day.parent().unwrap().join("load");
     let dir_text = dir.to_str().unwrap();
@@ -51,7 +51,7 @@
 }
 
 fn planned(load: &[String], fleet: &Path, more: &[&str]) -> serde_json::Value {
-    // The laboratory's days begin with empty caches.
+    // Simulated scenarios begin with empty caches.
     let mut args = vec!["plan", "--fleet", fleet.to_str().unwrap(), "--json", "--warm", "10", "--empty"];
     args.extend(more);
     args.push("--load");
@@ -106,7 +106,7 @@
         assert_eq!((code, out.as_str()), (2, ""), "{args:?}: {err}");
         assert!(err.contains(says) && !err.contains("panicked"), "{args:?}: {err}");
     }
-    // A recording that was cut off is planned with, and the loss is said.
+    // A recording that was cut off is used, and the loss is reported.
     let bytes = std::fs::read(&load[0]).unwrap();
     let cut = temp_file("cut.hmxload", "");
     std::fs::write(&cut, &bytes[..bytes.len() * 2 / 3]).unwrap();
@@ -122,7 +122,7 @@
         hollymux_config_file::load(Path::new(&example("day.json5"))).unwrap();
     let fleet: hollymux_planner::Fleet =
         hollymux_config_file::load(Path::new(&example("fleet.json5"))).unwrap();
-    // They speak of one cluster.
+    // Both describe the same cluster.
     for (d, f) in day.offices.iter().zip(&fleet.offices) {
         assert_eq!((&d.name, d.boxes, d.link_in_flows), (&f.name, f.boxes, f.link_in_flows));
     }
--- a/crates/hollymux/tests/races.rs
+++ b/crates/hollymux/tests/races.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, each order forced: the process is stopped while both come, or a stubs holds one back.
-//! docs/races.md has the table of states and events that these belong to.
+//! Races of two events, each order forced: the process is stopped while both arrive, or a stub
+//! holds one back. docs/races.md has the table of states and events that these belong to.
 
 mod common;
 
@@ -7,12 +7,13 @@
 use common::*;
 use std::time::{Duration, Instant};
 
-/// Longer than a client that has left may be sent something for, and than any grace for a drain here.
+/// Longer than attempts may be sent for a client that has left, and than any grace for a drain
+/// here.
 const STALL: Duration = Duration::from_millis(600);
 /// The log on which attempts are seen.
 const LOG: [&str; 2] = ["--log", "debug"];
 
-/// Two edge caches and an origin played by hand, the list told, and a client.
+/// Two edge caches and an origin answered by the test, their list published, and a client.
 fn setup() -> (StubFeed, RouterProcess, Client, ManualEndpoints) {
     let (feed, manual) = (StubFeed::start(), ManualEndpoints::start(3));
     feed.publish_endpoints(true, &manual.lines());
@@ -22,7 +23,7 @@
     (feed, node, client, manual)
 }
 
-/// Asks until the list is known there: then a request comes out at an endpoint.
+/// Sends requests until the list is known there: then one arrives at an endpoint.
 fn listed_there(client: &mut Client, manual: &ManualEndpoints) {
     let mut tag = 1_000_000;
     wait_until("the list", || {
@@ -45,7 +46,8 @@
     assert!(status.success() && said.last().unwrap().ends_with("invariants broken: 0"), "{said:?}");
 }
 
-/// Guards against a further attempt for one who has gone, when the end of an attempt and his leaving are found together.
+/// Guards against a retry for a client that has gone, when the end of an attempt and the end of its
+/// connection are found together.
 #[test]
 fn a_client_that_left_during_a_stall_gets_no_retry() {
     for leaves in ["closes", "cancels"] {
@@ -54,7 +56,7 @@
         leaver.send_request(1, "docs", 70, &object(7));
         let held = manual.next();
         node.pause();
-        // The endpoint's word is first in every queue.
+        // The endpoint's answer is first in every queue.
         held.respond("failed", b"");
         if leaves == "cancels" {
             leaver.send(&resp_array(&[b"UNDO", b"1"]));
@@ -70,7 +72,8 @@
     }
 }
 
-/// Guards against what waits for a connection being sent when that comes up, though its client has gone.
+/// Guards against an attempt that waits for a connection being sent once that is established,
+/// though its client has gone.
 #[test]
 fn no_attempt_is_sent_for_a_client_that_left_while_the_connection_was_established() {
     let (feed, full_backlog) = (StubFeed::start(), FullBacklogEndpoint::start());
@@ -84,7 +87,8 @@
     );
     let node = RouterProcess::with_config(&with_admin_endpoint(&config(feed.addr)));
     let mut client = Client::connect(node.addr);
-    // The edge cache takes connections again while the process stands still, and the client leaves meanwhile.
+    // The edge cache takes connections again while the process is stopped, and the client leaves
+    // meanwhile.
     let mut tag = 9_000;
     wait_until("a request that waits for a connection to the box", || {
         tag += 1;
@@ -94,7 +98,7 @@
         if open() {
             return Some(());
         }
-        // Before the list was known it is refused at once.
+        // Before the list is known requests are rejected at once.
         assert!(client.answer().contains("refused"));
         None
     });
@@ -108,7 +112,8 @@
     assert!(!sent.iter().any(|r| r == "0000000000002328"), "sent for one who has gone: {sent:?}");
 }
 
-/// Guards against a drain that was told during a stall being learnt after the work that it forbids.
+/// Guards against a drain that was published during a stall being processed after the requests that
+/// it forbids.
 #[test]
 fn a_drain_published_during_a_stall_is_processed_before_requests() {
     let (feed, node, mut client, manual) = setup();
@@ -132,7 +137,8 @@
     ended_well(node);
 }
 
-/// Guards against requests of one who has gone being handed on because much of what he sent waits in front of his end.
+/// Guards against requests of a client that has gone being passed on because much of what it sent
+/// waits before the end of its connection.
 #[test]
 fn a_flood_is_read_to_its_end_before_any_of_it_is_sent() {
     let (_feed, node, _client, manual) = setup();
@@ -151,7 +157,8 @@
     ended_well(node);
 }
 
-/// Guards against a non-idempotent request that is lost on a connection that its endpoint had closed before it was written.
+/// Guards against a non-idempotent request that is lost on a connection that its endpoint had
+/// closed before it was written.
 #[test]
 fn a_non_idempotent_request_uses_no_connection_that_has_ended() {
     let (_feed, node, mut client, manual) = setup();
@@ -171,8 +178,8 @@
     ended_well(node);
 }
 
-/// Guards against connections that come up late taking a host for one that has started anew: it would get next to
-/// nothing for as long as a start takes. What waited goes to the other edge cache meanwhile.
+/// Guards against late connections making an endpoint count as restarted: it would get next to
+/// nothing for as long as a warm-up takes. What waited goes to the other edge cache meanwhile.
 #[test]
 fn an_edge_cache_whose_connections_were_late_is_not_taken_to_warm_up() {
     let (feed, full_backlog, other) = (
@@ -211,8 +218,8 @@
     assert!(there >= 10, "{there} of 40 requests at the box that was late");
 }
 
-/// Guards against two ends that meet: who has connected or asked while the process stood still is answered, though the
-/// time in which it takes work is over when it goes on.
+/// Guards against two ends that meet: a client that has connected or sent a request while the
+/// process was stopped is answered, though the time in which it takes work is over when it goes on.
 #[test]
 fn requests_that_arrived_during_a_stall_at_shutdown_are_answered() {
     let (_feed, mut node, mut client, manual) = setup();
@@ -240,7 +247,8 @@
     assert!(status.success() && said.last().unwrap().ends_with("invariants broken: 0"), "{said:?}");
 }
 
-/// Guards against a request on a connection that the process has shut being sent on: nobody could be answered.
+/// Guards against a request on a connection that the process has shut down being passed on: no
+/// client could be answered.
 #[test]
 fn requests_after_the_shutdown_of_a_connection_are_never_passed_on() {
     let (_feed, mut node, mut client, manual) = setup();
@@ -253,7 +261,7 @@
     assert!(status.success() && said.last().unwrap().ends_with("invariants broken: 0"), "{said:?}");
 }
 
-/// Guards against a second signal that begins the end anew, or cuts it short.
+/// Guards against a second signal that starts the shutdown anew, or cuts it short.
 #[test]
 fn a_second_sigterm_changes_nothing() {
     let (_feed, mut node, mut client, manual) = setup();
@@ -273,11 +281,12 @@
     assert!(start.elapsed() < Duration::from_millis(1_150), "it began anew: {:?}", start.elapsed());
 }
 
-/// Guards against a reset that eats an answer on its way: its client sends on what nobody reads.
+/// Guards against a reset that loses an answer in transit: its client goes on sending what nobody
+/// reads.
 #[test]
 fn an_answer_in_transit_survives_malformed_bytes_of_its_client() {
     let (_feed, node, _client, manual) = setup();
-    // His machine takes in little that he has not read: most of it waits at the process's.
+    // The client's machine buffers little that was not read: most of it waits at the process.
     let mut client = Client::with_small_receive_buffer(node.addr);
     let body = vec![b'x'; 230_000];
     for tag in 1..=5 {
@@ -295,7 +304,8 @@
     ended_well(node);
 }
 
-/// Guards against an edge cache that gets no connection, as those to others that rest hold all descriptors for them.
+/// Guards against an edge cache that gets no connection, as idle connections to others hold all
+/// descriptors.
 #[test]
 fn idle_connections_are_closed_for_those_to_another_edge_cache() {
     let (feed, manual, b) = (
@@ -359,7 +369,7 @@
     ended_well(node);
 }
 
-/// Guards against an answer that is owed being lost with a message that its client does not finish.
+/// Guards against a pending answer being lost with a message that its client does not finish.
 #[test]
 fn half_a_message_does_not_lose_a_pending_answer() {
     let (_feed, node, mut client, manual) = setup();
@@ -367,7 +377,8 @@
     client.send(&resp_array(&[b"DO", b"1", b"cert-filing", fields, b"a body"]));
     let held = manual.next();
     client.send(b"*5\r\n$2\r\nDO\r\n$1\r\n2");
-    // Past the 1.5 s for a whole message and the round that looks after it; the non-idempotent request itself has 2.9 s.
+    // Past the 1.5 s for a whole message and the housekeeping that checks it; the non-idempotent
+    // request itself has 2.9 s.
     std::thread::sleep(Duration::from_millis(2_000));
     held.respond("data", b"");
     assert_eq!(client.answer(), "1 good ver=d1");
@@ -375,8 +386,8 @@
     ended_well(node);
 }
 
-/// Guards against what answers tell of their fills going unread, where the settings say that it is told: a fill that its
-/// source refused is the source's refusal, and the next attempt names another one.
+/// Guards against the cache status of answers going unread, where the settings say that it is sent:
+/// a fill that its source refused is the source's refusal, and the next attempt names another one.
 #[test]
 fn the_cache_status_of_answers_is_read_where_it_is_sent() {
     for tells in ["all", "none"] {
@@ -405,18 +416,19 @@
         let source =
             |h: &HeldAttempt| h.fields.split(',').find(|f| f.starts_with("parent=")).map(str::to_string);
         if tells == "all" {
-            // The edge cache is well, its source lacks it.
+            // The edge cache is well, its fill source lacks the object.
             assert_eq!(next.endpoint, 0);
             assert!(source(&next).is_some() && source(&next) != source(&held), "{}", next.fields);
         } else {
-            // The edge cache may have had no room itself.
+            // The edge cache may have had no capacity itself.
             assert_ne!(next.endpoint, 0, "{}", next.fields);
         }
         ended_well(node);
     }
 }
 
-/// Guards against a class whose repeats hosts tell apart by a key: they must be given it as it came.
+/// Guards against a class whose retries endpoints recognise by an idempotency key: they must get it
+/// as it came.
 #[test]
 fn an_idempotency_key_is_passed_on() {
     let (_feed, node, mut client, manual) = setup();
--- a/crates/hollymux/tests/simulate.rs
+++ b/crates/hollymux/tests/simulate.rs
@@ -1,4 +1,4 @@
-//! The laboratory on real sockets, from the command line.
+//! A scenario on real sockets, from the command line.
 
 mod common;
 
@@ -34,7 +34,7 @@
     // A broken rule is exit code 1, and is in the report.
     let broken = report["broken"].as_object().unwrap().is_empty();
     assert_eq!(done.status.code(), Some(if broken { 0 } else { 1 }), "{report}");
-    // The router's recording holds what it was asked, and nothing is missing from it.
+    // The router's recording holds the requests that it received, and nothing is missing from it.
     let files: Vec<String> = std::fs::read_dir(&recorded)
         .unwrap()
         .map(|e| e.unwrap().path().to_str().unwrap().to_string())
