--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -2,9 +2,10 @@
 
 use crate::error::CommandError;
 use crate::output;
+use hollymux_capacity::replay::InitialCaches;
+use hollymux_capacity::trace::Trace;
+use hollymux_capacity::{plan, CapacityPlan, Fleet, PlanOptions};
 use hollymux_capture::{Loss, Recording};
-use hollymux_planner::trace::Trace;
-use hollymux_planner::{plan, Answer, Fleet, Question};
 use std::path::PathBuf;
 
 /// Options of the sub-command.
@@ -73,15 +74,16 @@
 }
 
 impl Options {
-    fn question(&self) -> Question {
-        let names = |list: &String| list.split(',').map(str::to_string).collect();
-        Question {
+    fn plan_options(&self) -> PlanOptions {
+        let lost_together = |names: &String| names.split(',').map(str::to_string).collect();
+        let initial_caches = if self.empty { InitialCaches::Empty } else { InitialCaches::Warm };
+        PlanOptions {
             goal: self.goal,
             scale: self.scale,
-            lose: self.lose.iter().map(names).collect(),
-            warm_s: self.warm,
-            without_large: self.without_large,
-            empty: self.empty,
+            losses: self.lose.iter().map(lost_together).collect(),
+            warm_up_s: self.warm,
+            without_large_objects: self.without_large,
+            initial_caches,
             seed: self.seed,
         }
     }
@@ -94,26 +96,30 @@
     };
     let fleet: Fleet = hollymux_config_file::load(fleet).map_err(CommandError::InvalidFile)?;
     let recording = hollymux_capture::load(&options.load).map_err(CommandError::InvalidFile)?;
-    let answer = make_plan(recording, &fleet, &options.question())?;
+    let capacity_plan = make_plan(recording, &fleet, &options.plan_options())?;
     if let Some(path) = &options.plot {
-        let chart = answer.plot().map_err(|error| CommandError::Chart(error.to_string()))?;
+        let chart = capacity_plan.plot().map_err(|error| CommandError::Chart(error.to_string()))?;
         std::fs::write(path, chart)?;
     }
     if options.json {
-        output::print_json(&answer)
+        output::print_json(&capacity_plan)
     } else {
-        output::print(&answer.text())
+        output::print(&capacity_plan.text())
     }
 }
 
-fn make_plan(recording: Recording, fleet: &Fleet, question: &Question) -> Result<Answer, CommandError> {
+fn make_plan(
+    recording: Recording,
+    fleet: &Fleet,
+    plan_options: &PlanOptions,
+) -> Result<CapacityPlan, CommandError> {
     let loss_warning = loss_warning(recording.loss);
     let trace = Trace::new(&recording).map_err(invalid_plan)?;
     // Planning takes long and the recording much memory; the trace holds what is needed of it.
     drop(recording);
-    let mut answer = plan(&trace, fleet, question).map_err(invalid_plan)?;
-    answer.quality.doubts.extend(loss_warning);
-    Ok(answer)
+    let mut capacity_plan = plan(&trace, fleet, plan_options).map_err(invalid_plan)?;
+    capacity_plan.quality.caveats.extend(loss_warning);
+    Ok(capacity_plan)
 }
 
 fn invalid_plan(error: impl std::error::Error + Send + Sync + 'static) -> CommandError {
--- a/crates/hollymux/src/simulate/cluster_table.rs
+++ b/crates/hollymux/src/simulate/cluster_table.rs
@@ -3,7 +3,7 @@
 
 use crate::error::CommandError;
 use crate::output;
-use hollymux_simulation::measure;
+use hollymux_simulation::cluster_benchmark;
 use std::ops::{Range, RangeInclusive};
 
 /// One router has no others to learn of; more than this take too long to simulate.
@@ -45,10 +45,10 @@
     if !options.are_in_range() {
         return Err(CommandError::MeasurementOutOfRange);
     }
-    let rows = measure::table(&options.routers, &options.loss, options.seed, options.minutes);
+    let rows = cluster_benchmark::table(&options.routers, &options.loss, options.seed, options.minutes);
     if options.json {
         output::print_json(&rows)
     } else {
-        output::print(&measure::text(&rows))
+        output::print(&cluster_benchmark::text(&rows))
     }
 }
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -4,7 +4,7 @@
 
 use common::reserved_address::ReservedAddress;
 use common::*;
-use hollymux_simulation::fleet::Link;
+use hollymux_simulation::cluster::LinkFault;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
 /// Routers behind a relay, each with the same endpoints and endpoint feed.
 struct Cluster {
@@ -255,7 +255,7 @@
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        cluster.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
+        cluster.relay.fault(&[2], &rest, LinkFault { delay: (10_000_000, 0), ..LinkFault::default() });
         if suspected {
             wait_until("a suspicion", || {
                 rest.iter().any(|r| cluster.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
@@ -327,7 +327,7 @@
 #[test]
 fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
     let cluster = Cluster::all_started(5);
-    let half = Link { loss: 0.5, ..Link::default() };
+    let half = LinkFault { loss: 0.5, ..LinkFault::default() };
     cluster.relay.fault(&[4], &FIVE, half);
     cluster.relay.fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -118,12 +118,15 @@
 #[test]
 fn the_example_files_are_valid_and_describe_one_cluster() {
     let example = |name: &str| format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"));
-    let day: hollymux_simulation::day::Day =
+    let day: hollymux_simulation::scenario::Scenario =
         hollymux_config_file::load(Path::new(&example("day.json5"))).unwrap();
-    let fleet: hollymux_planner::Fleet =
+    let fleet: hollymux_capacity::Fleet =
         hollymux_config_file::load(Path::new(&example("fleet.json5"))).unwrap();
     // Both describe the same cluster.
-    for (d, f) in day.offices.iter().zip(&fleet.offices) {
-        assert_eq!((&d.name, d.boxes, d.link_in_flows), (&f.name, f.boxes, f.link_in_flows));
+    for (office, site) in day.offices.iter().zip(&fleet.sites) {
+        assert_eq!(
+            (&office.name, office.boxes, office.link_in_flows),
+            (&site.name, site.edge_caches, site.link_in_flows)
+        );
     }
 }
