--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -22,7 +22,7 @@
 pub enum CacheStatusReporting {
     /// Nothing: a hit can't be told from a fill.
     None,
-    /// Hits, fills and stale copies are told apart; failures carry no cause.
+    /// Hits, fills and stale copies are distinguished; failures carry no cause.
     Hit,
     /// Everything is reported, the cause of a failed fill too.
     All,
--- a/crates/decision/src/module.rs
+++ b/crates/decision/src/module.rs
@@ -25,7 +25,7 @@
     pub(crate) purges: PurgeHistory,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) lost_responses: LostResponses,
-    /// Changes of the endpoint list were asked for.
+    /// Changes of the endpoint list were subscribed to.
     pub(crate) is_subscribed: bool,
     /// When ejected endpoints were logged last.
     pub(crate) last_log: Timestamp,
--- a/crates/decision/src/policy/error_attribution.rs
+++ b/crates/decision/src/policy/error_attribution.rs
@@ -67,11 +67,11 @@
     /// have its parent warm up for as long as a restart takes.
     pub(crate) fn attribute_errors(&mut self, now: Timestamp, served: &Attempt) {
         let Some(open) = self.requests.get(&served.id.request) else { return };
-        let causes_untold = self.settings.cache_status_reporting != CacheStatusReporting::All;
+        let causes_unreported = self.settings.cache_status_reporting != CacheStatusReporting::All;
         for attempt in open.failed_attempts() {
             let is_other_source = attempt.fill_source != served.fill_source;
             let parent = self.endpoints.parent_source(&attempt);
-            if let Some(parent) = parent.filter(|_| causes_untold && is_other_source) {
+            if let Some(parent) = parent.filter(|_| causes_unreported && is_other_source) {
                 self.record_parent_error(now, parent);
             } else if attempt.endpoint != served.endpoint {
                 self.record_cache_error(now, attempt.endpoint);
@@ -100,12 +100,12 @@
         let (id, note, attempt) = (ended.outcome.request, ended.outcome.note, &ended.attempt);
         let source_failed =
             matches!(note, Some(SourceRefused | SourceLacks | OriginFailed | SourceUnreachable));
-        let untold = self.is_cause_untold(ended);
+        let unreported = self.is_cause_unreported(ended);
         self.record_response(now, attempt.endpoint);
-        if note == Some(SourceUnreachable) || untold {
+        if note == Some(SourceUnreachable) || unreported {
             self.record_source_failure(now, ended);
         }
-        self.avoid(id, attempt.fill_source.filter(|_| source_failed || untold));
+        self.avoid(id, attempt.fill_source.filter(|_| source_failed || unreported));
         self.avoid(id, Some(attempt.endpoint).filter(|_| !source_failed));
         if let Some(open) = self.requests.get_mut(&id) {
             open.accepts_stale |= source_failed;
--- a/crates/decision/src/policy/fault_detection.rs
+++ b/crates/decision/src/policy/fault_detection.rs
@@ -1,8 +1,8 @@
-//! Whether a parent is down, where responses don't tell hits from fills. There a cache's hit looks like a
-//! response of the parent that was named with it, and a fill that was refused may be the cache's own refusal.
-//! So neither is believed: refusals in excess raise the fault detector's score, and a probe settles it. A
-//! parent whose process is held to be lost comes back by a probe alone, and warms up from then on. Without
-//! probes it goes by responses, as it does where hits are told.
+//! Whether a parent is down, where responses don't distinguish hits from fills. There a cache's hit looks
+//! like a response of the parent that was named with it, and a fill that was refused may be the cache's own
+//! refusal. So neither is believed: refusals in excess raise the fault detector's score, and a probe settles
+//! it. A parent whose process is presumed lost comes back by a probe alone, and warms up from then on.
+//! Without probes it goes by responses, as it does where hits are reported.
 
 use crate::interface::{Action, AttemptStatus, EndpointId};
 use crate::module::DecisionModule;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Probes parents whose process is held to be lost and whose ejection is over.
+    /// Probes parents whose process is presumed lost and whose ejection is over.
     pub(crate) fn probe_lost_parents(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for id in self.warming_up.clone() {
             self.expire_probe(now, id);
--- a/crates/decision/src/policy/health.rs
+++ b/crates/decision/src/policy/health.rs
@@ -16,7 +16,7 @@
 pub(crate) const ERROR_RATE_THRESHOLD: f64 = 0.4;
 /// Each failed recovery probe request doubles the ejection, up to this.
 const MAX_EJECTION_TIME: Duration = EJECTION_TIME.saturating_mul(8);
-/// From so many lost parents of a zone, and one in so many of it, on, all of it is held to have restarted.
+/// From so many lost parents of a zone, and one in so many of it, on, all of it is presumed restarted.
 const MIN_LOST_PARENTS: usize = 2;
 const LOST_PARENTS_DIVISOR: usize = 3;
 /// An endpoint that has responded to nobody for this long is not merely overloaded.
@@ -24,12 +24,11 @@
 
 impl DecisionModule {
     /// An attempt that named a parent was long overdue, or was served. A hit at the cache says nothing of the
-    /// parent, and where hits are not told from fills each looks like a response of it. So a parent is also
-    /// ejected when many more of its attempts stay overdue than of other parents': so they have no common
-    /// cause.
+    /// parent, and where hits look like fills each looks like a response of it. So a parent is also ejected
+    /// when many more of its attempts stay overdue than of others: overload behind them would show at all.
     pub(crate) fn record_overdue_parent(&mut self, now: Timestamp, attempt: &Attempt, is_overdue: bool) {
         let source = self.endpoints.parent_source(attempt);
-        let Some(parent) = source.filter(|_| self.hits_untold()) else { return };
+        let Some(parent) = source.filter(|_| self.hits_unreported()) else { return };
         let others = || self.endpoints.ready(EndpointRole::Parent).filter(|p| p.entry.id != parent);
         let other_available = others().any(Endpoint::is_available);
         let usual = others().map(|p| p.overdue_score).sum::<f64>() / others().count().max(1) as f64;
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -50,7 +50,7 @@
         self.attribute_errors(now, attempt);
         let note = ended.outcome.note;
         let was_filled = matches!(note, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin));
-        if let Some(source) = attempt.fill_source.filter(|_| was_filled || self.hits_untold()) {
+        if let Some(source) = attempt.fill_source.filter(|_| was_filled || self.hits_unreported()) {
             self.record_response(now, source);
         }
         self.record_overdue_parent(now, attempt, false);
@@ -84,7 +84,7 @@
         // The parent is at capacity: the others would have to fetch from the origin what it holds.
         let is_early = ended.outcome.latency < self.settings.connect_timeout;
         let source_refused =
-            note == Some(CacheStatus::SourceRefused) || self.is_cause_untold(ended) && is_early;
+            note == Some(CacheStatus::SourceRefused) || self.is_cause_unreported(ended) && is_early;
         let no_sibling = self.settings.sibling_caches != SiblingCaches::Any;
         // It was to be served from copies alone, and there is none.
         let had_no_source = attempt.fill_source.is_none() || attempt.only_if_cached;
--- a/crates/decision/src/policy/overdue.rs
+++ b/crates/decision/src/policy/overdue.rs
@@ -8,8 +8,9 @@
 
 /// From this share of lost responses on, an overdue attempt is sent again to the same endpoint...
 const LOST_THRESHOLD: f64 = 0.04;
-/// ...and from this on where hits are not told: a fill under overload looks lost too, and would start anew.
-const LOST_THRESHOLD_HITS_UNTOLD: f64 = 0.12;
+/// ...and from this on where hits are not reported: a fill under overload looks lost too, and would start
+/// anew.
+const LOST_THRESHOLD_HITS_UNREPORTED: f64 = 0.12;
 /// An attempt is long overdue after this many times the time after which it is overdue.
 const LONG_OVERDUE_FACTOR: u32 = 2;
 /// An attempt is moved only where the request has more time left than this.
@@ -60,7 +61,7 @@
         let uses_ejected = self.endpoints.is_ejected(attempt.endpoint)
             || source.is_some_and(|s| self.endpoints.is_ejected(s));
         let is_attributed = self.attribute_overdue(now, attempt) || uses_ejected;
-        let threshold = if self.hits_untold() { LOST_THRESHOLD_HITS_UNTOLD } else { LOST_THRESHOLD };
+        let threshold = if self.hits_unreported() { LOST_THRESHOLD_HITS_UNREPORTED } else { LOST_THRESHOLD };
         let is_lost = !is_attributed && self.lost_responses.share > threshold;
         OverdueFinding { is_attributed, is_lost, is_long_overdue }
     }
--- a/crates/decision/src/state/capacity.rs
+++ b/crates/decision/src/state/capacity.rs
@@ -84,8 +84,8 @@
     }
 
     /// The factor by which others slow a transfer at an endpoint, with one more; 1 where sizes are
-    /// not known. Own attempts are counted. Each other router is held to have as many there as this
-    /// one has on average: at this endpoint as far as enough was sent there to tell, else at
+    /// not known. Own attempts are counted. Each other router is assumed to have as many there as
+    /// this one has on average: at this endpoint as far as enough was sent there to tell, else at
     /// endpoints of its role in proportion to size.
     pub(crate) fn slowdown(&self, now: Timestamp, endpoint: &Endpoint) -> f64 {
         let weight = endpoint.entry.weight;
--- a/crates/decision/src/state/endpoint.rs
+++ b/crates/decision/src/state/endpoint.rs
@@ -30,7 +30,7 @@
 /// Own load is averaged over this long to estimate that of other routers: long enough for several
 /// requests, yet short against an overload.
 pub(crate) const LOAD_WINDOW: Duration = Duration::from_secs(3);
-/// The same at parent caches: what all routers start there in a second is more than they can bear.
+/// The same at parent caches: what all routers start there in a second is more than they can serve.
 pub(crate) const FILL_LOAD_WINDOW: Duration = Duration::from_millis(1_500);
 
 /// What an endpoint is to this router.
@@ -267,7 +267,7 @@
         !self.recovery_probe_in_flight && !self.awaits_probe() && ejection_over
     }
 
-    /// Its process is held to be lost, and only an active probe proves that it is back.
+    /// Its process is presumed lost, and only an active probe proves that it is back.
     pub(crate) fn awaits_probe(&self) -> bool {
         self.process_lost && self.needs_probe
     }
--- a/crates/decision/src/state/fault_detector.rs
+++ b/crates/decision/src/state/fault_detector.rs
@@ -1,5 +1,5 @@
-//! Evidence that a parent cache is down, where responses do not tell hits from fills, and the probe
-//! that settles it.
+//! Evidence that a parent cache is down, where responses do not distinguish hits from fills, and
+//! the probe that settles it.
 
 use crate::time::Timestamp;
 use std::time::Duration;
--- a/crates/decision/src/state/learning.rs
+++ b/crates/decision/src/state/learning.rs
@@ -14,7 +14,7 @@
 pub(crate) struct OverdueFinding {
     /// Its endpoint or source has failed.
     pub(crate) is_attributed: bool,
-    /// Its response is held to be lost.
+    /// Its response is presumed lost.
     pub(crate) is_lost: bool,
     /// It is overdue for as long again as it takes to be overdue.
     pub(crate) is_long_overdue: bool,
@@ -38,7 +38,7 @@
     }
 
     /// Learns latency and lost responses from an attempt that is overdue, once for each attempt.
-    /// Returns whether its parent is to be held to be overdue.
+    /// Returns whether its parent counts as overdue.
     pub(crate) fn learn_from_overdue(&mut self, attempt: &Attempt, finding: OverdueFinding) -> bool {
         let id = attempt.id;
         let Some(open) = self.requests.get_mut(&id.request) else { return false };
@@ -60,14 +60,14 @@
     }
 
     /// Whether a refusal comes without its cause, where causes are not reported.
-    pub(crate) fn is_cause_untold(&self, ended: &EndedAttempt) -> bool {
+    pub(crate) fn is_cause_unreported(&self, ended: &EndedAttempt) -> bool {
         ended.outcome.status == AttemptStatus::Full
             && ended.outcome.note.is_none()
             && self.settings.cache_status_reporting != CacheStatusReporting::All
     }
 
     /// Whether a response does not say if it is a hit or a fill.
-    pub(crate) fn hits_untold(&self) -> bool {
+    pub(crate) fn hits_unreported(&self) -> bool {
         self.settings.cache_status_reporting == CacheStatusReporting::None
     }
 }
--- a/crates/decision/src/state/open_request.rs
+++ b/crates/decision/src/state/open_request.rs
@@ -8,9 +8,9 @@
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Hits are told from fills at their end at the earliest: an attempt that has been in flight for
-/// this many of its class's mean sending times counts as a fill in flight at the parent cache that
-/// it names.
+/// Hits are distinguished from fills at their end at the earliest: an attempt that has been in
+/// flight for this many of its class's mean sending times counts as a fill in flight at the parent
+/// cache that it names.
 const FILL_CHECK_SENDING_TIMES: f64 = 1.0;
 /// A recovery probe request is checked this many times sooner for being overdue.
 const RECOVERY_PROBE_DIVISOR: u64 = 2;
@@ -79,7 +79,7 @@
     pub(crate) accepts_stale: bool,
     /// A parent cache had no capacity for its fill.
     pub(crate) fill_refused: bool,
-    /// The last attempt's response is held to be lost: the request is sent to the same endpoint
+    /// The last attempt's response is presumed lost: the request is sent to the same endpoint
     /// again.
     pub(crate) response_lost: bool,
     pub(crate) attempts: Vec<Attempt>,
--- a/crates/decision/src/state/origin_observation.rs
+++ b/crates/decision/src/state/origin_observation.rs
@@ -15,7 +15,7 @@
 /// A write runs at the origin and waits for nothing else. One that took more than this part of its
 /// latency objective cuts the load at once, while most writes are in time yet.
 const LATE_WRITE_PART: f64 = 0.7;
-/// The origin is held to be well for so long after it responded in time: a router of few requests
+/// The origin is presumed well for so long after it responded in time: a router of few requests
 /// has a write in some seconds. One that is late ends it at once.
 const IN_TIME_VALIDITY: Duration = Duration::from_secs(10);
 
--- a/crates/decision/src/state/service_time.rs
+++ b/crates/decision/src/state/service_time.rs
@@ -38,8 +38,8 @@
 }
 
 impl ServiceTimeEstimate {
-    /// Before anything is seen a class's work is held to be what its latency objective leaves time
-    /// for.
+    /// Before anything is seen a class's work is assumed to be what its latency objective leaves
+    /// time for.
     pub(crate) fn new(class: &RequestClass) -> ServiceTimeEstimate {
         ServiceTimeEstimate {
             work: secs(class.latency_objective),
@@ -59,8 +59,8 @@
         ServiceTimeEstimate { latency_quantile, ..self.clone() }
     }
 
-    /// What a request of the class is held to cost an endpoint that warms up: where sizes are not
-    /// known no less than its bytes. The mean that holds the waits is the smaller one where the
+    /// What a request of the class is assumed to cost an endpoint that warms up: where sizes are
+    /// not known no less than its bytes. The mean that holds the waits is the smaller one where the
     /// load of an endpoint is taken for larger than it is, as not all that is in flight there is
     /// sent.
     pub(crate) fn mean(&self) -> f64 {
@@ -145,11 +145,11 @@
     pub(crate) fn record_service_time(&mut self, request: &Request, outcome: &AttemptOutcome, slowdown: f64) {
         let relative_latency = secs(outcome.latency) / self.expected_latency(request);
         let tail = self.lost_responses.latency_tail();
-        let hits_untold = self.settings.cache_status_reporting == CacheStatusReporting::None;
+        let hits_unreported = self.settings.cache_status_reporting == CacheStatusReporting::None;
         let estimate = &mut self.service_times[usize::from(request.class)];
         estimate.adjust_latency_quantile(relative_latency > estimate.latency_quantile, tail);
         // Unknown sizes are learnt from hits, less what the load at the cache made of them.
-        if request.size_kb.is_none() && (outcome.note == Some(CacheStatus::Hit) || hits_untold) {
+        if request.size_kb.is_none() && (outcome.note == Some(CacheStatus::Hit) || hits_unreported) {
             estimate.record(secs(outcome.latency) / slowdown);
         }
         if let Some(sending_time) = outcome.work {
--- a/crates/decision/src/state/timer_token.rs
+++ b/crates/decision/src/state/timer_token.rs
@@ -15,7 +15,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
-    /// Ask for the endpoint list again.
+    /// Subscribe to the endpoint list again.
     Resubscribe,
     /// The request's deadline has come.
     Deadline(RequestId),
--- a/crates/decision/src/state/warm_up_budget.rs
+++ b/crates/decision/src/state/warm_up_budget.rs
@@ -125,7 +125,7 @@
         self.warming_up.iter().filter_map(|id| self.warm_up_demand(now, *id)).collect()
     }
 
-    /// The endpoint's process is held to be lost: it warms up from its next response on.
+    /// The endpoint's process is presumed lost: it warms up from its next response on.
     pub(crate) fn begin_warm_up(&mut self, id: EndpointId) {
         let endpoint = self.endpoints.get_mut(id).filter(|endpoint| !endpoint.process_lost);
         let Some(endpoint) = endpoint else { return };
--- a/crates/decision/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -6,7 +6,7 @@
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// The shortest span that is told apart from none.
+/// The shortest span that differs from none.
 pub const MICROSECOND: Duration = Duration::from_micros(1);
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
@@ -19,7 +19,7 @@
 impl Timestamp {
     /// The clock's origin. In several fields it stands for "never" or "long past"; they say so.
     pub const ZERO: Timestamp = Timestamp(0);
-    /// The last point in time that can be told.
+    /// The last point in time that can be expressed.
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
     /// So many microseconds after the clock's origin.
