--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -74,30 +74,30 @@
         let counted = &self.router.counters;
         format!(
             "counted taken={} served={} refused={} failed={} lookups={} attempts={} broken={} idle={}",
-            counted.taken,
+            counted.received,
             counted.served,
-            counted.refused,
+            counted.rejected,
             counted.failed,
             counted.lookups,
             counted.attempts,
-            counted.broken,
+            counted.invariant_violations,
             self.router.idle()
         )
     }
 
     fn input(&mut self, stimulus: Stimulus) -> Input {
         match stimulus {
-            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.ask(asked)),
+            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.client_request(asked)),
             Stimulus::StopWaiting(client) => Input::Cancel(core_client(client)),
             Stimulus::Leave { connection } => Input::ClientClosed(connection),
             Stimulus::Answer { attempt, answer, note } => {
-                Input::Responded(attempt_id(attempt), self.said(answer), note.map(core_note))
+                Input::Responded(attempt_id(attempt), self.response(answer), note.map(core_note))
             }
             Stimulus::Lost { attempt, how } => Input::Failed(attempt_id(attempt), lost(how)),
             Stimulus::Probed { uid, well } => Input::Probed(endpoint_id(&uid), well),
             Stimulus::Found { request, found } => Input::LookedUp(request, core_found(found)),
             Stimulus::Wake { handle } => Input::Wake(self.wakes[handle]),
-            Stimulus::Hosts { all, lines } => Input::Feed(self.members(all, lines)),
+            Stimulus::Hosts { all, lines } => Input::Feed(self.endpoint_update(all, lines)),
             Stimulus::Purge { object, group, at } => {
                 Input::Feed(FeedEvent::Purge { object, group, at: Timestamp::from_micros(at) })
             }
@@ -114,22 +114,22 @@
         chain
     }
 
-    fn ask(&self, asked: Asked) -> ClientRequest {
-        let word = |number: u64| (format!("{number:016x}").into_bytes(), number);
+    fn client_request(&self, asked: Asked) -> ClientRequest {
+        let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         ClientRequest {
-            rid: word(asked.id),
+            request_id: word(asked.id),
             class: asked.class.into(),
             object: word(asked.object),
-            part: asked.part,
+            chunk: asked.part,
             group: asked.group,
-            budget: asked.budget_ms,
-            held: asked.holds_copy.then(|| b"held".to_vec()),
-            key: asked.has_key.then(|| b"key".to_vec()),
+            budget_ms: asked.budget_ms,
+            if_none_match: asked.holds_copy.then(|| b"held".to_vec()),
+            idempotency_key: asked.has_key.then(|| b"key".to_vec()),
             body: self.chain(asked.body),
         }
     }
 
-    fn said(&self, answer: Answer) -> AttemptResponse {
+    fn response(&self, answer: Answer) -> AttemptResponse {
         match answer {
             Answer::Bytes { tagged, length } => {
                 AttemptResponse::Data(tagged.then(|| b"tag".to_vec()), self.chain(length))
@@ -142,11 +142,14 @@
         }
     }
 
-    fn members(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
+    fn endpoint_update(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
         for line in &lines {
             self.names.insert(endpoint_id(&line.uid), line.uid.clone());
         }
-        FeedEvent::Endpoints { all, lines: lines.into_iter().map(member).collect() }
+        FeedEvent::Endpoints {
+            is_full_list: all,
+            endpoints: lines.into_iter().map(listed_endpoint).collect(),
+        }
     }
 
     fn lookup(
@@ -157,7 +160,7 @@
         commands: &mut Vec<Command>,
     ) -> Effect {
         let class = self.router.classes().named(class.as_bytes()).expect("a class in use");
-        let wanted = RequestedObject { class, object, part, group, rid: id };
+        let wanted = RequestedObject { class, object, chunk: part, group, request_id: id };
         match self.router.lookup(now, wanted, commands) {
             LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_words(&target)),
             LookupResult::Rejected => Effect::new("lookup refused", String::new()),
@@ -180,7 +183,7 @@
         legacy.kinds = KINDS.map(str::to_string).to_vec();
         let mut commands = Vec::new();
         if let Some((client, asked)) = last {
-            let input = Input::Request(core_client(client), self.ask(asked));
+            let input = Input::Request(core_client(client), self.client_request(asked));
             self.router.handle(now, input, &mut commands);
         }
         let later = self.router.take_new_pending_writes();
@@ -219,13 +222,13 @@
 
     /// A command in neutral words; none for a log line, whose wording is no decision.
     fn effect(&mut self, command: Command) -> Option<Effect> {
-        let idempotency = match command {
-            Command::SendAttempt(order) => self.send(&order),
-            Command::CancelAttempt { attempt, again } => {
+        let effect = match command {
+            Command::SendAttempt(sent) => self.sent_effect(&sent),
+            Command::CancelAttempt { attempt, may_retry: again } => {
                 Effect::new("cancel", format!("{} again={again}", attempt_words(attempt)))
             }
             Command::Reply(client, reply) => reply_effect(client, &reply),
-            Command::Wake(at, wake) => self.wake(at, wake),
+            Command::Wake(at, wake) => self.wake_effect(at, wake),
             Command::Lookup(request, wanted) => {
                 Effect::new("look up", format!("request={request} {}", wanted_words(&wanted)))
                     .reacting(Reaction::LookUp { request })
@@ -237,32 +240,32 @@
             }
             Command::CloseConnections(endpoint) => Effect::new("drop", self.name(endpoint).to_string()),
             Command::StopSending(endpoint) => Effect::new("hold", self.name(endpoint).to_string()),
-            Command::AttemptEnded(tried) => tried_effect(&tried),
-            Command::RequestEnded(ended) => ended_effect(&ended),
+            Command::AttemptEnded(ended) => attempt_ended_effect(&ended),
+            Command::RequestEnded(ended) => request_ended_effect(&ended),
             Command::Log(_) => return None,
         };
-        Some(idempotency)
+        Some(effect)
     }
 
-    fn send(&self, order: &AttemptRequest) -> Effect {
+    fn sent_effect(&self, sent: &AttemptRequest) -> Effect {
         let line = format!(
             "{} {} timeout={} class={} id={} client={}/{} by={}",
-            attempt_words(order.attempt),
-            self.target_words(&order.target),
-            whole_micros(order.timeout),
-            order.class,
-            order.ask.rid.1,
-            order.client.conn,
-            order.client.tag,
-            optional(order.by.map(Timestamp::as_micros))
+            attempt_words(sent.attempt),
+            self.target_words(&sent.target),
+            whole_micros(sent.timeout),
+            sent.class,
+            sent.request.request_id.value,
+            sent.client.conn,
+            sent.client.tag,
+            optional(sent.send_before.map(Timestamp::as_micros))
         );
-        let kind = if order.attempt.number > 0 { "send again" } else { "send" };
-        let sent =
-            Reaction::Sent { attempt: attempt_neutral(order.attempt), uid: order.target.uid.to_string() };
-        Effect::new(kind, line).reacting(sent)
+        let kind = if sent.attempt.number > 0 { "send again" } else { "send" };
+        let reaction =
+            Reaction::Sent { attempt: attempt_neutral(sent.attempt), uid: sent.target.uid.to_string() };
+        Effect::new(kind, line).reacting(reaction)
     }
 
-    fn wake(&mut self, at: Timestamp, wake: Wake) -> Effect {
+    fn wake_effect(&mut self, at: Timestamp, wake: Wake) -> Effect {
         let at = at.as_micros();
         let what = match wake {
             Wake::Decision(RoutingMode::Decide, token) => format!("module token={token}"),
@@ -351,7 +354,7 @@
     }
 }
 
-fn member(line: HostLine) -> ListedEndpoint {
+fn listed_endpoint(line: HostLine) -> ListedEndpoint {
     let state = match line.state {
         Standing::Ready => EndpointState::Ready,
         Standing::Draining => EndpointState::Draining,
@@ -383,8 +386,8 @@
 }
 
 fn wanted_words(wanted: &RequestedObject) -> String {
-    let id = optional(wanted.rid);
-    let RequestedObject { class, object, part, group, .. } = wanted;
+    let id = optional(wanted.request_id);
+    let RequestedObject { class, object, chunk: part, group, .. } = wanted;
     format!("class={class} object={object} part={part} group={group} id={id}")
 }
 
@@ -419,19 +422,19 @@
         .reacting(Reaction::Replied(caller))
 }
 
-fn tried_effect(tried: &AttemptSummary) -> Effect {
+fn attempt_ended_effect(ended: &AttemptSummary) -> Effect {
     let line = format!(
         "{} host={} source={} status={} took={}",
-        attempt_words(tried.attempt),
-        tried.endpoint,
-        tried.source.as_deref().unwrap_or("-"),
-        status_word(tried.status),
-        whole_micros(tried.took)
+        attempt_words(ended.attempt),
+        ended.endpoint,
+        ended.source.as_deref().unwrap_or("-"),
+        status_word(ended.status),
+        whole_micros(ended.duration)
     );
     Effect::new("tried", line)
 }
 
-fn ended_effect(ended: &RequestSummary) -> Effect {
+fn request_ended_effect(ended: &RequestSummary) -> Effect {
     let kind = match ended.result {
         RequestResult::Served => "ended served",
         RequestResult::NotModified => "ended unchanged",
@@ -440,7 +443,7 @@
         RequestResult::Cancelled => "ended withdrawn",
         RequestResult::Named => "ended named",
     };
-    let why = match ended.why {
+    let why = match ended.reason {
         ResultReason::Completed => "as-asked",
         ResultReason::TableFull => "no-room",
         ResultReason::InvalidRequest => "unusable",
@@ -452,10 +455,10 @@
     let line = format!(
         "request={} {} arrived={} budget={} took={} why={why} bytes={} attempts={} host={} source={}",
         ended.request,
-        wanted_words(&ended.wanted),
+        wanted_words(&ended.requested),
         ended.arrived.as_micros(),
         whole_micros(ended.budget),
-        whole_micros(ended.took),
+        whole_micros(ended.duration),
         ended.bytes,
         ended.attempts,
         ended.endpoint.as_deref().unwrap_or("-"),
@@ -477,10 +480,10 @@
         )
     };
     let once = |filing: &handover_state::PendingWrite| {
-        format!("{} {} {}", filing.0, filing.1.as_micros(), optional(filing.2))
+        format!("{} {} {}", filing.request_id, filing.arrived.as_micros(), optional(filing.endpoint))
     };
-    let members: Vec<String> = legacy.members.iter().map(member).collect();
-    let known: Vec<String> = legacy.filings.iter().map(once).collect();
+    let members: Vec<String> = legacy.endpoints.iter().map(member).collect();
+    let known: Vec<String> = legacy.pending_writes.iter().map(once).collect();
     let later: Vec<String> = later.iter().map(once).collect();
     let classes = legacy.classes.join(",");
     format!(
