--- a/crates/cluster/src/quota/broker.rs
+++ b/crates/cluster/src/quota/broker.rs
@@ -24,6 +24,12 @@
 /// messages.
 const MIN_OFFER_FRACTION: u32 = 16;
 
+/// What the local router tells a limit's broker.
+pub(super) struct BrokerOffer {
+    pub(super) broker: SocketAddr,
+    pub(super) entry: LimitEntry,
+}
+
 /// What one router wants of a limit and what it has borrowed of it here.
 #[derive(Clone, Copy, Debug)]
 struct Borrower {
@@ -61,7 +67,7 @@
 
     /// What the local router wants of a limit from its broker, and what it lends to it; none if it
     /// is the broker.
-    pub(super) fn offer_to_broker(&mut self, limit_id: u64) -> Option<(SocketAddr, LimitEntry)> {
+    pub(super) fn offer_to_broker(&mut self, limit_id: u64) -> Option<BrokerOffer> {
         let scope = self.limits.get(&limit_id)?.scope;
         let broker = self.broker(limit_id, scope)?;
         let borrower = self.peers.get(&broker)?.holder(broker);
@@ -82,7 +88,8 @@
             0 => Vec::new(),
             _ => self.grant(limit_id, borrower, target, self.options.timings.lease_duration),
         };
-        Some((broker, LimitEntry { limit_id, wanted, request_size, transfers }))
+        let entry = LimitEntry { limit_id, wanted, request_size, transfers };
+        Some(BrokerOffer { broker, entry })
     }
 
     /// What a router that asks is granted of a limit, if that is in use here as well.
--- a/crates/cluster/src/quota/exchange.rs
+++ b/crates/cluster/src/quota/exchange.rs
@@ -22,8 +22,8 @@
             .collect();
         let mut entries_by_broker: BTreeMap<SocketAddr, Vec<LimitEntry>> = BTreeMap::new();
         for limit_id in limits {
-            if let Some((broker, entry)) = self.offer_to_broker(limit_id) {
-                entries_by_broker.entry(broker).or_default().push(entry);
+            if let Some(offer) = self.offer_to_broker(limit_id) {
+                entries_by_broker.entry(offer.broker).or_default().push(offer.entry);
             }
         }
         for (broker, entries) in entries_by_broker {
--- a/crates/cluster/tests/membership_model.rs
+++ b/crates/cluster/tests/membership_model.rs
@@ -14,8 +14,10 @@
     MemberRecord, MemberState, Membership, MembershipOptions, MembershipTimings,
 };
 use hollymux_cluster::{Time, SEC};
-use model_support::{identify_by_debug_output, Delivery, Network, ROUTERS};
-use stateright::{Checker, Model, Property};
+use model_support::{
+    assert_properties_hold, identify_by_debug_output, Delivery, Network, SearchBounds, ROUTERS,
+};
+use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
 /// Clocks are at most this far apart.
@@ -24,12 +26,8 @@
 const CONVERGENCE_TIMEOUT: Time = 60 * SEC;
 /// The clock when a model starts.
 const START: Time = 1_000 * SEC;
-/// Steps that a model explores from its initial states.
-const MAX_DEPTH: usize = 8;
-/// States after which the search ends.
-const TARGET_STATES: usize = 40_000;
-/// A search that has seen fewer has not been exhaustive enough.
-const MIN_STATES: usize = 30_000;
+/// How far the model is searched.
+const BOUNDS: SearchBounds = SearchBounds { max_depth: 8, target_states: 40_000, min_states: 30_000 };
 
 fn membership(router: usize, now: Time, generation: u64) -> Membership {
     let options = MembershipOptions {
@@ -313,14 +311,5 @@
 
 #[test]
 fn no_order_of_events_loses_a_router_for_good_or_leaves_an_active_one_uncounted() {
-    let checker = Cluster
-        .checker()
-        .threads(4)
-        .target_max_depth(MAX_DEPTH)
-        .target_state_count(TARGET_STATES)
-        .spawn_bfs()
-        .join();
-    checker.assert_properties();
-    let states = checker.unique_state_count();
-    assert!(states > MIN_STATES, "{states} states");
+    assert_properties_hold(Cluster, &BOUNDS);
 }
--- a/crates/cluster/tests/model_support/mod.rs
+++ b/crates/cluster/tests/model_support/mod.rs
@@ -3,9 +3,14 @@
 
 use crate::common::router_address;
 use hollymux_cluster::Transmit;
+use stateright::{Checker, Model};
+use std::fmt::Debug;
+use std::hash::Hash;
 
 /// Routers in a model.
 pub const ROUTERS: usize = 3;
+/// Threads that search a model.
+const SEARCH_THREADS: usize = 4;
 /// Datagrams in flight at most; the oldest ones beyond are lost.
 const MAX_IN_FLIGHT: usize = 6;
 
@@ -63,6 +68,35 @@
     }
 }
 
+/// How far a model is searched.
+pub struct SearchBounds {
+    /// Steps from an initial state at most.
+    pub max_depth: usize,
+    /// States after which the search ends.
+    pub target_states: usize,
+    /// A search that has seen no more states than this has not covered enough.
+    pub min_states: usize,
+}
+
+/// Searches a model breadth first and asserts all of its properties.
+pub fn assert_properties_hold<M>(model: M, bounds: &SearchBounds)
+where
+    M: Model + Send + Sync + 'static,
+    M::State: Clone + Debug + PartialEq + Hash + Send + Sync + 'static,
+    M::Action: Clone + Debug + PartialEq + Send + Sync + 'static,
+{
+    let checker = model
+        .checker()
+        .threads(SEARCH_THREADS)
+        .target_max_depth(bounds.max_depth)
+        .target_state_count(bounds.target_states)
+        .spawn_bfs()
+        .join();
+    checker.assert_properties();
+    let states = checker.unique_state_count();
+    assert!(states > bounds.min_states, "{states} states");
+}
+
 /// Two states are equal if their debug output is: the state machines implement neither comparison
 /// nor hashing.
 macro_rules! identify_by_debug_output {
--- a/crates/cluster/tests/quota_model.rs
+++ b/crates/cluster/tests/quota_model.rs
@@ -16,8 +16,10 @@
 };
 use hollymux_cluster::{RouterCounts, Time, MS, SEC};
 use hollymux_decision::{EndpointId, QuotaScope, WarmUpDemand};
-use model_support::{identify_by_debug_output, Delivery, Network, ROUTERS};
-use stateright::{Checker, Model, Property};
+use model_support::{
+    assert_properties_hold, identify_by_debug_output, Delivery, Network, SearchBounds, ROUTERS,
+};
+use stateright::{Model, Property};
 
 const LIMIT: u64 = 6;
 /// By how many thousandths each clock is fast: as far apart as the timings allow.
@@ -32,12 +34,8 @@
 const LOW_DEMAND: f64 = 0.02;
 /// For errors of floating-point sums.
 const TOLERANCE: f64 = 1e-6;
-/// Steps that a model explores from its initial states.
-const MAX_DEPTH: usize = 9;
-/// States after which the search ends.
-const TARGET_STATES: usize = 1_200_000;
-/// A search that has seen fewer has not been exhaustive enough.
-const MIN_STATES: usize = 500_000;
+/// How far the model is searched.
+const BOUNDS: SearchBounds = SearchBounds { max_depth: 9, target_states: 1_200_000, min_states: 500_000 };
 
 /// Faults that may still happen.
 #[derive(Clone, Debug)]
@@ -374,14 +372,5 @@
 
 #[test]
 fn no_order_of_events_lets_all_routers_together_exceed_the_limit() {
-    let checker = Cluster
-        .checker()
-        .threads(4)
-        .target_max_depth(MAX_DEPTH)
-        .target_state_count(TARGET_STATES)
-        .spawn_bfs()
-        .join();
-    checker.assert_properties();
-    let states = checker.unique_state_count();
-    assert!(states > MIN_STATES, "{states} states");
+    assert_properties_hold(Cluster, &BOUNDS);
 }
