--- a/crates/cluster/src/quota/exchange.rs
+++ b/crates/cluster/src/quota/exchange.rs
@@ -22,8 +22,8 @@
             .collect();
         let mut entries_by_broker: BTreeMap<SocketAddr, Vec<LimitEntry>> = BTreeMap::new();
         for limit_id in limits {
-            if let Some((broker, entry)) = self.offer_to_broker(limit_id) {
-                entries_by_broker.entry(broker).or_default().push(entry);
+            if let Some(offer) = self.offer_to_broker(limit_id) {
+                entries_by_broker.entry(offer.broker).or_default().push(offer.entry);
             }
         }
         for (broker, entries) in entries_by_broker {
@@ -101,8 +101,8 @@
         peer.demands.insert(entry.limit_id, demand);
     }
 
-    /// Borrows what was granted. Leases last from `requested_at`, when the local message was sent that this answers;
-    /// 0 if it answers none.
+    /// Borrows what was granted. Leases last from `requested_at`, when the local message was sent
+    /// that this answers; 0 if it answers none.
     fn accept_transfers(&mut self, lender: LeaseHolder, entry: &LimitEntry, requested_at: Time) {
         let now = self.now;
         // Quota of a limit that is not in use here would only lie unused.
