--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -9,7 +9,7 @@
 
 pub use purges::{Purge, PurgeLog};
 
-use hollymux_capture::ClassHead;
+use hollymux_capture::RecordedClass;
 use std::collections::HashMap;
 
 /// A chunk's number: its position in [`Trace::chunks`].
@@ -87,17 +87,17 @@
     pub fresh_for_us: u64,
 }
 
-impl From<&ClassHead> for RequestClass {
-    fn from(recorded: &ClassHead) -> RequestClass {
+impl From<&RecordedClass> for RequestClass {
+    fn from(recorded: &RecordedClass) -> RequestClass {
         RequestClass {
             name: recorded.name.clone(),
-            latency_objective_us: recorded.aim,
-            latency_objective_stretch: recorded.aim_stretch,
-            priority_weight: recorded.worth,
-            late_weight: recorded.late_worth,
-            is_write: recorded.write,
-            clients_retry: recorded.repeats,
-            fresh_for_us: recorded.fresh,
+            latency_objective_us: recorded.latency_objective,
+            latency_objective_stretch: recorded.latency_objective_stretch,
+            priority_weight: recorded.priority_weight,
+            late_weight: recorded.late_weight,
+            is_write: recorded.is_write,
+            clients_retry: recorded.is_idempotent,
+            fresh_for_us: recorded.fresh_for,
         }
     }
 }
--- /dev/null
+++ b/crates/capture/tests/recordings.rs
@@ -0,0 +1,203 @@
+//! Recordings: what is written is read again, and damage loses only the blocks it touches.
+
+use hollymux_capture::{
+    load, read_blocks, PurgeEntry, RecordedRequest, RecordedResult, Recorder, RecordingHeader,
+    RecordingWriter,
+};
+use hollymux_decision::{EndpointEntry, EndpointId, EndpointState, Idempotency, Settings, Timestamp};
+use hollymux_router::{ListedEndpoint, RequestResult, RequestSummary, RequestedObject, ResultReason};
+use proptest::prelude::*;
+use std::path::PathBuf;
+use std::time::Duration;
+
+fn header(router: &str) -> RecordingHeader {
+    let class = hollymux_decision::RequestClass {
+        latency_objective: Duration::from_millis(250),
+        idempotency: Idempotency::Idempotent,
+        ..Default::default()
+    };
+    let settings =
+        Settings { classes: vec![class], parent_kind: Some(1), flow_kb_per_s: 20.0, ..Default::default() };
+    RecordingHeader::new(
+        router,
+        &["cairo".into()],
+        &["box".into(), "hub".into()],
+        &["docs".into()],
+        &settings,
+    )
+}
+
+fn request_summary(n: u64, endpoint: &str) -> RequestSummary {
+    RequestSummary {
+        request: n as u32,
+        requested: RequestedObject {
+            class: 0,
+            object: n * 7,
+            chunk: n as u32 % 5,
+            group: 3,
+            request_id: Some(n),
+        },
+        arrived: Timestamp::from_micros(1_000_000 + n * 1_000),
+        budget: Duration::from_millis(2_500),
+        duration: Duration::from_micros(40_000 + n),
+        result: if n.is_multiple_of(9) { RequestResult::Rejected } else { RequestResult::Served },
+        reason: if n.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
+        bytes: n * 3,
+        attempts: 1,
+        endpoint: Some(endpoint.into()),
+        source: n.is_multiple_of(2).then(|| "s-hub".into()),
+    }
+}
+
+fn draining_endpoint(uid: &str) -> ListedEndpoint {
+    let entry = EndpointEntry {
+        id: EndpointId(9),
+        state: EndpointState::Draining,
+        weight: 8.0,
+        ..Default::default()
+    };
+    ListedEndpoint { entry, uid: uid.to_string(), addr: None }
+}
+
+/// A directory with a recording of that many requests, in files of about that many bytes.
+fn record(requests: u64, file_bytes: u64, files: usize) -> (tempfile::TempDir, Vec<PathBuf>) {
+    let dir = tempfile::tempdir().unwrap();
+    let writer = RecordingWriter::new(dir.path(), header("n/1"), file_bytes, files).unwrap();
+    let mut recorder = Recorder::start_blocking(writer).unwrap();
+    recorder.endpoint_updates(5, &[draining_endpoint("s-a")]);
+    (0..requests)
+        .for_each(|n| recorder.request(&request_summary(n, if n.is_multiple_of(3) { "s-a" } else { "s-b" })));
+    recorder.purge(77, Some(4), 3);
+    drop(recorder);
+    let mut paths: Vec<PathBuf> = std::fs::read_dir(dir.path()).unwrap().map(|e| e.unwrap().path()).collect();
+    paths.sort();
+    (dir, paths)
+}
+
+#[test]
+fn recorded_entries_are_read_again() {
+    let (_dir, paths) = record(20_000, 1 << 20, 10);
+    let recording = load(&paths).unwrap();
+    assert!(
+        recording.loss.is_empty() && recording.requests.len() == 20_000,
+        "{:?}, {} requests",
+        recording.loss,
+        recording.requests.len()
+    );
+    let request = recording.requests[12_345];
+    assert_eq!((request.object, request.chunk, request.group, request.bytes), (12_345 * 7, 0, 3, 12_345 * 3));
+    assert_eq!(
+        (request.duration, request.timeout, request.result),
+        (52_345, 2_500_000, RecordedResult::Served)
+    );
+    assert_eq!(
+        (recording.endpoint_name(request.endpoint.into()), request.source),
+        ("s-a", RecordedRequest::NO_NAME)
+    );
+    assert_eq!(recording.endpoint_name(recording.requests[4].source.into()), "s-hub");
+    assert_eq!(
+        (
+            recording.endpoint_updates[0].entry.state,
+            recording.endpoint_name(recording.endpoint_updates[0].entry.name)
+        ),
+        (1, "s-a")
+    );
+    assert_eq!(recording.purges[0].entry, PurgeEntry { at: 77, object: Some(4), group: 3 });
+    assert_eq!(
+        (recording.headers[0].zone.as_str(), recording.headers[0].transfer_bytes_per_s),
+        ("cairo", 20_000.0)
+    );
+}
+
+#[test]
+fn files_are_bounded_and_the_oldest_is_removed() {
+    let (dir, paths) = record(60_000, 1, 3);
+    // Each block is a file of its own.
+    assert_eq!(paths.len(), 3, "{paths:?}");
+    let recording = load(&paths).unwrap();
+    assert!(!recording.requests.is_empty() && recording.requests.len() < 60_000);
+    // A later start takes the files of an earlier one into account, and nobody else's.
+    std::fs::write(dir.path().join("other-1.hmxload"), b"theirs").unwrap();
+    let writer = RecordingWriter::new(dir.path(), header("n/1"), 1, 3).unwrap();
+    assert_eq!(writer.files(), paths);
+}
+
+#[test]
+fn a_full_queue_drops_entries_and_the_file_counts_them() {
+    let dir = tempfile::tempdir().unwrap();
+    let writer = RecordingWriter::new(dir.path(), header("n1"), 1 << 20, 4).unwrap();
+    let mut recorder = Recorder::start(writer, 1).unwrap();
+    (0..50_000).for_each(|n| recorder.request(&request_summary(n, "s-a")));
+    drop(recorder);
+    let paths: Vec<PathBuf> = std::fs::read_dir(dir.path()).unwrap().map(|e| e.unwrap().path()).collect();
+    let recording = load(&paths).unwrap();
+    assert!(recording.loss.dropped > 0);
+    assert_eq!(recording.requests.len() as u64 + recording.loss.dropped, 50_000);
+}
+
+#[test]
+fn a_file_that_is_no_recording_is_an_error_of_one_line() {
+    let dir = tempfile::tempdir().unwrap();
+    let files: [(&str, &[u8]); 4] = [
+        ("empty", b""),
+        ("text", b"hello, this is no recording"),
+        ("newer", b"hmxload\0\x09\0"),
+        ("bare", b"hmxload\0\x01\0hmxB\xff\xff\xff\xff...."),
+    ];
+    let paths: Vec<PathBuf> = files
+        .map(|(name, bytes)| {
+            std::fs::write(dir.path().join(name), bytes).unwrap();
+            dir.path().join(name)
+        })
+        .into();
+    let mut paths = paths;
+    paths.push(dir.path().join("absent"));
+    let wrong = load(&paths).unwrap_err();
+    assert_eq!(wrong.len(), 5, "{wrong:?}");
+    assert!(wrong[1].contains("no recording") && wrong[2].contains("version 9"), "{wrong:?}");
+    assert!(wrong.iter().any(|w| w.contains("holds no block")), "{wrong:?}");
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(64))]
+
+    /// Whichever byte is damaged, and wherever the file ends, all other blocks are read and the loss is
+    /// reported.
+    #[test]
+    fn damage_loses_only_the_blocks_it_touches(at in 10usize..100_000, cut in 0usize..100_000, bits in 1u8..=255) {
+        thread_local! {
+            static WHOLE: Vec<u8> = {
+                let (_dir, paths) = record(40_000, 1 << 30, 1);
+                std::fs::read(&paths[0]).unwrap()
+            };
+        }
+        let whole = WHOLE.with(Clone::clone);
+        let intact = read_blocks(&whole).unwrap();
+        let all = intact.blocks;
+        prop_assert!(all.len() > 4 && intact.loss.is_empty());
+        let mut damaged_bytes = whole.clone();
+        let at = at % damaged_bytes.len();
+        let at = at.max(10);
+        damaged_bytes[at] ^= bits;
+        let damaged = read_blocks(&damaged_bytes).unwrap();
+        prop_assert!(damaged.loss.bytes > 0);
+        prop_assert_eq!(damaged.blocks.len(), all.len() - 1);
+        prop_assert!(damaged.blocks.iter().all(|b| all.contains(b)));
+        let end = cut % whole.len();
+        let cut_off = read_blocks(&whole[..end.max(10)]).unwrap();
+        let read_count = cut_off.blocks.len();
+        prop_assert_eq!(&all[..read_count], &cut_off.blocks[..]);
+        prop_assert!(read_count < all.len());
+        prop_assert!(cut_off.loss.bytes > 0 || end.max(10) < 11 || read_count > 0);
+    }
+
+    /// Bytes at random never panic and are never taken for entries.
+    #[test]
+    fn random_bytes_are_no_blocks(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let mut file = b"hmxload\0\x01\0".to_vec();
+        file.extend_from_slice(&bytes);
+        let read = read_blocks(&file).unwrap();
+        prop_assert!(read.blocks.is_empty());
+        prop_assert_eq!(read.loss.bytes, bytes.len() as u64);
+    }
+}
--- a/crates/hollymux/src/capture/summary.rs
+++ b/crates/hollymux/src/capture/summary.rs
@@ -1,15 +1,11 @@
 //! Figures of a recording: of all its requests, and of each request class.
 
-use hollymux_capture::{End, Reason, Recording, Row};
+use hollymux_capture::{RecordedReason, RecordedRequest, RecordedResult, Recording};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt::Debug;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The endpoint of a request that was never sent to one.
-const NO_ENDPOINT: u16 = u16::MAX;
-
 /// How often each thing was recorded, by its name.
 pub type Counts = BTreeMap<String, usize>;
 
@@ -72,11 +68,11 @@
 impl CaptureSummary {
     /// Summarises the recordings of one router or several.
     pub fn of(recording: &Recording) -> CaptureSummary {
-        let requests = recording.rows.len();
+        let requests = recording.requests.len();
         let seconds = seconds_recorded(recording);
-        let attempts: u64 = recording.rows.iter().map(|row| u64::from(row.attempts)).sum();
+        let attempts: u64 = recording.requests.iter().map(|row| u64::from(row.attempts)).sum();
         CaptureSummary {
-            routers: recording.heads.iter().map(|head| head.router.clone()).collect(),
+            routers: recording.headers.iter().map(|head| head.router.clone()).collect(),
             zones: zones(recording),
             seconds,
             requests,
@@ -84,7 +80,7 @@
             attempts: if requests > 0 { attempts as f64 / requests as f64 } else { 0.0 },
             classes: class_summaries(recording),
             endpoints: requests_by_endpoint(recording),
-            endpoint_updates: recording.members.len(),
+            endpoint_updates: recording.endpoint_updates.len(),
             purges: recording.purges.len(),
             lost_bytes: recording.loss.bytes,
             lost_blocks: recording.loss.blocks,
@@ -99,14 +95,14 @@
 }
 
 fn seconds_recorded(recording: &Recording) -> f64 {
-    match (recording.rows.first(), recording.rows.last()) {
+    match (recording.requests.first(), recording.requests.last()) {
         (Some(first), Some(last)) => (last.arrived - first.arrived) as f64 / MICROS_PER_SECOND,
         _ => 0.0,
     }
 }
 
 fn zones(recording: &Recording) -> Vec<String> {
-    let mut zones: Vec<String> = recording.heads.iter().map(|head| head.office.clone()).collect();
+    let mut zones: Vec<String> = recording.headers.iter().map(|head| head.zone.clone()).collect();
     zones.sort();
     zones.dedup();
     zones
@@ -114,8 +110,8 @@
 
 fn requests_by_endpoint(recording: &Recording) -> Counts {
     let mut counts = Counts::new();
-    for row in recording.rows.iter().filter(|row| row.host != NO_ENDPOINT) {
-        let endpoint = recording.member(u32::from(row.host)).to_string();
+    for row in recording.requests.iter().filter(|row| row.endpoint != RecordedRequest::NO_NAME) {
+        let endpoint = recording.endpoint_name(u32::from(row.endpoint)).to_string();
         *counts.entry(endpoint).or_default() += 1;
     }
     counts
@@ -123,23 +119,24 @@
 
 /// Classes are numbered by the first recording's head, as all of its rows are.
 fn class_summaries(recording: &Recording) -> Vec<ClassSummary> {
-    let Some(head) = recording.heads.first() else { return Vec::new() };
-    let summary = |(number, class): (usize, &hollymux_capture::ClassHead)| {
-        let rows = recording.rows.iter().filter(|row| usize::from(row.class) == number);
+    let Some(head) = recording.headers.first() else { return Vec::new() };
+    let summary = |(number, class): (usize, &hollymux_capture::RecordedClass)| {
+        let rows = recording.requests.iter().filter(|row| usize::from(row.class) == number);
         let objective = LatencyObjective {
-            base_us: class.aim as f64,
-            stretch: class.aim_stretch,
-            transfer_bytes_per_s: head.flow_bytes_per_s,
+            base_us: class.latency_objective as f64,
+            stretch: class.latency_objective_stretch,
+            transfer_bytes_per_s: head.transfer_bytes_per_s,
         };
         class_summary(&class.name, &rows.collect::<Vec<_>>(), &objective)
     };
     head.classes.iter().enumerate().map(summary).collect()
 }
 
-fn class_summary(name: &str, rows: &[&Row], objective: &LatencyObjective) -> ClassSummary {
-    let served = |row: &Row| matches!(row.end, End::Served | End::Unchanged);
-    let served_in_time = |row: &Row| served(row) && objective.is_met_by(row);
-    let reasons = rows.iter().map(|row| row.reason).filter(|reason| *reason != Reason::None);
+fn class_summary(name: &str, rows: &[&RecordedRequest], objective: &LatencyObjective) -> ClassSummary {
+    let served =
+        |row: &RecordedRequest| matches!(row.result, RecordedResult::Served | RecordedResult::NotModified);
+    let served_in_time = |row: &RecordedRequest| served(row) && objective.is_met_by(row);
+    let reasons = rows.iter().map(|row| row.reason).filter(|reason| *reason != RecordedReason::None);
     ClassSummary {
         name: name.to_string(),
         requests: rows.len(),
@@ -147,8 +144,8 @@
         in_time: rows.iter().filter(|row| served_in_time(row)).count(),
         objects: distinct_objects(rows),
         bytes: rows.iter().map(|row| u64::from(row.bytes)).sum(),
-        results: counts_by_name(rows.iter().map(|row| row.end)),
-        reasons: counts_by_name(reasons),
+        results: counts_by_name(rows.iter().map(|row| row.result.name())),
+        reasons: counts_by_name(reasons.map(RecordedReason::name)),
     }
 }
 
@@ -162,29 +159,27 @@
 }
 
 impl LatencyObjective {
-    fn is_met_by(&self, row: &Row) -> bool {
+    fn is_met_by(&self, row: &RecordedRequest) -> bool {
         let transfer_s = if self.transfer_bytes_per_s > 0.0 {
             f64::from(row.bytes) / self.transfer_bytes_per_s
         } else {
             0.0
         };
-        f64::from(row.took) <= self.base_us + self.stretch * transfer_s * MICROS_PER_SECOND
+        f64::from(row.duration) <= self.base_us + self.stretch * transfer_s * MICROS_PER_SECOND
     }
 }
 
-fn distinct_objects(rows: &[&Row]) -> usize {
+fn distinct_objects(rows: &[&RecordedRequest]) -> usize {
     let mut objects: Vec<u64> = rows.iter().map(|row| row.object).collect();
     objects.sort_unstable();
     objects.dedup();
     objects.len()
 }
 
-/// Counts by the variants' names in lower case, which are the words of the format.
-fn counts_by_name(values: impl Iterator<Item = impl Debug>) -> Counts {
+fn counts_by_name(names: impl Iterator<Item = &'static str>) -> Counts {
     let mut counts = Counts::new();
-    for value in values {
-        let name = format!("{value:?}").to_lowercase();
-        *counts.entry(name).or_default() += 1;
+    for name in names {
+        *counts.entry(name.to_string()).or_default() += 1;
     }
     counts
 }
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -129,7 +129,7 @@
 /// What the plan has to say of data missing from the recording, if any is.
 fn loss_warning(loss: Loss) -> Option<String> {
     let Loss { bytes, blocks, dropped } = loss;
-    (!loss.none()).then(|| {
+    (!loss.is_empty()).then(|| {
         format!(
             "the recording lacks {bytes} bytes, {blocks} blocks and {dropped} entries: \
              rates are too low by as much"
--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -1,7 +1,9 @@
 //! What a simulation records: each router's traffic as input for a plan, and why requests were not served.
 
 use crate::error::{Cause, CommandError};
-use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
+use hollymux_capture::{
+    RecordedReason, RecordedResult, Recorder, RecordingHeader, RecordingWriter, RequestEntry,
+};
 use hollymux_simulation::router_config::RouterSlot;
 use hollymux_simulation::scenario::Scenario;
 use hollymux_simulation::virtual_time::{self, RouterRecord};
@@ -30,13 +32,12 @@
         self.counts
     }
 
-    fn count(&mut self, class: usize, result: End, reason: Reason) {
-        if matches!(result, End::Served | End::Unchanged | End::Named) {
+    fn count(&mut self, class: usize, result: RecordedResult, reason: RecordedReason) {
+        if matches!(result, RecordedResult::Served | RecordedResult::NotModified | RecordedResult::Routed) {
             return;
         }
         let class = self.day.classes.get(class).map_or("", |class| class.name.as_str());
-        // The variants' names in lower case are the words of the report.
-        let name = format!("{class} {result:?} {reason:?}").to_lowercase();
+        let name = format!("{class} {} {}", result.name(), reason.name());
         *self.counts.entry(name).or_default() += 1;
     }
 
@@ -46,8 +47,8 @@
         let entries = std::fs::read_dir(dir)?.filter_map(Result::ok);
         let files: Vec<PathBuf> = entries.map(|entry| entry.path()).collect();
         let recording = hollymux_capture::load(&files).map_err(CommandError::OwnRecording)?;
-        for row in recording.rows.iter().filter(|row| row.arrived >= start) {
-            self.count(usize::from(row.class), row.end, row.reason);
+        for request in recording.requests.iter().filter(|request| request.arrived >= start) {
+            self.count(usize::from(request.class), request.result, request.reason);
         }
         Ok(())
     }
@@ -77,9 +78,10 @@
         let mut recorders = Vec::new();
         for (router, config) in configs {
             let names = &config.names;
-            let head = Head::new(&router, &names.zones, &names.kinds, &names.classes, &config.settings);
-            let sink = Sink::new(dir, head, MAX_FILE_BYTES, MAX_FILES)?;
-            recorders.push(Recorder::patient(sink)?);
+            let head =
+                RecordingHeader::new(&router, &names.zones, &names.kinds, &names.classes, &config.settings);
+            let writer = RecordingWriter::new(dir, head, MAX_FILE_BYTES, MAX_FILES)?;
+            recorders.push(Recorder::start_blocking(writer)?);
         }
         Ok(VirtualRecorders { unserved, recorders })
     }
@@ -87,13 +89,13 @@
     /// Takes what a router did.
     pub fn on_event(&mut self, router: RouterSlot, event: &RouterRecord<'_>) {
         if let RouterRecord::Ended(summary) = event {
-            let request = Request::new(summary, None, None);
-            self.unserved.count(usize::from(request.class), request.end, request.reason);
+            let request = RequestEntry::new(summary, None, None);
+            self.unserved.count(usize::from(request.class), request.result, request.reason);
         }
         let Some(recorder) = self.recorders.get_mut(router.number) else { return };
         match event {
             RouterRecord::Ended(summary) => recorder.request(summary),
-            RouterRecord::Members(now, endpoints) => recorder.members(*now, endpoints),
+            RouterRecord::Members(now, endpoints) => recorder.endpoint_updates(*now, endpoints),
             RouterRecord::Purge(now, object, group) => recorder.purge(*now, *object, *group),
         }
     }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -21,7 +21,7 @@
 use dns::{DnsConn, Resolver};
 use feed::Feed;
 use handover::Peer;
-use hollymux_capture::{Head, Recorder, Sink};
+use hollymux_capture::{Recorder, RecordingHeader, RecordingWriter};
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::{EndpointId, Timestamp};
 use hollymux_protocol::dns::Name;
@@ -477,7 +477,7 @@
         if let Some(recorder) = &mut self.recorder {
             match &told {
                 FeedEvent::Endpoints { endpoints: lines, .. } => {
-                    recorder.members(self.now.as_micros(), lines)
+                    recorder.endpoint_updates(self.now.as_micros(), lines)
                 }
                 FeedEvent::Purge { object, group, .. } => {
                     recorder.purge(self.now.as_micros(), *object, *group)
@@ -554,7 +554,7 @@
     let Some(r) = &operator.record else { return Ok(None) };
     let names = &config.names;
     let classes: Vec<String> = router.classes().names().map(str::to_string).collect();
-    let head = Head::new(&config.name, &names.zones, &names.kinds, &classes, router.settings());
-    let sink = Sink::new(&r.dir, head, r.file_mb << 20, r.files)?;
+    let head = RecordingHeader::new(&config.name, &names.zones, &names.kinds, &classes, router.settings());
+    let sink = RecordingWriter::new(&r.dir, head, r.file_mb << 20, r.files)?;
     Recorder::start(sink, r.queue).map(Some)
 }
