--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -35,8 +35,8 @@
 }
 
 impl Server {
-    /// Listens at the operators' address, if one is configured. The housekeeping tries again if it can't be bound yet:
-    /// that is no reason not to serve.
+    /// Listens at the operators' address, if one is configured. The housekeeping tries again if it
+    /// can't be bound yet: that is no reason not to serve.
     pub(crate) fn open_admin_listener(&mut self) {
         if self.admin_listener.is_some() {
             return;
@@ -156,16 +156,19 @@
             Call::Metrics => (OK, self.metrics_text() + &self.fleet_figures()),
             Call::Fleet => return answer_section(self.fleet_status(), "fleet", asked),
             Call::Limits => return answer_section(self.limits_status(), "fleet.limits", asked),
-            Call::Standby => self.change_phase(Event::Standby),
-            Call::Active => self.change_phase(Event::Active),
+            Call::Standby => (self.change_phase(Event::Standby), self.phase_line()),
+            Call::Active => (self.change_phase(Event::Active), self.phase_line()),
         };
         answer(status, None, &body, asked.head_only)
     }
 
-    /// Applies an operator's event; the status of the answer and its text.
-    fn change_phase(&mut self, event: Event) -> (u16, String) {
-        let status = if self.apply_lifecycle_event(event) { OK } else { CONFLICT };
-        (status, self.phase_line())
+    /// Applies an operator's event; the status of the answer.
+    fn change_phase(&mut self, event: Event) -> u16 {
+        if self.apply_lifecycle_event(event) {
+            OK
+        } else {
+            CONFLICT
+        }
     }
 
     fn phase_line(&self) -> String {
@@ -185,8 +188,8 @@
         let action = self.flush(token, &mut connection.stream, &mut connection.output);
         let is_done = connection.answered && connection.output.is_empty();
         if action == ConnectionAction::Keep && is_done {
-            // What arrives is read to the end: a close with bytes unread would reset the connection, and the answer with
-            // it.
+            // What arrives is read to the end: a close with bytes unread would reset the
+            // connection, and the answer with it.
             let _shutdown = rustix::net::shutdown(&connection.stream.socket, Shutdown::Write);
         }
         action
--- a/crates/server/src/clients/accept.rs
+++ b/crates/server/src/clients/accept.rs
@@ -11,8 +11,8 @@
 
 /// Connections accepted in a row.
 const MAX_ACCEPTS_PER_EVENT: usize = 16;
-/// A connection may be evicted only after it has been idle, or a message has been awaited, for this long. A request
-/// that crosses the close is sent again by the client on a new connection.
+/// A connection may be evicted only after it has been idle, or a message has been awaited, for this
+/// long. A request that crosses the close is sent again by the client on a new connection.
 const EVICTION_GRACE: Duration = Duration::from_millis(50);
 
 /// The order in which connections are evicted, each variant with since when.
@@ -46,8 +46,8 @@
         ConnectionAction::Keep
     }
 
-    /// Accepts the clients that have connected by now, before the listener is closed: the close would reset their
-    /// connections, and with them requests that are on their way.
+    /// Accepts the clients that have connected by now, before the listener is closed: the close
+    /// would reset their connections, and with them requests that are on their way.
     pub(crate) fn accept_last(&mut self) {
         let token = self.client_listener;
         let Some(ConnectionKind::Listener(mut listener)) = self.connections.take(token) else { return };
@@ -92,17 +92,18 @@
         self.insert(ConnectionKind::Client(connection))
     }
 
-    /// The number of descriptors for clients. The known clients hold a third of all at most; what is above that is for
-    /// those that only occupy descriptors.
+    /// The number of descriptors for clients. The known clients hold a third of all at most; what
+    /// is above that is for those that only occupy descriptors.
     pub(crate) fn max_client_connections(&self) -> usize {
         let descriptors = self.max_descriptors();
         let left = descriptors - self.max_endpoint_connections();
         left.saturating_sub(RESERVED_DESCRIPTORS).max(descriptors / 3)
     }
 
-    /// Closes one connection to free its descriptor; returns whether there was one. A connection that is closing
-    /// anyway goes first, then the one whose message has been awaited longest, then the one idle longest. One with
-    /// unread bytes stays: they may be a request, and a close over them resets the connection.
+    /// Closes one connection to free its descriptor; returns whether there was one. A connection
+    /// that is closing anyway goes first, then the one whose message has been awaited longest, then
+    /// the one idle longest. One with unread bytes stays: they may be a request, and a close over
+    /// them resets the connection.
     pub(crate) fn evict_client(&mut self) -> bool {
         let latest = self.now.saturating_sub(EVICTION_GRACE);
         let victim = self.connections.lowest_ranked(|connection| match connection {
--- a/crates/server/src/clients/connection.rs
+++ b/crates/server/src/clients/connection.rs
@@ -16,15 +16,17 @@
 
 /// A connection with nothing open is closed after this long; the clients close theirs after 4 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// A connection may take this long until its first message is complete, and each further one once it has begun.
+/// A connection may take this long until its first message is complete, and each further one once
+/// it has begun.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection is released when nothing was on it for this long: a client that sends its next request as soon as it
-/// has a response would otherwise meet the close each time.
+/// A connection is released when nothing was on it for this long: a client that sends its next
+/// request as soon as it has a response would otherwise meet the close each time.
 const RELEASE_PAUSE: Duration = Duration::from_millis(4);
-/// A client whose connection was shut down has this long to read what is on its way and to close its side.
+/// A client whose connection was shut down has this long to read what is on its way and to close
+/// its side.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// While buffers are scarce the write timeout is divided by this: a client that doesn't read holds buffers that
-/// others need.
+/// While buffers are scarce the write timeout is divided by this: a client that doesn't read holds
+/// buffers that others need.
 const PRESSURE_TIMEOUT_DIVISOR: u32 = 8;
 
 /// What a connection waits for.
@@ -53,7 +55,8 @@
     pub(super) state: ClientState,
     /// Requests that a well-behaved client would not have sent, since the last response.
     pub(super) wasted_requests: u32,
-    /// A request was rejected because the router drains: the client knows that it is to go elsewhere.
+    /// A request was rejected because the router drains: the client knows that it is to go
+    /// elsewhere.
     pub(super) rejected_while_draining: bool,
 }
 
@@ -109,8 +112,9 @@
         rustix::io::ioctl_fionread(&self.stream.socket).unwrap_or(0) > 0
     }
 
-    /// Closes its side once the output is written. A close with bytes unread would reset the connection, and responses
-    /// with it that a slow reader has not taken yet; so what arrives is read to the end.
+    /// Closes its side once the output is written. A close with bytes unread would reset the
+    /// connection, and responses with it that a slow reader has not taken yet; so what arrives is
+    /// read to the end.
     pub(super) fn shutdown_write(&mut self, now: Timestamp) {
         if !self.is_closing() {
             self.state = ClientState::Closing { since: now };
@@ -143,16 +147,16 @@
 
     /// The pause after which a connection is released may be over.
     pub(crate) fn on_release_timer(&mut self, token: ConnectionToken) {
-        if let Some(ConnectionKind::Client(mut connection)) = self.connections.take(token) {
+        if let Some(mut connection) = self.connections.take_client(token) {
             self.release_if_idle(token, &mut connection);
             self.restore(token, ConnectionKind::Client(connection), ConnectionAction::Keep);
         }
     }
 
-    /// Ends a connection whose client has broken the protocol: what is open on it is cancelled. Responses that are on
-    /// their way still reach the client.
+    /// Ends a connection whose client has broken the protocol: what is open on it is cancelled.
+    /// Responses that are on their way still reach the client.
     pub(crate) fn begin_close(&mut self, token: ConnectionToken) {
-        let Some(ConnectionKind::Client(mut connection)) = self.connections.take(token) else { return };
+        let Some(mut connection) = self.connections.take_client(token) else { return };
         connection.open_requests.clear();
         self.withdraw_all(token);
         connection.shutdown_write(self.now);
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -12,8 +12,9 @@
 
 /// A request that is cancelled sooner than this after it was received counts as wasted.
 const HASTY_CANCEL_TIME: Duration = Duration::from_millis(100);
-/// Reads of one client's connection in a row: all requests that it may have open and waste, of the largest size. What
-/// arrives behind a request may cancel it, so it is read before the request is handed on.
+/// Reads of one client's connection in a row: all requests that it may have open and waste, of the
+/// largest size. What arrives behind a request may cancel it, so it is read before the request is
+/// handed on.
 const MAX_CLIENT_READS_PER_EVENT: usize = (MAX_OPEN_REQUESTS + MAX_WASTED_REQUESTS as usize) * 3;
 
 /// Why a client's connection can't go on after a call.
@@ -60,14 +61,15 @@
         )
     }
 
-    /// Whether a client has given up a request, as far as this machine knows: what the client has sent is read.
+    /// Whether a client has given up a request, as far as this machine knows: what the client has
+    /// sent is read.
     pub(crate) fn client_has_left(&mut self, client: ClientHandle) -> bool {
         let token = ConnectionToken::from_u64(client.conn);
         if !self.connections.is_open(token) {
             return true;
         }
         // A connection that is being handled has just been read.
-        let Some(ConnectionKind::Client(mut connection)) = self.connections.take(token) else { return false };
+        let Some(mut connection) = self.connections.take_client(token) else { return false };
         let action = self.on_client(token, &mut connection, EventFlags::IN);
         let has_left = !connection.open_requests.contains_key(&client.tag);
         self.restore(token, ConnectionKind::Client(connection), action);
@@ -116,8 +118,9 @@
         if connection.decoder.midway() && connection.state == ClientState::BetweenMessages {
             connection.state = ClientState::ReceivingMessage { since: self.now };
         }
-        // Rejections are not written by way of the router's replies, after which a connection is released otherwise: a
-        // client that sends on and on would be released only if the housekeeping happened to meet a pause.
+        // Rejections are not written by way of the router's replies, after which a connection is
+        // released otherwise: a client that sends on and on would be released only if the
+        // housekeeping happened to meet a pause.
         if connection.rejected_while_draining {
             self.release_if_idle(token, connection);
         }
@@ -199,8 +202,8 @@
         request
     }
 
-    /// Takes back requests that were read but not given to the router yet, so that nothing is sent for them; returns
-    /// whether there was one.
+    /// Takes back requests that were read but not given to the router yet, so that nothing is sent
+    /// for them; returns whether there was one.
     pub(super) fn withdraw_pending_request(&mut self, is_wanted: impl Fn(ClientHandle) -> bool) -> bool {
         let before = self.pending_inputs.len();
         let keeps = |input: &Input| !matches!(input, Input::Request(client, _) if is_wanted(*client));
--- a/crates/server/src/clients/responses.rs
+++ b/crates/server/src/clients/responses.rs
@@ -30,7 +30,7 @@
     /// Writes a final reply to its client, if the connection is still there.
     pub(crate) fn reply_to_client(&mut self, client: ClientHandle, reply: Reply) {
         let token = ConnectionToken::from_u64(client.conn);
-        let Some(ConnectionKind::Client(mut connection)) = self.connections.take(token) else { return };
+        let Some(mut connection) = self.connections.take_client(token) else { return };
         if connection.open_requests.remove(&client.tag).is_none() {
             self.check_cancel_pending(client);
             return self.restore(token, ConnectionKind::Client(connection), ConnectionAction::Keep);
@@ -47,8 +47,8 @@
         self.restore(token, ConnectionKind::Client(connection), action);
     }
 
-    /// A reply to a request that is not open: either the client has cancelled it and the router is about to learn of
-    /// that, or it would be a second reply.
+    /// A reply to a request that is not open: either the client has cancelled it and the router is
+    /// about to learn of that, or it would be a second reply.
     fn check_cancel_pending(&mut self, client: ClientHandle) {
         let is_cancel = |input: &Input| matches!(input, Input::Cancel(cancelled) if *cancelled == client);
         if !self.pending_inputs.iter().any(is_cancel) {
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -4,8 +4,8 @@
 use hollymux_decision::Timestamp;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix clock as it stood when the process started, advanced by the monotonic clock from then on: a step of the
-/// system's clock must neither stop the timers nor expire all of them at once.
+/// The Unix clock as it stood when the process started, advanced by the monotonic clock from then
+/// on: a step of the system's clock must neither stop the timers nor expire all of them at once.
 pub(crate) struct Clock {
     started_at: Duration,
     started: Instant,
--- a/crates/server/src/config/flatten.rs
+++ b/crates/server/src/config/flatten.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// Adds a value and all below it to `entries`, as the decision module's settings are named. A list of objects has its
-/// length under `count`; any other list is one value with commas.
+/// Adds a value and all below it to `entries`, as the decision module's settings are named. A list
+/// of objects has its length under `count`; any other list is one value with commas.
 pub(super) fn flatten(path: &str, value: &Value, entries: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
--- a/crates/server/src/config/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -6,8 +6,9 @@
 use tracing::{info, warn};
 
 impl Server {
-    /// Reads the configuration file again. Of a new file the settings and the feed's address apply; connections, requests
-    /// and all that is known are kept. The whole file applies or nothing of it.
+    /// Reads the configuration file again. Of a new file the settings and the feed's address apply;
+    /// connections, requests and all that is known are kept. The whole file applies or nothing of
+    /// it.
     pub(crate) fn reload_config(&mut self) {
         match self.load_replacement() {
             Ok(config) => self.apply_config(config),
--- a/crates/server/src/config/reload_check.rs
+++ b/crates/server/src/config/reload_check.rs
@@ -1,5 +1,6 @@
-//! What another configuration file must contain before it may replace the one in force: it is complete, with every key
-//! that there is now, its deadlines and attempts are numbers above 0, and names go on meaning the same.
+//! What another configuration file must contain before it may replace the one in force: it is
+//! complete, with every key that there is now, its deadlines and attempts are numbers above 0, and
+//! names go on meaning the same.
 
 use super::flatten::child_path;
 use super::{Config, ConfigError};
@@ -92,8 +93,8 @@
     }
 }
 
-/// In a list of objects that come and go, by name: each needs the keys that all of them have now, and one that stays the
-/// keys that it has.
+/// In a list of objects that come and go, by name: each needs the keys that all of them have now,
+/// and one that stays the keys that it has.
 fn first_missing_item_key(path: &str, old: &[Value], new: &[Value]) -> Option<String> {
     let common = old.iter().map(present_keys).reduce(|left, right| &left & &right).unwrap_or_default();
     new.iter().enumerate().find_map(|(index, item)| {
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -18,7 +18,8 @@
 const MAX_BIND_ATTEMPTS: u32 = 32;
 /// A TCP connection without a query for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Bytes of answers that may wait on a TCP connection; a client that doesn't read them is disconnected.
+/// Bytes of answers that may wait on a TCP connection; a client that doesn't read them is
+/// disconnected.
 const MAX_OUTPUT_BYTES: usize = 256 * 1024;
 
 /// What a query arrived over; an answer over UDP is limited in size.
@@ -36,14 +37,21 @@
     last_used: Timestamp,
 }
 
-/// Binds one port for UDP and TCP. With port 0 the one that UDP is given may be in use for TCP: then another is tried.
-fn bind_udp_and_tcp(listen: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
+/// The sockets that queries arrive at, both on one port.
+struct DnsSockets {
+    udp: UdpSocket,
+    tcp: TcpListener,
+}
+
+/// Binds one port for UDP and TCP. With port 0 the one that UDP is given may be in use for TCP:
+/// then another is tried.
+fn bind_udp_and_tcp(listen: SocketAddr) -> io::Result<DnsSockets> {
     let mut attempts_left = if listen.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
     loop {
         let udp = UdpSocket::bind(listen)?;
         attempts_left -= 1;
         match TcpListener::bind(udp.local_addr()?) {
-            Ok(tcp) => return Ok((udp, tcp)),
+            Ok(tcp) => return Ok(DnsSockets { udp, tcp }),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && attempts_left > 0 => {}
             Err(error) => return Err(error),
         }
@@ -55,7 +63,7 @@
     pub(crate) fn open_dns(&mut self) -> io::Result<()> {
         let Some(section) = self.operator.dns.clone() else { return Ok(()) };
         if let Some(listen) = section.listen {
-            let (udp, tcp) = bind_udp_and_tcp(listen)?;
+            let DnsSockets { udp, tcp } = bind_udp_and_tcp(listen)?;
             udp.set_nonblocking(true)?;
             tcp.set_nonblocking(true)?;
             info!("DNS for {} on {}", section.zone, udp.local_addr()?);
--- a/crates/server/src/dns/lookups.rs
+++ b/crates/server/src/dns/lookups.rs
@@ -18,7 +18,8 @@
 const MAX_SENDS_PER_QUERY: u32 = 3;
 /// Queries that may await an answer.
 const MAX_PENDING_LOOKUPS: usize = 4_096;
-/// Makes the ids of queries independent of the router's random numbers, which have the same seed ("dnsq").
+/// Makes the ids of queries independent of the router's random numbers, which have the same seed
+/// ("dnsq").
 const SEED_SALT: u64 = 0x646e_7371;
 
 /// A query that awaits an answer.
--- a/crates/server/src/endpoints/attempts.rs
+++ b/crates/server/src/endpoints/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts and probes on connections to endpoints: sending, cancelling, and withdrawing what was not sent yet.
+//! Attempts and probes on connections to endpoints: sending, cancelling, and withdrawing what was
+//! not sent yet.
 
 use super::connection::EndpointConnection;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
@@ -77,7 +78,8 @@
         let wire_id = request.ask.rid.0.clone();
         let (endpoint, address) = (request.target.endpoint, request.target.addr);
         let mut token = self.connection(endpoint, address, &wire_id)?;
-        // Its end may have arrived and not been read yet: an attempt written there might have been executed.
+        // Its end may have arrived and not been read yet: an attempt written there might have been
+        // executed.
         while self.has_ended(token) {
             token = self.connection(endpoint, address, &wire_id)?;
         }
@@ -120,7 +122,8 @@
     fn try_probe(&mut self, endpoint: EndpointId, address: SocketAddr) -> Option<()> {
         let wire_id = format!("p{:x}", self.now.as_micros()).into_bytes();
         let bytes = endpoint::probe(&self.buffers, &wire_id).ok();
-        // The connection is opened even if there is no buffer for the probe: the next one finds it established.
+        // The connection is opened even if there is no buffer for the probe: the next one finds it
+        // established.
         let token = self.connection(endpoint, address, &wire_id).ok()?;
         let bytes = bytes?;
         let ConnectionKind::Endpoint(connection) = self.connections.get_mut(token)? else { return None };
@@ -142,17 +145,18 @@
         if waited_too_long || too_late {
             return false;
         }
-        // Since it was decided its client may have left, which was not read yet. The first attempt of a request was
-        // decided just after its client's connection had been read.
+        // Since it was decided its client may have left, which was not read yet. The first attempt
+        // of a request was decided just after its client's connection had been read.
         let client_may_have_left = attempt.id.number > 0 || now > decided_at;
         !(client_may_have_left && self.client_has_left(attempt.client))
     }
 
-    /// Cancels an attempt. If a retry may follow (`may_retry`) its connection ends with it: what has not reached the
-    /// endpoint yet, because the network is interrupted, must not arrive while the retry is under way.
+    /// Cancels an attempt. If a retry may follow (`may_retry`) its connection ends with it: what
+    /// has not reached the endpoint yet, because the network is interrupted, must not arrive while
+    /// the retry is under way.
     pub(crate) fn cancel_attempt(&mut self, attempt: AttemptId, may_retry: bool) {
         let Some(token) = self.endpoints.attempts.remove(&attempt) else { return };
-        let Some(ConnectionKind::Endpoint(mut connection)) = self.connections.take(token) else { return };
+        let Some(mut connection) = self.connections.take_endpoint(token) else { return };
         let action = self.cancel_on_connection(&mut connection, attempt, may_retry);
         self.restore(token, ConnectionKind::Endpoint(connection), action.unwrap_or(ConnectionAction::Keep));
         if action.is_some() {
@@ -160,7 +164,8 @@
         }
     }
 
-    /// What is done with the connection of an attempt that is cancelled; `None` if nothing of it was written.
+    /// What is done with the connection of an attempt that is cancelled; `None` if nothing of it
+    /// was written.
     fn cancel_on_connection(
         &mut self,
         connection: &mut EndpointConnection,
@@ -175,11 +180,12 @@
             return None;
         }
         let is_overdue = self.is_overdue(&cancelled);
-        // Part of it is written: the rest would have it executed for a client that may have left long before.
+        // Part of it is written: the rest would have it executed for a client that may have left
+        // long before.
         let is_half_written =
             connection.queue.iter().any(|message| message.attempt.is_some_and(|queued| queued.id == attempt));
-        // An overdue response may never come, nor any other on its connection: what may be retried is retried
-        // elsewhere, what may not can only wait.
+        // An overdue response may never come, nor any other on its connection: what may be retried
+        // is retried elsewhere, what may not can only wait.
         let must_wait = connection.outstanding.values().any(|request| self.is_not_idempotent(request));
         let ends_connection = (is_overdue || is_half_written || may_retry) && !must_wait;
         connection.draining |= is_overdue;
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one connection to an endpoint, and what happens on it: connecting, reading, writing and its end.
+//! The state of one connection to an endpoint, and what happens on it: connecting, reading, writing
+//! and its end.
 
 use super::attempts::{OutgoingMessage, OutstandingAttempt, OutstandingRequest};
 use super::dialing::CONNECT_TIMEOUT;
@@ -20,8 +21,8 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Ids cancelled or answered lately on a connection. An id among them is not used there again: a late response to its
-/// first use could be taken for one to the second.
+/// Ids cancelled or answered lately on a connection. An id among them is not used there again: a
+/// late response to its first use could be taken for one to the second.
 const MAX_RETIRED_IDS: usize = 64;
 /// Idle connections are closed after this part of the endpoint's own idle timeout.
 const IDLE_TIMEOUT_PART: f64 = 0.6;
@@ -111,7 +112,8 @@
         found.map(|(id, _)| id.clone())
     }
 
-    /// Removes the message of an attempt that was not begun to be written; returns whether there was one.
+    /// Removes the message of an attempt that was not begun to be written; returns whether there
+    /// was one.
     pub(super) fn remove_queued(&mut self, attempt: AttemptId) -> bool {
         let before = self.queue.len();
         self.queue.retain(|message| message.unsent_attempt().is_none_or(|queued| queued.id != attempt));
@@ -119,8 +121,8 @@
     }
 }
 
-/// Whether an error of a connect means that the endpoint can't be connected to; a reset, or a lack of descriptors here,
-/// tells nothing of it.
+/// Whether an error of a connect means that the endpoint can't be connected to; a reset, or a lack
+/// of descriptors here, tells nothing of it.
 pub(super) fn is_refusal(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable, TimedOut};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | TimedOut)
@@ -171,15 +173,15 @@
         self.write_queue(token, connection)
     }
 
-    /// Whether a connection without outstanding requests has ended, as far as this machine knows: what has arrived on it
-    /// is read.
+    /// Whether a connection without outstanding requests has ended, as far as this machine knows:
+    /// what has arrived on it is read.
     pub(super) fn has_ended(&mut self, token: ConnectionToken) -> bool {
         match self.connections.get(token) {
             Some(ConnectionKind::Endpoint(connection))
                 if connection.is_established() && connection.outstanding.is_empty() => {}
             _ => return false,
         }
-        let Some(ConnectionKind::Endpoint(mut connection)) = self.connections.take(token) else {
+        let Some(mut connection) = self.connections.take_endpoint(token) else {
             return false;
         };
         let action = self.on_endpoint_connection(token, &mut connection, EventFlags::IN);
@@ -207,8 +209,8 @@
                     connection.retire_id(id);
                 }
                 (Some(request), _) => {
-                    // No response to this request, or one to a request that was not sent yet: nothing on this
-                    // connection can be believed any more.
+                    // No response to this request, or one to a request that was not sent yet:
+                    // nothing on this connection can be believed any more.
                     connection.outstanding.insert(id, request);
                     return Err(RespError::Malformed);
                 }
@@ -227,7 +229,7 @@
 
     /// Writes what is queued on a connection, if it is established.
     pub(super) fn write_queued(&mut self, token: ConnectionToken) {
-        let Some(ConnectionKind::Endpoint(mut connection)) = self.connections.take(token) else { return };
+        let Some(mut connection) = self.connections.take_endpoint(token) else { return };
         let action = if connection.is_established() {
             self.write_queue(token, &mut connection)
         } else {
--- a/crates/server/src/endpoints/dialing.rs
+++ b/crates/server/src/endpoints/dialing.rs
@@ -1,6 +1,6 @@
-//! Which connection carries an attempt, and connections from their dial until they are established. One may be
-//! established late, or never, at an endpoint that is well: what waits for it moves to another connection, and it is
-//! kept for what comes next.
+//! Which connection carries an attempt, and connections from their dial until they are established.
+//! One may be established late, or never, at an endpoint that is well: what waits for it moves to
+//! another connection, and it is kept for what comes next.
 
 use super::attempts::{OutgoingMessage, OutstandingRequest};
 use super::connection::{is_refusal, EndpointConnection};
@@ -15,13 +15,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection is late once connecting has taken this many times what the fastest connect to its endpoint took, within
-/// the bounds below. The upper bound also holds where none has been established yet.
+/// A connection is late once connecting has taken this many times what the fastest connect to its
+/// endpoint took, within the bounds below. The upper bound also holds where none has been
+/// established yet.
 const LATE_CONNECT_FACTOR: u32 = 4;
 const MIN_LATE_CONNECT: Duration = Duration::from_millis(20);
 const MAX_LATE_CONNECT: Duration = Duration::from_millis(100);
-/// With this many late connections to an endpoint a further one is dialed only when the newest is late as well: there it
-/// is the endpoint, or the network to it.
+/// With this many late connections to an endpoint a further one is dialed only when the newest is
+/// late as well: there it is the endpoint, or the network to it.
 const MAX_LATE_CONNECTIONS: usize = 3;
 /// A connection that is not established after this long never will be.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -52,8 +53,8 @@
 }
 
 impl Server {
-    /// A connection that can carry one more request with this id in the protocol: one that can carry it without delay,
-    /// else the one with the least outstanding.
+    /// A connection that can carry one more request with this id in the protocol: one that can
+    /// carry it without delay, else the one with the least outstanding.
     pub(super) fn connection(
         &mut self,
         endpoint: EndpointId,
@@ -78,7 +79,8 @@
         }
     }
 
-    /// One that can carry a request without delay: an idle one, else one that is connecting and not late, else a new one.
+    /// One that can carry a request without delay: an idle one, else one that is connecting and not
+    /// late, else a new one.
     fn prompt_connection(
         &mut self,
         endpoint: EndpointId,
@@ -123,7 +125,8 @@
         })
     }
 
-    /// Of the connections to an endpoint that can carry one more request, the one with the least outstanding.
+    /// Of the connections to an endpoint that can carry one more request, the one with the least
+    /// outstanding.
     fn least_loaded(
         &self,
         endpoint: EndpointId,
@@ -165,15 +168,15 @@
         pool.fastest_connect = Some(fastest);
     }
 
-    /// A connection that is not established by now is late: what waits for it moves to another connection, or has waited
-    /// for long enough.
+    /// A connection that is not established by now is late: what waits for it moves to another
+    /// connection, or has waited for long enough.
     pub(crate) fn on_dial_late(&mut self, token: ConnectionToken) {
         match self.connections.get(token) {
             Some(ConnectionKind::Endpoint(connection))
                 if !connection.is_established() && !connection.queue.is_empty() => {}
             _ => return,
         }
-        let Some(ConnectionKind::Endpoint(mut connection)) = self.connections.take(token) else { return };
+        let Some(mut connection) = self.connections.take_endpoint(token) else { return };
         let mut kept = VecDeque::new();
         let mut moved_to = Vec::new();
         for message in std::mem::take(&mut connection.queue) {
--- a/crates/server/src/endpoints/mod.rs
+++ b/crates/server/src/endpoints/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: edge caches, parent caches and the origin. Which endpoint an attempt goes to is decided by
-//! the router; here it is given a connection, written, and its response read.
+//! Connections to endpoints: edge caches, parent caches and the origin. Which endpoint an attempt
+//! goes to is decided by the router; here it is given a connection, written, and its response read.
 
 mod attempts;
 mod connection;
@@ -17,9 +17,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A message that was not begun to be written this long after it was decided is not sent; less where the grace times
-/// for drains and purges are shorter: what goes out after such a grace time must have been decided after the drain or
-/// purge was known.
+/// A message that was not begun to be written this long after it was decided is not sent; less
+/// where the grace times for drains and purges are shorter: what goes out after such a grace time
+/// must have been decided after the drain or purge was known.
 pub(crate) const MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
 /// This much of a grace time is left for the way to the endpoint.
 const GRACE_TRANSIT_TIME: Duration = Duration::from_millis(50);
@@ -63,16 +63,16 @@
             .fold(MAX_QUEUE_TIME, Duration::min)
     }
 
-    /// The number of descriptors for connections to endpoints: at most half of all, and less than two thirds without
-    /// the reserved ones.
+    /// The number of descriptors for connections to endpoints: at most half of all, and less than
+    /// two thirds without the reserved ones.
     pub(crate) fn max_endpoint_connections(&self) -> usize {
         let descriptors = self.max_descriptors();
         let two_thirds = descriptors - descriptors / 3;
         two_thirds.saturating_sub(RESERVED_DESCRIPTORS).min(descriptors / 2)
     }
 
-    /// Closes the connection that has been unused longest, because another endpoint needs its descriptor; returns
-    /// whether there was one.
+    /// Closes the connection that has been unused longest, because another endpoint needs its
+    /// descriptor; returns whether there was one.
     fn evict_endpoint_connection(&mut self) -> bool {
         let victim = self.connections.lowest_ranked(|connection| match connection {
             ConnectionKind::Endpoint(endpoint) if endpoint.is_established() && endpoint.is_unused() => {
--- a/crates/server/src/endpoints/stopping.rs
+++ b/crates/server/src/endpoints/stopping.rs
@@ -1,6 +1,7 @@
 //! Endpoints that take no more work, or are gone.
 
 use super::attempts::{OutgoingMessage, QueuedAttempt};
+use super::EndpointConnection;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
 use crate::Server;
 use hollymux_decision::EndpointId;
@@ -28,29 +29,30 @@
 
     /// Withdraws what waits for an endpoint or names it as source.
     fn withdraw_attempts_of(&mut self, endpoint: EndpointId) {
-        for (token, attempts) in self.unsent_attempts_of(endpoint) {
-            let Some(ConnectionKind::Endpoint(mut connection)) = self.connections.take(token) else {
+        for token in self.endpoint_tokens() {
+            let Some(mut connection) = self.connections.take_endpoint(token) else {
                 continue;
             };
-            for attempt in attempts {
+            for attempt in connection.unsent_attempts_of(endpoint) {
                 self.withdraw_attempt(&mut connection, attempt);
             }
             self.restore(token, ConnectionKind::Endpoint(connection), ConnectionAction::Keep);
         }
     }
 
-    fn unsent_attempts_of(&self, endpoint: EndpointId) -> Vec<(ConnectionToken, Vec<AttemptId>)> {
-        let mut found = Vec::new();
-        for (token, connection) in self.connections.iter() {
-            let ConnectionKind::Endpoint(connection) = connection else { continue };
-            let concerns =
-                |attempt: &QueuedAttempt| connection.endpoint == endpoint || attempt.source == Some(endpoint);
-            let unsent = connection.queue.iter().filter_map(OutgoingMessage::unsent_attempt);
-            let attempts: Vec<AttemptId> = unsent.filter(concerns).map(|attempt| attempt.id).collect();
-            if !attempts.is_empty() {
-                found.push((token, attempts));
-            }
-        }
-        found
+    fn endpoint_tokens(&self) -> Vec<ConnectionToken> {
+        let is_endpoint = |connection: &ConnectionKind| matches!(connection, ConnectionKind::Endpoint(_));
+        let endpoints = self.connections.iter().filter(|(_, connection)| is_endpoint(connection));
+        endpoints.map(|(token, _)| token).collect()
+    }
+}
+
+impl EndpointConnection {
+    /// The attempts that wait for an endpoint, or name it as source, and were not begun.
+    fn unsent_attempts_of(&self, endpoint: EndpointId) -> Vec<AttemptId> {
+        let concerns =
+            |attempt: &QueuedAttempt| self.endpoint == endpoint || attempt.source == Some(endpoint);
+        let unsent = self.queue.iter().filter_map(OutgoingMessage::unsent_attempt);
+        unsent.filter(concerns).map(|attempt| attempt.id).collect()
     }
 }
--- a/crates/server/src/endpoints/tests.rs
+++ b/crates/server/src/endpoints/tests.rs
@@ -1,5 +1,5 @@
-//! States that can't be reached from outside over loopback sockets: an attempt of which the kernel has accepted a part,
-//! and one that is cancelled while the network is interrupted.
+//! States that can't be reached from outside over loopback sockets: an attempt of which the kernel
+//! has accepted a part, and one that is cancelled while the network is interrupted.
 
 use super::connection::{ConnectState, EndpointConnection};
 use crate::config::operator_file::Operator;
@@ -75,8 +75,8 @@
     });
 }
 
-/// Guards against a request whose rest is written after it was cancelled: its client may have left long before the
-/// endpoint reads on. What never was complete was never executed.
+/// Guards against a request whose rest is written after it was cancelled: its client may have left
+/// long before the endpoint reads on. What never was complete was never executed.
 #[test]
 fn a_request_that_is_cancelled_half_written_never_becomes_complete() {
     let (mut server, token, mut peer, addr) = connected();
@@ -95,8 +95,9 @@
     assert!(got.len() < 4 << 20, "it is complete at the endpoint");
 }
 
-/// Guards against two attempts executed at once: one that was cancelled in favour of a retry must not reach its endpoint
-/// later, when the network works again. One without a retry is cancelled by a message.
+/// Guards against two attempts executed at once: one that was cancelled in favour of a retry must
+/// not reach its endpoint later, when the network works again. One without a retry is cancelled by
+/// a message.
 #[test]
 fn an_attempt_that_is_cancelled_for_a_retry_ends_with_its_connection() {
     for may_retry in [true, false] {
--- a/crates/server/src/event_loop/connection_table.rs
+++ b/crates/server/src/event_loop/connection_table.rs
@@ -1,5 +1,5 @@
-//! The table that owns every descriptor registered with epoll. A token names a slot and its generation, so that an
-//! event of a descriptor that was closed meanwhile finds nothing.
+//! The table that owns every descriptor registered with epoll. A token names a slot and its
+//! generation, so that an event of a descriptor that was closed meanwhile finds nothing.
 
 use crate::admin::AdminConnection;
 use crate::clients::ClientConnection;
@@ -44,7 +44,10 @@
     /// Accepts clients.
     Listener(TcpListener),
     /// Wakes the event loop for a signal of that number.
-    Signal(UnixStream, i32),
+    Signal {
+        pipe: UnixStream,
+        signal: i32,
+    },
     Client(ClientConnection),
     Endpoint(EndpointConnection),
     Feed(FeedConnection),
@@ -69,7 +72,7 @@
     fn as_fd(&self) -> BorrowedFd<'_> {
         match self {
             ConnectionKind::Listener(listener) => listener.as_fd(),
-            ConnectionKind::Signal(pipe, _) => pipe.as_fd(),
+            ConnectionKind::Signal { pipe, .. } => pipe.as_fd(),
             ConnectionKind::Client(connection) => connection.stream.socket.as_fd(),
             ConnectionKind::Endpoint(connection) => connection.stream.socket.as_fd(),
             ConnectionKind::Feed(connection) => connection.stream.socket.as_fd(),
@@ -138,11 +141,28 @@
         self.slot_mut(token)?.connection.as_mut()
     }
 
-    /// Takes a connection out while a handler works on it; it goes back by [`ConnectionTable::restore`].
+    /// Takes a connection out while a handler works on it; it goes back by
+    /// [`ConnectionTable::restore`].
     pub(crate) fn take(&mut self, token: ConnectionToken) -> Option<ConnectionKind> {
         self.slot_mut(token)?.connection.take()
     }
 
+    /// As [`ConnectionTable::take`], for the token of a client's connection.
+    pub(crate) fn take_client(&mut self, token: ConnectionToken) -> Option<ClientConnection> {
+        match self.take(token)? {
+            ConnectionKind::Client(connection) => Some(connection),
+            _ => None,
+        }
+    }
+
+    /// As [`ConnectionTable::take`], for the token of a connection to an endpoint.
+    pub(crate) fn take_endpoint(&mut self, token: ConnectionToken) -> Option<EndpointConnection> {
+        match self.take(token)? {
+            ConnectionKind::Endpoint(connection) => Some(connection),
+            _ => None,
+        }
+    }
+
     /// Puts a connection into its slot. One whose slot was given away meanwhile is dropped.
     pub(crate) fn restore(&mut self, token: ConnectionToken, connection: ConnectionKind) {
         if let Some(slot) = self.slot_mut(token) {
@@ -167,7 +187,8 @@
         })
     }
 
-    /// The connection with the lowest rank, of those that `rank_of` gives one; of equal ranks the lowest token.
+    /// The connection with the lowest rank, of those that `rank_of` gives one; of equal ranks the
+    /// lowest token.
     pub(crate) fn lowest_ranked<R: Ord>(
         &self,
         rank_of: impl Fn(&ConnectionKind) -> Option<R>,
--- a/crates/server/src/event_loop/io.rs
+++ b/crates/server/src/event_loop/io.rs
@@ -46,7 +46,8 @@
         action
     }
 
-    /// Registers a connection with epoll and puts it into the table. One that can't be registered is closed.
+    /// Registers a connection with epoll and puts it into the table. One that can't be registered
+    /// is closed.
     pub(crate) fn insert(&mut self, connection: ConnectionKind) -> io::Result<ConnectionToken> {
         let token = self.connections.reserve();
         // These are not connected yet, which they report by becoming writable.
@@ -92,7 +93,7 @@
             ConnectionKind::AdminListener(_) => self.admin_listener = None,
             ConnectionKind::Successor(_) => self.successor_closed(),
             ConnectionKind::Predecessor(_) => self.predecessor_closed(),
-            ConnectionKind::Listener(_) | ConnectionKind::Signal(..) => {}
+            ConnectionKind::Listener(_) | ConnectionKind::Signal { .. } => {}
             ConnectionKind::DnsListener(_) | ConnectionKind::DnsUdp(_) | ConnectionKind::Resolver(_) => {}
             ConnectionKind::Admin(_) | ConnectionKind::Rendezvous(_) | ConnectionKind::Cluster(_) => {}
         }
@@ -130,7 +131,8 @@
         let _modified = epoll::modify(&self.epoll, &stream.socket, data, flags);
     }
 
-    /// Stops accepting for a moment where a connection can't be accepted: the event would come again at once.
+    /// Stops accepting for a moment where a connection can't be accepted: the event would come
+    /// again at once.
     pub(crate) fn pause_listener(&mut self, token: ConnectionToken, listener: &std::net::TcpListener) {
         let data = epoll::EventData::new_u64(token.as_u64());
         if epoll::modify(&self.epoll, listener, data, EventFlags::empty()).is_ok() {
@@ -151,7 +153,8 @@
         self.update_listener_interest(self.client_listener);
     }
 
-    /// Has epoll report new connections of a listener; of the clients' one only while they are accepted.
+    /// Has epoll report new connections of a listener; of the clients' one only while they are
+    /// accepted.
     fn update_listener_interest(&self, token: ConnectionToken) {
         let Some(connection) = self.connections.get(token) else { return };
         let accepts = match connection {
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for events and timers, hands each to its handler, and lets the router's commands be executed
-//! after each. It holds no protocol and no routing decision.
+//! The event loop: waits for events and timers, hands each to its handler, and lets the router's
+//! commands be executed after each. It holds no protocol and no routing decision.
 
 mod connection_table;
 mod io;
@@ -15,12 +15,13 @@
 pub(crate) use timer_wheel::TimerWheel;
 pub(crate) use timers::{Timer, INITIAL_LIST_TIMEOUT};
 
-/// Events that one wait reports at most: every descriptor of a small router. The next wait reports the rest.
+/// Events that one wait reports at most: every descriptor of a small router. The next wait reports
+/// the rest.
 const MAX_EVENTS_PER_WAIT: usize = 1_024;
 
-/// The order in which the events of one wait are handled. After a stall much has come at once: first that an endpoint
-/// takes no more work, then operators, who wait for a second at most, then that clients have left, and only then
-/// what causes work to be sent.
+/// The order in which the events of one wait are handled. After a stall much has come at once:
+/// first that an endpoint takes no more work, then operators, who wait for a second at most, then
+/// that clients have left, and only then what causes work to be sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EventPriority {
     Feed,
@@ -89,7 +90,7 @@
         let Some(mut connection) = self.connections.take(token) else { return };
         let action = match &mut connection {
             ConnectionKind::Listener(listener) => self.on_accept(token, listener),
-            ConnectionKind::Signal(pipe, signal) => self.on_signal(pipe, *signal),
+            ConnectionKind::Signal { pipe, signal } => self.on_signal(pipe, *signal),
             ConnectionKind::Client(client) => self.on_client(token, client, flags),
             ConnectionKind::Endpoint(endpoint) => self.on_endpoint_connection(token, endpoint, flags),
             ConnectionKind::Feed(feed) => self.on_feed(feed, flags),
--- a/crates/server/src/event_loop/timer_wheel.rs
+++ b/crates/server/src/event_loop/timer_wheel.rs
@@ -14,7 +14,8 @@
     timer: T,
 }
 
-/// Timers with their payload. None can be cancelled: the handler ignores a timer that is no longer needed.
+/// Timers with their payload. None can be cancelled: the handler ignores a timer that is no longer
+/// needed.
 #[derive(Debug)]
 pub(crate) struct TimerWheel<T> {
     slots: Vec<Vec<Entry<T>>>,
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -7,7 +7,8 @@
 
 /// A listener at which a connection could not be accepted is tried again after this long.
 pub(crate) const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// A process that starts waits no longer than this for the endpoint feed: a late list is no reason not to answer.
+/// A process that starts waits no longer than this for the endpoint feed: a late list is no reason
+/// not to answer.
 pub(crate) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A timer of the server.
--- a/crates/server/src/feed.rs
+++ b/crates/server/src/feed.rs
@@ -1,4 +1,5 @@
-//! The connection to the endpoint feed: a watch that is opened again, from the last event known, whenever it ends.
+//! The connection to the endpoint feed: a watch that is opened again, from the last event known,
+//! whenever it ends.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer, MAX_READS_PER_EVENT};
 use crate::sockets::{dial, Stream};
@@ -13,12 +14,13 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A heartbeat arrives every second; a connection that is silent for this long is dead. Each connection adds a random
-/// part of `SILENCE_JITTER`, so that a feed that fails is not called by all routers at the same moment.
+/// A heartbeat arrives every second; a connection that is silent for this long is dead. Each
+/// connection adds a random part of `SILENCE_JITTER`, so that a feed that fails is not called by
+/// all routers at the same moment.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 const SILENCE_JITTER: Duration = Duration::from_millis(600);
-/// The first delay before the feed is called again. It doubles up to the longest one; a random half to all of it is
-/// waited.
+/// The first delay before the feed is called again. It doubles up to the longest one; a random half
+/// to all of it is waited.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
@@ -81,7 +83,8 @@
         }))
     }
 
-    /// Closes the connection that is open, if there is one, and calls the feed at once whatever the delay was.
+    /// Closes the connection that is open, if there is one, and calls the feed at once whatever the
+    /// delay was.
     pub(crate) fn reconnect_feed(&mut self) {
         if let Some(token) = self.feed.connection {
             self.close(token);
--- a/crates/server/src/handover/call_predecessor.rs
+++ b/crates/server/src/handover/call_predecessor.rs
@@ -1,5 +1,5 @@
-//! The start of a handover in the new process: connecting to the process that serves the address, and receiving its
-//! listening socket and state. This blocks, as nothing is served yet.
+//! The start of a handover in the new process: connecting to the process that serves the address,
+//! and receiving its listening socket and state. This blocks, as nothing is served yet.
 
 use crate::sockets::SOCKET_FLAGS;
 use hollymux_protocol::handover::{Message, Reader, Unreadable};
@@ -16,8 +16,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The predecessor answers within this, or the new process starts without inherited state. A process has 6 s until it
-/// must be ready: this, the wait for the endpoint feed and the last message are well within that.
+/// The predecessor answers within this, or the new process starts without inherited state. A
+/// process has 6 s until it must be ready: this, the wait for the endpoint feed and the last
+/// message are well within that.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Bytes that are received at once.
 const RECEIVE_BUFFER: usize = 1 << 16;
@@ -66,7 +67,8 @@
     pub(super) reader: Reader,
 }
 
-/// Connects to the process that serves `listen`, and receives what it hands over; `None` if there is no such process.
+/// Connects to the process that serves `listen`, and receives what it hands over; `None` if there
+/// is no such process.
 ///
 /// # Errors
 ///
@@ -87,7 +89,8 @@
     receive_state(socket, listen, deadline).map(Some)
 }
 
-/// A connection to the process that listens at the path; `None` if the process that made the socket is gone.
+/// A connection to the process that listens at the path; `None` if the process that made the socket
+/// is gone.
 fn connect_rendezvous(path: &Path) -> Result<Option<UnixStream>, HandoverError> {
     let socket = socket_with(AddressFamily::UNIX, SocketType::STREAM, SOCKET_FLAGS, None)
         .map_err(io_error("open a socket for"))?;
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -1,9 +1,10 @@
 //! Replacement of this process by another one.
 //!
-//! A new process connects to the one that serves the address at a socket in `$TMPDIR`. It is given the listening socket
-//! itself, and the state that safety rules depend on. It catches up with the endpoint feed, sends `Take`, and accepts
-//! clients once the old process has sent `Yours`. Whatever fails on the way leaves the old process serving, or the new
-//! one starting without inherited state.
+//! A new process connects to the one that serves the address at a socket in `$TMPDIR`. It is given
+//! the listening socket itself, and the state that safety rules depend on. It catches up with the
+//! endpoint feed, sends `Take`, and accepts clients once the old process has sent `Yours`. Whatever
+//! fails on the way leaves the old process serving, or the new one starting without inherited
+//! state.
 
 mod call_predecessor;
 mod peer;
@@ -37,7 +38,8 @@
     pub(crate) limits_shared: bool,
 }
 
-/// The socket at which processes that serve the same address find each other; `None` if there is none.
+/// The socket at which processes that serve the same address find each other; `None` if there is
+/// none.
 pub(crate) fn rendezvous_path(listen: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     if listen.port() == 0 {
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -1,4 +1,5 @@
-//! The old process of a handover: it waits for a successor at the rendezvous socket, and hands over to it.
+//! The old process of a handover: it waits for a successor at the rendezvous socket, and hands over
+//! to it.
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::rendezvous_path;
@@ -17,7 +18,8 @@
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Server {
-    /// Opens the socket at which a successor finds this process. One that exists already is replaced.
+    /// Opens the socket at which a successor finds this process. One that exists already is
+    /// replaced.
     pub(super) fn open_rendezvous_socket(&mut self) {
         if self.handover.rendezvous.is_some() {
             return;
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -1,5 +1,5 @@
-//! The new process of a handover, from the state that it was given to the first client that it serves. A process
-//! without a predecessor begins to serve here, too.
+//! The new process of a handover, from the state that it was given to the first client that it
+//! serves. A process without a predecessor begins to serve here, too.
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::InheritedSockets;
@@ -13,14 +13,15 @@
 use std::time::Duration;
 use tracing::info;
 
-/// The predecessor may take this long for its last message; after that both processes accept clients until it ends.
+/// The predecessor may take this long for its last message; after that both processes accept
+/// clients until it ends.
 const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The endpoint feed has sent everything that it had when nothing more has come for this long.
 const FEED_QUIET_TIME: Duration = Duration::from_millis(100);
 
 impl Server {
-    /// Applies what the predecessor handed over: its endpoint list at once, the rest when the endpoint feed has been
-    /// heard. Returns the clients' listener.
+    /// Applies what the predecessor handed over: its endpoint list at once, the rest when the
+    /// endpoint feed has been heard. Returns the clients' listener.
     pub(crate) fn inherit(&mut self, inherited: InheritedSockets) -> io::Result<TcpListener> {
         let InheritedSockets { listener, state, socket, reader } = inherited;
         match &state {
@@ -71,8 +72,9 @@
         self.begin_serving();
     }
 
-    /// Everything that is needed to serve is there, or was waited for long enough (`timed_out`). A process that replaces
-    /// another one waits until the endpoint feed has sent everything that it had, and then asks for the clients.
+    /// Everything that is needed to serve is there, or was waited for long enough (`timed_out`). A
+    /// process that replaces another one waits until the endpoint feed has sent everything that it
+    /// had, and then asks for the clients.
     pub(crate) fn try_begin_serving(&mut self, timed_out: bool) {
         if self.lifecycle.phase() != Phase::Starting {
             return;
--- a/crates/server/src/housekeeping.rs
+++ b/crates/server/src/housekeeping.rs
@@ -1,4 +1,5 @@
-//! The periodic check of all connections: what is idle for too long, blocked or no longer wanted is closed.
+//! The periodic check of all connections: what is idle for too long, blocked or no longer wanted is
+//! closed.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
 use crate::Server;
@@ -10,7 +11,8 @@
 pub(crate) const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Server {
-    /// The periodic work: sockets that could not be opened yet, limits shared with another process, and the check.
+    /// The periodic work: sockets that could not be opened yet, limits shared with another process,
+    /// and the check.
     pub(crate) fn on_housekeeping_timer(&mut self) {
         self.timers.set(self.now + HOUSEKEEPING_INTERVAL, Timer::Housekeeping);
         self.open_admin_listener();
@@ -46,7 +48,7 @@
             ConnectionKind::Admin(admin) => self.admin_housekeeping(admin),
             ConnectionKind::Successor(peer) => self.successor_housekeeping(peer),
             ConnectionKind::Listener(_)
-            | ConnectionKind::Signal(..)
+            | ConnectionKind::Signal { .. }
             | ConnectionKind::DnsUdp(_)
             | ConnectionKind::DnsListener(_)
             | ConnectionKind::Resolver(_)
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,6 +1,7 @@
-//! The request router on its sockets: event loop, connections, timers, signals, configuration, admin endpoint and
-//! the handover between processes. This is the only package that touches sockets. What bytes mean is defined in
-//! `hollymux-protocol`; every routing decision is made by `hollymux-router`.
+//! The request router on its sockets: event loop, connections, timers, signals, configuration,
+//! admin endpoint and the handover between processes. This is the only package that touches
+//! sockets. What bytes mean is defined in `hollymux-protocol`; every routing decision is made by
+//! `hollymux-router`.
 
 mod admin;
 mod clients;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -28,12 +28,13 @@
 use std::path::PathBuf;
 use tracing::warn;
 
-/// Descriptors for everything that is neither a client's connection nor one to an endpoint: standard streams, epoll,
-/// signals, listeners, feed, and connections at the admin endpoint.
+/// Descriptors for everything that is neither a client's connection nor one to an endpoint:
+/// standard streams, epoll, signals, listeners, feed, and connections at the admin endpoint.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 16 + admin::MAX_ADMIN_CONNECTIONS;
 /// Buffers take a third of the memory limit; the decision module and the sockets need the rest.
 const BUFFER_SHARE_OF_MEMORY: usize = 3;
-/// Makes the random numbers of the server differ from those of the router, which has the same seed ("feed").
+/// Makes the random numbers of the server differ from those of the router, which has the same seed
+/// ("feed").
 const SEED_SALT: u64 = 0x6665_6564;
 
 /// One request router on its sockets.
@@ -79,8 +80,9 @@
 }
 
 impl Server {
-    /// Binds the listener, registers the signals and applies the endpoint events that the configuration contains. If
-    /// another process serves the same address, its listener and state are taken over.
+    /// Binds the listener, registers the signals and applies the endpoint events that the
+    /// configuration contains. If another process serves the same address, its listener and state
+    /// are taken over.
     ///
     /// # Errors
     ///
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The server's side of the lifecycle: what follows from its events, and how the process drains and ends.
+//! The server's side of the lifecycle: what follows from its events, and how the process drains and
+//! ends.
 
 use crate::event_loop::Timer;
 use crate::Server;
@@ -17,7 +18,8 @@
         classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Gives an event to the lifecycle and does what follows from it; returns false if the event is not possible.
+    /// Gives an event to the lifecycle and does what follows from it; returns false if the event is
+    /// not possible.
     pub(crate) fn apply_lifecycle_event(&mut self, event: Event) -> bool {
         let before = self.lifecycle.phase();
         let accepted = self.lifecycle.on(self.now, event);
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,4 +1,5 @@
-//! Signals, which reach the event loop through a pipe: SIGHUP reloads the configuration, SIGTERM ends the process.
+//! Signals, which reach the event loop through a pipe: SIGHUP reloads the configuration, SIGTERM
+//! ends the process.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind};
 use crate::Server;
@@ -13,7 +14,7 @@
             let (pipe, sender) = UnixStream::pair()?;
             pipe.set_nonblocking(true)?;
             signal_hook::low_level::pipe::register(signal, sender)?;
-            self.insert(ConnectionKind::Signal(pipe, signal))?;
+            self.insert(ConnectionKind::Signal { pipe, signal })?;
         }
         Ok(())
     }
--- a/crates/server/src/sockets.rs
+++ b/crates/server/src/sockets.rs
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Clients that may wait in the kernel to be accepted; the connection attempts beyond it are repeated by the
-/// client's kernel after a second.
+/// Clients that may wait in the kernel to be accepted; the connection attempts beyond it are
+/// repeated by the client's kernel after a second.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// Flags of every socket: the event loop never blocks, and no child process inherits a socket.
@@ -91,8 +91,8 @@
     }
 }
 
-/// Listens at the clients' address without preventing another process from listening there as well: a successor that
-/// gets no answer from this process opens a listener of its own.
+/// Listens at the clients' address without preventing another process from listening there as well:
+/// a successor that gets no answer from this process opens a listener of its own.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket_with(address_family(address), SocketType::STREAM, SOCKET_FLAGS, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
--- a/crates/server/tests/config.rs
+++ b/crates/server/tests/config.rs
@@ -4,7 +4,8 @@
 
 const FILE: &str = include_str!("../../../examples/config.json");
 
-/// Guards against a file that is accepted though its end is missing: it may be read while it is being written.
+/// Guards against a file that is accepted though its end is missing: it may be read while it is
+/// being written.
 #[test]
 fn a_file_that_is_truncated_anywhere_is_rejected() {
     let whole = FILE.trim_end();
--- a/crates/server/tests/reload_check.rs
+++ b/crates/server/tests/reload_check.rs
@@ -1,4 +1,5 @@
-//! A configuration file that lacks something, or changes what names mean, must not replace the one in force.
+//! A configuration file that lacks something, or changes what names mean, must not replace the one
+//! in force.
 
 use hollymux_server::config::reload_check::check_replacement;
 use serde_json::{json, Value};
@@ -55,7 +56,8 @@
     }
 }
 
-/// Guards against deadlines and attempts that are no numbers above 0, and against names that change their meaning.
+/// Guards against deadlines and attempts that are no numbers above 0, and against names that change
+/// their meaning.
 #[test]
 fn an_invalid_value_is_rejected_by_its_key() {
     let old = file();
@@ -80,7 +82,8 @@
     }
 }
 
-/// Guards against good files being rejected: classes are added, removed and changed, names are added.
+/// Guards against good files being rejected: classes are added, removed and changed, names are
+/// added.
 #[test]
 fn classes_may_be_added_removed_and_changed() {
     let old = file();
