--- a/crates/server/src/clients/responses.rs
+++ b/crates/server/src/clients/responses.rs
@@ -52,7 +52,7 @@
     fn check_cancel_pending(&mut self, client: ClientHandle) {
         let is_cancel = |input: &Input| matches!(input, Input::Cancel(cancelled) if *cancelled == client);
         if !self.pending_inputs.iter().any(is_cancel) {
-            self.router.counters.broken += 1;
+            self.router.counters.invariant_violations += 1;
             debug_assert!(false, "a reply to a request that is not open");
         }
     }
--- a/crates/server/src/config/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -13,7 +13,7 @@
         match self.load_replacement() {
             Ok(config) => self.apply_config(config),
             Err(error) => {
-                self.router.figures.cfg_invalid += 1;
+                self.router.metrics.reloads_rejected += 1;
                 warn!(%error, "SIGHUP: configuration rejected, the old one stays in force");
             }
         }
@@ -28,7 +28,7 @@
     }
 
     fn apply_config(&mut self, config: Config) {
-        self.router.figures.cfg_accepted += 1;
+        self.router.metrics.reloads_accepted += 1;
         info!(classes = config.names.classes.len(), feed = %config.feed, "SIGHUP: configuration applied");
         self.config.feed = config.feed;
         self.config.names = config.names;
--- a/crates/server/src/dns/lookups.rs
+++ b/crates/server/src/dns/lookups.rs
@@ -68,7 +68,8 @@
     pub(crate) fn start_lookup(&mut self, request: RequestId, wanted: &RequestedObject) {
         let idempotency = self.router.classes().idempotency(wanted.class);
         let names_request = idempotency == Idempotency::NotIdempotent;
-        let wanted = RequestedObject { rid: wanted.rid.filter(|_| names_request), ..wanted.clone() };
+        let wanted =
+            RequestedObject { request_id: wanted.request_id.filter(|_| names_request), ..wanted.clone() };
         let name = dns_routing::name_of(&wanted, &self.dns_zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.pending.len() < MAX_PENDING_LOOKUPS) else {
             return self.pending_inputs.push_back(Input::LookedUp(request, LookupResult::Failed));
--- a/crates/server/src/endpoints/attempts.rs
+++ b/crates/server/src/endpoints/attempts.rs
@@ -75,7 +75,7 @@
 
     fn try_send_attempt(&mut self, request: AttemptRequest) -> Result<(), AttemptFailure> {
         let bytes = endpoint::ask(&self.buffers, &request).map_err(|_| AttemptFailure::NotSent)?;
-        let wire_id = request.ask.rid.0.clone();
+        let wire_id = request.request.request_id.text.clone();
         let (endpoint, address) = (request.target.endpoint, request.target.addr);
         let mut token = self.connection(endpoint, address, &wire_id)?;
         // Its end may have arrived and not been read yet: an attempt written there might have been
@@ -89,7 +89,7 @@
         let outstanding = OutstandingAttempt {
             id: request.attempt,
             class: request.class,
-            revalidated_tag: request.ask.held.clone(),
+            revalidated_tag: request.request.if_none_match.clone(),
             queued_at: self.now,
             fully_written: false,
         };
@@ -98,7 +98,7 @@
             id: request.attempt,
             client: request.client,
             source: request.target.fill.source,
-            send_before: request.by,
+            send_before: request.send_before,
         };
         connection.queue.push_back(OutgoingMessage {
             bytes,
--- a/crates/server/src/endpoints/tests.rs
+++ b/crates/server/src/endpoints/tests.rs
@@ -7,7 +7,7 @@
 use crate::event_loop::{ConnectionKind, ConnectionToken};
 use crate::Server;
 use hollymux_decision::{CacheFill, EndpointId};
-use hollymux_router::{AttemptId, AttemptRequest, ClientHandle, ClientRequest, Target};
+use hollymux_router::{AttemptId, AttemptRequest, ClientHandle, ClientRequest, ReceivedNumber, Target};
 use rustix::net::sockopt;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -42,16 +42,16 @@
 fn send(server: &mut Server, addr: SocketAddr, body: usize) {
     let mut chain = server.buffers.chain();
     chain.extend(&vec![b'x'; body]).unwrap();
-    let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
-    let ask = ClientRequest {
-        rid: word(1),
+    let number = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
+    let request = ClientRequest {
+        request_id: number(1),
         class: b"cert-filing".to_vec(),
-        object: word(2),
-        part: 0,
+        object: number(2),
+        chunk: 0,
         group: 1,
-        budget: 1_500,
-        held: None,
-        key: None,
+        budget_ms: 1_500,
+        if_none_match: None,
+        idempotency_key: None,
         body: chain,
     };
     let fill = CacheFill {
@@ -69,9 +69,9 @@
         target,
         timeout: Duration::from_secs(1),
         class: 0,
-        ask: Rc::new(ask),
+        request: Rc::new(request),
         client,
-        by: None,
+        send_before: None,
     });
 }
 
--- a/crates/server/src/execute.rs
+++ b/crates/server/src/execute.rs
@@ -22,7 +22,7 @@
     pub(crate) fn execute(&mut self, command: Command) {
         match command {
             Command::SendAttempt(request) => self.send_attempt(request),
-            Command::CancelAttempt { attempt, again } => self.cancel_attempt(attempt, again),
+            Command::CancelAttempt { attempt, may_retry } => self.cancel_attempt(attempt, may_retry),
             Command::Lookup(request, wanted) => self.start_lookup(request, &wanted),
             Command::Reply(client, reply) => self.reply_to_client(client, reply),
             Command::Wake(at, wake) => self.timers.set(at, Timer::Router(wake)),
@@ -36,7 +36,7 @@
                     endpoint = &*ended.endpoint,
                     source = ended.source.as_deref(),
                     status = ?ended.status,
-                    took_us = whole_micros(ended.took),
+                    took_us = whole_micros(ended.duration),
                     "attempt ended"
                 );
             }
@@ -50,7 +50,7 @@
         if let Some(recorder) = &mut self.recorder {
             let now = self.now.as_micros();
             match &event {
-                FeedEvent::Endpoints { lines, .. } => recorder.members(now, lines),
+                FeedEvent::Endpoints { endpoints, .. } => recorder.members(now, endpoints),
                 FeedEvent::Purge { object, group, .. } => recorder.purge(now, *object, *group),
             }
         }
@@ -62,14 +62,14 @@
         if let Some(recorder) = &mut self.recorder {
             recorder.request(ended);
         }
-        let class = self.router.classes().name(ended.wanted.class);
+        let class = self.router.classes().name(ended.requested.class);
         debug!(
             request = ended.request,
-            rid = format_args!("{:016x}", ended.wanted.rid.unwrap_or_default()),
+            rid = format_args!("{:016x}", ended.requested.request_id.unwrap_or_default()),
             class,
             result = ?ended.result,
-            reason = ?ended.why,
-            took_us = whole_micros(ended.took),
+            reason = ?ended.reason,
+            took_us = whole_micros(ended.duration),
             bytes = ended.bytes,
             attempts = ended.attempts,
             endpoint = ended.endpoint.as_deref(),
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -30,8 +30,8 @@
                 self.apply_feed_event(event);
                 self.execute_pending();
                 info!(
-                    endpoints = state.members.len(),
-                    pending_writes = state.filings.len(),
+                    endpoints = state.endpoints.len(),
+                    pending_writes = state.pending_writes.len(),
                     "taking over from the process that serves this address"
                 );
             }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -196,14 +196,14 @@
         format!(
             "took {} requests: {} served, {} refused, {} failed; {} turned away; {} attempts, {} lookups; \
              invariants broken: {}",
-            counters.taken,
+            counters.received,
             counters.served,
-            counters.refused,
+            counters.rejected,
             counters.failed,
-            counters.turned_away,
+            counters.shed,
             counters.attempts,
             counters.lookups,
-            counters.broken
+            counters.invariant_violations
         )
     }
 }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::event_loop::Timer;
 use crate::Server;
-use hollymux_router::lifecycle::{Event, Phase, FAREWELL, LINGER};
+use hollymux_router::lifecycle::{Event, Phase, CLIENT_CLOSE_TIMEOUT, SHUTDOWN_LINGER};
 use hollymux_router::Input;
 use std::time::Duration;
 use tracing::info;
@@ -22,7 +22,7 @@
     /// not possible.
     pub(crate) fn apply_lifecycle_event(&mut self, event: Event) -> bool {
         let before = self.lifecycle.phase();
-        let accepted = self.lifecycle.on(self.now, event);
+        let accepted = self.lifecycle.apply(self.now, event);
         let after = self.lifecycle.phase();
         if let Some(at) = self.lifecycle.empties_at() {
             self.timers.set(at, Timer::Drain);
@@ -41,10 +41,10 @@
             return;
         }
         self.apply_lifecycle_event(Event::Stop);
-        let drain_timeout = self.longest_deadline() + LINGER + DRAIN_MARGIN;
+        let drain_timeout = self.longest_deadline() + SHUTDOWN_LINGER + DRAIN_MARGIN;
         self.timers.set(self.now + drain_timeout, Timer::DrainTimeout);
-        self.timers.set(self.now + LINGER, Timer::Drain);
-        self.timers.set(self.now + LINGER + FAREWELL, Timer::Drain);
+        self.timers.set(self.now + SHUTDOWN_LINGER, Timer::Drain);
+        self.timers.set(self.now + SHUTDOWN_LINGER + CLIENT_CLOSE_TIMEOUT, Timer::Drain);
         info!("SIGTERM: draining open requests");
     }
 
