--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -46,7 +46,7 @@
             Ok(token) => {
                 self.admin_listener = Some(token);
                 let address = self.admin_address().unwrap_or(address);
-                info!("operators are answered on {address}");
+                info!(%address, "admin endpoint listening");
             }
             Err(error) => debug!(%address, %error, "admin endpoint can't listen yet"),
         }
@@ -153,9 +153,9 @@
                 let status = if self.lifecycle.ready() { OK } else { SERVICE_UNAVAILABLE };
                 (status, self.phase_line())
             }
-            Call::Metrics => (OK, self.metrics_text() + &self.fleet_figures()),
-            Call::Fleet => return answer_section(self.fleet_status(), "fleet", asked),
-            Call::Limits => return answer_section(self.limits_status(), "fleet.limits", asked),
+            Call::Metrics => (OK, self.metrics_text() + &self.cluster_metrics()),
+            Call::Fleet => return answer_section(self.cluster_status(), "fleet", asked),
+            Call::Limits => return answer_section(self.quota_status(), "fleet.limits", asked),
             Call::Standby => (self.change_phase(Event::Standby), self.phase_line()),
             Call::Active => (self.change_phase(Event::Active), self.phase_line()),
         };
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -66,7 +66,7 @@
             let DnsSockets { udp, tcp } = bind_udp_and_tcp(listen)?;
             udp.set_nonblocking(true)?;
             tcp.set_nonblocking(true)?;
-            info!("DNS for {} on {}", section.zone, udp.local_addr()?);
+            info!(address = %udp.local_addr()?, zone = %section.zone, "DNS front listening");
             self.insert(ConnectionKind::DnsUdp(udp))?;
             self.insert(ConnectionKind::DnsListener(tcp))?;
         }
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -244,7 +244,7 @@
         connection: &mut EndpointConnection,
     ) -> ConnectionAction {
         // A leased quota may have expired while this process stood still: the clock is read again.
-        let now = if self.leased() { self.clock.now() } else { self.now };
+        let now = if self.uses_leased_quotas() { self.clock.now() } else { self.now };
         while let Some(message) = connection.queue.front() {
             if let Some(attempt) = message.unsent_attempt() {
                 if !self.may_begin(&attempt, message.decided_at, now) {
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -54,7 +54,7 @@
                 self.on_timer(timer);
             }
         }
-        self.fleet_leave();
+        self.leave_cluster();
         Ok(())
     }
 
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -3,6 +3,7 @@
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::rendezvous_path;
+use crate::cluster::ClusterIncarnation;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
 use crate::Server;
 use hollymux_protocol::handover::{Message, Reader};
@@ -98,8 +99,8 @@
         self.apply_lifecycle_event(Event::Replaced);
         let pending_writes = self.router.take_new_pending_writes();
         peer.send(&Message::Filings(pending_writes));
-        if let Some((start, incarnation)) = self.fleet_give() {
-            peer.send(&Message::Fleet(start, incarnation));
+        if let Some(ClusterIncarnation { generation, incarnation }) = self.release_cluster_socket() {
+            peer.send(&Message::Fleet(generation, incarnation));
         }
         peer.send(&Message::Yours);
     }
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -3,6 +3,7 @@
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::InheritedSockets;
+use crate::cluster::ClusterIncarnation;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
 use crate::Server;
 use hollymux_protocol::handover::Message;
@@ -57,7 +58,9 @@
     fn on_predecessor_message(&mut self, _: &mut HandoverPeer, message: Message) -> Result<(), OutOfOrder> {
         match message {
             Message::Filings(pending_writes) => self.router.restore_pending_writes(self.now, &pending_writes),
-            Message::Fleet(start, incarnation) => self.fleet_inherit(start, incarnation),
+            Message::Fleet(generation, incarnation) => {
+                self.take_over_cluster_socket(&ClusterIncarnation { generation, incarnation });
+            }
             Message::Yours => self.begin_serving(),
             _ => return Err(OutOfOrder),
         }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,7 +1,7 @@
 //! The server's state, and how it is built at the start.
 
 use crate::clock::Clock;
-use crate::cluster::Fleet;
+use crate::cluster::ClusterMember;
 use crate::config::operator_file::Operator;
 use crate::config::Config;
 use crate::dns::Resolver;
@@ -70,7 +70,7 @@
     pub(crate) admin_listener: Option<ConnectionToken>,
     pub(crate) handover: Handover,
     /// The view of other routers, where the operator's file has a section for it.
-    pub(crate) fleet: Option<Box<Fleet>>,
+    pub(crate) cluster: Option<Box<ClusterMember>>,
     /// The time to drain is over: the process ends whatever is open.
     pub(crate) drain_timed_out: bool,
     /// For waits that routers must not have in step with each other.
@@ -139,7 +139,7 @@
             lifecycle: Lifecycle::default(),
             admin_listener: None,
             handover: Handover::default(),
-            fleet: None,
+            cluster: None,
             drain_timed_out: false,
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(config.seed ^ SEED_SALT),
             read_buffer: vec![0; BUFFER],
@@ -170,7 +170,8 @@
 
     fn start_cluster(&mut self) {
         if let Some(section) = &self.operator.fleet {
-            self.fleet = Some(Box::new(Fleet::new(section, &self.config, self.now)));
+            let member = ClusterMember::new(section, &self.config, self.now);
+            self.cluster = Some(Box::new(member));
         }
         // A process that replaces another one is given the address by that one.
         if self.handover.predecessor.is_none() {
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -29,7 +29,7 @@
         }
         if before != after {
             info!(from = ?before, to = ?after, "lifecycle phase changed");
-            self.fleet_phase();
+            self.announce_phase();
         }
         self.update_client_listener();
         accepted
