--- a/crates/cluster/src/membership/options.rs
+++ b/crates/cluster/src/membership/options.rs
@@ -3,7 +3,7 @@
 use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
 
-/// Intervals and timeouts that trade speed of detection for datagrams. `docs/fleet.md` gives the reason of each.
+/// Intervals and timeouts that trade speed of detection for datagrams. `docs/cluster.md` gives the reason of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipTimings {
     /// From one probe to the next.
--- a/crates/cluster/src/quota/options.rs
+++ b/crates/cluster/src/quota/options.rs
@@ -4,7 +4,7 @@
 use crate::{Time, MS};
 use std::net::SocketAddr;
 
-/// Times that the guarantees follow from. `docs/fleet-limits.md` gives the reason of each.
+/// Times that the guarantees follow from. `docs/quota-leases.md` gives the reason of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
     /// How long a router lends to a broker, counted from when the broker asked.
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
+use common::reserved_address::ReservedAddress;
 use common::*;
-use hollymux_simulation::fleet::Link;
+use hollymux_simulation::cluster::LinkFault;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -13,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CUT: Link = Link { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
 
 /// Routers behind a relay, each with the same shelfs and control feed.
 struct Fleet {
@@ -254,7 +255,7 @@
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        f.relay.fault(&[2], &rest, Link { delay: (10_000_000, 0), ..Link::default() });
+        f.relay.fault(&[2], &rest, LinkFault { delay: (10_000_000, 0), ..LinkFault::default() });
         if suspected {
             until("a suspicion", || {
                 rest.iter().any(|r| f.says(*r, 2).as_deref() == Some("suspect")).then_some(())
@@ -323,7 +324,7 @@
 #[test]
 fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
     let f = Fleet::started(5);
-    let half = Link { loss: 0.5, ..Link::default() };
+    let half = LinkFault { loss: 0.5, ..LinkFault::default() };
     f.relay.fault(&[4], &FIVE, half);
     f.relay.fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
@@ -379,8 +380,9 @@
     let mut f = Fleet::new(5);
     // The address that others are heard at goes over too, so it is one of the system's choice that is free again.
     let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (heard, clients) =
-        (free(), std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap());
+    let heard = free();
+    let reserved = ReservedAddress::new();
+    let clients = reserved.addr;
     let dir = file("nothing", "").parent().unwrap().to_path_buf();
     let section = f.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
     let listen = format!("\"listen\":\"{clients}\"");
--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -4,7 +4,9 @@
 use crate::sockets::Stream;
 use crate::Server;
 use hollymux_decision::Timestamp;
-use hollymux_protocol::admin::{answer, answer_json, Asked, Call, Reader};
+use hollymux_protocol::admin::{
+    encode_json_response, encode_text_response, AdminOperation, AdminRequest, AdminRequestReader,
+};
 use hollymux_router::buffers::BufferChain;
 use hollymux_router::lifecycle::{Event, Phase};
 use hollymux_router::metrics::Gauges;
@@ -28,7 +30,7 @@
 /// A connection at the admin endpoint. It takes one call.
 pub(crate) struct AdminConnection {
     pub(crate) stream: Stream,
-    reader: Reader,
+    reader: AdminRequestReader,
     output: BufferChain,
     accepted_at: Timestamp,
     answered: bool,
@@ -97,7 +99,7 @@
         socket.set_nodelay(true)?;
         self.insert(ConnectionKind::Admin(AdminConnection {
             stream: Stream::new(socket, self.now),
-            reader: Reader::default(),
+            reader: AdminRequestReader::default(),
             output: self.buffers.chain(),
             accepted_at: self.now,
             answered: false,
@@ -134,10 +136,10 @@
         }
         let response = match connection.reader.feed(bytes) {
             None => return ConnectionAction::Keep,
-            Some(Ok(asked)) => self.answer_admin_call(asked),
-            Some(Err(wrong)) => {
-                let body = format!("no: {}\n", wrong.status);
-                answer(wrong.status, wrong.allow, &body, false)
+            Some(Ok(request)) => self.execute_admin_request(request),
+            Some(Err(error)) => {
+                let body = format!("no: {}\n", error.status());
+                encode_text_response(error.status(), error.allow(), &body, false)
             }
         };
         connection.answered = true;
@@ -147,19 +149,21 @@
         }
     }
 
-    fn answer_admin_call(&mut self, asked: Asked) -> Vec<u8> {
-        let (status, body) = match asked.call {
-            Call::Status => {
+    fn execute_admin_request(&mut self, request: AdminRequest) -> Vec<u8> {
+        let (status, body) = match request.operation {
+            AdminOperation::Status => {
                 let status = if self.lifecycle.ready() { OK } else { SERVICE_UNAVAILABLE };
                 (status, self.phase_line())
             }
-            Call::Metrics => (OK, self.metrics_text() + &self.cluster_metrics()),
-            Call::Fleet => return answer_section(self.cluster_status(), "fleet", asked),
-            Call::Limits => return answer_section(self.quota_status(), "fleet.limits", asked),
-            Call::Standby => (self.change_phase(Event::Standby), self.phase_line()),
-            Call::Active => (self.change_phase(Event::Active), self.phase_line()),
+            AdminOperation::Metrics => (OK, self.metrics_text() + &self.cluster_metrics()),
+            AdminOperation::ClusterStatus => return answer_section(self.cluster_status(), "fleet", request),
+            AdminOperation::LimitStatus => {
+                return answer_section(self.quota_status(), "fleet.limits", request)
+            }
+            AdminOperation::Standby => (self.change_phase(Event::Standby), self.phase_line()),
+            AdminOperation::Active => (self.change_phase(Event::Active), self.phase_line()),
         };
-        answer(status, None, &body, asked.head_only)
+        encode_text_response(status, None, &body, request.head_only)
     }
 
     /// Applies an operator's event; the status of the answer.
@@ -217,12 +221,12 @@
 }
 
 /// The status of a section of the operator's file; 404 if the section is off.
-fn answer_section(status: Option<serde_json::Value>, section: &str, asked: Asked) -> Vec<u8> {
+fn answer_section(status: Option<serde_json::Value>, section: &str, request: AdminRequest) -> Vec<u8> {
     match status {
-        Some(status) => answer_json(&status.to_string(), asked.head_only),
+        Some(status) => encode_json_response(&status.to_string(), request.head_only),
         None => {
             let body = format!("no: the section {section} is off\n");
-            answer(NOT_FOUND, None, &body, asked.head_only)
+            encode_text_response(NOT_FOUND, None, &body, request.head_only)
         }
     }
 }
--- a/crates/server/src/clients/connection.rs
+++ b/crates/server/src/clients/connection.rs
@@ -6,7 +6,7 @@
 use crate::sockets::Stream;
 use crate::Server;
 use hollymux_decision::Timestamp;
-use hollymux_protocol::client::{self, Tags};
+use hollymux_protocol::client::{self, UsedTags};
 use hollymux_protocol::resp::Decoder;
 use hollymux_router::buffers::{BufferChain, BufferPool};
 use hollymux_router::Input;
@@ -49,7 +49,7 @@
     pub(super) output: BufferChain,
     /// Tags of open requests, and when each was received.
     pub(super) open_requests: BTreeMap<u64, Timestamp>,
-    pub(super) tags: Tags,
+    pub(super) tags: UsedTags,
     /// When something was last received, or a response written.
     pub(super) last_used: Timestamp,
     pub(super) state: ClientState,
@@ -67,7 +67,7 @@
             decoder: client::decoder(buffers),
             output: buffers.chain(),
             open_requests: BTreeMap::new(),
-            tags: Tags::default(),
+            tags: UsedTags::default(),
             last_used: now,
             state: ClientState::AwaitingFirstMessage { since: now },
             wasted_requests: 0,
@@ -104,7 +104,7 @@
 
     /// A message has begun to arrive, or bytes wait to be read that may be one.
     fn may_be_receiving(&self) -> bool {
-        self.has_unread_bytes() || self.decoder.midway()
+        self.has_unread_bytes() || self.decoder.is_mid_frame()
     }
 
     /// Whether the kernel holds bytes that were not read yet.
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -4,7 +4,7 @@
 use super::{BUFFER_PRESSURE_THRESHOLD, MAX_OPEN_REQUESTS, MAX_WASTED_REQUESTS};
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
 use crate::Server;
-use hollymux_protocol::client::{self, Call};
+use hollymux_protocol::client::{self, ClientCommand};
 use hollymux_router::buffers::Exhausted;
 use hollymux_router::{ClientHandle, ClientRequest, Input, Reply};
 use rustix::event::epoll::EventFlags;
@@ -17,9 +17,9 @@
 /// handed on.
 const MAX_CLIENT_READS_PER_EVENT: usize = (MAX_OPEN_REQUESTS + MAX_WASTED_REQUESTS as usize) * 3;
 
-/// Why a client's connection can't go on after a call.
+/// Why a client's connection can't go on after a command.
 #[derive(Debug, thiserror::Error)]
-enum CallError {
+enum CommandError {
     /// Two responses with one tag could not be told apart.
     #[error("the client used a tag twice")]
     TagUsedTwice,
@@ -27,9 +27,9 @@
     BuffersExhausted,
 }
 
-impl From<Exhausted> for CallError {
-    fn from(_: Exhausted) -> CallError {
-        CallError::BuffersExhausted
+impl From<Exhausted> for CommandError {
+    fn from(_: Exhausted) -> CommandError {
+        CommandError::BuffersExhausted
     }
 }
 
@@ -87,20 +87,20 @@
         }
         connection.last_used = self.now;
         loop {
-            let call = match connection.decoder.feed(&mut bytes) {
+            let command = match connection.decoder.feed(&mut bytes) {
                 Ok(None) => {
                     self.on_input_used_up(token, connection);
                     return ConnectionAction::Keep;
                 }
-                Ok(Some(frame)) => client::call(frame),
+                Ok(Some(frame)) => client::parse_command(frame),
                 Err(error) => Err(error),
             };
             connection.state = ClientState::BetweenMessages;
-            let Ok(call) = call else { return ConnectionAction::BeginClose };
-            match self.on_call(token, connection, call) {
+            let Ok(command) = command else { return ConnectionAction::BeginClose };
+            match self.on_command(token, connection, command) {
                 Ok(()) => {}
-                Err(CallError::TagUsedTwice) => return ConnectionAction::BeginClose,
-                Err(CallError::BuffersExhausted) => return ConnectionAction::Close,
+                Err(CommandError::TagUsedTwice) => return ConnectionAction::BeginClose,
+                Err(CommandError::BuffersExhausted) => return ConnectionAction::Close,
             }
             let wastes = connection.wasted_requests > MAX_WASTED_REQUESTS;
             if wastes || self.has_too_much_output(connection) {
@@ -115,7 +115,7 @@
 
     /// All messages that are complete were handled.
     fn on_input_used_up(&mut self, token: ConnectionToken, connection: &mut ClientConnection) {
-        if connection.decoder.midway() && connection.state == ClientState::BetweenMessages {
+        if connection.decoder.is_mid_frame() && connection.state == ClientState::BetweenMessages {
             connection.state = ClientState::ReceivingMessage { since: self.now };
         }
         // Rejections are not written by way of the router's replies, after which a connection is
@@ -126,31 +126,31 @@
         }
     }
 
-    fn on_call(
+    fn on_command(
         &mut self,
         token: ConnectionToken,
         connection: &mut ClientConnection,
-        call: Call,
-    ) -> Result<(), CallError> {
-        match call {
-            Call::Ping(tag) => {
-                let response = client::fit(&self.buffers, tag, self.lifecycle.ready())?;
+        command: ClientCommand,
+    ) -> Result<(), CommandError> {
+        match command {
+            ClientCommand::Ping { tag } => {
+                let response = client::encode_ping_response(&self.buffers, tag, self.lifecycle.ready())?;
                 connection.output.append(response);
                 Ok(())
             }
-            Call::Do(tag, request) => {
-                if !connection.tags.take(tag) {
-                    return Err(CallError::TagUsedTwice);
+            ClientCommand::Request { tag, request } => {
+                if !connection.tags.insert(tag) {
+                    return Err(CommandError::TagUsedTwice);
                 }
                 match request {
                     Ok(request) => self.on_request(token, connection, tag, request),
-                    Err(class) => {
-                        self.router.spoilt(&class);
+                    Err(invalid) => {
+                        self.router.spoilt(&invalid.class);
                         Ok(self.write_response(connection, tag, Reply::Failed)?)
                     }
                 }
             }
-            Call::Undo(tag) => {
+            ClientCommand::Cancel { tag } => {
                 self.on_cancel(token, connection, tag);
                 Ok(())
             }
@@ -163,7 +163,7 @@
         connection: &mut ClientConnection,
         tag: u64,
         request: ClientRequest,
-    ) -> Result<(), CallError> {
+    ) -> Result<(), CommandError> {
         let too_many_open = connection.open_requests.len() >= MAX_OPEN_REQUESTS;
         let buffers_scarce = self.buffers.fuller_than(BUFFER_PRESSURE_THRESHOLD);
         let is_served = self.lifecycle.serves(self.now, self.longest_deadline());
--- a/crates/server/src/clients/responses.rs
+++ b/crates/server/src/clients/responses.rs
@@ -23,7 +23,7 @@
         tag: u64,
         reply: Reply,
     ) -> Result<(), Exhausted> {
-        connection.output.append(client::reply(&self.buffers, tag, reply)?);
+        connection.output.append(client::encode_reply(&self.buffers, tag, reply)?);
         Ok(())
     }
 
--- a/crates/server/src/config/file.rs
+++ b/crates/server/src/config/file.rs
@@ -3,7 +3,7 @@
 use super::flatten::flatten;
 use super::{Config, ConfigError, ADMIN_ADDRESS_VARIABLE, MIN_MEMORY_MB, MIN_SOCKETS};
 use hollymux_decision::{parse_settings, SettingParseError, SettingsMap};
-use hollymux_protocol::feed_events::{EventError, Names};
+use hollymux_protocol::feed_events::{EventError, NameTables};
 use hollymux_router::FeedEvent;
 use serde::Deserialize;
 use serde_json::Value;
@@ -107,20 +107,20 @@
     Ok(config)
 }
 
-fn read_names(map: &SettingsMap, class_count: usize) -> Result<Names, SettingParseError> {
+fn read_names(map: &SettingsMap, class_count: usize) -> Result<NameTables, SettingParseError> {
     let class_name = |index| map.read(&format!("classes.{index}.name")).map(Option::unwrap_or_default);
-    Ok(Names {
+    Ok(NameTables {
         classes: (0..class_count).map(class_name).collect::<Result<_, _>>()?,
         zones: map.list("failureDomains")?,
         kinds: map.list("models")?,
     })
 }
 
-fn read_events(names: &Names, values: Vec<Value>) -> Result<Vec<FeedEvent>, EventError> {
+fn read_events(names: &NameTables, values: Vec<Value>) -> Result<Vec<FeedEvent>, EventError> {
     let mut events = Vec::new();
     for value in values {
-        let (_, event) = names.value(value)?;
-        events.extend(event);
+        let message = names.parse_event_value(value)?;
+        events.extend(message.event);
     }
     Ok(events)
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -7,7 +7,7 @@
 pub mod reload_check;
 
 use hollymux_decision::{SettingParseError, Settings, SettingsError};
-use hollymux_protocol::feed_events::{EventError, Names};
+use hollymux_protocol::feed_events::{EventError, NameTables};
 use hollymux_router::{FeedEvent, RouterOptions};
 use reload_check::ReplacementError;
 use serde_json::Value;
@@ -92,7 +92,7 @@
     /// The settings of the decision module.
     pub settings: Settings,
     /// Names of classes, zones and endpoint kinds, by number.
-    pub names: Names,
+    pub names: NameTables,
     /// Attempts that one connection to an endpoint carries at a time.
     pub streams: usize,
     /// Endpoints close connections that were idle for this long.
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -4,8 +4,8 @@
 use crate::sockets::Stream;
 use crate::Server;
 use hollymux_decision::Timestamp;
-use hollymux_protocol::dns::{self, Answer, Framer, Query, Rcode};
-use hollymux_protocol::dns_routing::{self, Place};
+use hollymux_protocol::dns::{self, MessageFramer, Query, Rcode, Response, Transport};
+use hollymux_protocol::dns_routing::{self, NameKind};
 use hollymux_router::buffers::BufferChain;
 use hollymux_router::{LookupResult, RequestedObject};
 use rustix::event::epoll::EventFlags;
@@ -22,17 +22,10 @@
 /// disconnected.
 const MAX_OUTPUT_BYTES: usize = 256 * 1024;
 
-/// What a query arrived over; an answer over UDP is limited in size.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Transport {
-    Udp,
-    Tcp,
-}
-
 /// A DNS client's TCP connection.
 pub(crate) struct DnsConnection {
     pub(crate) stream: Stream,
-    framer: Framer,
+    framer: MessageFramer,
     output: BufferChain,
     last_used: Timestamp,
 }
@@ -78,7 +71,7 @@
 
     /// Queries have arrived over UDP.
     pub(crate) fn on_dns_udp(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
-        let mut buffer = [0; dns::QUERY_MOST];
+        let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..MAX_READS_PER_EVENT {
             let Ok((length, client)) = socket.recv_from(&mut buffer) else { break };
             if let Some(answer) = self.answer_query(&buffer[..length], Transport::Udp) {
@@ -122,7 +115,7 @@
         socket.set_nodelay(true)?;
         self.insert(ConnectionKind::DnsTcp(DnsConnection {
             stream: Stream::new(socket, self.now),
-            framer: Framer::default(),
+            framer: MessageFramer::default(),
             output: self.buffers.chain(),
             last_used: self.now,
         }))
@@ -137,7 +130,7 @@
     ) -> ConnectionAction {
         let mut messages = Vec::new();
         if flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
-            let mut buffer = [0; dns::QUERY_MOST];
+            let mut buffer = [0; dns::MAX_QUERY_BYTES];
             match connection.stream.read(&mut buffer) {
                 Ok(Some(0)) | Err(_) => return ConnectionAction::Close,
                 Ok(Some(length)) => {
@@ -174,38 +167,40 @@
 
     /// The answer to a query; `None` if it gets none.
     fn answer_query(&mut self, bytes: &[u8], transport: Transport) -> Option<Vec<u8>> {
-        let query = dns::query(bytes)?;
-        let answer = query.wrong.map_or_else(|| self.route_query(&query), Answer::code);
-        Some(dns::answer(&query, &answer, transport == Transport::Udp))
+        let query = dns::parse_query(bytes)?;
+        let answer = query.error.map_or_else(|| self.route_query(&query), Response::from_rcode);
+        Some(dns::encode_response(&query, &answer, transport))
     }
 
-    fn route_query(&mut self, query: &Query) -> Answer {
+    fn route_query(&mut self, query: &Query) -> Response {
         let zone = &self.dns_zone;
-        match dns_routing::place(&query.name, zone, self.router.classes()) {
-            Place::Elsewhere => Answer::code(Rcode::Refused),
-            Place::Nowhere => dns_routing::nothing(Rcode::NxDomain, zone),
-            Place::Apex => dns_routing::apex(query.kind, zone),
-            Place::Between => dns_routing::nothing(Rcode::NoError, zone),
-            Place::Box(uid) => match self.router.ready_address(&uid) {
-                Some(address) => dns_routing::ready_address(query.kind, zone, address),
-                None => dns_routing::nothing(Rcode::NxDomain, zone),
+        match dns_routing::classify_name(&query.name, zone, self.router.classes()) {
+            NameKind::OutsideZone => Response::from_rcode(Rcode::Refused),
+            NameKind::NotFound => dns_routing::negative_response(Rcode::NxDomain, zone),
+            NameKind::Apex => dns_routing::apex_response(query.record_type, zone),
+            NameKind::EmptyNonTerminal => dns_routing::negative_response(Rcode::NoError, zone),
+            NameKind::Endpoint(uid) => match self.router.ready_address(&uid) {
+                Some(address) => dns_routing::endpoint_response(query.record_type, zone, address),
+                None => dns_routing::negative_response(Rcode::NxDomain, zone),
             },
-            Place::RequestedObject(_) if !dns_routing::answers(query.kind) => {
-                dns_routing::nothing(Rcode::NoError, zone)
+            NameKind::Request(_) if !dns_routing::is_routable_type(query.record_type) => {
+                dns_routing::negative_response(Rcode::NoError, zone)
             }
-            Place::RequestedObject(wanted) => self.route_object(query, wanted),
+            NameKind::Request(wanted) => self.route_object(query, wanted),
         }
     }
 
-    fn route_object(&mut self, query: &Query, wanted: RequestedObject) -> Answer {
+    fn route_object(&mut self, query: &Query, wanted: RequestedObject) -> Response {
         let found = self.router.lookup(self.now, wanted, &mut self.commands);
         for command in std::mem::take(&mut self.commands) {
             self.execute(command);
         }
         match found {
-            LookupResult::Endpoint(hint) => dns_routing::named(query.kind, &self.dns_zone, &hint),
-            LookupResult::Rejected => Answer::code(Rcode::Refused),
-            LookupResult::Failed => Answer::code(Rcode::ServFail),
+            LookupResult::Endpoint(hint) => {
+                dns_routing::route_response(query.record_type, &self.dns_zone, &hint)
+            }
+            LookupResult::Rejected => Response::from_rcode(Rcode::Refused),
+            LookupResult::Failed => Response::from_rcode(Rcode::ServFail),
         }
     }
 }
--- a/crates/server/src/dns/lookups.rs
+++ b/crates/server/src/dns/lookups.rs
@@ -70,7 +70,7 @@
         let names_request = idempotency == Idempotency::NotIdempotent;
         let wanted =
             RequestedObject { request_id: wanted.request_id.filter(|_| names_request), ..wanted.clone() };
-        let name = dns_routing::name_of(&wanted, &self.dns_zone, self.router.classes());
+        let name = dns_routing::encode_name(&wanted, &self.dns_zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.pending.len() < MAX_PENDING_LOOKUPS) else {
             return self.pending_inputs.push_back(Input::LookedUp(request, LookupResult::Failed));
         };
@@ -88,7 +88,7 @@
             return self.pending_inputs.push_back(Input::LookedUp(request, LookupResult::Failed));
         }
         lookup.sent += 1;
-        let query = dns::ask(id, &lookup.name);
+        let query = dns::encode_srv_query(id, &lookup.name);
         let socket = self.resolver.socket.and_then(|token| self.connections.get(token));
         if let Some(ConnectionKind::Resolver(socket)) = socket {
             // What can't be sent now is sent again later.
@@ -99,7 +99,7 @@
 
     /// Answers have arrived.
     pub(crate) fn on_resolver(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
-        let mut buffer = [0; dns::QUERY_MOST];
+        let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..MAX_READS_PER_EVENT {
             match socket.recv(&mut buffer) {
                 Ok(length) => self.on_lookup_answer(&buffer[..length]),
@@ -114,13 +114,13 @@
     fn on_lookup_answer(&mut self, bytes: &[u8]) {
         let Some(id) = bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id)) else { return };
         let Some(lookup) = self.resolver.pending.get(&id) else { return };
-        let Some((code, target)) = dns::read_answer(bytes, id, &lookup.name) else { return };
+        let Some(response) = dns::parse_srv_response(bytes, id, &lookup.name) else { return };
         let request = lookup.request;
         self.resolver.pending.remove(&id);
-        let hint = target.and_then(dns_routing::hint);
+        let hint = response.target.and_then(dns_routing::parse_routing_hint);
         let result = match hint {
-            _ if code == Rcode::Refused as u16 => LookupResult::Rejected,
-            Some(hint) if code == Rcode::NoError as u16 => LookupResult::Endpoint(hint),
+            _ if response.rcode == Rcode::Refused as u16 => LookupResult::Rejected,
+            Some(hint) if response.rcode == Rcode::NoError as u16 => LookupResult::Endpoint(hint),
             _ => LookupResult::Failed,
         };
         self.pending_inputs.push_back(Input::LookedUp(request, result));
--- a/crates/server/src/endpoints/attempts.rs
+++ b/crates/server/src/endpoints/attempts.rs
@@ -74,7 +74,7 @@
     }
 
     fn try_send_attempt(&mut self, request: AttemptRequest) -> Result<(), AttemptFailure> {
-        let bytes = endpoint::ask(&self.buffers, &request).map_err(|_| AttemptFailure::NotSent)?;
+        let bytes = endpoint::encode_attempt(&self.buffers, &request).map_err(|_| AttemptFailure::NotSent)?;
         let wire_id = request.request.request_id.text.clone();
         let (endpoint, address) = (request.target.endpoint, request.target.addr);
         let mut token = self.connection(endpoint, address, &wire_id)?;
@@ -121,7 +121,7 @@
     /// `None` if the probe can't be sent.
     fn try_probe(&mut self, endpoint: EndpointId, address: SocketAddr) -> Option<()> {
         let wire_id = format!("p{:x}", self.now.as_micros()).into_bytes();
-        let bytes = endpoint::probe(&self.buffers, &wire_id).ok();
+        let bytes = endpoint::encode_probe(&self.buffers, &wire_id).ok();
         // The connection is opened even if there is no buffer for the probe: the next one finds it
         // established.
         let token = self.connection(endpoint, address, &wire_id).ok()?;
@@ -190,7 +190,7 @@
         let ends_connection = (is_overdue || is_half_written || may_retry) && !must_wait;
         connection.draining |= is_overdue;
         connection.retire_id(wire_id.clone());
-        match endpoint::quit(&self.buffers, &wire_id) {
+        match endpoint::encode_cancel(&self.buffers, &wire_id) {
             Ok(bytes) if !ends_connection => {
                 connection.queue_control(bytes, self.now);
                 Some(ConnectionAction::Keep)
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -9,7 +9,7 @@
 use crate::Server;
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::{EndpointId, Timestamp};
-use hollymux_protocol::endpoint;
+use hollymux_protocol::endpoint::{self, EndpointResponse};
 use hollymux_protocol::resp::{Decoder, RespError};
 use hollymux_router::buffers::{BufferChain, BufferPool};
 use hollymux_router::metrics::CountedEvent;
@@ -195,7 +195,7 @@
         mut bytes: &[u8],
     ) -> Result<(), RespError> {
         while let Some(frame) = connection.decoder.feed(&mut bytes)? {
-            let (id, response, metadata) = endpoint::said(frame)?;
+            let EndpointResponse { id, response, cache_status } = endpoint::parse_response(frame)?;
             connection.last_used = self.now;
             match (connection.outstanding.remove(&id), response) {
                 (Some(OutstandingRequest::Probe), AttemptResponse::ProbeResult(healthy)) => {
@@ -205,7 +205,7 @@
                     if attempt.fully_written && self.response_fits(&attempt, &response) =>
                 {
                     self.endpoints.attempts.remove(&attempt.id);
-                    self.pending_inputs.push_back(Input::Responded(attempt.id, response, metadata));
+                    self.pending_inputs.push_back(Input::Responded(attempt.id, response, cache_status));
                     connection.retire_id(id);
                 }
                 (Some(request), _) => {
@@ -224,7 +224,7 @@
     fn response_fits(&self, attempt: &OutstandingAttempt, response: &AttemptResponse) -> bool {
         let class = self.router.settings().classes.get(usize::from(attempt.class));
         let is_write = class.is_some_and(|class| class.write);
-        endpoint::fits(response, attempt.revalidated_tag.as_deref(), is_write)
+        endpoint::response_allowed(response, attempt.revalidated_tag.as_deref(), is_write)
     }
 
     /// Writes what is queued on a connection, if it is established.
--- a/crates/server/src/endpoints/dialing.rs
+++ b/crates/server/src/endpoints/dialing.rs
@@ -242,7 +242,7 @@
         let id_is_used = self.outstanding.contains_key(wire_id)
             || self.retired_ids.iter().any(|retired| retired == wire_id);
         // One that still receives a response that nobody waits for delays what comes behind it.
-        let is_blocked = self.outstanding.is_empty() && self.decoder.midway();
+        let is_blocked = self.outstanding.is_empty() && self.decoder.is_mid_frame();
         let queued_bytes: usize = self.queue.iter().map(|message| message.bytes.len()).sum();
         !self.draining
             && !id_is_used
--- a/crates/server/src/feed.rs
+++ b/crates/server/src/feed.rs
@@ -6,7 +6,7 @@
 use crate::Server;
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::Timestamp;
-use hollymux_protocol::endpoint_feed::{call, Reader};
+use hollymux_protocol::endpoint_feed::{encode_request, EndpointFeedReader};
 use hollymux_router::buffers::BufferChain;
 use rand_core::RngCore;
 use rustix::event::epoll::EventFlags;
@@ -49,7 +49,7 @@
 /// A connection to the endpoint feed.
 pub(crate) struct FeedConnection {
     pub(crate) stream: Stream,
-    reader: Reader,
+    reader: EndpointFeedReader,
     output: BufferChain,
     last_received: Timestamp,
     /// The silence after which this connection is dead.
@@ -69,14 +69,14 @@
     }
 
     fn connect_feed(&mut self) -> io::Result<ConnectionToken> {
-        let request = call(&self.config.feed.to_string(), self.feed.last_event);
+        let request = encode_request(&self.config.feed.to_string(), self.feed.last_event);
         let mut output = self.buffers.chain();
         output.extend(&request).map_err(|_| io::ErrorKind::OutOfMemory)?;
         let socket = dial(self.config.feed)?;
         let jitter = Duration::from_micros(self.rng.next_u64() % whole_micros(SILENCE_JITTER));
         self.insert(ConnectionKind::Feed(FeedConnection {
             stream: Stream::connecting(socket, self.now),
-            reader: Reader::default(),
+            reader: EndpointFeedReader::default(),
             output,
             last_received: self.now,
             silence_timeout: SILENCE_TIMEOUT + jitter,
@@ -139,12 +139,12 @@
     }
 
     fn on_watch_event(&mut self, text: &[u8]) {
-        match self.config.names.event(text) {
+        match self.config.names.parse_event(text) {
             // Sent again on a new connection.
-            Ok((number, _)) if number <= self.feed.last_event => {}
-            Ok((number, event)) => {
-                self.feed.last_event = number;
-                if let Some(event) = event {
+            Ok(message) if message.number <= self.feed.last_event => {}
+            Ok(message) => {
+                self.feed.last_event = message.number;
+                if let Some(event) = message.event {
                     self.apply_feed_event(event);
                 }
             }
--- a/crates/server/src/handover/call_predecessor.rs
+++ b/crates/server/src/handover/call_predecessor.rs
@@ -2,7 +2,7 @@
 //! and receiving its listening socket and state. This blocks, as nothing is served yet.
 
 use crate::sockets::SOCKET_FLAGS;
-use hollymux_protocol::handover::{Message, Reader, Unreadable};
+use hollymux_protocol::handover::{HandoverMessage, HandoverReader, MalformedMessage};
 use hollymux_router::handover_state::HandoverState;
 use rustix::fd::OwnedFd;
 use rustix::net::{
@@ -40,8 +40,8 @@
     Closed,
     #[error("the predecessor does not hand over at present")]
     Refused,
-    #[error("unreadable message from the predecessor: {0}")]
-    Unreadable(#[from] Unreadable),
+    #[error("malformed message from the predecessor: {0}")]
+    Malformed(#[from] MalformedMessage),
     #[error("message from the predecessor out of order")]
     OutOfOrder,
     #[error("the predecessor sent no listening socket")]
@@ -64,7 +64,7 @@
     /// The connection to the predecessor, non-blocking.
     pub(super) socket: UnixStream,
     /// What was received on it beyond the state.
-    pub(super) reader: Reader,
+    pub(super) reader: HandoverReader,
 }
 
 /// Connects to the process that serves `listen`, and receives what it hands over; `None` if there
@@ -84,7 +84,7 @@
     let deadline = Instant::now() + STATE_TIMEOUT;
     socket.set_nonblocking(false).map_err(io_error("set up the connection to"))?;
     socket.set_write_timeout(Some(STATE_TIMEOUT)).map_err(io_error("set up the connection to"))?;
-    let hello = Message::Hello(listen.to_string()).bytes();
+    let hello = HandoverMessage::Hello(listen.to_string()).encode();
     socket.write_all(&hello).map_err(io_error("write to"))?;
     receive_state(socket, listen, deadline).map(Some)
 }
@@ -113,7 +113,7 @@
     listen: SocketAddr,
     deadline: Instant,
 ) -> Result<InheritedSockets, HandoverError> {
-    let mut reader = Reader::default();
+    let mut reader = HandoverReader::default();
     let mut listener = None;
     let mut buffer = vec![0; RECEIVE_BUFFER];
     loop {
@@ -130,13 +130,13 @@
             Err(error) => return Err(io_error("read from")(error)),
         };
         reader.feed(&buffer[..length]);
-        match reader.message()? {
-            Some(Message::HandoverState(state)) => {
+        match reader.next_message()? {
+            Some(HandoverMessage::State(state)) => {
                 let listener = check_listener(listener, listen)?;
                 socket.set_nonblocking(true).map_err(io_error("set up the connection to"))?;
                 return Ok(InheritedSockets { listener, state, socket, reader });
             }
-            Some(Message::No) => return Err(HandoverError::Refused),
+            Some(HandoverMessage::Declined) => return Err(HandoverError::Refused),
             Some(_) => return Err(HandoverError::OutOfOrder),
             None => {}
         }
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A new process connects to the one that serves the address at a socket in `$TMPDIR`. It is given
 //! the listening socket itself, and the state that safety rules depend on. It catches up with the
-//! endpoint feed, sends `Take`, and accepts clients once the old process has sent `Yours`. Whatever
+//! endpoint feed, sends `TakeOver`, and accepts clients once the old process has sent `Released`. Whatever
 //! fails on the way leaves the old process serving, or the new one starting without inherited
 //! state.
 
--- a/crates/server/src/handover/peer.rs
+++ b/crates/server/src/handover/peer.rs
@@ -4,7 +4,7 @@
 use crate::sockets::Stream;
 use crate::Server;
 use hollymux_decision::Timestamp;
-use hollymux_protocol::handover::{Message, Reader};
+use hollymux_protocol::handover::{HandoverMessage, HandoverReader};
 use rustix::event::epoll::EventFlags;
 use rustix::fd::AsFd;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
@@ -23,13 +23,13 @@
     /// The new process has introduced itself, and is sent the state.
     StateSent,
     /// The new process has asked for the clients.
-    TakeSent,
+    TakeOverSent,
 }
 
 /// The other process of a handover.
 pub(crate) struct HandoverPeer {
     pub(crate) stream: Stream<UnixStream>,
-    pub(super) reader: Reader,
+    pub(super) reader: HandoverReader,
     pub(super) output: Vec<u8>,
     /// The listening socket is sent with the next byte.
     pub(super) sends_listener: bool,
@@ -38,7 +38,7 @@
 }
 
 impl HandoverPeer {
-    pub(super) fn new(socket: UnixStream, reader: Reader, now: Timestamp) -> HandoverPeer {
+    pub(super) fn new(socket: UnixStream, reader: HandoverReader, now: Timestamp) -> HandoverPeer {
         HandoverPeer {
             stream: Stream::new(socket, now),
             reader,
@@ -50,8 +50,8 @@
     }
 
     /// Queues a message.
-    pub(super) fn send(&mut self, message: &Message) {
-        self.output.extend(message.bytes());
+    pub(super) fn send(&mut self, message: &HandoverMessage) {
+        self.output.extend(message.encode());
     }
 }
 
@@ -65,7 +65,7 @@
         token: ConnectionToken,
         peer: &mut HandoverPeer,
         flags: EventFlags,
-        on_message: fn(&mut Server, &mut HandoverPeer, Message) -> Result<(), OutOfOrder>,
+        on_message: fn(&mut Server, &mut HandoverPeer, HandoverMessage) -> Result<(), OutOfOrder>,
     ) -> ConnectionAction {
         if flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
             let on_bytes = |server: &mut Server, peer: &mut HandoverPeer, bytes: &[u8]| {
@@ -83,14 +83,14 @@
     fn on_peer_messages(
         &mut self,
         peer: &mut HandoverPeer,
-        on_message: fn(&mut Server, &mut HandoverPeer, Message) -> Result<(), OutOfOrder>,
+        on_message: fn(&mut Server, &mut HandoverPeer, HandoverMessage) -> Result<(), OutOfOrder>,
     ) -> ConnectionAction {
         loop {
-            let handled = match peer.reader.message() {
+            let handled = match peer.reader.next_message() {
                 Ok(None) => return ConnectionAction::Keep,
                 Ok(Some(message)) => on_message(self, peer, message),
                 Err(error) => {
-                    warn!(%error, "unreadable handover message, closing the connection");
+                    warn!(%error, "malformed handover message, closing the connection");
                     return ConnectionAction::Close;
                 }
             };
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -6,7 +6,7 @@
 use crate::cluster::ClusterIncarnation;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
 use crate::Server;
-use hollymux_protocol::handover::{Message, Reader};
+use hollymux_protocol::handover::{HandoverMessage, HandoverReader};
 use hollymux_router::lifecycle::Event;
 use rustix::event::epoll::EventFlags;
 use std::io::{self, Write};
@@ -49,10 +49,10 @@
             let is_set_up = socket.set_nonblocking(true).is_ok();
             if self.handover.successor.is_some() || !is_set_up || !self.lifecycle.accepts(self.now) {
                 // The caller starts without inherited state if this does not reach it, too.
-                let _refused = socket.write(&Message::No.bytes());
+                let _refused = socket.write(&HandoverMessage::Declined.encode());
                 continue;
             }
-            let peer = HandoverPeer::new(socket, Reader::default(), self.now);
+            let peer = HandoverPeer::new(socket, HandoverReader::default(), self.now);
             self.handover.successor = self.insert(ConnectionKind::Successor(peer)).ok();
         }
         ConnectionAction::Keep
@@ -68,13 +68,17 @@
         self.on_handover_peer(token, peer, flags, Server::on_successor_message)
     }
 
-    fn on_successor_message(&mut self, peer: &mut HandoverPeer, message: Message) -> Result<(), OutOfOrder> {
+    fn on_successor_message(
+        &mut self,
+        peer: &mut HandoverPeer,
+        message: HandoverMessage,
+    ) -> Result<(), OutOfOrder> {
         match (message, peer.progress) {
-            (Message::Hello(_), HandoverProgress::Connected) => {
+            (HandoverMessage::Hello(_), HandoverProgress::Connected) => {
                 self.send_state(peer);
                 Ok(())
             }
-            (Message::Take, HandoverProgress::StateSent | HandoverProgress::TakeSent) => {
+            (HandoverMessage::TakeOver, HandoverProgress::StateSent | HandoverProgress::TakeOverSent) => {
                 self.hand_over(peer);
                 Ok(())
             }
@@ -89,27 +93,27 @@
         state.zones.clone_from(&self.config.names.zones);
         state.kinds.clone_from(&self.config.names.kinds);
         peer.sends_listener = true;
-        peer.send(&Message::HandoverState(Some(Box::new(state))));
+        peer.send(&HandoverMessage::State(Some(Box::new(state))));
         info!("handing over to a successor process");
     }
 
     /// The successor takes new clients from now on.
     fn hand_over(&mut self, peer: &mut HandoverPeer) {
-        peer.progress = HandoverProgress::TakeSent;
+        peer.progress = HandoverProgress::TakeOverSent;
         self.apply_lifecycle_event(Event::Replaced);
         let pending_writes = self.router.take_new_pending_writes();
-        peer.send(&Message::Filings(pending_writes));
+        peer.send(&HandoverMessage::PendingWrites(pending_writes));
         if let Some(ClusterIncarnation { generation, incarnation }) = self.release_cluster_socket() {
-            peer.send(&Message::Fleet(generation, incarnation));
+            peer.send(&HandoverMessage::ClusterIncarnation { start: generation, incarnation });
         }
-        peer.send(&Message::Yours);
+        peer.send(&HandoverMessage::Released);
     }
 
     /// Sends the successor the pending writes that are new since the last time.
     pub(crate) fn send_new_pending_writes(&mut self) {
         let Some(token) = self.handover.successor else { return };
         match self.connections.get(token) {
-            Some(ConnectionKind::Successor(peer)) if peer.progress == HandoverProgress::TakeSent => {}
+            Some(ConnectionKind::Successor(peer)) if peer.progress == HandoverProgress::TakeOverSent => {}
             _ => return,
         }
         let pending_writes = self.router.take_new_pending_writes();
@@ -117,7 +121,7 @@
             return;
         }
         if let Some(ConnectionKind::Successor(mut peer)) = self.connections.take(token) {
-            peer.send(&Message::Filings(pending_writes));
+            peer.send(&HandoverMessage::PendingWrites(pending_writes));
             let action = self.flush_peer(token, &mut peer);
             self.restore(token, ConnectionKind::Successor(peer), action);
         }
@@ -140,7 +144,7 @@
 
     /// The periodic check of the successor.
     pub(crate) fn successor_housekeeping(&mut self, peer: &HandoverPeer) -> ConnectionAction {
-        let is_waiting = peer.progress != HandoverProgress::TakeSent;
+        let is_waiting = peer.progress != HandoverProgress::TakeOverSent;
         if is_waiting && self.now > peer.connected_at + TAKE_OVER_TIMEOUT {
             ConnectionAction::Close
         } else {
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -6,7 +6,7 @@
 use crate::cluster::ClusterIncarnation;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
 use crate::Server;
-use hollymux_protocol::handover::Message;
+use hollymux_protocol::handover::HandoverMessage;
 use hollymux_router::lifecycle::{Event, Phase};
 use rustix::event::epoll::EventFlags;
 use std::io;
@@ -55,13 +55,19 @@
         self.on_handover_peer(token, peer, flags, Server::on_predecessor_message)
     }
 
-    fn on_predecessor_message(&mut self, _: &mut HandoverPeer, message: Message) -> Result<(), OutOfOrder> {
+    fn on_predecessor_message(
+        &mut self,
+        _: &mut HandoverPeer,
+        message: HandoverMessage,
+    ) -> Result<(), OutOfOrder> {
         match message {
-            Message::Filings(pending_writes) => self.router.restore_pending_writes(self.now, &pending_writes),
-            Message::Fleet(generation, incarnation) => {
+            HandoverMessage::PendingWrites(pending_writes) => {
+                self.router.restore_pending_writes(self.now, &pending_writes)
+            }
+            HandoverMessage::ClusterIncarnation { start: generation, incarnation } => {
                 self.take_over_cluster_socket(&ClusterIncarnation { generation, incarnation });
             }
-            Message::Yours => self.begin_serving(),
+            HandoverMessage::Released => self.begin_serving(),
             _ => return Err(OutOfOrder),
         }
         Ok(())
@@ -88,9 +94,9 @@
             return self.timers.set(quiet_at, Timer::FeedQuiet);
         }
         let Some(ConnectionKind::Predecessor(mut peer)) = self.connections.take(token) else { return };
-        if peer.progress != HandoverProgress::TakeSent {
-            peer.progress = HandoverProgress::TakeSent;
-            peer.send(&Message::Take);
+        if peer.progress != HandoverProgress::TakeOverSent {
+            peer.progress = HandoverProgress::TakeOverSent;
+            peer.send(&HandoverMessage::TakeOver);
             self.timers.set(self.now + LAST_MESSAGE_TIMEOUT, Timer::HandoverTimeout);
         }
         let action = self.flush_peer(token, &mut peer);
