--- a/crates/hollymux/tests/client_protocol.rs
+++ b/crates/hollymux/tests/client_protocol.rs
@@ -469,7 +469,7 @@
     client.send_request(1, "cert-filing", 77, ",obj=0000000000000007");
     for unusable in ["{", &config(old.addr).replace("\"sendCap\":6", "\"sendCap\":0")] {
         node.reload(unusable);
-        node.wait_for_log("the old configuration stays");
+        node.wait_for_log("configuration rejected, the old one stays in force");
     }
     // The new feed has the events of the old one, and more.
     let new = StubFeed::start();
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -230,7 +230,10 @@
             assert_eq!(
                 cluster.count_log_lines(
                     &[0, 1, 2, 3],
-                    &format!("n{n} at {} is lost", cluster.relay.addrs[n - 1])
+                    &format!(
+                        "router failed, it may still be active address={} router=n{n}",
+                        cluster.relay.addrs[n - 1]
+                    )
                 ),
                 0
             );
@@ -245,7 +248,7 @@
     let cluster = Cluster::all_started(6);
     cluster.relay.part(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
-    assert_eq!(cluster.count_log_lines(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
+    assert_eq!(cluster.count_log_lines(&[0, 1, 2, 3, 4, 5], "router failed"), 0);
     cluster.settles(&[0, 1, 2, 3, 4, 5]);
 }
 
@@ -266,9 +269,9 @@
         cluster.start(2);
         cluster.settles(&FIVE);
         let start = cluster.status(2)["own"]["start"].as_u64();
-        let before = cluster.count_log_lines(&FIVE, "is lost");
+        let before = cluster.count_log_lines(&FIVE, "router failed");
         thread::sleep(Duration::from_secs(11));
-        assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), before);
+        assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), before);
         assert!(cluster.same(&FIVE));
         assert_eq!(cluster.status(2)["own"]["start"].as_u64(), start);
         assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
@@ -283,15 +286,15 @@
     thread::sleep(Duration::from_secs(1));
     cluster.node(1).signal("-CONT");
     thread::sleep(Duration::from_secs(5));
-    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0);
+    assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0);
     let paused = Instant::now();
     cluster.node(1).signal("-STOP");
     cluster.lost(&rest, 1);
     thread::sleep(Duration::from_secs(15).saturating_sub(paused.elapsed()));
     cluster.node(1).signal("-CONT");
     cluster.settles(&FIVE);
-    assert!(cluster.count_log_lines(&[1], "this process stood still") >= 1);
-    assert_eq!(cluster.count_log_lines(&[1], "is suspect"), 0, "it blames nobody for its own pause");
+    assert!(cluster.count_log_lines(&[1], "this process was paused") >= 1);
+    assert_eq!(cluster.count_log_lines(&[1], "router suspected"), 0, "it blames nobody for its own pause");
 }
 
 #[test]
@@ -317,10 +320,12 @@
     thread::sleep(Duration::from_secs(5));
     assert!(FIVE.iter().all(|r| cluster.number(*r, "at_work_perhaps") == 5), "both of one name are counted");
     assert!(
-        FIVE.iter().all(|r| cluster.count_log_lines(&[*r], "are both called n3") <= 1),
+        FIVE.iter()
+            .all(|r| cluster.count_log_lines(&[*r], "two routers have one name, both are counted router=n3")
+                <= 1),
         "it is said once"
     );
-    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0, "and they don't flap");
+    assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0, "and they don't flap");
     assert_eq!(cluster.number(5, "at_work_perhaps"), 1);
 }
 
@@ -333,7 +338,10 @@
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
         assert_eq!(
-            cluster.count_log_lines(&FIVE, &format!("at {} is lost", cluster.relay.addrs[n])),
+            cluster.count_log_lines(
+                &FIVE,
+                &format!("router failed, it may still be active address={} ", cluster.relay.addrs[n])
+            ),
             0,
             "n{} is condemned",
             n + 1
@@ -373,7 +381,7 @@
     assert!(unread > 10_000, "{unread} of 45000 are counted as junk");
     assert_eq!(after["digest"], before["digest"]);
     assert!(memory() < start + 4_096, "{start} KB before, {} KB now", memory());
-    assert_eq!(cluster.count_log_lines(&FIVE, "is lost"), 0);
+    assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0);
 }
 
 /// Guards against a handover that others see as an end and a start, or count twice; and against one
@@ -422,7 +430,7 @@
         assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
     }
     let rest = [0, 1, 2, 3];
-    for words in ["is lost", "started anew", "has left", "both called"] {
+    for words in ["router failed", "router restarted", "router left", "two routers have one name"] {
         assert_eq!(cluster.count_log_lines(&rest, words), 0, "{words}");
     }
     let _gone = std::fs::remove_dir_all(&dir);
@@ -527,5 +535,5 @@
     let cluster = Cluster::all_started(2);
     let (code, body) = admin_call(admin_address(cluster.node(0)), "GET /status/fleet/limits");
     assert_eq!((code, body.trim()), (404, "no: the section fleet.limits is off"));
-    assert_eq!(cluster.count_log_lines(&[0, 1], "limits: "), 0);
+    assert_eq!(cluster.count_log_lines(&[0, 1], "own quota share"), 0);
 }
--- a/crates/hollymux/tests/common/process.rs
+++ b/crates/hollymux/tests/common/process.rs
@@ -51,10 +51,10 @@
             rest.split([' ', '"']).next()?.parse().ok()
         };
         self.clients = self.clients.or_else(|| address_after("listening on "));
-        self.admin = self.admin.or_else(|| address_after("operators are answered on "));
-        self.cluster = self.cluster.or_else(|| address_after("other routers are heard on "));
-        if line.contains("DNS for") {
-            self.dns = address_after(" on ");
+        self.admin = self.admin.or_else(|| address_after("admin endpoint listening address="));
+        self.cluster = self.cluster.or_else(|| address_after("cluster socket listening address="));
+        if line.contains("DNS front listening") {
+            self.dns = address_after(" address=");
         }
     }
 }
--- a/crates/server/src/operator.rs
+++ b/crates/server/src/config/operator_file.rs
@@ -12,17 +12,17 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
     /// DNS-based request routing.
-    pub dns: Option<Dns>,
+    pub dns: Option<DnsSection>,
     /// Recording of the load, for plans.
-    pub record: Option<Record>,
+    pub record: Option<RecordingSection>,
     /// Routers that know each other.
-    pub fleet: Option<Section>,
+    pub fleet: Option<ClusterSection>,
 }
 
 /// Routers that know each other (docs/cluster.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Section {
+pub struct ClusterSection {
     /// The fleet's name: what routers of other fleets say is dropped.
     pub name: String,
     /// Where this router hears others, over UDP. Datagrams are not authenticated: a network of its own only.
@@ -53,13 +53,13 @@
     pub retry_ms: u64,
     /// What cold servers bear is shared by parts that move on lease, in place of even shares. Default: it is not.
     #[serde(default)]
-    pub limits: Option<Leases>,
+    pub limits: Option<QuotaSection>,
 }
 
 /// Parts of limits on lease (docs/quota-leases.md has the reasons for the times).
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Leases {
+pub struct QuotaSection {
     /// Parts are given for this long. Default: 2500.
     pub lease_ms: u64,
     /// What a broker passes on is given for this long. Default: 1200.
@@ -68,13 +68,13 @@
     pub turn_ms: u64,
 }
 
-impl Default for Leases {
-    fn default() -> Leases {
-        Leases { lease_ms: 2_500, onward_ms: 1_200, turn_ms: 400 }
+impl Default for QuotaSection {
+    fn default() -> QuotaSection {
+        QuotaSection { lease_ms: 2_500, onward_ms: 1_200, turn_ms: 400 }
     }
 }
 
-impl Leases {
+impl QuotaSection {
     fn check(&self, faults: &mut Faults) {
         let within = |v: u64, least, most| (least..=most).contains(&v);
         let turn = within(self.turn_ms, 50, 10_000);
@@ -87,7 +87,7 @@
     }
 }
 
-impl Section {
+impl ClusterSection {
     /// The address that others send to.
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
@@ -143,7 +143,7 @@
 /// Where the load is recorded, and how much of it is kept.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Record {
+pub struct RecordingSection {
     /// The folder; it is made if need be.
     pub dir: PathBuf,
     /// A file is ended at about this size. Default: 16.
@@ -170,7 +170,7 @@
 /// The DNS front, and following another's answers.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Dns {
+pub struct DnsSection {
     /// The zone whose names are requests and boxes.
     pub zone: String,
     /// Where queries are answered, over UDP and TCP. Default: queries are not answered.
@@ -181,7 +181,7 @@
     pub follow: Option<SocketAddr>,
 }
 
-impl Dns {
+impl DnsSection {
     /// The zone as labels; empty if it is no name, which the check of the file rules out.
     pub fn name(&self) -> dns::Name {
         dns::parse_name(&self.zone).unwrap_or_default()
--- a/crates/simulation/src/multi_process/mod.rs
+++ b/crates/simulation/src/multi_process/mod.rs
@@ -240,12 +240,12 @@
         for line in lines.lines().map_while(Result::ok) {
             let _kept = writeln!(log, "{line}");
             let addr = |words: &str| line.split_once(words)?.1.trim().parse::<SocketAddr>().ok();
-            at[0] = at[0].or_else(|| addr("operators are answered on "));
-            at[1] = at[1].or_else(|| addr("other routers are heard on "));
+            at[0] = at[0].or_else(|| addr("admin endpoint listening address="));
+            at[1] = at[1].or_else(|| addr("cluster socket listening address="));
             if let Some(addr) = addr("listening on ") {
                 let _told = tx.send((addr, at));
             }
-            if line.contains(" is lost") {
+            if line.contains("cluster: router failed") {
                 let mut said = said.lock().unwrap_or_else(PoisonError::into_inner);
                 said.push((Instant::now(), number, line));
             }
@@ -368,7 +368,7 @@
         let Some(relay) = &self.relay else { return };
         let said = std::mem::take(&mut *self.said.lock().unwrap_or_else(PoisonError::into_inner));
         for (at, by, line) in said {
-            let of = relay.addrs.iter().position(|a| line.contains(&format!(" at {a} is lost")));
+            let of = relay.addrs.iter().position(|a| line.contains(&format!(" address={a} ")));
             let since = at.saturating_duration_since(self.begun).as_secs_f64();
             self.watch.lost.extend(of.map(|of| (since, by, of)));
         }
