--- a/crates/cluster/src/quota/broker.rs
+++ b/crates/cluster/src/quota/broker.rs
@@ -6,7 +6,7 @@
 
 use super::lease::{LeaseHolder, LeaseTransfer};
 use super::ledger::GrantRequest;
-use super::message::LimitEntry;
+use super::message::{LimitEntry, UNKNOWN_INSTANCE};
 use super::peers::Peer;
 use super::QuotaManager;
 use crate::Time;
@@ -85,7 +85,7 @@
         let lent = limit.ledger.lent_to(&borrower, now);
         let target = offer_target(own_share - kept, lent, own_share);
         let transfers = match borrower.instance_id {
-            0 => Vec::new(),
+            UNKNOWN_INSTANCE => Vec::new(),
             _ => self.grant(limit_id, borrower, target, self.options.timings.lease_duration),
         };
         let entry = LimitEntry { limit_id, wanted, request_size, transfers };
--- a/crates/cluster/src/quota/exchange.rs
+++ b/crates/cluster/src/quota/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::lease::LeaseHolder;
 use super::limit::Limit;
-use super::message::{self, LimitEntry, Message, MessageHeader, MAX_ENTRIES};
+use super::message::{self, LimitEntry, Message, MessageHeader, MAX_ENTRIES, NO_ECHO, UNKNOWN_INSTANCE};
 use super::peers::PeerDemand;
 use super::{QuotaManager, MAX_LIMITS, WHOLE_QUOTA};
 use crate::envelope::MAX_DATAGRAM_LEN;
@@ -61,7 +61,7 @@
     pub(super) fn on_message(&mut self, message: Message) {
         let Message { header, entries } = message;
         let is_for_local_instance = header.receiver_instance == self.options.instance_id;
-        let receiver_is_unknown = header.receiver_instance == 0;
+        let receiver_is_unknown = header.receiver_instance == UNKNOWN_INSTANCE;
         let Some(peer) = self.peers.get_mut(&header.sender) else {
             self.counters.stale_messages += 1;
             return;
@@ -102,7 +102,7 @@
     }
 
     /// Borrows what was granted. Leases last from `requested_at`, when the local message was sent
-    /// that this answers; 0 if it answers none.
+    /// that this answers; [`NO_ECHO`] if it answers none.
     fn accept_transfers(&mut self, lender: LeaseHolder, entry: &LimitEntry, requested_at: Time) {
         let now = self.now;
         // Quota of a limit that is not in use here would only lie unused.
@@ -111,7 +111,7 @@
         for transfer in &entry.transfers {
             let duration = transfer.duration.min(self.options.timings.lease_duration);
             let expires_at = requested_at.saturating_add(duration);
-            if requested_at == 0 || expires_at <= now {
+            if requested_at == NO_ECHO || expires_at <= now {
                 self.counters.leases_expired_in_transit += 1;
                 continue;
             }
--- a/crates/cluster/src/quota/message.rs
+++ b/crates/cluster/src/quota/message.rs
@@ -13,6 +13,10 @@
 pub(super) const VERSION: u8 = 0x40;
 /// Limits in one datagram at most; more go into the next.
 pub(super) const MAX_ENTRIES: usize = 7;
+/// The process of a router that has sent no message yet.
+pub(super) const UNKNOWN_INSTANCE: u64 = 0;
+/// The echo of a clock that the sender knows nothing of.
+pub(super) const NO_ECHO: Time = 0;
 
 /// What every quota datagram begins with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -23,12 +27,12 @@
     pub(super) sender: SocketAddr,
     /// The sender's process.
     pub(super) sender_instance: u64,
-    /// The receiver's process that it is meant for: a later one must not act on it. 0 if the sender
-    /// knows none.
+    /// The receiver's process that it is meant for: a later one must not act on it. [`UNKNOWN_INSTANCE`] if
+    /// the sender knows none.
     pub(super) receiver_instance: u64,
     /// The sender's clock now.
     pub(super) sent_at: Time,
-    /// The latest that the sender knows of the receiver's clock; 0 if nothing.
+    /// The latest that the sender knows of the receiver's clock; [`NO_ECHO`] if nothing.
     pub(super) echoed_at: Time,
     /// The digest of the set of routers by which the sender divides, and under which all that it
     /// has lent fits.
--- a/crates/cluster/src/quota/peers.rs
+++ b/crates/cluster/src/quota/peers.rs
@@ -1,7 +1,7 @@
 //! The other routers that limits are shared with.
 
 use super::lease::LeaseHolder;
-use super::message::MessageHeader;
+use super::message::{MessageHeader, NO_ECHO};
 use crate::membership::{MemberState, Membership};
 use crate::Time;
 use std::collections::BTreeMap;
@@ -62,9 +62,9 @@
 pub(super) struct Peer {
     pub(super) same_zone: bool,
     pub(super) reachable: bool,
-    /// The process that sent the last message; 0 before the first one.
+    /// The process that sent the last message; `UNKNOWN_INSTANCE` before the first one.
     pub(super) instance_id: u64,
-    /// The latest of its clock that it has sent.
+    /// The latest of its clock that it has sent; `NO_ECHO` before the first message.
     pub(super) latest_sent_at: Time,
     /// The digest of the set of routers by which it divides, and under which all that it has lent
     /// fits.
@@ -84,7 +84,7 @@
     pub(super) fn update(&mut self, header: &MessageHeader) {
         if self.instance_id != header.sender_instance {
             self.instance_id = header.sender_instance;
-            self.latest_sent_at = 0;
+            self.latest_sent_at = NO_ECHO;
             self.demands.clear();
         }
         self.latest_sent_at = self.latest_sent_at.max(header.sent_at);
