--- a/crates/hollymux/src/capture/summary.rs
+++ b/crates/hollymux/src/capture/summary.rs
@@ -70,9 +70,9 @@
     pub fn of(recording: &Recording) -> CaptureSummary {
         let requests = recording.requests.len();
         let seconds = seconds_recorded(recording);
-        let attempts: u64 = recording.requests.iter().map(|row| u64::from(row.attempts)).sum();
+        let attempts: u64 = recording.requests.iter().map(|request| u64::from(request.attempts)).sum();
         CaptureSummary {
-            routers: recording.headers.iter().map(|head| head.router.clone()).collect(),
+            routers: recording.headers.iter().map(|header| header.router.clone()).collect(),
             zones: zones(recording),
             seconds,
             requests,
@@ -102,7 +102,7 @@
 }
 
 fn zones(recording: &Recording) -> Vec<String> {
-    let mut zones: Vec<String> = recording.headers.iter().map(|head| head.zone.clone()).collect();
+    let mut zones: Vec<String> = recording.headers.iter().map(|header| header.zone.clone()).collect();
     zones.sort();
     zones.dedup();
     zones
@@ -110,41 +110,43 @@
 
 fn requests_by_endpoint(recording: &Recording) -> Counts {
     let mut counts = Counts::new();
-    for row in recording.requests.iter().filter(|row| row.endpoint != RecordedRequest::NO_NAME) {
-        let endpoint = recording.endpoint_name(u32::from(row.endpoint)).to_string();
+    for request in recording.requests.iter().filter(|request| request.endpoint != RecordedRequest::NO_NAME) {
+        let endpoint = recording.endpoint_name(u32::from(request.endpoint)).to_string();
         *counts.entry(endpoint).or_default() += 1;
     }
     counts
 }
 
-/// Classes are numbered by the first recording's head, as all of its rows are.
+/// Classes are numbered by the first recording's header, as all of its requests are.
 fn class_summaries(recording: &Recording) -> Vec<ClassSummary> {
-    let Some(head) = recording.headers.first() else { return Vec::new() };
+    let Some(header) = recording.headers.first() else { return Vec::new() };
     let summary = |(number, class): (usize, &hollymux_capture::RecordedClass)| {
-        let rows = recording.requests.iter().filter(|row| usize::from(row.class) == number);
+        let requests = recording.requests.iter().filter(|request| usize::from(request.class) == number);
         let objective = LatencyObjective {
             base_us: class.latency_objective as f64,
             stretch: class.latency_objective_stretch,
-            transfer_bytes_per_s: head.transfer_bytes_per_s,
+            transfer_bytes_per_s: header.transfer_bytes_per_s,
         };
-        class_summary(&class.name, &rows.collect::<Vec<_>>(), &objective)
+        class_summary(&class.name, &requests.collect::<Vec<_>>(), &objective)
     };
-    head.classes.iter().enumerate().map(summary).collect()
+    header.classes.iter().enumerate().map(summary).collect()
 }
 
-fn class_summary(name: &str, rows: &[&RecordedRequest], objective: &LatencyObjective) -> ClassSummary {
-    let served =
-        |row: &RecordedRequest| matches!(row.result, RecordedResult::Served | RecordedResult::NotModified);
-    let served_in_time = |row: &RecordedRequest| served(row) && objective.is_met_by(row);
-    let reasons = rows.iter().map(|row| row.reason).filter(|reason| *reason != RecordedReason::None);
+fn class_summary(name: &str, requests: &[&RecordedRequest], objective: &LatencyObjective) -> ClassSummary {
+    let served = |request: &RecordedRequest| {
+        matches!(request.result, RecordedResult::Served | RecordedResult::NotModified)
+    };
+    let served_in_time = |request: &RecordedRequest| served(request) && objective.is_met_by(request);
+    let reasons =
+        requests.iter().map(|request| request.reason).filter(|reason| *reason != RecordedReason::None);
     ClassSummary {
         name: name.to_string(),
-        requests: rows.len(),
-        served: rows.iter().filter(|row| served(row)).count(),
-        in_time: rows.iter().filter(|row| served_in_time(row)).count(),
-        objects: distinct_objects(rows),
-        bytes: rows.iter().map(|row| u64::from(row.bytes)).sum(),
-        results: counts_by_name(rows.iter().map(|row| row.result.name())),
+        requests: requests.len(),
+        served: requests.iter().filter(|request| served(request)).count(),
+        in_time: requests.iter().filter(|request| served_in_time(request)).count(),
+        objects: distinct_objects(requests),
+        bytes: requests.iter().map(|request| u64::from(request.bytes)).sum(),
+        results: counts_by_name(requests.iter().map(|request| request.result.name())),
         reasons: counts_by_name(reasons.map(RecordedReason::name)),
     }
 }
@@ -159,18 +161,18 @@
 }
 
 impl LatencyObjective {
-    fn is_met_by(&self, row: &RecordedRequest) -> bool {
+    fn is_met_by(&self, request: &RecordedRequest) -> bool {
         let transfer_s = if self.transfer_bytes_per_s > 0.0 {
-            f64::from(row.bytes) / self.transfer_bytes_per_s
+            f64::from(request.bytes) / self.transfer_bytes_per_s
         } else {
             0.0
         };
-        f64::from(row.duration) <= self.base_us + self.stretch * transfer_s * MICROS_PER_SECOND
+        f64::from(request.duration) <= self.base_us + self.stretch * transfer_s * MICROS_PER_SECOND
     }
 }
 
-fn distinct_objects(rows: &[&RecordedRequest]) -> usize {
-    let mut objects: Vec<u64> = rows.iter().map(|row| row.object).collect();
+fn distinct_objects(requests: &[&RecordedRequest]) -> usize {
+    let mut objects: Vec<u64> = requests.iter().map(|request| request.object).collect();
     objects.sort_unstable();
     objects.dedup();
     objects.len()
