--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -43,7 +43,7 @@
         if self.admin_listener.is_some() {
             return;
         }
-        let Some(address) = self.config.door else { return };
+        let Some(address) = self.config.admin_listen else { return };
         match self.bind_admin_listener(address) {
             Ok(token) => {
                 self.admin_listener = Some(token);
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -83,7 +83,7 @@
 
     /// Starts with no lease of any quota.
     fn start_quotas(&mut self, config: &Config, now: Timestamp) {
-        let Some(section) = &self.section.limits else { return };
+        let Some(section) = &self.section.quotas else { return };
         let settings = &config.settings;
         let own_zone_count = settings.router_count_by_zone.get(usize::from(settings.zone));
         // An attempt may be written this long after it was decided.
@@ -97,9 +97,9 @@
                 own_zone: own_zone_count.copied().unwrap_or(0),
             },
             timings: LeaseTimings {
-                lease_duration: section.lease_ms * MICROS_PER_MILLI,
-                broker_lease_duration: section.onward_ms * MICROS_PER_MILLI,
-                exchange_interval: section.turn_ms * MICROS_PER_MILLI,
+                lease_duration: section.lease_duration_ms * MICROS_PER_MILLI,
+                broker_lease_duration: section.broker_lease_duration_ms * MICROS_PER_MILLI,
+                exchange_interval: section.exchange_interval_ms * MICROS_PER_MILLI,
                 usage_window: whole_micros(usage_window),
                 ..LeaseTimings::default()
             },
@@ -118,12 +118,12 @@
 
 fn membership_timings(section: &ClusterSection) -> MembershipTimings {
     MembershipTimings {
-        probe_interval: section.probe_ms * MICROS_PER_MILLI,
-        ack_timeout: section.answer_ms * MICROS_PER_MILLI,
-        gossip_interval: section.tell_ms * MICROS_PER_MILLI,
-        min_suspicion: section.suspect_least_ms * MICROS_PER_MILLI,
-        max_suspicion: section.suspect_most_ms * MICROS_PER_MILLI,
-        reconnect_interval: section.retry_ms * MICROS_PER_MILLI,
+        probe_interval: section.probe_interval_ms * MICROS_PER_MILLI,
+        ack_timeout: section.ack_timeout_ms * MICROS_PER_MILLI,
+        gossip_interval: section.gossip_interval_ms * MICROS_PER_MILLI,
+        min_suspicion: section.min_suspicion_ms * MICROS_PER_MILLI,
+        max_suspicion: section.max_suspicion_ms * MICROS_PER_MILLI,
+        reconnect_interval: section.reconnect_interval_ms * MICROS_PER_MILLI,
     }
 }
 
--- a/crates/server/src/config/file.rs
+++ b/crates/server/src/config/file.rs
@@ -76,22 +76,24 @@
         }
         let known_events = read_events(&names, file.known.events)?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?;
-        let streams = map.read("limits.streamsPerConn")?.unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
-        let idle = map.read("limits.idleClose")?.map_or(DEFAULT_IDLE_CLOSE, Duration::from_micros);
+        let max_attempts_per_connection =
+            map.read("limits.streamsPerConn")?.unwrap_or(DEFAULT_STREAMS_PER_CONNECTION);
+        let endpoint_idle_timeout =
+            map.read("limits.idleClose")?.map_or(DEFAULT_IDLE_CLOSE, Duration::from_micros);
         Ok(Config {
             name: file.name,
             listen: file.listen,
             seed,
             memory_mb: file.limits.memory_mb,
-            sockets: file.limits.sockets,
+            max_descriptors: file.limits.sockets,
             flow_bytes_per_s: file.flow_bytes_per_s,
             feed: file.feed,
-            door: file.operator,
+            admin_listen: file.operator,
             known: (file.known.last_event, known_events),
             settings,
             names,
-            streams,
-            idle,
+            max_attempts_per_connection,
+            endpoint_idle_timeout,
             file: value,
         })
     }
@@ -101,8 +103,8 @@
     let text = std::fs::read_to_string(path)?;
     let mut config = Config::read(&text)?;
     let address = std::env::var(ADMIN_ADDRESS_VARIABLE).ok().filter(|address| !address.is_empty());
-    if let (None, Some(address)) = (config.door, address) {
-        config.door = Some(address.parse().map_err(ConfigError::AdminAddress)?);
+    if let (None, Some(address)) = (config.admin_listen, address) {
+        config.admin_listen = Some(address.parse().map_err(ConfigError::AdminAddress)?);
     }
     Ok(config)
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,5 +1,6 @@
 //! The platform's configuration file (JSON), how it is read, and when another one may replace it.
 
+mod cluster_section;
 mod file;
 mod flatten;
 pub mod operator_file;
@@ -80,13 +81,13 @@
     /// Memory limit in MB.
     pub memory_mb: u64,
     /// Limit of file descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes per second of a single transfer; 0: unknown.
     pub flow_bytes_per_s: f64,
     /// The address of the endpoint feed.
     pub feed: SocketAddr,
     /// The address of the admin endpoint, if there is one.
-    pub door: Option<SocketAddr>,
+    pub admin_listen: Option<SocketAddr>,
     /// The number of the last endpoint event that the file contains, and the events.
     pub known: (u64, Vec<FeedEvent>),
     /// The settings of the decision module.
@@ -94,9 +95,9 @@
     /// Names of classes, zones and endpoint kinds, by number.
     pub names: NameTables,
     /// Attempts that one connection to an endpoint carries at a time.
-    pub streams: usize,
+    pub max_attempts_per_connection: usize,
     /// Endpoints close connections that were idle for this long.
-    pub idle: Duration,
+    pub endpoint_idle_timeout: Duration,
     /// The file as it was read.
     pub file: Value,
 }
--- a/crates/server/src/config/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -32,8 +32,8 @@
         info!(classes = config.names.classes.len(), feed = %config.feed, "SIGHUP: configuration applied");
         self.config.feed = config.feed;
         self.config.names = config.names;
-        self.config.streams = config.streams;
-        self.config.idle = config.idle;
+        self.config.max_attempts_per_connection = config.max_attempts_per_connection;
+        self.config.endpoint_idle_timeout = config.endpoint_idle_timeout;
         self.config.file = config.file;
         self.restart_recorder();
         self.reconnect_feed();
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -310,7 +310,7 @@
 
     /// The periodic check of a connection to an endpoint.
     pub(crate) fn endpoint_housekeeping(&mut self, connection: &mut EndpointConnection) -> ConnectionAction {
-        let endpoint_timeout = whole_micros(self.config.idle) as f64;
+        let endpoint_timeout = whole_micros(self.config.endpoint_idle_timeout) as f64;
         let idle_timeout = Duration::from_micros((endpoint_timeout * IDLE_TIMEOUT_PART) as u64);
         let write_timed_out =
             connection.is_established() && connection.stream.write_timed_out(self.now, WRITE_TIMEOUT);
--- a/crates/server/src/endpoints/dialing.rs
+++ b/crates/server/src/endpoints/dialing.rs
@@ -133,7 +133,7 @@
         wire_id: &[u8],
         is_suitable: impl Fn(&EndpointConnection) -> bool,
     ) -> Option<Candidate> {
-        let max_outstanding = self.config.streams;
+        let max_outstanding = self.config.max_attempts_per_connection;
         self.pooled(endpoint)
             .filter(|(_, connection)| is_suitable(connection))
             .filter(|(_, connection)| connection.can_carry(wire_id, max_outstanding))
--- a/crates/server/src/endpoints/tests.rs
+++ b/crates/server/src/endpoints/tests.rs
@@ -23,7 +23,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = Config::read(FILE).unwrap();
     config.listen = "127.0.0.1:0".parse().unwrap();
-    config.door = None;
+    config.admin_listen = None;
     let mut server = Server::new(config, PathBuf::new(), Operator::default()).unwrap();
     let addr = listener.local_addr().unwrap();
     let token = server.connection(EndpointId(77), addr, b"x").unwrap();
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -62,9 +62,9 @@
     /// The number of descriptors that this process may use.
     pub(crate) fn max_descriptors(&self) -> usize {
         if self.handover.limits_shared {
-            self.config.sockets / PROCESSES_IN_HANDOVER
+            self.config.max_descriptors / PROCESSES_IN_HANDOVER
         } else {
-            self.config.sockets
+            self.config.max_descriptors
         }
     }
 }
--- a/crates/server/src/recording.rs
+++ b/crates/server/src/recording.rs
@@ -14,13 +14,13 @@
     config: &Config,
     router: &Router,
 ) -> io::Result<Option<Recorder>> {
-    let Some(section) = &operator.record else { return Ok(None) };
+    let Some(section) = &operator.recording else { return Ok(None) };
     let names = &config.names;
     let classes: Vec<String> = router.classes().names().map(str::to_string).collect();
     let head = Head::new(&config.name, &names.zones, &names.kinds, &classes, router.settings());
-    let bytes_per_file = section.file_mb << 20;
-    let sink = Sink::new(&section.dir, head, bytes_per_file, section.files)?;
-    Recorder::start(sink, section.queue).map(Some)
+    let bytes_per_file = section.max_file_mb << 20;
+    let sink = Sink::new(&section.directory, head, bytes_per_file, section.max_files)?;
+    Recorder::start(sink, section.max_queued_entries).map(Some)
 }
 
 impl Server {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -169,7 +169,7 @@
     }
 
     fn start_cluster(&mut self) {
-        if let Some(section) = &self.operator.fleet {
+        if let Some(section) = &self.operator.cluster {
             let member = ClusterMember::new(section, &self.config, self.now);
             self.cluster = Some(Box::new(member));
         }
