--- a/crates/server/src/execute.rs
+++ b/crates/server/src/execute.rs
@@ -50,7 +50,7 @@
         if let Some(recorder) = &mut self.recorder {
             let now = self.now.as_micros();
             match &event {
-                FeedEvent::Endpoints { endpoints, .. } => recorder.members(now, endpoints),
+                FeedEvent::Endpoints { endpoints, .. } => recorder.endpoint_updates(now, endpoints),
                 FeedEvent::Purge { object, group, .. } => recorder.purge(now, *object, *group),
             }
         }
--- a/crates/server/src/recording.rs
+++ b/crates/server/src/recording.rs
@@ -3,7 +3,7 @@
 use crate::config::operator_file::Operator;
 use crate::config::Config;
 use crate::Server;
-use hollymux_capture::{Head, Recorder, Sink};
+use hollymux_capture::{Recorder, RecordingHeader, RecordingWriter};
 use hollymux_router::Router;
 use std::io;
 use tracing::warn;
@@ -17,10 +17,10 @@
     let Some(section) = &operator.recording else { return Ok(None) };
     let names = &config.names;
     let classes: Vec<String> = router.classes().names().map(str::to_string).collect();
-    let head = Head::new(&config.name, &names.zones, &names.kinds, &classes, router.settings());
+    let header = RecordingHeader::new(&config.name, &names.zones, &names.kinds, &classes, router.settings());
     let bytes_per_file = section.max_file_mb << 20;
-    let sink = Sink::new(&section.directory, head, bytes_per_file, section.max_files)?;
-    Recorder::start(sink, section.max_queued_entries).map(Some)
+    let writer = RecordingWriter::new(&section.directory, header, bytes_per_file, section.max_files)?;
+    Recorder::start(writer, section.max_queued_entries).map(Some)
 }
 
 impl Server {
