--- a/crates/hollymux/tests/common/process.rs
+++ b/crates/hollymux/tests/common/process.rs
@@ -53,9 +53,7 @@
         self.clients = self.clients.or_else(|| address_after("listening on "));
         self.admin = self.admin.or_else(|| address_after("admin endpoint listening address="));
         self.cluster = self.cluster.or_else(|| address_after("cluster socket listening address="));
-        if line.contains("DNS front listening") {
-            self.dns = address_after(" address=");
-        }
+        self.dns = self.dns.or_else(|| address_after("DNS front listening address="));
     }
 }
 
