--- a/crates/protocol/tests/handover_bytes.rs
+++ b/crates/protocol/tests/handover_bytes.rs
@@ -41,11 +41,12 @@
     postcard::to_stdvec(value).unwrap()
 }
 
-/// Guards against a predecessor or successor of another build that reads other numbers than were meant.
-#[test]
-fn times_are_handed_over_as_plain_microseconds() {
-    let at = Timestamp::from_micros;
-    let host = EndpointSnapshot {
+fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+fn snapshot() -> DecisionSnapshot {
+    let endpoint = EndpointSnapshot {
         id: 3,
         cold_since: Some(at(1_000_001)),
         blame: [0.5, 0.25, 0.0],
@@ -58,8 +59,8 @@
         load: (1.5, at(9)),
         ledger: vec![(at(5), 0.2)],
     };
-    let memory = DecisionSnapshot {
-        endpoints: vec![host],
+    DecisionSnapshot {
+        endpoints: vec![endpoint],
         levels: vec![(8, 1, at(300))],
         rate: 4.0,
         seen: [vec![1], vec![]],
@@ -69,8 +70,12 @@
         retries: 1.0,
         lost: 0.01,
         ..DecisionSnapshot::default()
-    };
-    let plain_host = PlainEndpointSnapshot {
+    }
+}
+
+/// The same as [`snapshot`].
+fn plain_snapshot() -> PlainDecisionSnapshot {
+    let endpoint = PlainEndpointSnapshot {
         id: 3,
         cold_since: Some(1_000_001),
         blame: [0.5, 0.25, 0.0],
@@ -83,8 +88,8 @@
         load: (1.5, 9),
         ledger: vec![(5, 0.2)],
     };
-    let plain = PlainDecisionSnapshot {
-        hosts: vec![plain_host],
+    PlainDecisionSnapshot {
+        hosts: vec![endpoint],
         classes: vec![],
         levels: vec![(8, 1, 300)],
         rate: 4.0,
@@ -94,14 +99,19 @@
         floor: 130,
         retries: 1.0,
         lost: 0.01,
-    };
-    let written = bytes(&memory);
-    assert_eq!(written, bytes(&plain));
-    assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&written).unwrap(), memory);
+    }
+}
+
+/// Guards against a predecessor or successor of another build that reads other numbers than were meant.
+#[test]
+fn times_are_handed_over_as_plain_microseconds() {
+    let written = bytes(&snapshot());
+    assert_eq!(written, bytes(&plain_snapshot()));
+    assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&written).unwrap(), snapshot());
 
-    let filing = PendingWrite { request_id: 1, arrived: at(300), endpoint: Some(2) };
-    assert_eq!(bytes(&filing), bytes(&(1u64, 300u64, Some(2u64))));
-    let line = EndpointRecord {
+    let pending_write = PendingWrite { request_id: 1, arrived: at(300), endpoint: Some(2) };
+    assert_eq!(bytes(&pending_write), bytes(&(1u64, 300u64, Some(2u64))));
+    let record = EndpointRecord {
         uid: "s-a".into(),
         addr: None,
         zone: 0,
@@ -111,6 +121,6 @@
         draining: false,
         started: at(1_000_000),
     };
-    let plain_line = ("s-a", None::<u8>, 0u16, 1u16, 2u16, 4.0, false, 1_000_000u64);
-    assert_eq!(bytes(&line), bytes(&plain_line));
+    let plain_record = ("s-a", None::<u8>, 0u16, 1u16, 2u16, 4.0, false, 1_000_000u64);
+    assert_eq!(bytes(&record), bytes(&plain_record));
 }
