--- a/crates/hollymux/src/lab.rs
+++ b/crates/hollymux/src/lab.rs
@@ -2,8 +2,9 @@
 
 use crate::{put, Fail};
 use hollymux_capture::{End, Head, Reason, Recorder, Request, Sink};
-use hollymux_simulation::report::report;
+use hollymux_simulation::report::Report;
 use hollymux_simulation::router_config::RouterSlot;
+use hollymux_simulation::run_result::RunResult;
 use hollymux_simulation::scenario::Scenario;
 use hollymux_simulation::virtual_time::RouterRecord;
 use hollymux_simulation::{cluster_benchmark, multi_process, sweep, virtual_time};
@@ -38,10 +39,10 @@
 
 fn sweep_days(options: &SweepFile) -> Result<(), Fail> {
     let file: sweep::Sweep = hollymux_config_file::load(&options.file).map_err(Fail::Unusable)?;
-    let rows = sweep::sweep(&file).map_err(Fail::ran)?;
+    let rows = sweep::run(&file).map_err(Fail::ran)?;
     let json = || serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n";
-    put(&if options.json { json() } else { sweep::text(&rows) })?;
-    match rows.iter().all(|r| r.broken.is_empty()) {
+    put(&if options.json { json() } else { sweep::table(&rows) })?;
+    match rows.iter().all(|r| r.violations.is_empty()) {
         true => Ok(()),
         false => Err(Fail::ran("rules were broken")),
     }
@@ -75,9 +76,9 @@
             "2 to 2000 routers, a loss of 0 to 1 and 0 to 600 minutes can be measured",
         ));
     }
-    let rows = cluster_benchmark::table(&options.routers, &options.loss, options.seed, options.minutes);
+    let rows = cluster_benchmark::run(&options.routers, &options.loss, options.seed, options.minutes);
     let json = || serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n";
-    put(&if options.json { json() } else { cluster_benchmark::text(&rows) })
+    put(&if options.json { json() } else { cluster_benchmark::table(&rows) })
 }
 
 #[derive(clap::Args)]
@@ -120,7 +121,7 @@
     let played = if options.virtually {
         virtual_day(&day, &options, &mut reasons)?
     } else {
-        let start = multi_process::Start {
+        let start = multi_process::RouterOptions {
             program: std::env::current_exe().map_err(Fail::ran)?,
             dir: kept.map_or(scratch.path(), PathBuf::as_path).to_path_buf(),
             record: std::path::absolute(&record).map_err(Fail::ran)?,
@@ -129,7 +130,7 @@
         told_reasons(&day, &record, played.start, &mut reasons)?;
         played
     };
-    let mut report = report(&day, played.start, &played.done, &played.world, &played.counted);
+    let mut report = Report::new(&day, &played);
     report.reasons = reasons;
     if let Some(dir) = kept {
         let page = report.html().map_err(Fail::ran)?;
@@ -137,7 +138,7 @@
         std::fs::write(dir.join("report.json"), report.json()).map_err(Fail::ran)?;
     }
     put(&if options.json { report.json() } else { report.text() })?;
-    match report.broken.is_empty() {
+    match report.violations.is_empty() {
         true => Ok(()),
         false => Err(Fail::ran("rules were broken")),
     }
@@ -166,30 +167,26 @@
 }
 
 /// Plays in virtual time, each router's load going to a recording of its own where that is wanted.
-fn virtual_day(
-    day: &Scenario,
-    options: &Run,
-    reasons: &mut Reasons,
-) -> Result<virtual_time::RunResult, Fail> {
+fn virtual_day(day: &Scenario, options: &Run, reasons: &mut Reasons) -> Result<RunResult, Fail> {
     let mut recorders = Vec::new();
     if let Some(dir) = &options.record {
-        for (name, config) in virtual_time::configs(day, options.seed).map_err(Fail::ran)? {
+        for config in virtual_time::router_configs(day, options.seed).map_err(Fail::ran)? {
             let n = &config.names;
-            let head = Head::new(&name, &n.zones, &n.kinds, &n.classes, &config.settings);
+            let head = Head::new(&config.name, &n.zones, &n.kinds, &n.classes, &config.settings);
             let sink = Sink::new(dir, head, FILE_BYTES, FILES).map_err(Fail::ran)?;
             recorders.push(Recorder::patient(sink).map_err(Fail::ran)?);
         }
     }
-    let mut heard = |seat: RouterSlot, heard: &RouterRecord<'_>| {
-        if let RouterRecord::Ended(e) = heard {
+    let mut heard = |slot: RouterSlot, heard: &RouterRecord<'_>| {
+        if let RouterRecord::RequestEnded(e) = heard {
             let r = Request::new(e, None, None);
             count(day, reasons, usize::from(r.class), r.end, r.reason);
         }
-        let Some(recorder) = recorders.get_mut(seat.number) else { return };
+        let Some(recorder) = recorders.get_mut(slot.index) else { return };
         match heard {
-            RouterRecord::Ended(ended) => recorder.request(ended),
-            RouterRecord::Members(now, lines) => recorder.members(*now, lines),
-            RouterRecord::Purge(now, object, group) => recorder.purge(*now, *object, *group),
+            RouterRecord::RequestEnded(ended) => recorder.request(ended),
+            RouterRecord::EndpointsChanged { at, lines } => recorder.members(*at, lines),
+            RouterRecord::Purged { at, object, group } => recorder.purge(*at, *object, *group),
         }
     };
     virtual_time::play(day, options.seed, &mut heard).map_err(Fail::ran)
--- a/crates/hollymux/tests/fleet.rs
+++ b/crates/hollymux/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hollymux_simulation::cluster::LinkFault;
+use hollymux_simulation::link_fault::LinkFault;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault::CUT;
 
 /// Routers behind a relay, each with the same shelfs and control feed.
 struct Fleet {
@@ -61,10 +61,11 @@
     }
 
     fn section(&self, router: usize, name: &str) -> String {
-        let seeds: Vec<String> = self.seeds.iter().map(|s| format!("'{}'", self.relay.addrs[*s])).collect();
+        let seeds: Vec<String> =
+            self.seeds.iter().map(|s| format!("'{}'", self.relay.addresses[*s])).collect();
         format!(
             "{{fleet: {{name: '{name}', listen: '127.0.0.1:0', advertise: '{}', seeds: [{}]{}}}}}",
-            self.relay.addrs[router],
+            self.relay.addresses[router],
             seeds.join(","),
             self.more
         )
@@ -80,7 +81,7 @@
         let config = config.replace("\"groupSize\":1", "\"groupSize\":2").replace("[1,0]", "[2,0]");
         let node = Node::with_sections(&config, &self.section(router, fleet));
         let heard = node.heard.expect("the program says where it hears others");
-        self.relay.behind(router, heard);
+        self.relay.set_destination(router, heard);
         self.nodes[router] = Some(node);
     }
 
@@ -111,7 +112,7 @@
 
     /// What a router says of another.
     fn says(&self, by: usize, of: usize) -> Option<String> {
-        let at = self.relay.addrs[of].to_string();
+        let at = self.relay.addresses[of].to_string();
         let status = self.status(by);
         let other = status["others"].as_array()?.iter().find(|o| o["address"] == at.as_str())?;
         other["state"].as_str().map(str::to_string)
@@ -191,7 +192,7 @@
 fn a_partition_counts_all_on_both_sides_and_heals_while_a_third_side_falls_off() {
     let f = Fleet::started(5);
     let load = Load::at(&f, &FIVE);
-    f.relay.part(&[0, 1, 2], &[3, 4]);
+    f.relay.partition(&[0, 1, 2], &[3, 4]);
     for (side, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice()), (&[3, 4], &[0, 1, 2])] {
         other.iter().for_each(|of| f.lost(side, *of));
         for r in side {
@@ -200,7 +201,7 @@
         }
     }
     f.relay.heal();
-    f.relay.part(&[1], &[0, 2, 3, 4]);
+    f.relay.partition(&[1], &[0, 2, 3, 4]);
     f.settles(&[0, 2, 3, 4]);
     f.lost(&[0, 2, 3, 4], 1);
     assert_eq!(f.number(0, "at_work_perhaps"), 5);
@@ -214,16 +215,16 @@
     for hears in [true, false] {
         let f = Fleet::started(5);
         if hears {
-            f.relay.fault(&[4], &FIVE, CUT);
+            f.relay.set_link_fault(&[4], &FIVE, CUT);
         } else {
-            f.relay.fault(&FIVE, &[4], CUT);
+            f.relay.set_link_fault(&FIVE, &[4], CUT);
         }
         f.lost(&[0, 1, 2, 3], 4);
         until("the one to know that nobody answers it", || (f.status(4)["deaf"] == true).then_some(()));
         let healthy: Vec<usize> = (0..4).filter(|of| f.all_say(&[0, 1, 2, 3], *of, "alive")).collect();
         assert_eq!(healthy, [0, 1, 2, 3]);
         for n in 1..=4 {
-            assert_eq!(f.said(&[0, 1, 2, 3], &format!("n{n} at {} is lost", f.relay.addrs[n - 1])), 0);
+            assert_eq!(f.said(&[0, 1, 2, 3], &format!("n{n} at {} is lost", f.relay.addresses[n - 1])), 0);
         }
         f.relay.heal();
         f.settles(&FIVE);
@@ -233,7 +234,7 @@
 #[test]
 fn ends_of_a_chain_that_cant_reach_each_other_hold_each_other_alive() {
     let f = Fleet::started(6);
-    f.relay.part(&[0, 1], &[4, 5]);
+    f.relay.partition(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
     assert_eq!(f.said(&[0, 1, 2, 3, 4, 5], "is lost"), 0);
     f.settles(&[0, 1, 2, 3, 4, 5]);
@@ -245,7 +246,7 @@
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        f.relay.fault(&[2], &rest, LinkFault { delay: (10_000_000, 0), ..LinkFault::default() });
+        f.relay.set_link_fault(&[2], &rest, LinkFault { delay: 10_000_000, ..LinkFault::default() });
         if suspected {
             until("a suspicion", || {
                 rest.iter().any(|r| f.says(*r, 2).as_deref() == Some("suspect")).then_some(())
@@ -312,11 +313,16 @@
 fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
     let f = Fleet::started(5);
     let half = LinkFault { loss: 0.5, ..LinkFault::default() };
-    f.relay.fault(&[4], &FIVE, half);
-    f.relay.fault(&FIVE, &[4], half);
+    f.relay.set_link_fault(&[4], &FIVE, half);
+    f.relay.set_link_fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
-        assert_eq!(f.said(&FIVE, &format!("at {} is lost", f.relay.addrs[n])), 0, "n{} is condemned", n + 1);
+        assert_eq!(
+            f.said(&FIVE, &format!("at {} is lost", f.relay.addresses[n])),
+            0,
+            "n{} is condemned",
+            n + 1
+        );
     }
 }
 
@@ -324,7 +330,7 @@
 fn junk_and_replays_by_the_thousand_stop_no_service_and_change_no_view() {
     let f = Fleet::started(5);
     let before = f.status(0);
-    let real = f.relay.last(1, 0).unwrap();
+    let real = f.relay.latest_datagram(1, 0).unwrap();
     let load = Load::at(&f, &[0]);
     let memory = || {
         let text = std::fs::read_to_string(format!("/proc/{}/status", f.node(0).child.id())).unwrap();
@@ -371,7 +377,7 @@
     let config = config.replace("\"name\":\"n1\"", "\"name\":\"n5\"");
     (0..4).for_each(|r| f.start(r));
     f.nodes[4] = Some(Node::meeting_with(&config, &section, &dir));
-    f.relay.behind(4, heard);
+    f.relay.set_destination(4, heard);
     f.settles(&FIVE);
     let own =
         |node: &Node| -> Value { serde_json::from_str(&call(door(node), "GET /status/fleet").1).unwrap() };
@@ -434,13 +440,13 @@
 #[test]
 fn a_share_is_used_only_when_all_others_count_it() {
     let mut f = Fleet::on_lease(6);
-    f.relay.part(&[4], &[0, 1, 2, 3, 5]);
+    f.relay.partition(&[4], &[0, 1, 2, 3, 5]);
     f.lost(&[0, 1, 2, 3], 4);
     f.start(5);
     let counted = |not: usize| {
         let l = f.limits(5);
         assert_eq!(l["share_in_use"], false, "{l}");
-        assert_eq!(l["not_counted_by"], serde_json::json!([f.relay.addrs[not].to_string()]));
+        assert_eq!(l["not_counted_by"], serde_json::json!([f.relay.addresses[not].to_string()]));
     };
     until("all but the one who is cut off to count the newcomer", || {
         let l = f.limits(5);
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -123,7 +123,7 @@
     let fleet: hollymux_planner::Fleet =
         hollymux_config_file::load(Path::new(&example("fleet.json5"))).unwrap();
     // They speak of one fleet.
-    for (d, f) in day.offices.iter().zip(&fleet.offices) {
-        assert_eq!((&d.name, d.boxes, d.link_in_flows), (&f.name, f.boxes, f.link_in_flows));
+    for (d, f) in day.sites.iter().zip(&fleet.offices) {
+        assert_eq!((&d.name, d.edge_caches, d.link_in_flows), (&f.name, f.boxes, f.link_in_flows));
     }
 }
--- a/crates/simulation/src/lru_cache.rs
+++ b/crates/simulation/src/lru_cache.rs
@@ -1,98 +1,100 @@
-//! What a box or a hub keeps: copies in ranks, and within a rank by when they were used last.
+//! A bounded cache: copies by retention priority, and within a priority by when they were used last.
 
+use crate::objects::{ChunkKey, Purge};
 use crate::Time;
 use std::collections::{BTreeMap, HashMap};
 
-/// An object's part.
-pub type Key = (u64, u32);
+/// Where a copy stands in the order of eviction: the first in this order goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionOrder {
+    retention: u8,
+    last_use: u64,
+}
 
 #[derive(Clone, Copy, Debug)]
-struct Copy {
-    size: u64,
-    place: (u8, u64),
+struct CachedCopy {
+    bytes: u64,
+    order: EvictionOrder,
     dated: Time,
     group: u32,
 }
 
-/// A bounded store of copies.
+/// What is stored of a copy beside its key.
+#[derive(Clone, Copy, Debug)]
+pub struct CopyInfo {
+    /// Its size.
+    pub bytes: u64,
+    /// How long it is kept: a lower priority is evicted first, and never evicts a higher one.
+    pub retention: u8,
+    /// When the origin gave it out.
+    pub dated: Time,
+    /// The object's group, by which it can be purged.
+    pub group: u32,
+}
+
+/// A bounded cache.
 #[derive(Debug)]
-pub struct Cache {
-    most: u64,
+pub struct LruCache {
+    capacity: u64,
     used: u64,
-    turn: u64,
-    copies: HashMap<Key, Copy>,
-    order: BTreeMap<(u8, u64), Key>,
+    /// Counts uses, in place of a clock.
+    uses: u64,
+    copies: HashMap<ChunkKey, CachedCopy>,
+    by_order: BTreeMap<EvictionOrder, ChunkKey>,
 }
 
-impl Cache {
-    /// An empty one that keeps so many bytes.
-    pub fn new(most: u64) -> Cache {
-        Cache { most, used: 0, turn: 0, copies: HashMap::new(), order: BTreeMap::new() }
+impl LruCache {
+    /// An empty cache of so many bytes.
+    pub fn new(capacity: u64) -> LruCache {
+        LruCache { capacity, used: 0, uses: 0, copies: HashMap::new(), by_order: BTreeMap::new() }
     }
 
-    /// The date of a copy, if there is one that the library gave out no earlier than that. A hit sets the rank.
-    pub fn find(&mut self, key: Key, since: Time, rank: u8) -> Option<Time> {
-        let turn = self.turn;
-        let copy = self.copies.get_mut(&key).filter(|c| c.dated >= since)?;
-        self.order.remove(&copy.place);
-        copy.place = (if rank > 0 { rank } else { copy.place.0 }, turn);
-        self.order.insert(copy.place, key);
-        self.turn += 1;
+    /// The date of a copy, if there is one that the origin gave out no earlier than `oldest`.
+    ///
+    /// A hit counts as a use and sets the retention priority, unless that is 0.
+    pub fn find(&mut self, key: ChunkKey, oldest: Time, retention: u8) -> Option<Time> {
+        let last_use = self.uses;
+        let copy = self.copies.get_mut(&key).filter(|copy| copy.dated >= oldest)?;
+        self.by_order.remove(&copy.order);
+        let retention = if retention > 0 { retention } else { copy.order.retention };
+        copy.order = EvictionOrder { retention, last_use };
+        self.by_order.insert(copy.order, key);
+        self.uses += 1;
         Some(copy.dated)
     }
 
-    /// Keeps a copy, if there is room or what is of its rank or below can make room.
-    pub fn keep(&mut self, key: Key, size: u64, rank: u8, dated: Time, group: u32) {
-        self.drop(key);
-        while self.used + size > self.most {
-            match self.order.first_key_value() {
-                Some((place, old)) if place.0 <= rank => {
-                    let old = *old;
-                    self.drop(old);
+    /// Stores a copy, if there is space or evicting copies of its priority or a lower one makes enough.
+    pub fn insert(&mut self, key: ChunkKey, copy: CopyInfo) {
+        self.remove(key);
+        while self.used + copy.bytes > self.capacity {
+            match self.by_order.first_key_value() {
+                Some((order, oldest)) if order.retention <= copy.retention => {
+                    let oldest = *oldest;
+                    self.remove(oldest);
                 }
                 _ => return,
             }
         }
-        let place = (rank, self.turn);
-        self.turn += 1;
-        self.used += size;
-        self.copies.insert(key, Copy { size, place, dated, group });
-        self.order.insert(place, key);
-    }
-
-    fn drop(&mut self, key: Key) {
-        if let Some(copy) = self.copies.remove(&key) {
-            self.used -= copy.size;
-            self.order.remove(&copy.place);
-        }
+        let order = EvictionOrder { retention: copy.retention, last_use: self.uses };
+        self.uses += 1;
+        self.used += copy.bytes;
+        let CopyInfo { bytes, dated, group, .. } = copy;
+        self.copies.insert(key, CachedCopy { bytes, order, dated, group });
+        self.by_order.insert(order, key);
     }
 
-    /// Drops copies of an object, or of a whole group, that are older than that.
-    pub fn purge(&mut self, object: Option<u64>, group: u32, before: Time) {
-        let hit = |k: &Key, c: &Copy| c.dated < before && object.map_or(c.group == group, |o| k.0 == o);
-        let gone: Vec<Key> = self.copies.iter().filter(|(k, c)| hit(k, c)).map(|(k, _)| *k).collect();
-        gone.into_iter().for_each(|k| self.drop(k));
+    /// Drops all copies that a purge covers.
+    pub fn purge(&mut self, purge: &Purge) {
+        let covered =
+            |(key, copy): &(&ChunkKey, &CachedCopy)| purge.covers(key.object, copy.group, copy.dated);
+        let purged: Vec<ChunkKey> = self.copies.iter().filter(covered).map(|(key, _)| *key).collect();
+        purged.into_iter().for_each(|key| self.remove(key));
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn low_ranks_leave_first_and_never_for_a_lower_one() {
-        let mut c = Cache::new(30);
-        c.keep((1, 0), 10, 2, 5, 0);
-        c.keep((2, 0), 10, 1, 5, 0);
-        c.keep((3, 0), 10, 1, 5, 1);
-        assert_eq!(c.find((2, 0), 0, 0), Some(5));
-        // The least lately used of the lowest rank goes.
-        c.keep((4, 0), 10, 1, 6, 1);
-        assert_eq!((c.find((3, 0), 0, 0), c.find((2, 0), 0, 2)), (None, Some(5)));
-        assert_eq!(c.find((1, 0), 6, 0), None, "too old");
-        c.keep((5, 0), 30, 1, 6, 1);
-        assert!(c.find((5, 0), 0, 0).is_none() && c.find((1, 0), 0, 0).is_some(), "it would need rank 2");
-        c.purge(Some(1), 0, 6);
-        assert!(c.find((1, 0), 0, 0).is_none());
+    fn remove(&mut self, key: ChunkKey) {
+        if let Some(copy) = self.copies.remove(&key) {
+            self.used -= copy.bytes;
+            self.by_order.remove(&copy.order);
+        }
     }
 }
--- /dev/null
+++ b/crates/simulation/src/model/accounting.rs
@@ -0,0 +1,122 @@
+//! How much the model's resources are used while load is offered and counted.
+
+use super::{ServerKind, ServerModel, ServerRuntime};
+use crate::scenario::Site;
+use crate::time::as_seconds;
+use crate::Time;
+
+/// How much a resource was used.
+#[derive(Clone, Debug)]
+pub struct ResourceUse {
+    /// Its name.
+    pub name: String,
+    /// The part of its capacity that was used, over the time that counts.
+    pub part: f64,
+    /// Bytes carried, where it is a link.
+    pub bytes: Option<f64>,
+}
+
+/// What was used when accounting stopped.
+#[derive(Debug)]
+pub(super) struct FinalUse {
+    resources: Vec<ResourceUse>,
+    filled_bytes: f64,
+}
+
+impl ServerModel {
+    /// Starts to account for the use of resources.
+    pub fn start_accounting(&mut self, now: Time) {
+        self.accounting_since = now;
+        self.advance_links();
+        for runtime in &mut self.runtimes {
+            runtime.out.carried_before = runtime.out.link.carried();
+            runtime.work_before = runtime.work_done;
+        }
+        for site_link in &mut self.site_links {
+            site_link.carried_before = site_link.link.carried();
+        }
+    }
+
+    /// Ends accounting: what is used from now on does not count.
+    pub fn stop_accounting(&mut self) {
+        self.advance_links();
+        let resources = self.resource_use();
+        let filled_bytes = self.filled_bytes();
+        self.final_use = Some(FinalUse { resources, filled_bytes });
+    }
+
+    /// Adds resources whose use was accounted for elsewhere.
+    pub fn add_resource_use(&mut self, more: Vec<ResourceUse>) {
+        if let Some(final_use) = &mut self.final_use {
+            final_use.resources.extend(more);
+        }
+    }
+
+    /// How much each resource was used since accounting started.
+    pub fn resource_use(&self) -> Vec<ResourceUse> {
+        if let Some(final_use) = &self.final_use {
+            return final_use.resources.clone();
+        }
+        let seconds = as_seconds(self.now.saturating_sub(self.accounting_since).max(1));
+        let mut resources = Vec::new();
+        for (server, runtime) in self.servers.iter().zip(&self.runtimes) {
+            let bytes = runtime.out.carried();
+            let part = bytes / (runtime.bytes_per_s * seconds);
+            let name = format!("{} link out", server.name);
+            resources.push(ResourceUse { name, part, bytes: Some(bytes) });
+            resources.extend(worker_use(&server.name, server.kind, runtime, seconds));
+            resources.extend(fill_use(&server.name, runtime));
+        }
+        let site_links = self.scenario.sites.iter().zip(&self.site_links);
+        resources.extend(site_links.map(|(site, link)| self.site_link_use(site, link.carried(), seconds)));
+        resources
+    }
+
+    fn site_link_use(&self, site: &Site, bytes: f64, seconds: f64) -> ResourceUse {
+        let rate = site.link_in_flows * self.scenario.flow_bytes_per_s;
+        let name = format!("{} link in", site.name);
+        ResourceUse { name, part: bytes / (rate * seconds), bytes: Some(bytes) }
+    }
+
+    /// Bytes carried by the sites' incoming links since accounting started.
+    pub fn filled_bytes(&self) -> f64 {
+        match &self.final_use {
+            Some(final_use) => final_use.filled_bytes,
+            None => self.site_links.iter().map(|link| link.carried()).sum(),
+        }
+    }
+
+    /// Requests that each server rejected, for those that rejected any.
+    pub fn rejected_by_server(&self) -> Vec<(String, u64)> {
+        let all = self.servers.iter().zip(&self.runtimes);
+        let rejecting = all.filter(|(_, runtime)| runtime.rejected > 0);
+        rejecting.map(|(server, runtime)| (server.name.clone(), runtime.rejected)).collect()
+    }
+
+    /// Brings what links have carried up to now.
+    fn advance_links(&mut self) {
+        let outgoing = self.runtimes.iter_mut().map(|runtime| &mut runtime.out);
+        outgoing.chain(&mut self.site_links).for_each(|link| link.link.advance(self.now));
+    }
+}
+
+/// Use of an edge cache's cores, or of the origin's workers. Those of parent caches are never short.
+fn worker_use(name: &str, kind: ServerKind, runtime: &ServerRuntime, seconds: f64) -> Option<ResourceUse> {
+    let resource = match kind {
+        ServerKind::EdgeCache(_) => "cores",
+        ServerKind::Origin => "workers",
+        ServerKind::ParentCache(_) => return None,
+    };
+    let busy_seconds = (runtime.work_done - runtime.work_before) / 1e6;
+    let part = busy_seconds / (runtime.workers as f64 * seconds);
+    Some(ResourceUse { name: format!("{name} {resource}"), part, bytes: None })
+}
+
+/// The most fills that ran at once, against those that may.
+fn fill_use(name: &str, runtime: &ServerRuntime) -> Option<ResourceUse> {
+    if runtime.max_fills == 0 {
+        return None;
+    }
+    let part = runtime.peak_fills as f64 / runtime.max_fills as f64;
+    Some(ResourceUse { name: format!("{name} fill places (most)"), part, bytes: None })
+}
--- /dev/null
+++ b/crates/simulation/src/multi_process/servers.rs
@@ -0,0 +1,220 @@
+//! Stand-in servers: routers' requests on the wire, and the model's answers.
+
+use super::connections::{Connection, ConnectionRole};
+use super::error::Operation;
+use super::{Driver, MultiProcessError};
+use crate::endpoint_feed::{endpoint_event, endpoint_feed_delay, endpoint_line};
+use crate::load::ObjectCatalogue;
+use crate::model::{Attempt, AttemptResult, ListedState, ModelEvent, Server, ServerState};
+use crate::objects::{copy_digest, ChunkKey};
+use crate::{Time, MS};
+use hollymux_protocol::resp::{array, bulk, bulk_head, field, Frame};
+use mio::net::TcpListener;
+
+/// A router's attempt that is at a server.
+pub(super) struct AttemptInFlight {
+    /// The connection.
+    token: usize,
+    /// What it is called there.
+    wire_id: Vec<u8>,
+}
+
+/// The fields of a request on the wire.
+struct RequestFields<'a>(&'a [u8]);
+
+impl<'a> RequestFields<'a> {
+    /// A field's text, if it is there.
+    fn get(&self, name: &str) -> Option<&'a str> {
+        field(self.0, name).map(|value| std::str::from_utf8(value).unwrap_or_default())
+    }
+
+    fn text(&self, name: &str) -> &'a str {
+        self.get(name).unwrap_or_default()
+    }
+
+    fn has_hint(&self, name: &str) -> bool {
+        self.text("hints").split('+').any(|hint| hint == name)
+    }
+}
+
+fn parse_hex(text: &str) -> u64 {
+    u64::from_str_radix(text, 16).unwrap_or_default()
+}
+
+impl Driver {
+    /// A router's frame to a server.
+    pub(super) fn on_server_frame(&mut self, token: usize, server: usize, frame: &Frame) {
+        let word = |index: usize| frame.words.get(index).map_or(&[][..], Vec::as_slice);
+        let wire_id = word(1);
+        match word(0) {
+            b"ASK" => self.on_router_attempt(token, server, wire_id, &RequestFields(word(2))),
+            b"QUIT" => {
+                if let Some(id) = self.remove_open(token, wire_id) {
+                    self.cancel_router_attempt(id);
+                }
+            }
+            b"NOOP" | b"INFO" => self.answer_probe(token, server, wire_id),
+            _ => self.close(token),
+        }
+    }
+
+    fn answer_probe(&mut self, token: usize, server: usize, wire_id: &[u8]) {
+        let health: &[u8] = if self.model.is_healthy(server) { b"well" } else { b"ill" };
+        let mut out = Vec::new();
+        array(&mut out, 2);
+        bulk(&mut out, wire_id);
+        bulk(&mut out, health);
+        self.write(token, &out);
+    }
+
+    fn on_router_attempt(&mut self, token: usize, server: usize, wire_id: &[u8], fields: &RequestFields<'_>) {
+        let id = self.next_attempt_id;
+        self.next_attempt_id += 1;
+        self.counters.attempts += 1;
+        if let Some(Connection { role: ConnectionRole::Server { open, .. }, .. }) =
+            self.connections.get_mut(&token)
+        {
+            open.insert(wire_id.to_vec(), id);
+        }
+        self.attempts.insert(id, AttemptInFlight { token, wire_id: wire_id.to_vec() });
+        let source_uid = fields.get("parent");
+        let fill_source =
+            source_uid.and_then(|uid| self.model.servers.iter().position(|server| server.uid == uid));
+        if source_uid.is_some() && fill_source.is_none() {
+            // It names a source that is gone.
+            return self.model.reject(id);
+        }
+        let attempt = self.model_attempt(wire_id, fields, fill_source);
+        self.model.start_attempt(self.now, id, server, attempt);
+    }
+
+    fn model_attempt(
+        &self,
+        wire_id: &[u8],
+        fields: &RequestFields<'_>,
+        fill_source: Option<usize>,
+    ) -> Attempt {
+        let class_name = fields.text("profile");
+        let class = self.scenario.classes.iter().position(|class| class.name == class_name);
+        let class = class.unwrap_or_default();
+        let key = ChunkKey {
+            object: parse_hex(fields.text("thing")),
+            chunk: fields.text("nth").parse().unwrap_or_default(),
+        };
+        let max_age_ms = fields.text("accept").parse::<Time>().ok().filter(|age| *age > 0);
+        Attempt {
+            class,
+            key,
+            group: ObjectCatalogue::group(key.object),
+            bytes: self.clients.catalogue.chunk_bytes(class, key),
+            rid: parse_hex(&String::from_utf8_lossy(wire_id)),
+            max_age: max_age_ms.map(|age| age * MS),
+            retention: fields.text("shelf").parse().unwrap_or(0),
+            fill_source,
+            coalesce: fields.has_hint("coalesce"),
+            only_if_cached: fields.has_hint("shallow"),
+        }
+    }
+
+    pub(super) fn cancel_router_attempt(&mut self, id: u64) {
+        self.attempts.remove(&id);
+        self.model.cancel_attempt(self.now, id);
+    }
+
+    /// An attempt is no longer open on a connection; gives its id, if it was.
+    fn remove_open(&mut self, token: usize, wire_id: &[u8]) -> Option<u64> {
+        match &mut self.connections.get_mut(&token)?.role {
+            ConnectionRole::Server { open, .. } => open.remove(wire_id),
+            _ => None,
+        }
+    }
+
+    pub(super) fn on_model_event(&mut self, event: ModelEvent) -> Result<(), MultiProcessError> {
+        match event {
+            ModelEvent::Answered { id, result, bytes } => self.answer_router(id, result, bytes as usize),
+            ModelEvent::StateChanged { server, state } => self.on_server_state(server, state)?,
+            ModelEvent::EndpointChanged { server, listed, state } => {
+                self.publish_endpoint(server, &listed, state);
+            }
+            ModelEvent::Purged(purge) => self.publish_purge(&purge),
+        }
+        Ok(())
+    }
+
+    fn answer_router(&mut self, id: u64, result: AttemptResult, body_bytes: usize) {
+        let Some(AttemptInFlight { token, wire_id }) = self.attempts.remove(&id) else { return };
+        self.remove_open(token, &wire_id);
+        let (word, fields) = match result {
+            AttemptResult::Served(dated) => {
+                ("data", format!("digest={},dated={}", copy_digest(dated), dated / MS))
+            }
+            AttemptResult::Miss => ("absent", String::new()),
+            AttemptResult::AtCapacity => ("full", String::new()),
+            AttemptResult::Failed => ("failed", String::new()),
+        };
+        let mut out = Vec::new();
+        array(&mut out, 4);
+        bulk(&mut out, &wire_id);
+        bulk(&mut out, word.as_bytes());
+        bulk(&mut out, fields.as_bytes());
+        bulk_head(&mut out, body_bytes);
+        out.resize(out.len() + body_bytes, 0);
+        out.extend_from_slice(b"\r\n");
+        self.write(token, &out);
+    }
+
+    fn publish_endpoint(&mut self, server: usize, listed: &Server, state: ListedState) {
+        let line = endpoint_line(&self.scenario, listed, self.endpoints[server], state);
+        let at = self.now + endpoint_feed_delay(&self.scenario, self.now - self.start);
+        self.model.endpoint_known_at(server, state, at);
+        self.feed.publish(at, |number| endpoint_event(number, &line));
+    }
+
+    /// A server's connections follow its state.
+    fn on_server_state(&mut self, server: usize, state: ServerState) -> Result<(), MultiProcessError> {
+        match state {
+            ServerState::Down => {
+                self.close_server_connections(server, |_| true);
+                // Connections are refused from here on.
+                if let Some(listener) = self.server_listener(server) {
+                    self.connections.remove(&listener);
+                }
+            }
+            ServerState::Unreachable => {
+                for token in self.server_connections(server, |_| true) {
+                    if let Some(connection) = self.connections.get_mut(&token) {
+                        connection.silent = true;
+                    }
+                }
+            }
+            ServerState::Up => {
+                // What was silent is reset when the machine is back.
+                self.close_server_connections(server, |connection| connection.silent);
+                if self.server_listener(server).is_none() {
+                    let listener = TcpListener::bind(self.endpoints[server]);
+                    let listener = listener.during("listen for a server again")?;
+                    self.add_connection(ConnectionRole::ServerListener { listener, server }, None)?;
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn server_listener(&self, server: usize) -> Option<usize> {
+        let listens = |connection: &Connection| matches!(&connection.role, ConnectionRole::ServerListener { server: of, .. } if *of == server);
+        self.connections.iter().find(|(_, connection)| listens(connection)).map(|(token, _)| *token)
+    }
+
+    fn server_connections(&self, server: usize, which: impl Fn(&Connection) -> bool) -> Vec<usize> {
+        let is_concerned = |connection: &Connection| {
+            matches!(&connection.role, ConnectionRole::Server { server: of, .. } if *of == server)
+                && which(connection)
+        };
+        let concerned = self.connections.iter().filter(|(_, connection)| is_concerned(connection));
+        concerned.map(|(token, _)| *token).collect()
+    }
+
+    fn close_server_connections(&mut self, server: usize, which: impl Fn(&Connection) -> bool) {
+        self.server_connections(server, which).into_iter().for_each(|token| self.close(token));
+    }
+}
--- a/crates/simulation/src/relay.rs
+++ b/crates/simulation/src/relay.rs
@@ -1,39 +1,47 @@
-//! A relay for routers' datagrams on loopback: each router advertises one of its addresses, and every directed link has
-//! the faults of [`LinkFault`]. Which router sent a datagram is told by the address that it came from.
+//! A relay for routers' datagrams on loopback: each router advertises one of the relay's addresses, and every directed
+//! link has the faults of a [`LinkFault`]. The sender of a datagram is known by the address that it came from.
 
-use crate::cluster::LinkFault;
+use crate::event_queue::EventQueue;
+use crate::link_fault::{LinkFault, TrafficCounters};
+use crate::Time;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
 const WAKE: Token = Token(usize::MAX);
 /// Delayed datagrams that are held; more are lost, as on a network.
-const HELD_MOST: usize = 100_000;
-
+const MAX_DELAYED: usize = 100_000;
+/// The relay looks this often whether it is to end, also if it was not woken.
+const MAX_WAIT: Duration = Duration::from_millis(100);
+/// No UDP datagram is larger.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+/// Events taken in one turn.
+const MAX_EVENTS_PER_WAIT: usize = 64;
+
+/// What the relay's thread and its owner both use.
 #[derive(Default)]
 struct Shared {
     /// Where each router really listens, once that is known.
-    behind: BTreeMap<usize, SocketAddr>,
+    destinations: BTreeMap<usize, SocketAddr>,
+    /// Faults by sender and receiver; other links are sound.
     links: BTreeMap<(usize, usize), LinkFault>,
-    /// Datagrams and bytes each router sent.
-    sent: BTreeMap<usize, (u64, u64)>,
-    /// What was sent last, for replays.
-    last: BTreeMap<(usize, usize), Vec<u8>>,
-    over: bool,
+    sent: BTreeMap<usize, TrafficCounters>,
+    /// The latest datagram by sender and receiver, for replays.
+    latest: BTreeMap<(usize, usize), Vec<u8>>,
+    stopped: bool,
 }
 
 /// The relay; it ends when it is dropped.
 pub struct Relay {
     /// What each router is to advertise.
-    pub addrs: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     waker: Waker,
     thread: Option<JoinHandle<()>>,
@@ -43,156 +51,170 @@
     /// One address for each of so many routers, at ports of the system's choice.
     ///
     /// # Errors
-    /// No socket is to be had.
+    /// The system gives no socket or thread.
     pub fn start(routers: usize, seed: u64) -> io::Result<Relay> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
         let mut sockets = Vec::new();
-        for i in 0..routers {
-            let mut socket = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-            poll.registry().register(&mut socket, Token(i), Interest::READABLE)?;
+        for router in 0..routers {
+            let mut socket = UdpSocket::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
+            poll.registry().register(&mut socket, Token(router), Interest::READABLE)?;
             sockets.push(socket);
         }
-        let addrs = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?;
+        let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?;
         let shared = Arc::new(Mutex::new(Shared::default()));
-        let mut running = Running {
+        let mut worker = RelayWorker {
             poll,
             sockets,
             shared: shared.clone(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            late: BinaryHeap::new(),
-            count: 0,
+            started: Instant::now(),
+            delayed: EventQueue::default(),
         };
-        let thread = std::thread::spawn(move || running.run());
-        Ok(Relay { addrs, shared, waker, thread: Some(thread) })
+        let thread = std::thread::Builder::new().name("relay".into()).spawn(move || worker.run())?;
+        Ok(Relay { addresses, shared, waker, thread: Some(thread) })
     }
 
-    fn shared<T>(&self, with: impl FnOnce(&mut Shared) -> T) -> T {
-        with(&mut self.shared.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_shared<T>(&self, use_shared: impl FnOnce(&mut Shared) -> T) -> T {
+        use_shared(&mut self.shared.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// That router listens there.
-    pub fn behind(&self, router: usize, addr: SocketAddr) {
-        self.shared(|s| s.behind.insert(router, addr));
+    pub fn set_destination(&self, router: usize, address: SocketAddr) {
+        self.with_shared(|shared| shared.destinations.insert(router, address));
     }
 
     /// One fault on every link from one group to another; the default mends them.
-    pub fn fault(&self, from: &[usize], to: &[usize], link: LinkFault) {
-        self.shared(|s| {
-            for a in from {
-                s.links.extend(to.iter().filter(|b| *b != a).map(|b| ((*a, *b), link)));
+    pub fn set_link_fault(&self, from: &[usize], to: &[usize], fault: LinkFault) {
+        self.with_shared(|shared| {
+            for sender in from {
+                let receivers = to.iter().filter(|receiver| *receiver != sender);
+                shared.links.extend(receivers.map(|receiver| ((*sender, *receiver), fault)));
             }
         });
     }
 
     /// Cuts two groups off from each other, both ways.
-    pub fn part(&self, a: &[usize], b: &[usize]) {
-        let cut = LinkFault { cut: true, ..LinkFault::default() };
-        self.fault(a, b, cut);
-        self.fault(b, a, cut);
+    pub fn partition(&self, one: &[usize], other: &[usize]) {
+        self.set_link_fault(one, other, LinkFault::CUT);
+        self.set_link_fault(other, one, LinkFault::CUT);
     }
 
-    /// All links are sound again.
+    /// Mends all links.
     pub fn heal(&self) {
-        self.shared(|s| s.links.clear());
+        self.with_shared(|shared| shared.links.clear());
     }
 
-    /// Datagrams and bytes that a router has sent so far.
-    pub fn sent(&self, router: usize) -> (u64, u64) {
-        self.shared(|s| s.sent.get(&router).copied().unwrap_or_default())
+    /// What a router has sent so far.
+    pub fn sent_by(&self, router: usize) -> TrafficCounters {
+        self.with_shared(|shared| shared.sent.get(&router).copied().unwrap_or_default())
     }
 
-    /// The last datagram from one router to another.
-    pub fn last(&self, from: usize, to: usize) -> Option<Vec<u8>> {
-        self.shared(|s| s.last.get(&(from, to)).cloned())
+    /// The latest datagram from one router to another.
+    pub fn latest_datagram(&self, from: usize, to: usize) -> Option<Vec<u8>> {
+        self.with_shared(|shared| shared.latest.get(&(from, to)).cloned())
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared(|s| s.over = true);
+        self.with_shared(|shared| shared.stopped = true);
         // A thread that can't be woken looks by itself within its wait.
-        let _woken = self.waker.wake();
+        let _ = self.waker.wake();
         if let Some(thread) = self.thread.take() {
-            let _ended = thread.join();
+            let _ = thread.join();
         }
     }
 }
 
-/// A datagram that is on its way until then, by number, and whom it is for.
-type Late = (Instant, u64, usize, Vec<u8>);
+/// A datagram that is delayed on its way to a router.
+struct Delayed {
+    to: usize,
+    bytes: Vec<u8>,
+}
 
-struct Running {
+/// The relay's thread.
+struct RelayWorker {
     poll: Poll,
     sockets: Vec<UdpSocket>,
     shared: Arc<Mutex<Shared>>,
     rng: Pcg64Mcg,
-    late: BinaryHeap<Reverse<Late>>,
-    count: u64,
+    started: Instant,
+    delayed: EventQueue<Delayed>,
 }
 
-impl Running {
+impl RelayWorker {
+    /// Relays until it is stopped, or waiting for sockets fails.
     fn run(&mut self) {
-        let mut events = Events::with_capacity(64);
-        let mut bytes = vec![0; 65_536];
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_WAIT);
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let wait = self.late.peek().map(|Reverse(l)| l.0.saturating_duration_since(Instant::now()));
-            let wait = wait.unwrap_or(Duration::from_millis(100)).min(Duration::from_millis(100));
-            if self.poll.poll(&mut events, Some(wait)).is_err_and(|e| e.kind() != io::ErrorKind::Interrupted)
-            {
+            let polled = self.poll.poll(&mut events, Some(self.wait()));
+            if polled.is_err_and(|error| error.kind() != io::ErrorKind::Interrupted) {
                 return;
             }
-            if self.shared.lock().unwrap_or_else(PoisonError::into_inner).over {
+            if self.shared().stopped {
                 return;
             }
-            let ready: Vec<usize> =
-                events.iter().filter(|e| e.token() != WAKE).map(|e| e.token().0).collect();
-            for to in ready {
-                while let Ok((n, from)) = self.sockets[to].recv_from(&mut bytes) {
-                    self.relay(from, to, &bytes[..n]);
-                }
+            for event in events.iter().filter(|event| event.token() != WAKE) {
+                self.read(event.token().0, &mut buffer);
             }
-            while self.late.peek().is_some_and(|Reverse(l)| l.0 <= Instant::now()) {
-                if let Some(Reverse((_, _, to, bytes))) = self.late.pop() {
-                    self.pass_on(to, &bytes);
-                }
+            while let Some((_, delayed)) = self.delayed.pop_due(self.now()) {
+                self.forward(delayed.to, &delayed.bytes);
             }
         }
     }
 
-    fn relay(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
-        let link = {
-            let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
-            let Some(from) = shared.behind.iter().find(|(_, a)| **a == from).map(|(i, _)| *i) else { return };
-            let sent = shared.sent.entry(from).or_default();
-            *sent = (sent.0 + 1, sent.1 + bytes.len() as u64);
-            shared.last.insert((from, to), bytes.to_vec());
-            shared.links.get(&(from, to)).copied().unwrap_or_default()
-        };
-        if link.cut || self.rng.random::<f64>() < link.loss {
-            return;
+    fn shared(&self) -> std::sync::MutexGuard<'_, Shared> {
+        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Time since the start.
+    fn now(&self) -> Time {
+        u64::try_from(self.started.elapsed().as_micros()).unwrap_or(Time::MAX)
+    }
+
+    /// How long to wait for sockets: until the next delayed datagram is due.
+    fn wait(&self) -> Duration {
+        let due = self.delayed.due().map(|due| Duration::from_micros(due.saturating_sub(self.now())));
+        due.unwrap_or(MAX_WAIT).min(MAX_WAIT)
+    }
+
+    fn read(&mut self, to: usize, buffer: &mut [u8]) {
+        while let Ok((length, from)) = self.sockets[to].recv_from(buffer) {
+            self.relay(from, to, &buffer[..length]);
         }
-        let copies = 1 + usize::from(self.rng.random::<f64>() < link.twice);
+    }
+
+    /// Takes a datagram to a router and applies the faults of its link.
+    fn relay(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
+        let Some(fault) = self.record(from, to, bytes) else { return };
         let mut bytes = bytes.to_vec();
-        if !bytes.is_empty() && self.rng.random::<f64>() < link.flipped {
-            let bit = self.rng.random_range(0..bytes.len() * 8);
-            bytes[bit / 8] ^= 1 << (bit % 8);
-        }
-        for _ in 0..copies {
-            let late = link.delay.0 + self.rng.random_range(0..=link.delay.1);
-            if late == 0 {
-                self.pass_on(to, &bytes);
-            } else if self.late.len() < HELD_MOST {
-                self.count += 1;
-                let at = Instant::now() + Duration::from_micros(late);
-                self.late.push(Reverse((at, self.count, to, bytes.clone())));
+        for _ in 0..fault.apply(&mut self.rng, &mut bytes) {
+            let delay = fault.draw_delay(&mut self.rng);
+            if delay == 0 {
+                self.forward(to, &bytes);
+            } else if self.delayed.len() < MAX_DELAYED {
+                self.delayed.push(self.now() + delay, Delayed { to, bytes: bytes.clone() });
             }
         }
     }
 
-    fn pass_on(&self, to: usize, bytes: &[u8]) {
-        let behind = self.shared.lock().unwrap_or_else(PoisonError::into_inner).behind.get(&to).copied();
-        // What can't be sent is lost, as on a network.
-        let _sent = behind.map(|at| self.sockets[to].send_to(bytes, at));
+    /// Records a datagram and gives the fault of its link; none if its sender is no router.
+    fn record(&self, from: SocketAddr, to: usize, bytes: &[u8]) -> Option<LinkFault> {
+        let mut shared = self.shared();
+        let sender = shared.destinations.iter().find(|(_, address)| **address == from)?;
+        let sender = *sender.0;
+        shared.sent.entry(sender).or_default().count(bytes.len());
+        shared.latest.insert((sender, to), bytes.to_vec());
+        Some(shared.links.get(&(sender, to)).copied().unwrap_or_default())
+    }
+
+    fn forward(&self, to: usize, bytes: &[u8]) {
+        let destination = self.shared().destinations.get(&to).copied();
+        if let Some(destination) = destination {
+            // What can't be sent is lost, as on a network.
+            let _ = self.sockets[to].send_to(bytes, destination);
+        }
     }
 }
--- a/crates/simulation/src/router_config.rs
+++ b/crates/simulation/src/router_config.rs
@@ -1,114 +1,127 @@
-//! What a router of the day is told: its configuration, as the platform would give it.
+//! The configuration of a scenario's routers, as the platform would give it to them.
 
-use crate::model::{secs, Kind, Server, ServerModel, COLD, COLD_HUB, PURGED, PUSHED};
-use crate::scenario::Scenario;
+use crate::endpoint_feed::endpoint_line;
+use crate::model::{ListedState, ServerModel, EDGE_CACHE_WARM_UP, OVERLOAD_WINDOW};
+use crate::model::{PARENT_CACHE_WARM_UP, PURGE_COMPLETION};
+use crate::scenario::{RequestClass, Scenario};
+use crate::time::from_seconds;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A router's place in the day.
+/// Spreads the routers' seeds: 2^64 over the golden ratio.
+const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// A router's place in the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterSlot {
-    /// Its office.
-    pub office: usize,
-    /// Its number among all routers.
-    pub number: usize,
+    /// Its site, by index.
+    pub site: usize,
+    /// Its index among all routers.
+    pub index: usize,
 }
 
-/// The seats of all routers, office by office.
-pub fn seats(day: &Scenario) -> Vec<RouterSlot> {
-    let offices = day.offices.iter().enumerate();
-    let offices = offices.flat_map(|(office, o)| std::iter::repeat_n(office, o.routers));
-    offices.enumerate().map(|(number, office)| RouterSlot { office, number }).collect()
+impl RouterSlot {
+    /// The router's name.
+    pub fn name(self) -> String {
+        format!("n{}", self.index + 1)
+    }
 }
 
-/// A line of the member list.
-pub fn line(day: &Scenario, server: &Server, endpoint: SocketAddr, state: &str) -> Value {
-    let (az, model) = match server.kind {
-        Kind::Box(o) => (day.offices[o].name.as_str(), "standard-box"),
-        Kind::ParentCache(h) => (day.hubs[h].name.as_str(), "hub"),
-        Kind::Origin => (day.hubs[0].name.as_str(), "library"),
-    };
-    json!({"uid": server.uid, "endpoint": endpoint.to_string(), "az": az, "model": model, "pod_group": 0,
-           "state": state, "capacity_hint": server.flows, "boot_ms": server.started / 1_000})
+/// The slots of all routers, site by site.
+pub fn router_slots(scenario: &Scenario) -> Vec<RouterSlot> {
+    let sites = scenario.sites.iter().enumerate();
+    let of_routers = sites.flat_map(|(index, site)| std::iter::repeat_n(index, site.routers));
+    of_routers.enumerate().map(|(index, site)| RouterSlot { site, index }).collect()
 }
 
-/// The configuration of one router; `endpoints` are those of the servers.
-pub fn config(
-    day: &Scenario,
-    world: &ServerModel,
-    seat: RouterSlot,
+/// The configuration of one router; `endpoints` are the addresses of the servers.
+pub fn router_config(
+    scenario: &Scenario,
+    model: &ServerModel,
+    slot: RouterSlot,
     seed: u64,
     feed: SocketAddr,
     endpoints: &[SocketAddr],
 ) -> Value {
-    let zones: Vec<&str> = day
-        .hubs
-        .iter()
-        .map(|h| &h.name)
-        .chain(day.offices.iter().map(|o| &o.name))
-        .map(String::as_str)
-        .collect();
-    let hubs = day.hubs.len();
-    let by_zone: Vec<usize> =
-        day.hubs.iter().map(|_| 0).chain(day.offices.iter().map(|o| o.routers)).collect();
-    let micros = |ms: f64| secs(ms / 1e3);
-    let classes: Vec<Value> = day
-        .classes
-        .iter()
-        .map(|c| {
-            json!({"name": c.name, "effect": if c.write { "fragile" } else { "retryable" },
-                   "onTime": micros(c.aim_ms), "aimStretch": c.aim_stretch, "hardLimit": micros(c.deadline_ms),
-                   "lateShare": c.late_worth, "worth": c.worth, "stream": false})
-        })
-        .collect();
-    let all = |f: fn(&crate::scenario::Class) -> Value| -> Vec<Value> { day.classes.iter().map(f).collect() };
+    let listed = model.servers.iter().zip(endpoints);
     let lines: Vec<Value> =
-        world.servers.iter().zip(endpoints).map(|(s, e)| line(day, s, *e, "ready")).collect();
-    let flow = day.flow_bytes_per_s;
+        listed.map(|(server, at)| endpoint_line(scenario, server, *at, ListedState::Ready)).collect();
+    let flow = scenario.flow_bytes_per_s;
+    let router_seed = seed.wrapping_add((slot.index as u64).wrapping_mul(SEED_STEP));
     json!({
-        "name": format!("n{}", seat.number + 1),
+        "name": slot.name(),
         "listen": "127.0.0.1:0",
-        "seed": format!("{:016x}", seed.wrapping_add((seat.number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15))),
+        "seed": format!("{router_seed:016x}"),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "feed": feed.to_string(),
         "flow_bytes_per_s": flow,
         "link_bytes_per_s": flow * 4.0,
         "known": {"n": 1, "events": [{"n": 1, "members": {"rev": 1, "all": true, "targets": lines}}]},
-        "settings": {
-            "az": hubs + seat.office,
-            "groupSize": day.routers(),
-            "discovery": "push",
-            "weightSource": "nominal",
-            "failureDomains": zones,
-            "models": ["standard-box", "hub", "library"],
-            "classes": classes,
-            "familyInfo": {
-                "bypassAllowed": true,
-                "classParts": all(|c| json!(c.parts > 1)),
-                "classWrite": all(|c| json!(c.write)),
-                "maxAge": all(|c| json!(secs(c.fresh_s))),
-                "usableAfter": all(|c| json!(secs(c.grace_s))),
-                "staleEarns": all(|_| json!(0.5)),
-                "clearedWithin": PURGED,
-                "countByZone": by_zone,
-                "flowKbPerS": flow / 1_000.0,
-                "neighbours": "any",
-                "originFall": 3_000_000,
-                "originFallMultiple": 2.5,
-                "parentFallMultiple": COLD_HUB.2,
-                "parentFloor": COLD_HUB.0,
-                "upperCold": COLD_HUB.1,
-                "purgeSlack": 300_000,
-                "sharesFills": false,
-                "shieldKind": 1,
-                "storeKind": 2,
-                "tells": "none"
-            },
-            "limits": {"cancel": true, "dialTimeout": 400_000, "idleClose": 30_000_000,
-                       "maxRetryAfter": 1_000_000, "probes": true, "retryAfter": true, "secondCopies": false,
-                       "sendCap": 6, "streamsPerConn": 32},
-            "rules": {"coldFrom": COLD.0, "drainGrace": 500_000, "graceToAnswer": 8_000,
-                      "overloadFactor": COLD.2, "tipAfter": PUSHED, "warmAfter": COLD.1}
-        }
+        "settings": settings(scenario, slot),
+    })
+}
+
+/// The settings that all routers share, but for the zone.
+fn settings(scenario: &Scenario, slot: RouterSlot) -> Value {
+    // Zones are the parent caches', then the sites'.
+    let parents = scenario.parent_caches.iter().map(|parent| &parent.name);
+    let zones: Vec<&String> = parents.chain(scenario.sites.iter().map(|site| &site.name)).collect();
+    let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
+    json!({
+        "az": scenario.parent_caches.len() + slot.site,
+        "groupSize": scenario.router_count(),
+        "discovery": "push",
+        "weightSource": "nominal",
+        "failureDomains": zones,
+        "models": ["standard-box", "hub", "library"],
+        "classes": classes,
+        "familyInfo": family_settings(scenario),
+        "limits": {"cancel": true, "dialTimeout": 400_000, "idleClose": 30_000_000,
+                   "maxRetryAfter": 1_000_000, "probes": true, "retryAfter": true, "secondCopies": false,
+                   "sendCap": 6, "streamsPerConn": 32},
+        "rules": {"coldFrom": EDGE_CACHE_WARM_UP.initial_share, "drainGrace": 500_000, "graceToAnswer": 8_000,
+                  "overloadFactor": EDGE_CACHE_WARM_UP.overload_multiple, "tipAfter": OVERLOAD_WINDOW,
+                  "warmAfter": EDGE_CACHE_WARM_UP.duration}
+    })
+}
+
+fn class_settings(class: &RequestClass) -> Value {
+    json!({"name": class.name,
+           "effect": if class.non_idempotent { "fragile" } else { "retryable" },
+           "onTime": from_seconds(class.latency_objective_ms / 1e3),
+           "aimStretch": class.latency_objective_stretch,
+           "hardLimit": from_seconds(class.timeout_ms / 1e3),
+           "lateShare": class.late_weight,
+           "worth": class.priority_weight,
+           "stream": false})
+}
+
+fn family_settings(scenario: &Scenario) -> Value {
+    let of_classes =
+        |value: fn(&RequestClass) -> Value| -> Vec<Value> { scenario.classes.iter().map(value).collect() };
+    let no_routers = scenario.parent_caches.iter().map(|_| 0);
+    let routers_by_zone: Vec<usize> =
+        no_routers.chain(scenario.sites.iter().map(|site| site.routers)).collect();
+    json!({
+        "bypassAllowed": true,
+        "classParts": of_classes(|class| json!(class.chunks > 1)),
+        "classWrite": of_classes(|class| json!(class.non_idempotent)),
+        "maxAge": of_classes(|class| json!(from_seconds(class.fresh_s))),
+        "usableAfter": of_classes(|class| json!(from_seconds(class.stale_s))),
+        "staleEarns": of_classes(|_| json!(crate::load::STALE_WEIGHT)),
+        "clearedWithin": PURGE_COMPLETION,
+        "countByZone": routers_by_zone,
+        "flowKbPerS": scenario.flow_bytes_per_s / 1_000.0,
+        "neighbours": "any",
+        "originFall": 3_000_000,
+        "originFallMultiple": 2.5,
+        "parentFallMultiple": PARENT_CACHE_WARM_UP.overload_multiple,
+        "parentFloor": PARENT_CACHE_WARM_UP.initial_share,
+        "upperCold": PARENT_CACHE_WARM_UP.duration,
+        "purgeSlack": 300_000,
+        "sharesFills": false,
+        "shieldKind": 1,
+        "storeKind": 2,
+        "tells": "none"
     })
 }
--- a/crates/simulation/src/shared_link.rs
+++ b/crates/simulation/src/shared_link.rs
@@ -1,124 +1,119 @@
-//! A link that transfers share evenly, each at its full pace at most.
+//! A link whose capacity its transfers share evenly, each at its own maximum rate at most.
 
 use crate::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
 /// A transfer on a link.
-pub type Leg = u64;
+pub type TransferId = u64;
 
-/// A link.
+/// Bytes are compared in thousandths, so that the order does not depend on the last bits of a float.
+const UNITS_PER_BYTE: f64 = 1_000.0;
+
+/// A link. Every active transfer progresses at the same rate at any moment, so the link keeps one count of bytes per
+/// transfer, and each transfer ends when that count reaches a value which is known when it starts.
 #[derive(Debug)]
-pub struct Pipe {
-    /// Bytes a microsecond that it carries, and that one transfer runs at.
-    rate: f64,
-    cap: f64,
-    /// Bytes that a transfer which has been on it all the time has moved.
-    moved: f64,
-    at: Time,
-    ends: BinaryHeap<Reverse<(u64, Leg)>>,
-    off: BTreeSet<Leg>,
+pub struct SharedLink {
+    /// Bytes a microsecond that the link carries.
+    capacity: f64,
+    /// Bytes a microsecond of one transfer at most.
+    max_per_transfer: f64,
+    /// Bytes that a transfer which has been on the link all the time has moved.
+    moved_per_transfer: f64,
+    now: Time,
+    /// The value of `moved_per_transfer` in [`UNITS_PER_BYTE`] at which each transfer ends.
+    ends: BinaryHeap<Reverse<(u64, TransferId)>>,
+    /// Removed transfers that are still in `ends`.
+    removed: BTreeSet<TransferId>,
     active: usize,
-    /// Bytes carried in all.
-    pub carried: f64,
+    carried: f64,
 }
 
-/// Bytes are compared in thousandths, so that the order does not hang on the last bits of a float.
-const GRAIN: f64 = 1_000.0;
-
-impl Pipe {
+impl SharedLink {
     /// A link of so many bytes a second, of which one transfer takes so many at most.
-    pub fn new(bytes_per_s: f64, cap_per_s: f64) -> Pipe {
-        let (rate, cap) = (bytes_per_s / 1e6, cap_per_s / 1e6);
-        let (ends, off) = (BinaryHeap::new(), BTreeSet::new());
-        Pipe { rate, cap, moved: 0.0, at: 0, ends, off, active: 0, carried: 0.0 }
+    pub fn new(bytes_per_s: f64, max_per_transfer_s: f64) -> SharedLink {
+        SharedLink {
+            capacity: bytes_per_s / 1e6,
+            max_per_transfer: max_per_transfer_s / 1e6,
+            moved_per_transfer: 0.0,
+            now: 0,
+            ends: BinaryHeap::new(),
+            removed: BTreeSet::new(),
+            active: 0,
+            carried: 0.0,
+        }
+    }
+
+    /// Bytes carried in all, up to the latest call of any method with a time.
+    pub fn carried(&self) -> f64 {
+        self.carried
     }
 
-    fn pace(&self) -> f64 {
-        self.cap.min(self.rate / self.active.max(1) as f64)
+    /// The rate of each transfer now, in bytes a microsecond.
+    fn rate_per_transfer(&self) -> f64 {
+        self.max_per_transfer.min(self.capacity / self.active.max(1) as f64)
     }
 
-    /// Carries on to that time.
-    pub fn turn(&mut self, now: Time) {
-        let step = now.saturating_sub(self.at) as f64 * self.pace();
-        self.at = self.at.max(now);
+    /// Lets time pass up to then.
+    pub fn advance(&mut self, now: Time) {
+        let moved = now.saturating_sub(self.now) as f64 * self.rate_per_transfer();
+        self.now = self.now.max(now);
         if self.active > 0 {
-            self.moved += step;
-            self.carried += step * self.active as f64;
+            self.moved_per_transfer += moved;
+            self.carried += moved * self.active as f64;
         }
     }
 
-    /// Gives it another rate.
-    pub fn set(&mut self, now: Time, bytes_per_s: f64) {
-        self.turn(now);
-        self.rate = bytes_per_s / 1e6;
+    /// Changes the capacity.
+    pub fn set_capacity(&mut self, now: Time, bytes_per_s: f64) {
+        self.advance(now);
+        self.capacity = bytes_per_s / 1e6;
     }
 
-    /// Puts a transfer on it.
-    pub fn add(&mut self, now: Time, leg: Leg, bytes: f64) {
-        self.turn(now);
-        self.ends.push(Reverse((((self.moved + bytes) * GRAIN) as u64, leg)));
+    /// Starts a transfer.
+    pub fn start(&mut self, now: Time, transfer: TransferId, bytes: f64) {
+        self.advance(now);
+        let end = ((self.moved_per_transfer + bytes) * UNITS_PER_BYTE) as u64;
+        self.ends.push(Reverse((end, transfer)));
         self.active += 1;
     }
 
-    /// Takes one off that is on it.
-    pub fn drop(&mut self, now: Time, leg: Leg) {
-        self.turn(now);
-        if self.off.insert(leg) {
+    /// Cancels a transfer that has not ended.
+    pub fn cancel(&mut self, now: Time, transfer: TransferId) {
+        self.advance(now);
+        if self.removed.insert(transfer) {
             self.active -= 1;
         }
     }
 
-    fn skim(&mut self) {
-        while let Some(Reverse((_, leg))) = self.ends.peek() {
-            if !self.off.remove(leg) {
-                break;
-            }
-            self.ends.pop();
-        }
-    }
-
     /// When the next transfer ends, if nothing changes before.
     pub fn due(&mut self) -> Option<Time> {
-        self.skim();
+        self.drop_cancelled();
         let Reverse((end, _)) = self.ends.peek()?;
-        let left = (*end as f64 / GRAIN - self.moved).max(0.0);
-        Some(self.at + (left / self.pace()).ceil() as Time)
+        let left = (*end as f64 / UNITS_PER_BYTE - self.moved_per_transfer).max(0.0);
+        Some(self.now + (left / self.rate_per_transfer()).ceil() as Time)
     }
 
-    /// Takes off one that has ended by then.
-    pub fn done(&mut self, now: Time) -> Option<Leg> {
-        self.turn(now);
-        self.skim();
-        let Reverse((end, leg)) = *self.ends.peek()?;
-        if end as f64 / GRAIN > self.moved + 1.0 / GRAIN {
+    /// Takes one transfer that has ended by then.
+    pub fn pop_finished(&mut self, now: Time) -> Option<TransferId> {
+        self.advance(now);
+        self.drop_cancelled();
+        let Reverse((end, transfer)) = *self.ends.peek()?;
+        if end as f64 / UNITS_PER_BYTE > self.moved_per_transfer + 1.0 / UNITS_PER_BYTE {
             return None;
         }
         self.ends.pop();
         self.active -= 1;
-        Some(leg)
+        Some(transfer)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn transfers_share_a_link_and_none_runs_above_its_pace() {
-        // 3000 bytes a second, 2000 for one: alone 1 s for 2000 bytes, two together 1500 each.
-        let mut p = Pipe::new(3_000.0, 2_000.0);
-        p.add(0, 1, 2_000.0);
-        assert_eq!(p.due(), Some(1_000_000));
-        p.add(500_000, 2, 1_500.0);
-        // 1000 bytes are left of the first, at 1500 a second.
-        let first = p.due().unwrap();
-        assert!((1_166_000..1_168_000).contains(&first), "{first}");
-        assert_eq!((p.done(first + 1), p.done(first + 1)), (Some(1), None));
-        let second = p.due().unwrap();
-        assert!((1_416_000..1_418_000).contains(&second), "{second}");
-        p.drop(second - 100, 2);
-        assert_eq!(p.due(), None);
-        assert!((3_490.0..3_501.0).contains(&p.carried), "{}", p.carried);
+    /// Removes cancelled transfers from the front of `ends`.
+    fn drop_cancelled(&mut self) {
+        while let Some(Reverse((_, transfer))) = self.ends.peek() {
+            if !self.removed.remove(transfer) {
+                break;
+            }
+            self.ends.pop();
+        }
     }
 }
--- /dev/null
+++ b/crates/simulation/src/sweep/mod.rs
@@ -0,0 +1,325 @@
+//! A matrix of outages in virtual time: every combination of what is lost, for how long, under how much load, with how
+//! many routers. Scenarios are played side by side on all cores; the same file gives the same figures.
+
+mod table;
+
+pub use table::table;
+
+use crate::report::{Report, SecondWeights, COLD_EDGE_CACHE, COLD_PARENT_CACHE};
+use crate::scenario::{Fault, FaultKind, Scenario, Site, MAX_ROUTERS_PER_SITE, ORIGIN_NAME};
+use crate::virtual_time::{play, VirtualTimeError};
+use hollymux_config_file::{Check, Faults};
+use rayon::prelude::*;
+use schemars::JsonSchema;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// More combinations than this are a mistake.
+const MAX_SCENARIOS: usize = 20_000;
+/// Service has recovered when so much of what was earned before is earned again...
+const RECOVERED_PART: f64 = 0.95;
+/// ...over this many seconds.
+const RECOVERY_WINDOW_S: usize = 2;
+/// Seconds before the outage that the time after it is compared with.
+const BASELINE_S: usize = 5;
+/// A rolling replacement takes so many seconds in all.
+const REPLACEMENT_S: f64 = 7.0;
+/// Of so many edge caches...
+const REPLACED_OF: usize = 5;
+/// ...so many are replaced.
+const REPLACED: usize = 3;
+
+/// The combinations that are played.
+#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
+#[serde(deny_unknown_fields)]
+pub struct Sweep {
+    /// The scenario that all are made from; its rate is what `loads` are parts of.
+    #[serde(rename = "day")]
+    pub scenario: Scenario,
+    /// When the outage begins.
+    pub at_s: f64,
+    /// What is lost.
+    #[serde(rename = "lost")]
+    pub outages: Vec<Outage>,
+    /// For how long.
+    #[serde(rename = "for_s")]
+    pub durations_s: Vec<f64>,
+    /// Load, as parts of the scenario's.
+    pub loads: Vec<f64>,
+    /// Routers in all, spread over the sites by their edge caches; no site has none.
+    pub routers: Vec<usize>,
+    /// How uneven their load is.
+    #[serde(rename = "uneven", default = "default_skews")]
+    pub router_skews: Vec<f64>,
+    /// How long changes of the endpoint list take to reach routers.
+    #[serde(rename = "news_ms", default = "default_feed_delays_ms")]
+    pub feed_delays_ms: Vec<f64>,
+    /// Seeds.
+    #[serde(default = "default_seeds")]
+    pub seeds: Vec<u64>,
+}
+
+/// What is lost at once.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
+pub enum Outage {
+    /// The first parent cache.
+    #[default]
+    #[serde(rename = "hub")]
+    ParentCache,
+    /// All parent caches.
+    #[serde(rename = "hubs")]
+    AllParentCaches,
+    /// The first site's first edge cache.
+    #[serde(rename = "box")]
+    EdgeCache,
+    /// Half of the first site's edge caches.
+    #[serde(rename = "half_office")]
+    HalfSite,
+    /// The first site's edge caches.
+    #[serde(rename = "office")]
+    Site,
+    /// The origin.
+    #[serde(rename = "library")]
+    Origin,
+    /// Six in ten of all edge caches are replaced, one after another, in 7 s, whatever the duration.
+    #[serde(rename = "replaced")]
+    RollingReplacement,
+}
+
+fn default_skews() -> Vec<f64> {
+    vec![1.0]
+}
+
+fn default_feed_delays_ms() -> Vec<f64> {
+    vec![1_000.0]
+}
+
+fn default_seeds() -> Vec<u64> {
+    vec![1]
+}
+
+impl Check for Sweep {
+    fn check(&self, faults: &mut Faults) {
+        self.scenario.check(faults);
+        let scenarios = self.scenario_count();
+        let count_fits = (1..=MAX_SCENARIOS).contains(&scenarios);
+        faults.unless(count_fits, "lost", "every list must have entries, 20000 days in all at most");
+        let at_fits = self.at_s > self.scenario.warm_up_s && self.at_s < self.scenario.seconds;
+        faults.unless(at_fits, "at_s", "must lie between the day's warm_s and seconds");
+        let max_routers = MAX_ROUTERS_PER_SITE * self.scenario.sites.len();
+        let routers = self.routers.iter().all(|count| (1..=max_routers).contains(count));
+        faults.unless(routers, "routers", "must lie between 1 and 50 for each office");
+        let durations = self.durations_s.iter().all(|seconds| *seconds > 0.0);
+        faults.unless(durations, "for_s", "must be above 0");
+        let loads = self.loads.iter().all(|load| *load > 0.0 && *load <= 100.0);
+        faults.unless(loads, "loads", "must lie between 0 and 100");
+        let skews = self.router_skews.iter().all(|skew| (1.0..=100.0).contains(skew));
+        faults.unless(skews, "uneven", "must lie between 1 and 100");
+        let delays = self.feed_delays_ms.iter().all(|delay| (0.0..=60_000.0).contains(delay));
+        faults.unless(delays, "news_ms", "must lie between 0 and 60000");
+        faults.unless(self.scenario.faults.is_empty(), "day.faults", "the outage is the only one");
+    }
+}
+
+/// What one scenario came to.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct SweepRow {
+    /// What was lost.
+    #[serde(rename = "lost")]
+    pub outage: Outage,
+    /// For how long.
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
+    /// Load, as a part of the scenario's.
+    pub load: f64,
+    /// Routers in all.
+    pub routers: usize,
+    /// How uneven their load was.
+    #[serde(rename = "uneven")]
+    pub router_skew: f64,
+    /// How long changes of the endpoint list took.
+    #[serde(rename = "news_ms")]
+    pub feed_delay_ms: f64,
+    /// The seed.
+    pub seed: u64,
+    /// Rules violated, and how often.
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<String, u64>,
+    /// Servers that fell over while warming up before routers could know of their start.
+    #[serde(rename = "fell_untold")]
+    pub falls_before_known: u64,
+    /// The weight earned over the weight offered.
+    #[serde(rename = "served_worth")]
+    pub earned_share: f64,
+    /// From the outage's end until 95% of the weight of before is earned; none: not before the scenario's end.
+    #[serde(rename = "back_s")]
+    pub recovery_s: Option<f64>,
+    /// The most that was sent to an edge cache and to a parent cache that warmed up within a window, by the routers'
+    /// accounts, as parts of what may be.
+    #[serde(rename = "cold_worst")]
+    pub quota_peaks: [f64; 2],
+    /// The same on average while more was wanted.
+    #[serde(rename = "cold_used")]
+    pub quota_means: [Option<f64>; 2],
+    /// Requests of the origin a second.
+    #[serde(rename = "library_per_s")]
+    pub origin_requests_per_s: f64,
+    /// Attempts that reached servers, for each request of a client.
+    pub attempts: f64,
+}
+
+impl Sweep {
+    /// The number of combinations; the largest number if it is larger.
+    fn scenario_count(&self) -> usize {
+        let lengths = [
+            self.outages.len(),
+            self.durations_s.len(),
+            self.loads.len(),
+            self.routers.len(),
+            self.router_skews.len(),
+            self.feed_delays_ms.len(),
+            self.seeds.len(),
+        ];
+        lengths.into_iter().try_fold(1usize, usize::checked_mul).unwrap_or(usize::MAX)
+    }
+
+    /// The scenarios, in the order of the lists, with rows that hold only what they are.
+    fn scenarios(&self) -> Vec<(SweepRow, Scenario)> {
+        let rows = vec![SweepRow::default()];
+        let rows = combine(rows, &self.outages, |row, outage| row.outage = outage);
+        let rows = combine(rows, &self.durations_s, |row, seconds| row.duration_s = seconds);
+        let rows = combine(rows, &self.loads, |row, load| row.load = load);
+        let rows = combine(rows, &self.routers, |row, routers| row.routers = routers);
+        let rows = combine(rows, &self.router_skews, |row, skew| row.router_skew = skew);
+        let rows = combine(rows, &self.feed_delays_ms, |row, delay| row.feed_delay_ms = delay);
+        let rows = combine(rows, &self.seeds, |row, seed| row.seed = seed);
+        let with_scenario = |row: SweepRow| {
+            let scenario = self.scenario_of(&row);
+            (row, scenario)
+        };
+        rows.into_iter().map(with_scenario).collect()
+    }
+
+    fn scenario_of(&self, row: &SweepRow) -> Scenario {
+        let mut scenario = self.scenario.clone();
+        scenario.rate_per_s *= row.load;
+        scenario.router_skew = row.router_skew;
+        scenario.endpoint_feed_delay_ms = row.feed_delay_ms;
+        spread_routers(&mut scenario.sites, row.routers);
+        scenario.faults = self.faults(&scenario, row);
+        scenario
+    }
+
+    fn faults(&self, scenario: &Scenario, row: &SweepRow) -> Vec<Fault> {
+        let lost = lost_servers(scenario, row.outage);
+        let step_s = REPLACEMENT_S / lost.len() as f64;
+        let fault = |(index, server): (usize, String)| match row.outage {
+            Outage::RollingReplacement => Fault {
+                at_s: self.at_s + index as f64 * step_s,
+                for_s: None,
+                kind: FaultKind::Replace { server },
+            },
+            _ => Fault { at_s: self.at_s, for_s: Some(row.duration_s), kind: FaultKind::Crash { server } },
+        };
+        lost.into_iter().enumerate().map(fault).collect()
+    }
+}
+
+/// Each row once with each of the values.
+fn combine<T: Copy>(rows: Vec<SweepRow>, values: &[T], set: impl Fn(&mut SweepRow, T)) -> Vec<SweepRow> {
+    let mut combined = Vec::with_capacity(rows.len() * values.len());
+    for row in &rows {
+        for value in values {
+            let mut row = row.clone();
+            set(&mut row, *value);
+            combined.push(row);
+        }
+    }
+    combined
+}
+
+/// Each site has a router as long as there are enough; the rest goes by edge caches, as evenly as numbers allow. Sites
+/// for which there is no router are left out.
+fn spread_routers(sites: &mut Vec<Site>, routers: usize) {
+    sites.iter_mut().for_each(|site| site.routers = 1);
+    for _ in sites.len()..routers {
+        let routers_per_cache = |site: &&mut Site| (site.routers * 1_000) / site.edge_caches;
+        let not_full = sites.iter_mut().filter(|site| site.routers < MAX_ROUTERS_PER_SITE);
+        if let Some(site) = not_full.min_by_key(routers_per_cache) {
+            site.routers += 1;
+        }
+    }
+    sites.truncate(routers);
+}
+
+/// The names of the servers that an outage takes.
+fn lost_servers(scenario: &Scenario, outage: Outage) -> Vec<String> {
+    let parents = scenario.parent_caches.iter().map(|parent| parent.name.clone());
+    let first_site: Vec<String> = scenario.edge_cache_names(0).collect();
+    match outage {
+        Outage::ParentCache => parents.take(1).collect(),
+        Outage::AllParentCaches => parents.collect(),
+        Outage::EdgeCache => first_site[..1].to_vec(),
+        Outage::HalfSite => first_site[..first_site.len().div_ceil(2)].to_vec(),
+        Outage::Site => first_site,
+        Outage::Origin => vec![ORIGIN_NAME.into()],
+        Outage::RollingReplacement => {
+            let all = (0..scenario.sites.len()).flat_map(|site| scenario.edge_cache_names(site));
+            let replaced = all.enumerate().filter(|(index, _)| index % REPLACED_OF < REPLACED);
+            replaced.map(|(_, name)| name).collect()
+        }
+    }
+}
+
+/// Plays all scenarios and gives their rows in order.
+///
+/// # Errors
+/// A router can't work under one of the scenarios.
+pub fn run(sweep: &Sweep) -> Result<Vec<SweepRow>, VirtualTimeError> {
+    let scenarios = sweep.scenarios().into_par_iter();
+    scenarios.map(|(row, scenario)| play_row(sweep.at_s, row, &scenario)).collect()
+}
+
+fn play_row(at_s: f64, row: SweepRow, scenario: &Scenario) -> Result<SweepRow, VirtualTimeError> {
+    let run = play(scenario, row.seed, &mut |_, _| {})?;
+    let report = Report::new(scenario, &run);
+    let duration_s = match row.outage {
+        Outage::RollingReplacement => REPLACEMENT_S,
+        _ => row.duration_s,
+    };
+    let quotas = [COLD_EDGE_CACHE, COLD_PARENT_CACHE].map(|tier| report.warm_up_quotas.get(tier).copied());
+    Ok(SweepRow {
+        recovery_s: recovery_seconds(&report.seconds, at_s, at_s + duration_s),
+        quota_peaks: quotas.map(|quota| quota.map_or(0.0, |quota| quota.used_peak)),
+        quota_means: quotas.map(|quota| quota.and_then(|quota| quota.used_mean)),
+        earned_share: report.earned_share,
+        origin_requests_per_s: report.origin_requests_per_s,
+        attempts: report.attempts,
+        violations: report.violations,
+        falls_before_known: report.falls_before_known,
+        ..row
+    })
+}
+
+/// Seconds from an outage's end until as much is earned as before it.
+fn recovery_seconds(seconds: &[SecondWeights], begin_s: f64, end_s: f64) -> Option<f64> {
+    let begin = (begin_s as usize).min(seconds.len());
+    let before = earned_share(&seconds[begin.saturating_sub(BASELINE_S)..begin]);
+    let first = end_s.ceil() as usize;
+    let last = (seconds.len() + 1).saturating_sub(RECOVERY_WINDOW_S);
+    let recovered = |second: &usize| {
+        earned_share(&seconds[*second..second + RECOVERY_WINDOW_S]) >= RECOVERED_PART * before
+    };
+    (first..last).find(recovered).map(|second| second as f64 - end_s)
+}
+
+/// The part of the weight that was earned; all of it where nothing was offered.
+fn earned_share(seconds: &[SecondWeights]) -> f64 {
+    let earned: f64 = seconds.iter().fold(0.0, |sum, second| sum + second.earned);
+    let offered: f64 = seconds.iter().fold(0.0, |sum, second| sum + second.offered);
+    if offered > 0.0 {
+        earned / offered
+    } else {
+        1.0
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -0,0 +1,127 @@
+//! The routers' views of each other in virtual time, and faults between and in routers.
+
+use super::{Simulation, START};
+use crate::cluster::{router_at, ObservedChange, RouterCluster, CLOCK_START};
+use crate::cluster_report::LostReport;
+use crate::router_faults::{last_router_fault_end, link_faults, router_indices};
+use crate::scenario::{FaultKind, FaultPhase};
+use crate::time::as_seconds;
+use crate::Time;
+use hollymux_cluster::limits::LeaseTimings;
+use hollymux_cluster::view::{Change, Rank};
+use hollymux_decision::time::whole_micros;
+use hollymux_decision::Timestamp;
+
+/// A time of the cluster's monotonic clocks on the clock of the simulation, which shows Unix time.
+fn from_cluster_clock(at: Time) -> Time {
+    at - CLOCK_START + START
+}
+
+impl Simulation<'_> {
+    /// Starts the routers' views, where they form a cluster.
+    pub(super) fn start_cluster(&mut self) {
+        let Some(cluster) = &mut self.cluster else { return };
+        for router in &self.routers {
+            let index = router.slot.index;
+            let settings = &router.config.settings;
+            let zone = usize::from(settings.zone);
+            let in_zone = settings.router_count_by_zone.get(zone).copied().unwrap_or(0);
+            cluster.set_zone(index, &self.scenario.sites[router.slot.site].name);
+            cluster.set_router_counts(index, settings.router_count, in_zone);
+            let window = whole_micros(settings.overload_window);
+            let timings = LeaseTimings { window, ..LeaseTimings::default() };
+            cluster.lease_timings = self.scenario.leased_quotas.then_some(timings);
+            cluster.start(index);
+        }
+    }
+
+    /// When anything happens among the views next.
+    pub(super) fn cluster_due(&self) -> Option<Time> {
+        self.cluster.as_ref().and_then(RouterCluster::due).map(from_cluster_clock)
+    }
+
+    /// Lets the views come up to now, and gives the routers what follows from them.
+    pub(super) fn advance_cluster(&mut self) {
+        let Some(mut cluster) = self.cluster.take() else { return };
+        let quotas_due = cluster.due().is_some_and(|due| from_cluster_clock(due) <= self.now);
+        if self.scenario.leased_quotas && quotas_due {
+            self.give_demands(&mut cluster);
+        }
+        let cluster_now = self.now - START + CLOCK_START;
+        cluster.run(cluster_now.saturating_sub(cluster.now));
+        for change in std::mem::take(&mut cluster.changes) {
+            self.on_view_change(&cluster, &change);
+        }
+        for router in std::mem::take(&mut cluster.lease_changes) {
+            self.apply_leases(&cluster, router);
+        }
+        self.observe_convergence(&cluster);
+        self.views.bytes = cluster.sent.bytes;
+        self.cluster = Some(cluster);
+    }
+
+    /// Tells the views what the routers want of servers that warm up.
+    fn give_demands(&self, cluster: &mut RouterCluster) {
+        let now = Timestamp::from_micros(self.now);
+        for router in self.routers.iter().filter(|router| router.is_running()) {
+            cluster.set_demands(router.slot.index, router.core.warm_up_demands(now));
+        }
+    }
+
+    /// Records a lost router, and tells the router whose view changed how many may be active.
+    fn on_view_change(&mut self, cluster: &RouterCluster, observed: &ObservedChange) {
+        let by = observed.by;
+        if let Change::Router(address, _, record) = &observed.change {
+            if record.rank == Rank::Lost {
+                let at_s = as_seconds(self.now - START);
+                let report = router_at(*address).map(|of| LostReport { at_s, by, of });
+                self.views.lost.extend(report);
+            }
+        }
+        let router = &mut self.routers[by];
+        if let Some(view) = cluster.view(by).filter(|_| router.is_running()) {
+            let (all, in_zone) = view.shared_by(&router.config.settings);
+            router.core.count_routers(all, in_zone);
+        }
+    }
+
+    /// Gives a router its leases as they are now.
+    fn apply_leases(&mut self, cluster: &RouterCluster, router: usize) {
+        let router_state = &mut self.routers[router];
+        let Some(limits) = cluster.limits(router).filter(|_| router_state.is_running()) else { return };
+        let (homes, mut leases) = limits.use_at(cluster.now);
+        for lease in leases.values_mut().filter(|lease| lease.until != Timestamp::MAX) {
+            lease.until = Timestamp::from_micros(from_cluster_clock(lease.until.as_micros()));
+        }
+        router_state.core.lease(homes, leases);
+    }
+
+    /// After the last fault: whether all that run hold one view by now.
+    fn observe_convergence(&mut self, cluster: &RouterCluster) {
+        let now_s = as_seconds(self.now - START);
+        let faults_over = now_s > last_router_fault_end(&self.scenario);
+        if self.views.converged_at_s.is_none() && faults_over && cluster.converged(&cluster.running()) {
+            self.views.converged_at_s = Some(now_s);
+        }
+    }
+
+    /// A fault between or in routers begins or ends.
+    pub(super) fn on_fault(&mut self, index: usize, phase: FaultPhase) {
+        let kind = self.scenario.faults[index].kind.clone();
+        if let Some(cluster) = &mut self.cluster {
+            for group in link_faults(&self.scenario, &kind) {
+                let fault = if phase == FaultPhase::Begin { group.fault } else { Default::default() };
+                cluster.set_link_fault(&group.from, &group.to, fault);
+            }
+        }
+        let (FaultKind::Kill { routers } | FaultKind::Pause { routers }) = &kind else { return };
+        for router in router_indices(routers) {
+            match (&kind, phase) {
+                (FaultKind::Kill { .. }, FaultPhase::Begin) => self.kill_router(router),
+                (FaultKind::Kill { .. }, FaultPhase::End) => self.restart_router(router),
+                (_, FaultPhase::Begin) => self.pause_router(router),
+                (_, FaultPhase::End) => self.resume_router(router),
+            }
+        }
+    }
+}
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -1,668 +1,344 @@
-//! A day in virtual time: the same servers and clients, round the routers' sans-I/O cores, without sockets. The
-//! same seed gives the same day, to the byte.
-
-use crate::cluster::{place_at, RouterCluster, BEGIN};
-use crate::cluster_report::{judge, links, places, quiet_from, ViewObservations};
-use crate::load::{ClientAttempt, ClientOutcome, Clients, CompletedRequest};
-use crate::model::{secs, Call, CallResult, ModelEvent, ServerModel, ServerState, PURGE_TOLD};
-use crate::report::DriverCounters;
-use crate::router_config::{config, line, seats, RouterSlot};
-use crate::scenario::{FaultKind, Scenario};
-use crate::{Time, MS, SEC};
-use hollymux_cluster::limits::LeaseTimings;
-use hollymux_cluster::view::{Change, Rank};
-use hollymux_decision::time::whole_micros;
-use hollymux_decision::{EndpointId, QuotaScope, Timestamp};
+//! A scenario in virtual time: the servers and clients of the model round the routers' sans-I/O cores, without sockets.
+//! The same seed gives the same run, to the byte.
+
+mod cluster;
+mod quotas;
+mod routers;
+mod servers;
+
+use crate::cluster::RouterCluster;
+use crate::cluster_report::{summarize_views, ViewObservations};
+use crate::event_queue::EventQueue;
+use crate::load::Clients;
+use crate::model::{AttemptResult, ServerModel};
+use crate::router_config::{router_config, router_slots, RouterSlot};
+use crate::run_result::{DriverCounters, RunResult};
+use crate::scenario::{FaultPhase, Scenario};
+use crate::time::from_seconds;
+use crate::{Time, SEC};
+use hollymux_decision::{EndpointId, SettingsError};
 use hollymux_router::buffers::BufferPool;
-use hollymux_router::{
-    AttemptFailure, AttemptId, AttemptRequest, AttemptResponse, ClientHandle, Command, FeedEvent, Input,
-    ListedEndpoint, Reply, RequestSummary, Router, Wake,
-};
-use hollymux_server::config::Config;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
-use std::net::SocketAddr;
-
-/// A message takes this long from one party to another.
-const WAY: Time = 300;
-/// A connection that nothing answers is given up after this.
-const DIAL: Time = 400 * MS;
-/// From one look at the accounts of limits to the next.
-const LOOK: Time = 250 * MS;
-/// When a day in virtual time starts, in microseconds of Unix time.
+use hollymux_router::{AttemptFailure, AttemptId, AttemptRequest, FeedEvent, Input, ListedEndpoint};
+use hollymux_router::{RequestSummary, Wake};
+use hollymux_server::config::{Config, ConfigError};
+use routers::SimulatedRouter;
+use servers::AttemptInFlight;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// When a run starts, in microseconds of Unix time.
 pub const START: Time = 1_760_000_000 * SEC;
+/// A message takes this long from one party to another.
+const MESSAGE_DELAY: Time = 300;
 /// Buffers of a router, as many as a small machine's.
 const BUFFERS: usize = 4_096;
+/// The port that stands for the first server; the others follow.
+const FIRST_SERVER_PORT: u16 = 10_000;
+
+/// Why a scenario can't be played in virtual time.
+#[derive(Debug, thiserror::Error)]
+pub enum VirtualTimeError {
+    /// A router's configuration can't be used.
+    #[error("the configuration of router {router} can't be used: {source}")]
+    Config {
+        /// The router's name.
+        router: String,
+        /// What is wrong with it.
+        source: ConfigError,
+    },
+    /// A router can't work under its settings.
+    #[error("router {router} can't work under its settings: {source}")]
+    Settings {
+        /// The router's name.
+        router: String,
+        /// What is wrong with them.
+        source: SettingsError,
+    },
+}
 
-/// What a day came to.
-#[derive(Debug)]
-pub struct RunResult {
-    /// When it started.
-    pub start: Time,
-    /// What became of each first try.
-    pub done: Vec<CompletedRequest>,
-    /// The servers.
-    pub world: ServerModel,
-    /// What was counted beside.
-    pub counted: DriverCounters,
+/// What a recording of a router holds: the requests that it ended, and what its endpoint feed carried.
+pub enum RouterRecord<'a> {
+    /// A request ended.
+    RequestEnded(&'a RequestSummary),
+    /// The endpoint list changed.
+    EndpointsChanged {
+        /// When.
+        at: Time,
+        /// The lines that changed, or all.
+        lines: &'a [ListedEndpoint],
+    },
+    /// Something was purged.
+    Purged {
+        /// When the router learnt of it.
+        at: Time,
+        /// The object; none: the whole group.
+        object: Option<u64>,
+        /// The group.
+        group: u32,
+    },
 }
 
-enum Event {
-    Core(usize, Wake),
-    Arrive(usize, Box<AttemptRequest>),
-    Said(u64, CallResult, u64),
-    Lost(usize, AttemptId, AttemptFailure),
-    Probe(usize, EndpointId, Option<bool>),
-    /// News of members, from the control feed; the text is that of the sockets.
-    Told(usize, String),
+/// Takes what recordings of routers are to hold, as it happens.
+pub type RecordSink<'a> = dyn FnMut(RouterSlot, &RouterRecord<'_>) + 'a;
+
+/// Something that happens at a point in virtual time.
+enum TimedEvent {
+    /// A router's timer is due.
+    RouterWake { router: usize, wake: Wake },
+    /// An attempt reaches a server.
+    AttemptArrives { router: usize, request: Box<AttemptRequest> },
+    /// An answer reaches a router.
+    AnswerArrives { id: u64, result: AttemptResult, bytes: u64 },
+    /// A router sees that an attempt failed.
+    AttemptFails { router: usize, attempt: AttemptId, failure: AttemptFailure },
+    /// A probe is answered, or not.
+    ProbeEnds { router: usize, endpoint: EndpointId, healthy: Option<bool> },
+    /// An event of the endpoint feed reaches a router; the text is that of the sockets.
+    FeedEvent { router: usize, text: String },
     /// A fault between or in routers begins or ends.
-    Fault(usize, bool),
+    Fault { index: usize, phase: FaultPhase },
 }
 
-struct Timed(Time, u64, Event);
-
-impl PartialEq for Timed {
-    fn eq(&self, other: &Timed) -> bool {
-        (self.0, self.1) == (other.0, other.1)
-    }
-}
-impl Eq for Timed {}
-impl PartialOrd for Timed {
-    fn partial_cmp(&self, other: &Timed) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Timed {
-    fn cmp(&self, other: &Timed) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(other.0, other.1))
+impl TimedEvent {
+    /// The router whose process it concerns: it means nothing to that router's next process.
+    fn process(&self) -> Option<usize> {
+        match self {
+            TimedEvent::RouterWake { router, .. }
+            | TimedEvent::AttemptArrives { router, .. }
+            | TimedEvent::AttemptFails { router, .. }
+            | TimedEvent::ProbeEnds { router, .. } => Some(*router),
+            TimedEvent::AnswerArrives { .. } | TimedEvent::FeedEvent { .. } | TimedEvent::Fault { .. } => {
+                None
+            }
+        }
     }
 }
 
-/// A call that is out at a server.
-struct Out {
+/// A client's attempt that is open at a router.
+struct OpenAttempt {
     router: usize,
-    attempt: AttemptId,
-    server: usize,
-    write: bool,
+    /// Its id on the wire.
+    rid: u64,
 }
 
-struct Lab<'a> {
-    day: Scenario,
-    seats: Vec<RouterSlot>,
+struct Simulation<'a> {
+    scenario: Scenario,
     now: Time,
-    world: ServerModel,
+    model: ServerModel,
     clients: Clients,
-    routers: Vec<Router>,
-    configs: Vec<Config>,
+    routers: Vec<SimulatedRouter>,
     pool: BufferPool,
-    events: BinaryHeap<Reverse<Timed>>,
-    seq: u64,
-    calls: BTreeMap<u64, Out>,
-    by_attempt: HashMap<(usize, AttemptId), u64>,
-    next_call: u64,
-    /// Clients' requests out: the router, and the try that is meant, by its id on the wire.
-    open: BTreeMap<u64, (usize, u64)>,
-    told: u64,
-    /// The routers' views of each other, and how each router's process stands.
-    fleet: Option<RouterCluster>,
-    stands: Vec<Process>,
-    gave_up: BTreeSet<u64>,
-    watch: ViewObservations,
-    counted: DriverCounters,
-    /// When accounts of limits are looked at next, and since when all who share a cold server know that it is.
-    look: Time,
-    known: BTreeMap<EndpointId, Time>,
-    ended: &'a mut dyn FnMut(RouterSlot, &RouterRecord<'_>),
-}
-
-/// How a router's process stands.
-#[derive(Debug)]
-enum Process {
-    Runs,
-    Dead,
-    /// What came meanwhile waits.
-    Stopped(VecDeque<Input>),
+    timed_events: EventQueue<TimedEvent>,
+    /// Routers' attempts at servers, by the id that the model knows them by.
+    attempts: BTreeMap<u64, AttemptInFlight>,
+    /// The same ids by router and the router's own id.
+    attempt_ids: HashMap<(usize, AttemptId), u64>,
+    next_attempt_id: u64,
+    /// Clients' attempts, by the id of the client's request.
+    open: BTreeMap<u64, OpenAttempt>,
+    /// Events of the endpoint feed so far.
+    feed_events: u64,
+    /// The routers' views of each other, where they form a cluster.
+    cluster: Option<RouterCluster>,
+    /// Attempts whose client stopped waiting while the router stood still, by their id on the wire.
+    given_up: BTreeSet<u64>,
+    views: ViewObservations,
+    counters: DriverCounters,
+    next_quota_sample: Time,
+    /// Since when all routers concerned know that a server warms up.
+    warm_up_known_since: BTreeMap<EndpointId, Time>,
+    records: &'a mut RecordSink<'a>,
 }
 
-/// What a recording of a router holds: what it closed, and what it was told.
-pub enum RouterRecord<'a> {
-    /// A request was closed.
-    Ended(&'a RequestSummary),
-    /// Members changed.
-    Members(Time, &'a [ListedEndpoint]),
-    /// Something was purged.
-    Purge(Time, Option<u64>, u32),
+/// The address that stands for a server.
+fn server_address(server: usize) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::LOCALHOST, FIRST_SERVER_PORT + server as u16))
 }
 
-/// The address that stands for a server.
-fn endpoint(server: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 10_000 + server as u16))
+fn server_at(address: SocketAddr) -> usize {
+    usize::from(address.port() - FIRST_SERVER_PORT)
 }
 
-fn server_at(addr: SocketAddr) -> usize {
-    usize::from(addr.port()) - 10_000
+/// The configuration of one router as things are now.
+fn read_config(
+    scenario: &Scenario,
+    model: &ServerModel,
+    slot: RouterSlot,
+    seed: u64,
+) -> Result<Config, VirtualTimeError> {
+    let endpoints: Vec<SocketAddr> = (0..model.servers.len()).map(server_address).collect();
+    // Nothing connects to the feed here.
+    let feed = server_address(0);
+    let text = router_config(scenario, model, slot, seed, feed, &endpoints).to_string();
+    Config::read(&text).map_err(|source| VirtualTimeError::Config { router: slot.name(), source })
 }
 
-/// The configurations of a day's routers, with their names.
+/// The configurations of a scenario's routers.
 ///
 /// # Errors
 /// One can't be used.
-pub fn configs(day: &Scenario, seed: u64) -> Result<Vec<(String, Config)>, String> {
-    let world = ServerModel::new(day, START, seed);
-    let endpoints: Vec<SocketAddr> = (0..world.servers.len()).map(endpoint).collect();
-    let one = |seat: RouterSlot| {
-        let text = config(day, &world, seat, seed, endpoint(0), &endpoints).to_string();
-        Config::read(&text).map(|c| (c.name.clone(), c)).map_err(|e| e.to_string())
-    };
-    seats(day).into_iter().map(one).collect()
+pub fn router_configs(scenario: &Scenario, seed: u64) -> Result<Vec<Config>, VirtualTimeError> {
+    let model = ServerModel::new(scenario, START, seed);
+    let slots = router_slots(scenario).into_iter();
+    slots.map(|slot| read_config(scenario, &model, slot, seed)).collect()
 }
 
-/// Plays a day. What routers close and are told goes to `ended` as it happens.
+/// Plays a scenario. What recordings of routers are to hold goes to `records` as it happens.
 ///
 /// # Errors
-/// A router can't work under the day's settings.
+/// A router can't work under the scenario's settings.
 pub fn play(
-    day: &Scenario,
+    scenario: &Scenario,
     seed: u64,
-    ended: &mut dyn FnMut(RouterSlot, &RouterRecord<'_>),
-) -> Result<RunResult, String> {
-    let world = ServerModel::new(day, START, seed);
-    let clients = Clients::new(day, START, seed);
-    let (mut routers, mut configs, mut known) = (Vec::new(), Vec::new(), Vec::new());
-    for (_, mut config) in self::configs(day, seed)? {
-        known.push(std::mem::take(&mut config.known.1));
-        routers.push(Router::new(config.setup(), false).map_err(|e| e.to_string())?);
-        configs.push(config);
+    records: &mut RecordSink<'_>,
+) -> Result<RunResult, VirtualTimeError> {
+    let mut routers = Vec::new();
+    let mut initial_lists = Vec::new();
+    for (slot, config) in router_slots(scenario).into_iter().zip(router_configs(scenario, seed)?) {
+        let (router, initial_list) = SimulatedRouter::start(slot, config)?;
+        routers.push(router);
+        initial_lists.push(initial_list);
     }
-    let mut lab = Lab {
-        day: day.clone(),
-        seats: seats(day),
+    let mut records = |slot: RouterSlot, record: &RouterRecord<'_>| records(slot, record);
+    let mut simulation = Simulation {
+        scenario: scenario.clone(),
         now: START,
-        world,
-        clients,
-        routers,
-        configs,
+        model: ServerModel::new(scenario, START, seed),
+        clients: Clients::new(scenario, START, seed),
         pool: BufferPool::new(BUFFERS),
-        events: BinaryHeap::new(),
-        seq: 0,
-        calls: BTreeMap::new(),
-        by_attempt: HashMap::new(),
-        next_call: 1,
+        timed_events: EventQueue::default(),
+        attempts: BTreeMap::new(),
+        attempt_ids: HashMap::new(),
+        next_attempt_id: 1,
         open: BTreeMap::new(),
-        told: 1,
-        fleet: day.fleet.then(|| RouterCluster::new(day.routers(), seed)),
-        stands: (0..day.routers()).map(|_| Process::Runs).collect(),
-        gave_up: BTreeSet::new(),
-        watch: ViewObservations::default(),
-        counted: DriverCounters::default(),
-        look: START,
-        known: BTreeMap::new(),
-        ended,
+        // The first event is the list that the configuration holds.
+        feed_events: 1,
+        cluster: scenario.clustered.then(|| RouterCluster::new(routers.len(), seed)),
+        routers,
+        given_up: BTreeSet::new(),
+        views: ViewObservations::default(),
+        counters: DriverCounters::default(),
+        next_quota_sample: START,
+        warm_up_known_since: BTreeMap::new(),
+        records: &mut records,
     };
-    lab.begin_fleet();
-    for (router, told) in known.into_iter().enumerate() {
-        told.into_iter().for_each(|t| lab.tell(router, t));
+    simulation.start_cluster();
+    simulation.schedule_faults();
+    for (router, events) in initial_lists.into_iter().enumerate() {
+        events.into_iter().for_each(|event| simulation.apply_feed_event(router, event));
     }
-    lab.run();
-    lab.counted.fleet = lab.fleet.as_ref().map(|_| judge(day, &lab.watch));
-    Ok(RunResult { start: START, done: lab.clients.done, world: lab.world, counted: lab.counted })
+    simulation.run();
+    Ok(simulation.into_result())
 }
 
-impl Lab<'_> {
-    fn at(&mut self, at: Time, event: Event) {
-        self.seq += 1;
-        self.events.push(Reverse(Timed(at.max(self.now), self.seq, event)));
-    }
-
-    fn run(&mut self) {
-        let end = START + secs(self.day.seconds);
-        let counts = START + secs(self.day.warm_s);
-        let mut counting = false;
-        loop {
-            let own = self.events.peek().map(|Reverse(t)| t.0);
-            let fleet = self.fleet.as_ref().and_then(RouterCluster::due).map(|t| t - BEGIN + START);
-            let next = [own, self.world.due(), self.clients.due(), fleet].into_iter().flatten().min();
-            let Some(next) = next.filter(|_| self.now < end || self.clients.waiting()) else { break };
-            if !counting && next >= counts {
-                counting = true;
-                self.world.count_from(counts);
-            }
-            if self.now < end && next >= end {
-                // What is used is counted while load is offered.
-                self.world.advance(end);
-                self.world.stop_counting();
-            }
-            self.now = next;
-            self.world.advance(next);
-            self.clients.advance(next);
-            self.advance_fleet();
-            while self.events.peek().is_some_and(|Reverse(t)| t.0 <= next) {
-                if let Some(Reverse(Timed(_, _, event))) = self.events.pop() {
-                    self.on_event(event);
-                }
-            }
-            self.settle();
-            self.look_at_accounts();
-        }
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Time, event: TimedEvent) {
+        self.timed_events.push(at.max(self.now), event);
     }
 
-    /// Adds up what all routers have used of what cold servers bear.
-    fn look_at_accounts(&mut self) {
-        if self.now < self.look {
-            return;
-        }
-        self.look = self.now + LOOK;
-        // Kind, used, wanted, and how many who share it do not know yet that it is cold.
-        let mut sums: BTreeMap<EndpointId, (usize, f64, f64, i64)> = BTreeMap::new();
-        for (seat, router) in self.seats.iter().zip(&self.routers) {
-            for d in router
-                .warm_up_demands(Timestamp::from_micros(self.now))
-                .into_iter()
-                .filter(|d| d.sharers != QuotaScope::Elsewhere)
-            {
-                let all = d.sharers == QuotaScope::All;
-                let runs = |s: &&RouterSlot| {
-                    (all || s.office == seat.office) && !matches!(self.stands[s.number], Process::Dead)
-                };
-                let sum = sums.entry(d.endpoint).or_insert_with(|| {
-                    (usize::from(all), 0.0, 0.0, self.seats.iter().filter(runs).count() as i64)
-                });
-                (sum.1, sum.2, sum.3) = (sum.1 + d.used, sum.2 + d.wanted, sum.3 - 1);
-            }
-        }
-        self.known.retain(|host, _| sums.contains_key(host));
-        for (host, (kind, used, wanted, unaware)) in sums {
-            if unaware > 0 {
-                self.known.remove(&host);
-                continue;
-            }
-            // What was sent before all knew broke no limit, and counts for a window.
-            let since = *self.known.entry(host).or_insert(self.now);
-            let account = &mut self.counted.accounts[kind];
-            if self.now >= since + crate::model::PUSHED {
-                account.worst = account.worst.max(used);
-            }
-            if wanted >= 1.0 {
-                account.used = (account.used.0 + used, account.used.1 + 1);
-            }
+    fn schedule_faults(&mut self) {
+        for step in self.scenario.fault_timeline() {
+            let event = TimedEvent::Fault { index: step.index, phase: step.phase };
+            self.schedule(START + step.after, event);
         }
     }
 
-    fn settle(&mut self) {
-        loop {
-            let news = std::mem::take(&mut self.world.news);
-            let asks = std::mem::take(&mut self.clients.asks);
-            let undone = std::mem::take(&mut self.clients.undone);
-            if news.is_empty() && asks.is_empty() && undone.is_empty() {
-                break;
+    fn run(&mut self) {
+        let end = START + from_seconds(self.scenario.seconds);
+        let accounting_start = START + from_seconds(self.scenario.warm_up_s);
+        let mut accounting = false;
+        while let Some(next) = self.next_due().filter(|_| self.now < end || self.clients.waiting()) {
+            if !accounting && next >= accounting_start {
+                accounting = true;
+                self.model.start_accounting(accounting_start);
             }
-            news.into_iter().for_each(|n| self.on_news(n));
-            asks.into_iter().for_each(|a| self.on_ask(&a));
-            for id in undone {
-                if let Some((router, rid)) = self.open.remove(&id) {
-                    if matches!(self.stands[router], Process::Stopped(_)) {
-                        self.gave_up.insert(rid);
-                    }
-                    self.feed(router, Input::Cancel(ClientHandle { conn: rid, tag: id }));
-                }
+            if self.now < end && next >= end {
+                // The use of resources counts while load is offered.
+                self.model.advance(end);
+                self.model.stop_accounting();
             }
+            self.now = next;
+            self.step();
         }
     }
 
-    fn on_ask(&mut self, ask: &ClientAttempt) {
-        let router = self.day.router(ask.office, ask.router);
-        let word = |n: u64| (format!("{n:016x}").into_bytes(), n);
-        let asked = hollymux_router::ClientRequest {
-            rid: word(ask.rid),
-            class: self.day.classes[ask.class].name.clone().into_bytes(),
-            object: word(ask.key.0),
-            part: ask.key.1,
-            group: ask.group,
-            budget: ask.budget_ms,
-            held: None,
-            key: None,
-            body: self.pool.chain(),
-        };
-        self.open.insert(ask.id, (router, ask.rid));
-        self.feed(router, Input::Request(ClientHandle { conn: ask.rid, tag: ask.id }, asked));
-    }
-
-    fn tell(&mut self, router: usize, told: FeedEvent) {
-        let now = self.now;
-        let seat = self.seats[router];
-        match &told {
-            FeedEvent::Endpoints { lines, .. } => (self.ended)(seat, &RouterRecord::Members(now, lines)),
-            FeedEvent::Purge { object, group, .. } => {
-                (self.ended)(seat, &RouterRecord::Purge(now, *object, *group))
-            }
-        }
-        self.feed(router, Input::Feed(told));
+    /// When anything happens next.
+    fn next_due(&self) -> Option<Time> {
+        let due = [self.timed_events.due(), self.model.due(), self.clients.due(), self.cluster_due()];
+        due.into_iter().flatten().min()
     }
 
-    // ---- routers among themselves ----
-
-    fn begin_fleet(&mut self) {
-        for seat in self.seats.iter().filter(|_| self.day.fleet) {
-            if let Some(fleet) = &mut self.fleet {
-                fleet.place(seat.number, &self.day.offices[seat.office].name);
-                let s = &self.configs[seat.number].settings;
-                let here = s.router_count_by_zone.get(usize::from(s.zone)).copied().unwrap_or(0);
-                fleet.configure(seat.number, s.router_count, here);
-                let window = whole_micros(s.overload_window);
-                fleet.lease = self.day.limits.then(|| LeaseTimings { window, ..LeaseTimings::default() });
-                fleet.start(seat.number);
-            }
-        }
-        for (i, f) in self.day.faults.clone().iter().enumerate() {
-            self.at(START + secs(f.at_s), Event::Fault(i, true));
-            if let Some(long) = f.for_s {
-                self.at(START + secs(f.at_s + long), Event::Fault(i, false));
-            }
+    /// Does all that is due now.
+    fn step(&mut self) {
+        self.model.advance(self.now);
+        self.clients.advance(self.now);
+        self.advance_cluster();
+        while let Some((_, event)) = self.timed_events.pop_due(self.now) {
+            self.on_timed_event(event);
         }
+        self.settle();
+        self.sample_quota_use();
     }
 
-    /// Lets the views come up to now, and tells the cores how many may be at work.
-    fn advance_fleet(&mut self) {
-        let Some(mut fleet) = self.fleet.take() else { return };
-        let now_s = (self.now - START) as f64 / 1e6;
-        if self.day.limits && fleet.due().is_some_and(|due| due - BEGIN + START <= self.now) {
-            let runs = |r: &usize| matches!(self.stands[*r], Process::Runs);
-            for r in (0..self.routers.len()).filter(runs) {
-                fleet.demand(r, self.routers[r].warm_up_demands(Timestamp::from_micros(self.now)));
-            }
-        }
-        fleet.run((self.now - START + BEGIN).saturating_sub(fleet.now));
-        for (_, by, change) in std::mem::take(&mut fleet.told) {
-            if let Change::Router(of, _, r) = &change {
-                if r.rank == Rank::Lost {
-                    self.watch.lost.extend(place_at(*of).map(|of| (now_s, by, of)));
-                }
-            }
-            if let (Some(view), Process::Runs) = (fleet.view(by), &self.stands[by]) {
-                let (all, here) = view.shared_by(&self.configs[by].settings);
-                self.routers[by].count_routers(all, here);
+    fn on_timed_event(&mut self, event: TimedEvent) {
+        match event {
+            TimedEvent::RouterWake { router, wake } => self.feed_router(router, Input::Wake(wake)),
+            TimedEvent::AttemptArrives { router, request } => self.on_attempt_arrives(router, &request),
+            TimedEvent::AnswerArrives { id, result, bytes } => self.on_answer_arrives(id, result, bytes),
+            TimedEvent::AttemptFails { router, attempt, failure } => {
+                self.feed_router(router, Input::Failed(attempt, failure));
             }
-        }
-        for r in std::mem::take(&mut fleet.touched) {
-            if let Some(limits) = fleet.limits(r).filter(|_| matches!(self.stands[r], Process::Runs)) {
-                // The cores' clock is ahead of the views'.
-                let (homes, mut parts) = limits.use_at(fleet.now);
-                for part in parts.values_mut().filter(|p| p.until != Timestamp::MAX) {
-                    part.until = Timestamp::from_micros(part.until.as_micros() - BEGIN + START);
-                }
-                self.routers[r].lease(homes, parts);
+            TimedEvent::ProbeEnds { router, endpoint, healthy } => {
+                self.feed_router(router, Input::Probed(endpoint, healthy));
             }
+            TimedEvent::FeedEvent { router, text } => self.on_feed_event(router, &text),
+            TimedEvent::Fault { index, phase } => self.on_fault(index, phase),
         }
-        if self.watch.agreed.is_none() && now_s > quiet_from(&self.day) && fleet.same(&fleet.up()) {
-            self.watch.agreed = Some(now_s);
-        }
-        self.watch.bytes = fleet.sent.1;
-        self.fleet = Some(fleet);
     }
 
-    fn on_fault(&mut self, i: usize, begins: bool) {
-        let what = self.day.faults[i].what.clone();
-        for (from, to, link) in links(&self.day, &what) {
-            if let Some(fleet) = &mut self.fleet {
-                fleet.fault(&from, &to, if begins { link } else { Default::default() });
-            }
-        }
-        match (&what, begins) {
-            (FaultKind::Kill { routers }, true) => places(routers).into_iter().for_each(|r| self.kill(r)),
-            (FaultKind::Kill { routers }, false) => places(routers).into_iter().for_each(|r| self.start(r)),
-            (FaultKind::Pause { routers }, true) => places(routers).into_iter().for_each(|r| {
-                self.stands[r] = Process::Stopped(VecDeque::new());
-                self.fleet.iter_mut().for_each(|f| f.pause(r));
-            }),
-            (FaultKind::Pause { routers }, false) => places(routers).into_iter().for_each(|r| {
-                let stood = std::mem::replace(&mut self.stands[r], Process::Runs);
-                self.fleet.iter_mut().for_each(|f| f.resume(r));
-                if let Process::Stopped(waits) = stood {
-                    waits.into_iter().for_each(|input| self.feed(r, input));
-                }
-            }),
-            _ => {}
-        }
-    }
-
-    /// A router's process ends: what was open there is lost, and its attempts are given up.
-    fn kill(&mut self, router: usize) {
-        self.stands[router] = Process::Dead;
-        self.fleet.iter_mut().for_each(|f| f.kill(router));
-        let asked: Vec<u64> = self.open.iter().filter(|(_, o)| o.0 == router).map(|(id, _)| *id).collect();
-        for id in asked {
-            self.open.remove(&id);
-            self.clients.answered(self.now, id, ClientOutcome::Lost);
-        }
-        let out: Vec<u64> =
-            self.calls.iter().filter(|(_, o)| o.router == router).map(|(id, _)| *id).collect();
-        for id in out {
-            self.calls.remove(&id);
-            self.world.quit(self.now, id);
-        }
-        self.by_attempt.retain(|(r, _), _| *r != router);
-        // What was on its way to that process means nothing to the next one.
-        self.events.retain(|Reverse(Timed(_, _, event))| match event {
-            Event::Core(r, _) | Event::Arrive(r, _) | Event::Lost(r, ..) | Event::Probe(r, ..) => {
-                *r != router
-            }
-            Event::Said(..) | Event::Told(..) | Event::Fault(..) => true,
-        });
-    }
-
-    /// It starts anew, knowing nothing but its configuration of now.
-    fn start(&mut self, router: usize) {
-        let endpoints: Vec<SocketAddr> = (0..self.world.servers.len()).map(endpoint).collect();
-        let seat = self.seats[router];
-        let text = config(&self.day, &self.world, seat, self.now, endpoint(0), &endpoints).to_string();
-        // What could be read at the start of the day can be read now.
-        let Ok(mut config) = Config::read(&text) else { return };
-        let known = std::mem::take(&mut config.known.1);
-        let Ok(core) = Router::new(config.setup(), false) else { return };
-        (self.routers[router], self.configs[router]) = (core, config);
-        self.stands[router] = Process::Runs;
-        self.fleet.iter_mut().for_each(|f| f.start(router));
-        known.into_iter().for_each(|t| self.tell(router, t));
-    }
-
-    /// Hands a router one input and carries out what it wants, as the driver on sockets does.
-    fn feed(&mut self, router: usize, input: Input) {
-        match &mut self.stands[router] {
-            Process::Runs => {}
-            Process::Stopped(waits) => return waits.push_back(input),
-            Process::Dead => {
-                if let Input::Request(client, _) = input {
-                    self.open.remove(&client.tag);
-                    self.clients.answered(self.now, client.tag, ClientOutcome::Lost);
-                }
+    /// Passes on what the model and the clients want, until they want nothing more.
+    fn settle(&mut self) {
+        loop {
+            let events = std::mem::take(&mut self.model.events);
+            let to_send = std::mem::take(&mut self.clients.to_send);
+            let to_cancel = std::mem::take(&mut self.clients.to_cancel);
+            if events.is_empty() && to_send.is_empty() && to_cancel.is_empty() {
                 return;
             }
-        }
-        let mut inbox = VecDeque::from([input]);
-        let mut commands = Vec::new();
-        while let Some(input) = inbox.pop_front() {
-            self.routers[router].handle(Timestamp::from_micros(self.now), input, &mut commands);
-            for command in std::mem::take(&mut commands) {
-                self.carry_out(router, command, &mut inbox);
-            }
+            events.into_iter().for_each(|event| self.on_model_event(event));
+            to_send.into_iter().for_each(|attempt| self.send_client_attempt(&attempt));
+            to_cancel.into_iter().for_each(|id| self.cancel_client_attempt(id));
         }
     }
 
-    fn carry_out(&mut self, router: usize, command: Command, inbox: &mut VecDeque<Input>) {
-        match command {
-            Command::SendAttempt(order) => self.at(self.now + WAY, Event::Arrive(router, Box::new(order))),
-            Command::CancelAttempt { attempt, .. } => {
-                if let Some(id) = self.by_attempt.remove(&(router, attempt)) {
-                    self.calls.remove(&id);
-                    self.world.quit(self.now, id);
-                }
-            }
-            Command::Reply(client, reply) => {
-                // Who gave up while the router stood still is still answered: it has not read that yet.
-                if self.gave_up.remove(&client.conn) {
-                    return;
-                }
-                let meant = self.open.get(&client.tag).is_some_and(|o| o.1 == client.conn);
-                if !meant || self.open.remove(&client.tag).is_none() {
-                    self.counted.answers_wrong += 1;
-                    return;
-                }
-                let got = match reply {
-                    Reply::Served(digest, _) => ClientOutcome::Served(age(self.now, digest.as_deref())),
-                    Reply::NotModified(_) => ClientOutcome::Served(0),
-                    Reply::Rejected(ms) => ClientOutcome::Refused(ms * MS),
-                    Reply::Failed => ClientOutcome::Failed,
-                };
-                self.clients.answered(self.now, client.tag, got);
-            }
-            Command::Wake(at, wake) => self.at(at.as_micros(), Event::Core(router, wake)),
-            Command::Probe(host, addr) => {
-                let server = server_at(addr);
-                let (after, well) = match self.world.servers[server].stand {
-                    ServerState::Up => (2 * WAY, Some(self.world.well(server))),
-                    ServerState::Down => (2 * WAY, None),
-                    ServerState::Cut => (DIAL, None),
-                };
-                self.at(self.now + after, Event::Probe(router, host, well));
-            }
-            Command::CloseConnections(host) => {
-                let of = |uid: &str| hollymux_router::endpoint_id(uid) == host;
-                let server = self.world.servers.iter().position(|s| of(&s.uid));
-                let gone = self.calls.iter().filter(|(_, o)| o.router == router && Some(o.server) == server);
-                let gone: Vec<u64> = gone.map(|(id, _)| *id).collect();
-                for id in gone {
-                    if let Some(out) = self.calls.remove(&id) {
-                        self.by_attempt.remove(&(router, out.attempt));
-                        self.world.quit(self.now, id);
-                        inbox.push_back(Input::Failed(out.attempt, AttemptFailure::ConnectionLost));
-                    }
-                }
-            }
-            Command::RequestEnded(ended) => (self.ended)(self.seats[router], &RouterRecord::Ended(&ended)),
-            Command::StopSending(_) | Command::Lookup(..) | Command::AttemptEnded(..) | Command::Log(_) => {}
+    fn on_feed_event(&mut self, router: usize, text: &str) {
+        if let Ok((_, Some(event))) = self.routers[router].config.names.event(text.as_bytes()) {
+            self.apply_feed_event(router, event);
         }
     }
 
-    fn on_event(&mut self, event: Event) {
-        match event {
-            Event::Core(router, wake) => self.feed(router, Input::Wake(wake)),
-            Event::Arrive(router, order) => self.arrive(router, &order),
-            Event::Said(id, word, bytes) => {
-                let Some(out) = self.calls.remove(&id) else { return };
-                self.by_attempt.remove(&(out.router, out.attempt));
-                let said = self.said(word, bytes, out.write);
-                self.feed(out.router, Input::Responded(out.attempt, said, None));
-            }
-            Event::Fault(i, begins) => self.on_fault(i, begins),
-            Event::Lost(router, attempt, lost) => self.feed(router, Input::Failed(attempt, lost)),
-            Event::Probe(router, host, well) => self.feed(router, Input::Probed(host, well)),
-            Event::Told(router, text) => {
-                if let Ok((_, Some(told))) = self.configs[router].names.event(text.as_bytes()) {
-                    self.tell(router, told);
-                }
-            }
-        }
-    }
-
-    fn said(&self, word: CallResult, bytes: u64, write: bool) -> AttemptResponse {
-        match word {
-            CallResult::Data(dated) => {
-                let mut body = self.pool.chain();
-                let zeros = [0u8; 4_096];
-                let mut left = bytes as usize;
-                while left > 0 && body.extend(&zeros[..left.min(zeros.len())]).is_ok() {
-                    left -= left.min(zeros.len());
-                }
-                AttemptResponse::Data((!write).then(|| format!("{dated:x}").into_bytes()), body)
-            }
-            CallResult::Absent => AttemptResponse::Absent,
-            CallResult::Full => AttemptResponse::AtCapacity,
-            CallResult::Failed => AttemptResponse::Failed,
-        }
-    }
-
-    fn arrive(&mut self, router: usize, order: &AttemptRequest) {
-        let server = server_at(order.target.addr);
-        match self.world.servers[server].stand {
-            ServerState::Up => {}
-            ServerState::Down => {
-                return self.at(
-                    self.now + WAY,
-                    Event::Lost(router, order.attempt, AttemptFailure::ConnectionRefused),
-                );
+    /// Hands a router an event of its endpoint feed, and records it.
+    fn apply_feed_event(&mut self, router: usize, event: FeedEvent) {
+        let at = self.now;
+        let record = match &event {
+            FeedEvent::Endpoints { lines, .. } => RouterRecord::EndpointsChanged { at, lines },
+            FeedEvent::Purge { object, group, .. } => {
+                RouterRecord::Purged { at, object: *object, group: *group }
             }
-            ServerState::Cut => return,
-        }
-        let id = self.next_call;
-        self.next_call += 1;
-        self.counted.attempts += 1;
-        let write = self.day.classes[usize::from(order.class)].write;
-        self.calls.insert(id, Out { router, attempt: order.attempt, server, write });
-        self.by_attempt.insert((router, order.attempt), id);
-        let f = &order.target.fill;
-        let source = order.target.source.as_ref();
-        let known = source.and_then(|uid| self.world.servers.iter().position(|s| s.uid == **uid));
-        if source.is_some() && known.is_none() {
-            // It names what is gone.
-            return self.world.news.push(ModelEvent::Answer(id, CallResult::Full, 0));
-        }
-        let class = usize::from(order.class);
-        let key = (order.ask.object.1, order.ask.part);
-        let call = Call {
-            class,
-            key,
-            group: order.ask.group,
-            bytes: self.clients.objects.bytes(class, key),
-            rid: order.ask.rid.1,
-            accept: f.max_age.map(whole_micros),
-            keep: f.retention,
-            source: known,
-            join: f.coalesce,
-            shallow: f.only_if_cached,
         };
-        self.world.call(self.now, id, server, call);
+        (self.records)(self.routers[router].slot, &record);
+        self.feed_router(router, Input::Feed(event));
     }
 
-    fn on_news(&mut self, news: ModelEvent) {
-        match news {
-            ModelEvent::Answer(id, word, bytes) => self.at(self.now + WAY, Event::Said(id, word, bytes)),
-            ModelEvent::Stands(server, ServerState::Down) => {
-                let hit: Vec<u64> =
-                    self.calls.iter().filter(|(_, o)| o.server == server).map(|(id, _)| *id).collect();
-                for id in hit {
-                    if let Some(out) = self.calls.remove(&id) {
-                        self.by_attempt.remove(&(out.router, out.attempt));
-                        self.at(
-                            self.now + WAY,
-                            Event::Lost(out.router, out.attempt, AttemptFailure::ConnectionLost),
-                        );
-                    }
-                }
-            }
-            ModelEvent::Stands(..) => {}
-            ModelEvent::Line(server, told, state) => {
-                let text = line(&self.day, &told, endpoint(server), state);
-                self.told += 1;
-                let n = self.told;
-                let text =
-                    format!("{{\"n\":{n},\"members\":{{\"rev\":{n},\"all\":false,\"targets\":[{text}]}}}}");
-                let at = self.now + crate::news_lag(&self.day, self.now - START);
-                self.world.told_line(server, state, at);
-                (0..self.routers.len()).for_each(|r| self.at(at, Event::Told(r, text.clone())));
-            }
-            ModelEvent::Purge(object, group, at) => {
-                self.told += 1;
-                let text = crate::purge_event(self.told, object, group, at);
-                let when = self.now + PURGE_TOLD;
-                (0..self.routers.len()).for_each(|r| self.at(when, Event::Told(r, text.clone())));
-            }
+    fn into_result(mut self) -> RunResult {
+        if self.cluster.is_some() {
+            self.counters.cluster = Some(summarize_views(&self.scenario, &self.views));
+        }
+        RunResult {
+            start: START,
+            completed: self.clients.completed,
+            model: self.model,
+            counters: self.counters,
         }
     }
 }
-
-/// How old a copy is, by its tag, which the laboratory's servers make from its date.
-pub fn age(now: Time, digest: Option<&[u8]>) -> Time {
-    let dated =
-        digest.and_then(|d| std::str::from_utf8(d).ok()).and_then(|d| Time::from_str_radix(d, 16).ok());
-    dated.map_or(0, |d| now.saturating_sub(d))
-}
--- a/crates/simulation/tests/cluster.rs
+++ b/crates/simulation/tests/cluster.rs
@@ -2,13 +2,12 @@
 
 use hollymux_cluster::view::{Change, Rank, MEMBERS_MOST};
 use hollymux_cluster::DATAGRAM_MOST;
-use hollymux_simulation::cluster::{addr, LinkFault, RouterCluster};
+use hollymux_simulation::cluster::{router_address, ObservedChange, RouterCluster};
+use hollymux_simulation::link_fault::LinkFault;
 use hollymux_simulation::{Time, MS, SEC};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
-
 fn all(routers: usize) -> Vec<usize> {
     (0..routers).collect()
 }
@@ -19,32 +18,39 @@
 
 /// So many routers that have found each other.
 fn started(routers: usize, seed: u64) -> RouterCluster {
-    let mut fleet = RouterCluster::new(routers, seed);
-    all(routers).into_iter().for_each(|r| fleet.start(r));
-    settles(&mut fleet, &all(routers), 20 * SEC);
-    fleet.run(3 * SEC);
-    fleet
+    let mut cluster = RouterCluster::new(routers, seed);
+    all(routers).into_iter().for_each(|r| cluster.start(r));
+    settles(&mut cluster, &all(routers), 20 * SEC);
+    cluster.run(3 * SEC);
+    cluster
 }
 
 /// Those routers come to hold one view with all of them in it.
-fn settles(f: &mut RouterCluster, who: &[usize], within: Time) -> Time {
-    let took = f.until(within, |f| f.same(who));
+fn settles(cluster: &mut RouterCluster, who: &[usize], within: Time) -> Time {
+    let took = cluster.run_until(within, |cluster| cluster.converged(who));
     took.unwrap_or_else(|| panic!("{who:?} don't settle within {} ms", within / MS))
 }
 
-fn lost(f: &mut RouterCluster, by: &[usize], of: usize, within: Time) {
-    let known = f.until(within, |f| f.say(by, of, Rank::Lost) == 1.0);
+fn lost(cluster: &mut RouterCluster, by: &[usize], of: usize, within: Time) {
+    let known = cluster.run_until(within, |cluster| cluster.share_agreeing(by, of, Rank::Lost) == 1.0);
     assert!(known.is_some(), "{of} is not known to be lost within {} ms", within / MS);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = |seed| {
-        let mut f = started(7, seed);
-        f.every = LinkFault { loss: 0.1, twice: 0.1, flipped: 0.05, delay: (0, 50 * MS), cut: false };
-        f.kill(3);
-        f.run(10 * SEC);
-        (f.sent, format!("{:?}", f.told))
+        let mut cluster = started(7, seed);
+        cluster.default_link = LinkFault {
+            loss: 0.1,
+            duplication: 0.1,
+            corruption: 0.05,
+            delay: 0,
+            jitter: 50 * MS,
+            cut: false,
+        };
+        cluster.kill(3);
+        cluster.run(10 * SEC);
+        (cluster.sent, format!("{:?}", cluster.changes))
     };
     assert_eq!(run(3), run(3));
     assert_ne!(run(3), run(4));
@@ -54,167 +60,187 @@
 /// also when the machine's clock went back by an hour in between.
 #[test]
 fn a_crash_is_known_and_a_next_start_believed_whatever_its_clock_says() {
-    let mut f = started(5, 1);
+    let mut cluster = started(5, 1);
     let rest = others(5, 4);
     for off in [0, -3_600 * SEC as i64, 3_600 * SEC as i64, -7_200 * SEC as i64] {
-        f.clock(4, off);
-        f.kill(4);
-        lost(&mut f, &rest, 4, 6 * SEC);
-        assert_eq!(f.least_at_work(&rest), 5, "a lost router may be at work");
-        f.start(4);
-        settles(&mut f, &all(5), 4 * SEC);
-        assert!(all(5).iter().all(|r| f.view(*r).unwrap().at_work(None) == 5));
+        cluster.set_clock_offset(4, off);
+        cluster.kill(4);
+        lost(&mut cluster, &rest, 4, 6 * SEC);
+        assert_eq!(cluster.min_possibly_active(&rest), 5, "a lost router may be at work");
+        cluster.start(4);
+        settles(&mut cluster, &all(5), 4 * SEC);
+        assert!(all(5).iter().all(|r| cluster.view(*r).unwrap().at_work(None) == 5));
     }
-    f.leave(4);
-    assert!(f.until(4 * SEC, |f| f.say(&rest, 4, Rank::Left) == 1.0).is_some());
-    assert!(rest.iter().all(|r| f.view(*r).unwrap().at_work(None) == 4), "who left in words is counted out");
+    cluster.leave(4);
+    assert!(cluster
+        .run_until(4 * SEC, |cluster| cluster.share_agreeing(&rest, 4, Rank::Left) == 1.0)
+        .is_some());
+    assert!(
+        rest.iter().all(|r| cluster.view(*r).unwrap().at_work(None) == 4),
+        "who left in words is counted out"
+    );
 }
 
 #[test]
 fn a_partition_counts_all_on_both_sides_and_heals_by_itself_while_a_third_side_falls_off() {
-    let mut f = started(5, 2);
-    f.part(&[0, 1, 2], &[3, 4]);
-    f.run(20 * SEC);
-    assert!(f.same(&[0, 1, 2]) && f.same(&[3, 4]), "each side agrees");
-    assert!(f.say(&[0, 1, 2], 3, Rank::Lost) == 1.0 && f.say(&[3, 4], 0, Rank::Lost) == 1.0);
-    assert_eq!(f.least_at_work(&all(5)), 5, "no side may take the other's part");
-    f.heal();
-    f.run(300 * MS);
-    f.part(&[1], &[0, 2, 3, 4]);
-    settles(&mut f, &[0, 2, 3, 4], 6 * SEC);
-    lost(&mut f, &[0, 2, 3, 4], 1, 8 * SEC);
-    f.heal();
-    settles(&mut f, &all(5), 6 * SEC);
-    assert_eq!(f.least_at_work(&all(5)), 5);
+    let mut cluster = started(5, 2);
+    cluster.partition(&[0, 1, 2], &[3, 4]);
+    cluster.run(20 * SEC);
+    assert!(cluster.converged(&[0, 1, 2]) && cluster.converged(&[3, 4]), "each side agrees");
+    assert!(
+        cluster.share_agreeing(&[0, 1, 2], 3, Rank::Lost) == 1.0
+            && cluster.share_agreeing(&[3, 4], 0, Rank::Lost) == 1.0
+    );
+    assert_eq!(cluster.min_possibly_active(&all(5)), 5, "no side may take the other's part");
+    cluster.heal();
+    cluster.run(300 * MS);
+    cluster.partition(&[1], &[0, 2, 3, 4]);
+    settles(&mut cluster, &[0, 2, 3, 4], 6 * SEC);
+    lost(&mut cluster, &[0, 2, 3, 4], 1, 8 * SEC);
+    cluster.heal();
+    settles(&mut cluster, &all(5), 6 * SEC);
+    assert_eq!(cluster.min_possibly_active(&all(5)), 5);
 }
 
 #[test]
 fn one_who_is_heard_by_none_or_hears_none_condemns_nobody() {
     for hears in [true, false] {
-        let mut f = started(6, 3);
+        let mut cluster = started(6, 3);
         let (one, rest) = (vec![5], others(6, 5));
-        let since = f.now;
+        let since = cluster.now;
         if hears {
-            f.fault(&one, &rest, CUT);
+            cluster.set_link_fault(&one, &rest, LinkFault::CUT);
         } else {
-            f.fault(&rest, &one, CUT);
+            cluster.set_link_fault(&rest, &one, LinkFault::CUT);
         }
-        lost(&mut f, &rest, 5, 10 * SEC);
-        f.run(20 * SEC);
-        let wrongly = |c: &&(Time, usize, Change)| match &c.2 {
-            Change::Router(of, _, r) => c.0 > since && c.1 != 5 && *of != addr(5) && r.rank == Rank::Lost,
+        lost(&mut cluster, &rest, 5, 10 * SEC);
+        cluster.run(20 * SEC);
+        let wrongly = |c: &&ObservedChange| match &c.change {
+            Change::Router(of, _, r) => {
+                c.at > since && c.by != 5 && *of != router_address(5) && r.rank == Rank::Lost
+            }
             _ => false,
         };
-        assert_eq!(f.told.iter().filter(wrongly).count(), 0, "hears {hears}: others are condemned");
-        assert!(f.view(5).unwrap().deaf(), "it knows that nobody answers it");
-        assert_eq!(f.view(5).unwrap().reachable(), 0);
-        f.heal();
-        settles(&mut f, &all(6), 6 * SEC);
+        assert_eq!(cluster.changes.iter().filter(wrongly).count(), 0, "hears {hears}: others are condemned");
+        assert!(cluster.view(5).unwrap().deaf(), "it knows that nobody answers it");
+        assert_eq!(cluster.view(5).unwrap().reachable(), 0);
+        cluster.heal();
+        settles(&mut cluster, &all(6), 6 * SEC);
     }
 }
 
 #[test]
 fn ends_of_a_chain_that_cant_reach_each_other_hold_each_other_alive() {
-    let mut f = started(7, 4);
-    let since = f.now;
-    f.part(&[0, 1], &[5, 6]);
-    f.run(60 * SEC);
-    assert_eq!(f.called_lost(since), 0, "those between reach both ends");
-    settles(&mut f, &all(7), 5 * SEC);
+    let mut cluster = started(7, 4);
+    let since = cluster.now;
+    cluster.partition(&[0, 1], &[5, 6]);
+    cluster.run(60 * SEC);
+    assert_eq!(cluster.lost_reports(since), 0, "those between reach both ends");
+    settles(&mut cluster, &all(7), 5 * SEC);
 }
 
 #[test]
 fn a_start_that_nobody_noticed_or_comes_under_suspicion_supersedes_and_old_datagrams_change_nothing() {
     for suspected in [false, true] {
-        let mut f = started(5, 5);
+        let mut cluster = started(5, 5);
         let rest = others(5, 2);
         // What it sends arrives 10 s late.
-        f.fault(&[2], &rest, LinkFault { delay: (10 * SEC, 0), ..LinkFault::default() });
+        cluster.set_link_fault(&[2], &rest, LinkFault { delay: 10 * SEC, ..LinkFault::default() });
         if suspected {
-            assert!(f.until(5 * SEC, |f| f.say(&rest, 2, Rank::Suspect) > 0.0).is_some());
+            assert!(cluster
+                .run_until(5 * SEC, |cluster| cluster.share_agreeing(&rest, 2, Rank::Suspect) > 0.0)
+                .is_some());
         }
-        f.kill(2);
-        f.heal();
-        f.start(2);
-        settles(&mut f, &all(5), 4 * SEC);
-        let start =
-            |f: &RouterCluster| f.view(0).unwrap().others().find(|s| s.addr == addr(2)).unwrap().record.start;
-        let new = start(&f);
-        let since = f.now;
-        f.run(12 * SEC);
-        assert_eq!((start(&f), f.called_lost(since)), (new, 0));
-        assert!(f.same(&all(5)));
-        assert_eq!(f.least_at_work(&all(5)), 5);
+        cluster.kill(2);
+        cluster.heal();
+        cluster.start(2);
+        settles(&mut cluster, &all(5), 4 * SEC);
+        let start = |cluster: &RouterCluster| {
+            cluster.view(0).unwrap().others().find(|s| s.addr == router_address(2)).unwrap().record.start
+        };
+        let new = start(&cluster);
+        let since = cluster.now;
+        cluster.run(12 * SEC);
+        assert_eq!((start(&cluster), cluster.lost_reports(since)), (new, 0));
+        assert!(cluster.converged(&all(5)));
+        assert_eq!(cluster.min_possibly_active(&all(5)), 5);
     }
 }
 
 #[test]
 fn a_pause_of_a_second_loses_nobody_and_one_of_fifteen_is_over_within_two() {
     for seed in 1..6 {
-        let mut f = started(5, seed);
-        let since = f.now;
-        f.pause(1);
-        f.run(SEC);
-        f.resume(1);
-        f.run(10 * SEC);
-        assert_eq!(f.called_lost(since), 0, "seed {seed}");
-        f.pause(1);
-        lost(&mut f, &others(5, 1), 1, 8 * SEC);
-        f.run(7 * SEC);
-        f.resume(1);
-        assert!(!f.view(1).unwrap().settled().0, "what it held must be heard anew");
-        let before = f.now;
-        settles(&mut f, &all(5), 2 * SEC);
-        let condemned = |c: &&(Time, usize, Change)| {
-            c.0 >= before && c.1 == 1 && matches!(&c.2, Change::Router(_, _, r) if r.rank >= Rank::Suspect)
+        let mut cluster = started(5, seed);
+        let since = cluster.now;
+        cluster.pause(1);
+        cluster.run(SEC);
+        cluster.resume(1);
+        cluster.run(10 * SEC);
+        assert_eq!(cluster.lost_reports(since), 0, "seed {seed}");
+        cluster.pause(1);
+        lost(&mut cluster, &others(5, 1), 1, 8 * SEC);
+        cluster.run(7 * SEC);
+        cluster.resume(1);
+        assert!(!cluster.view(1).unwrap().settled().0, "what it held must be heard anew");
+        let before = cluster.now;
+        settles(&mut cluster, &all(5), 2 * SEC);
+        let condemned = |c: &&ObservedChange| {
+            c.at >= before
+                && c.by == 1
+                && matches!(&c.change, Change::Router(_, _, r) if r.rank >= Rank::Suspect)
         };
-        assert_eq!(f.told.iter().filter(condemned).count(), 0, "it blames nobody for its own pause");
+        assert_eq!(cluster.changes.iter().filter(condemned).count(), 0, "it blames nobody for its own pause");
     }
 }
 
 #[test]
 fn two_under_one_name_are_two_and_another_fleet_is_none() {
-    let mut f = RouterCluster::new(6, 6);
-    f.call(3, "n1", "lab");
-    f.call(5, "n6", "other");
-    all(6).into_iter().for_each(|r| f.start(r));
-    settles(&mut f, &all(5), 10 * SEC);
-    let since = f.now;
-    f.run(30 * SEC);
-    let told =
-        |f: &RouterCluster, what: &dyn Fn(&Change) -> bool| f.told.iter().filter(|c| what(&c.2)).count();
-    assert!(all(5).iter().all(|r| f.view(*r).unwrap().at_work(None) == 5), "both are counted");
-    assert_eq!(told(&f, &|c| matches!(c, Change::NameTwice(n, ..) if n == "n1")), 5, "each says so once");
-    assert_eq!(f.told.iter().filter(|c| c.0 > since + 5 * SEC).count(), 0, "and they don't flap");
-    assert_eq!(f.view(5).unwrap().at_work(None), 1);
-    assert!(f.view(0).unwrap().counts.unread[3] > 0, "what another fleet says is counted and dropped");
+    let mut cluster = RouterCluster::new(6, 6);
+    cluster.set_names(3, "n1", "lab");
+    cluster.set_names(5, "n6", "other");
+    all(6).into_iter().for_each(|r| cluster.start(r));
+    settles(&mut cluster, &all(5), 10 * SEC);
+    let since = cluster.now;
+    cluster.run(30 * SEC);
+    let told = |cluster: &RouterCluster, what: &dyn Fn(&Change) -> bool| {
+        cluster.changes.iter().filter(|c| what(&c.change)).count()
+    };
+    assert!(all(5).iter().all(|r| cluster.view(*r).unwrap().at_work(None) == 5), "both are counted");
+    assert_eq!(
+        told(&cluster, &|c| matches!(c, Change::NameTwice(n, ..) if n == "n1")),
+        5,
+        "each says so once"
+    );
+    assert_eq!(cluster.changes.iter().filter(|c| c.at > since + 5 * SEC).count(), 0, "and they don't flap");
+    assert_eq!(cluster.view(5).unwrap().at_work(None), 1);
+    assert!(cluster.view(0).unwrap().counts.unread[3] > 0, "what another fleet says is counted and dropped");
 }
 
 #[test]
 fn seeds_that_are_down_or_name_only_the_router_itself_are_no_end() {
-    let mut f = RouterCluster::new(6, 7);
-    f.seeds(&[0]);
-    all(6)[1..].iter().for_each(|r| f.start(*r));
-    f.run(20 * SEC);
-    assert!((1..6).all(|r| f.view(r).unwrap().at_work(None) == 1), "nobody knows anybody");
-    f.start(0);
-    settles(&mut f, &all(6), 6 * SEC);
+    let mut cluster = RouterCluster::new(6, 7);
+    cluster.set_seeds(&[0]);
+    all(6)[1..].iter().for_each(|r| cluster.start(*r));
+    cluster.run(20 * SEC);
+    assert!((1..6).all(|r| cluster.view(r).unwrap().at_work(None) == 1), "nobody knows anybody");
+    cluster.start(0);
+    settles(&mut cluster, &all(6), 6 * SEC);
 }
 
 #[test]
 fn one_who_loses_half_of_its_datagrams_gets_no_healthy_one_condemned() {
     for seed in 1..4 {
-        let mut f = started(8, seed);
+        let mut cluster = started(8, seed);
         let bad = LinkFault { loss: 0.5, ..LinkFault::default() };
-        f.fault(&[7], &others(8, 7), bad);
-        f.fault(&others(8, 7), &[7], bad);
-        let since = f.now;
-        f.run(120 * SEC);
-        let condemned = |c: &&(Time, usize, Change)| match &c.2 {
-            Change::Router(of, _, r) => c.0 > since && *of != addr(7) && r.rank == Rank::Lost,
+        cluster.set_link_fault(&[7], &others(8, 7), bad);
+        cluster.set_link_fault(&others(8, 7), &[7], bad);
+        let since = cluster.now;
+        cluster.run(120 * SEC);
+        let condemned = |c: &&ObservedChange| match &c.change {
+            Change::Router(of, _, r) => c.at > since && *of != router_address(7) && r.rank == Rank::Lost,
             _ => false,
         };
-        assert_eq!(f.told.iter().filter(condemned).count(), 0, "seed {seed}");
+        assert_eq!(cluster.changes.iter().filter(condemned).count(), 0, "seed {seed}");
     }
 }
 
@@ -222,14 +248,14 @@
 /// to whoever replays a datagram.
 #[test]
 fn junk_cut_huge_and_replayed_datagrams_change_nothing() {
-    let mut f = started(5, 8);
+    let mut cluster = started(5, 8);
     let mut rng = Pcg64Mcg::seed_from_u64(9);
-    let mut real = f.view(1).unwrap().clone();
-    real.tick(f.now + 20 * SEC);
+    let mut real = cluster.view(1).unwrap().clone();
+    real.tick(cluster.now + 20 * SEC);
     let real: Vec<Vec<u8>> = std::iter::from_fn(|| real.outgoing()).map(|d| d.1).collect();
     assert!(!real.is_empty());
-    let digest = f.view(0).unwrap().digest();
-    let (since, before) = (f.now, f.view(0).unwrap().counts);
+    let digest = cluster.view(0).unwrap().digest();
+    let (since, before) = (cluster.now, cluster.view(0).unwrap().counts);
     for _ in 0..40 {
         for n in 0..500 {
             let mut bytes = real[n % real.len()].clone();
@@ -243,67 +269,69 @@
                 }
                 _ => {}
             }
-            f.hand(0, bytes);
+            cluster.inject_datagram(0, bytes);
         }
-        f.run(25 * MS);
+        cluster.run(25 * MS);
     }
-    f.run(3 * SEC);
-    assert_eq!(f.view(0).unwrap().digest(), digest);
-    assert_eq!(f.called_lost(since), 0);
-    let after = f.view(0).unwrap().counts;
+    cluster.run(3 * SEC);
+    assert_eq!(cluster.view(0).unwrap().digest(), digest);
+    assert_eq!(cluster.lost_reports(since), 0);
+    let after = cluster.view(0).unwrap().counts;
     assert!(after.unread.iter().sum::<u64>() - before.unread.iter().sum::<u64>() >= 15_000);
     assert!(after.sent.0 - before.sent.0 < 300 + after.received.0 - before.received.0 - 15_000);
-    assert!(f.same(&all(5)));
+    assert!(cluster.converged(&all(5)));
 }
 
 /// Guards against a table that grows without end, and against one that forgets who may be at work.
 #[test]
 fn a_full_table_counts_whom_it_can_not_remember() {
-    let mut f = RouterCluster::new(MEMBERS_MOST + 41, 10);
-    f.seeds(&[0]);
-    f.start(0);
+    let mut cluster = RouterCluster::new(MEMBERS_MOST + 41, 10);
+    cluster.set_seeds(&[0]);
+    cluster.start(0);
     for r in 1..MEMBERS_MOST + 41 {
-        f.start(r);
-        f.run(MS);
-        f.kill(r);
+        cluster.start(r);
+        cluster.run(MS);
+        cluster.kill(r);
     }
-    f.run(SEC);
-    assert!(f.view(0).unwrap().others().count() <= MEMBERS_MOST);
-    assert_eq!(f.view(0).unwrap().at_work(None) as usize, MEMBERS_MOST + 41);
+    cluster.run(SEC);
+    assert!(cluster.view(0).unwrap().others().count() <= MEMBERS_MOST);
+    assert_eq!(cluster.view(0).unwrap().at_work(None) as usize, MEMBERS_MOST + 41);
 }
 
 #[test]
 fn three_hundred_survive_restarts_mass_death_and_a_zone_that_is_cut_off() {
     const N: usize = 300;
-    let mut f = RouterCluster::new(N, 11);
-    f.every.loss = 0.01;
+    let mut cluster = RouterCluster::new(N, 11);
+    cluster.default_link.loss = 0.01;
     let mut order = all(N);
     order.rotate_left(7);
     for r in order {
-        f.start(r);
-        f.run(3 * MS);
+        cluster.start(r);
+        cluster.run(3 * MS);
     }
-    settles(&mut f, &all(N), 10 * SEC);
+    settles(&mut cluster, &all(N), 10 * SEC);
     // One tenth is restarted every 5 s.
     for tenth in 0..4 {
-        (0..N).filter(|r| r % 10 == tenth).for_each(|r| f.start(r));
-        f.run(5 * SEC);
+        (0..N).filter(|r| r % 10 == tenth).for_each(|r| cluster.start(r));
+        cluster.run(5 * SEC);
     }
-    settles(&mut f, &all(N), 5 * SEC);
-    assert_eq!(f.least_at_work(&all(N)), N as u32);
+    settles(&mut cluster, &all(N), 5 * SEC);
+    assert_eq!(cluster.min_possibly_active(&all(N)), N as u32);
     // A zone is cut off and back.
     let (zone, rest): (Vec<usize>, Vec<usize>) = all(N).into_iter().partition(|r| r % 4 == 1);
-    f.part(&zone, &rest);
-    f.run(15 * SEC);
-    assert_eq!(f.least_at_work(&all(N)), N as u32);
-    f.heal();
-    settles(&mut f, &all(N), 8 * SEC);
+    cluster.partition(&zone, &rest);
+    cluster.run(15 * SEC);
+    assert_eq!(cluster.min_possibly_active(&all(N)), N as u32);
+    cluster.heal();
+    settles(&mut cluster, &all(N), 8 * SEC);
     // Seven in ten die at once.
     let (dead, left): (Vec<usize>, Vec<usize>) = all(N).into_iter().partition(|r| r % 10 < 7);
-    dead.iter().for_each(|r| f.kill(*r));
-    let known = f.until(40 * SEC, |f| dead.iter().all(|d| f.say(&left, *d, Rank::Lost) == 1.0));
+    dead.iter().for_each(|r| cluster.kill(*r));
+    let known = cluster.run_until(40 * SEC, |cluster| {
+        dead.iter().all(|d| cluster.share_agreeing(&left, *d, Rank::Lost) == 1.0)
+    });
     assert!(known.is_some(), "all the dead are known to be lost");
-    assert!(f.same(&left) && f.least_at_work(&left) == N as u32);
+    assert!(cluster.converged(&left) && cluster.min_possibly_active(&left) == N as u32);
 }
 
 /// Seeded schedules against a plain model: who runs, who was ever heard of, who left. Whoever runs is counted by all
@@ -313,49 +341,59 @@
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let n = rng.random_range(3..7);
-        let mut f = started(n, seed);
+        let mut cluster = started(n, seed);
         // Whom each knows since its start, who ever left, and the latest record that each had of each.
         let (mut knows, mut left) = (vec![all(n); n], vec![false; n]);
         let mut last = std::collections::BTreeMap::new();
         for _ in 0..rng.random_range(2..8) {
             let r = rng.random_range(0..n);
             match rng.random_range(0..8) {
-                0 => f.kill(r),
+                0 => cluster.kill(r),
                 1 | 2 => {
-                    f.clock(r, rng.random_range(-3_600_000_000..3_600_000_000));
-                    f.start(r);
+                    cluster.set_clock_offset(r, rng.random_range(-3_600_000_000..3_600_000_000));
+                    cluster.start(r);
                     knows[r].clear();
                     last.retain(|(by, _), _| *by != r);
                 }
-                3 => f.pause(r),
+                3 => cluster.pause(r),
                 4 => {
-                    f.resume(r);
+                    cluster.resume(r);
                 }
-                5 if f.up().contains(&r) => {
-                    f.leave(r);
+                5 if cluster.running().contains(&r) => {
+                    cluster.leave(r);
                     left[r] = true;
                 }
                 6 => {
                     let side: Vec<usize> = all(n).into_iter().filter(|_| rng.random()).collect();
                     let rest: Vec<usize> = all(n).into_iter().filter(|r| !side.contains(r)).collect();
-                    f.fault(
+                    cluster.set_link_fault(
                         &side,
                         &rest,
-                        if rng.random() { CUT } else { LinkFault { loss: 0.4, twice: 0.3, ..CUT } },
+                        if rng.random() {
+                            LinkFault::CUT
+                        } else {
+                            LinkFault { loss: 0.4, duplication: 0.3, ..LinkFault::CUT }
+                        },
                     );
-                    f.links.values_mut().for_each(|l| l.cut &= rng.random::<f64>() < 0.8);
+                    cluster.links.values_mut().for_each(|l| l.cut &= rng.random::<f64>() < 0.8);
                 }
                 _ => {
-                    f.heal();
-                    f.every =
-                        LinkFault { loss: 0.2, twice: 0.2, flipped: 0.1, delay: (0, 300 * MS), cut: false };
+                    cluster.heal();
+                    cluster.default_link = LinkFault {
+                        loss: 0.2,
+                        duplication: 0.2,
+                        corruption: 0.1,
+                        delay: 0,
+                        jitter: 300 * MS,
+                        cut: false,
+                    };
                 }
             }
-            f.run(rng.random_range(10 * MS..8 * SEC));
-            for by in f.up() {
-                let view = f.view(by).unwrap();
+            cluster.run(rng.random_range(10 * MS..8 * SEC));
+            for by in cluster.running() {
+                let view = cluster.view(by).unwrap();
                 for of in others(n, by) {
-                    let record = view.record(addr(of));
+                    let record = view.record(router_address(of));
                     if knows[by].contains(&of) {
                         let counted = record.is_some_and(|r| r.rank != Rank::Left);
                         assert!(counted || left[of], "seed {seed}: {by} does not count {of}");
@@ -368,12 +406,12 @@
                 }
             }
         }
-        f.heal();
-        f.every = LinkFault::default();
-        (0..n).for_each(|r| f.resume(r));
-        let up = f.up();
+        cluster.heal();
+        cluster.default_link = LinkFault::default();
+        (0..n).for_each(|r| cluster.resume(r));
+        let up = cluster.running();
         if up.len() > 1 && (0..n.min(3)).any(|s| up.contains(&s)) {
-            settles(&mut f, &up, 30 * SEC);
+            settles(&mut cluster, &up, 30 * SEC);
         }
     }
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -2,9 +2,9 @@
 //! played is refused field by field.
 
 use hollymux_config_file::Fault;
-use hollymux_simulation::report::{report, Report};
+use hollymux_simulation::report::Report;
 use hollymux_simulation::scenario::Scenario;
-use hollymux_simulation::sweep::{sweep, Sweep};
+use hollymux_simulation::sweep::{self, Sweep};
 use hollymux_simulation::virtual_time::play;
 
 const FLEET: &str = r#"
@@ -17,10 +17,10 @@
     hollymux_config_file::read(&format!("{{{FLEET} faults: [{faults}]}}")).expect("a day")
 }
 
-fn played(day: &Scenario, seed: u64) -> Report {
-    let p = play(day, seed, &mut |_, _| {}).expect("the day is played");
-    assert!(p.done.len() > 3_000, "{} requests", p.done.len());
-    report(day, p.start, &p.done, &p.world, &p.counted)
+fn played(scenario: &Scenario, seed: u64) -> Report {
+    let run = play(scenario, seed, &mut |_, _| {}).expect("the scenario is played");
+    assert!(run.completed.len() > 3_000, "{} requests", run.completed.len());
+    Report::new(scenario, &run)
 }
 
 #[test]
@@ -35,7 +35,7 @@
 #[test]
 fn a_day_on_which_routers_are_killed_is_the_same_to_the_byte() {
     let day = day("{at_s: 15, for_s: 3, what: {kill: {routers: [1, 2]}}}");
-    let day = Scenario { fleet: true, rate_per_s: 250.0, ..day };
+    let day = Scenario { clustered: true, rate_per_s: 250.0, ..day };
     assert_eq!(played(&day, 7).json(), played(&day, 7).json());
 }
 
@@ -54,9 +54,9 @@
     ];
     for (i, f) in faults.iter().enumerate() {
         let r = played(&day(f), 3);
-        assert!(r.broken.is_empty(), "{f}: {:?}", r.broken);
+        assert!(r.violations.is_empty(), "{f}: {:?}", r.violations);
         // What fails must show, and nothing else: a calm day is served.
-        assert!(i > 0 || r.served_worth > 0.97, "calm: {}", r.served_worth);
+        assert!(i > 0 || r.earned_share > 0.97, "calm: {}", r.earned_share);
     }
 }
 
@@ -86,10 +86,10 @@
         for seed in [1, 3] {
             let r = played(day, seed);
             assert!(
-                r.broken.is_empty() && r.fell_untold == 0,
+                r.violations.is_empty() && r.falls_before_known == 0,
                 "day {i}, {seed}: {:?} {}",
-                r.broken,
-                r.fell_untold
+                r.violations,
+                r.falls_before_known
             );
         }
     }
@@ -97,7 +97,7 @@
     let day = outage(130, (5, 2), &replaced.join(", "));
     for seed in [1, 3] {
         let r = played(&day, seed);
-        assert!(r.broken.is_empty(), "seed {seed}: {:?}", r.broken);
+        assert!(r.violations.is_empty(), "seed {seed}: {:?}", r.violations);
     }
 }
 
@@ -113,25 +113,25 @@
     for name in ["partition", "crash", "join"] {
         let day = example(name);
         let on = played(&day, 1);
-        let fleet = on.fleet.expect("the day's routers know each other");
-        assert!(fleet.settled_s.is_some_and(|s| s < 5.0), "{name}: {fleet:?}");
-        assert_eq!((fleet.false_lost, fleet.missed_lost), (0, 0), "{name}");
-        assert!(fleet.bytes_per_router_s < 3_000.0, "{name}: {fleet:?}");
-        assert!(on.broken.is_empty() && on.fell_untold == 0, "{name}: {:?}", on.broken);
+        let cluster = on.cluster.expect("the day's routers know each other");
+        assert!(cluster.converged_s.is_some_and(|s| s < 5.0), "{name}: {cluster:?}");
+        assert_eq!((cluster.false_positives, cluster.missed), (0, 0), "{name}");
+        assert!(cluster.bytes_per_router_s < 3_000.0, "{name}: {cluster:?}");
+        assert!(on.violations.is_empty() && on.falls_before_known == 0, "{name}: {:?}", on.violations);
         // Nobody is killed on this day: the number that may be at work is the configured one all the time.
         if name == "partition" {
-            let off = played(&Scenario { fleet: false, ..day }, 1);
-            assert_eq!(off.fleet, None);
-            assert_eq!(Report { fleet: None, ..on }.json(), off.json());
+            let off = played(&Scenario { clustered: false, ..day }, 1);
+            assert_eq!(off.cluster, None);
+            assert_eq!(Report { cluster: None, ..on }.json(), off.json());
         }
     }
 }
 
 #[test]
 fn more_load_and_fewer_hubs_cost_worth() {
-    let calm = played(&day(""), 5).served_worth;
-    let surge = played(&day("{at_s: 9, what: {surge: {times: 3}}}"), 5).served_worth;
-    let hub = played(&day("{at_s: 9, what: {crash: {who: 'north'}}}"), 5).served_worth;
+    let calm = played(&day(""), 5).earned_share;
+    let surge = played(&day("{at_s: 9, what: {surge: {times: 3}}}"), 5).earned_share;
+    let hub = played(&day("{at_s: 9, what: {crash: {who: 'north'}}}"), 5).earned_share;
     assert!(surge < calm - 0.1 && hub < calm, "calm {calm}, surge {surge}, without a hub {hub}");
 }
 
@@ -165,16 +165,17 @@
         at_s: 10, lost: ["hub", "hubs", "half_office", "office", "library", "replaced"], for_s: [3], loads: [1, 3],
         routers: [3, 28], uneven: [3], news_ms: [1000] }"#;
     let file: Sweep = hollymux_config_file::read(text).expect("a sweep");
-    let rows = sweep(&file).expect("its days are played");
+    let rows = sweep::run(&file).expect("its days are played");
     assert_eq!(rows.len(), 24);
     for r in &rows {
-        assert!(r.broken.is_empty(), "{r:?}");
+        assert!(r.violations.is_empty(), "{r:?}");
     }
     // What was lost shows, and is served again.
     assert!(
-        rows.iter().any(|r| r.served_worth < 0.9) && rows.iter().filter(|r| r.back_s.is_some()).count() > 12
+        rows.iter().any(|r| r.earned_share < 0.9)
+            && rows.iter().filter(|r| r.recovery_s.is_some()).count() > 12
     );
-    let table = hollymux_simulation::sweep::text(&rows);
+    let table = sweep::table(&rows);
     assert_eq!(table.lines().count(), 2 + 12, "{table}");
 }
 
@@ -194,8 +195,12 @@
         let day: Scenario = hollymux_config_file::read(&text).expect("a day");
         for seed in seeds {
             let r = played(&day, seed);
-            assert!(r.broken.is_empty(), "{long} s, seed {seed}: {:?}", r.broken);
-            assert!(r.limits["cold box"].came_worst < 1.3, "{long} s, seed {seed}: {:?}", r.limits);
+            assert!(r.violations.is_empty(), "{long} s, seed {seed}: {:?}", r.violations);
+            assert!(
+                r.warm_up_quotas["cold box"].arrived_peak < 1.3,
+                "{long} s, seed {seed}: {:?}",
+                r.warm_up_quotas
+            );
         }
     }
 }
@@ -219,9 +224,9 @@
     );
     let day: Scenario = hollymux_config_file::read(&text).expect("a day");
     let r = played(&day, 1);
-    assert!(r.library_fell <= 1, "the library stopped {} times", r.library_fell);
-    assert!(r.broken.is_empty(), "{:?}", r.broken);
-    assert!(r.served_worth > 0.7, "{}", r.served_worth);
+    assert!(r.origin_falls <= 1, "the library stopped {} times", r.origin_falls);
+    assert!(r.violations.is_empty(), "{:?}", r.violations);
+    assert!(r.earned_share > 0.7, "{}", r.earned_share);
     let filings = r.classes.iter().find(|c| c.name == "cert-filing").expect("filings");
-    assert!(filings.in_time * 100 > filings.asked * 70, "{} of {}", filings.in_time, filings.asked);
+    assert!(filings.in_time * 100 > filings.requests * 70, "{} of {}", filings.in_time, filings.requests);
 }
