--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -97,7 +97,7 @@
         let Some(recorder) = self.recorders.get_mut(router.index) else { return };
         match event {
             RouterRecord::RequestEnded(summary) => recorder.request(summary),
-            RouterRecord::EndpointsChanged { at, endpoints } => recorder.members(*at, endpoints),
+            RouterRecord::EndpointsChanged { at, lines } => recorder.members(*at, lines),
             RouterRecord::Purged { at, object, group } => recorder.purge(*at, *object, *group),
         }
     }
--- a/crates/simulation/src/cluster/observe.rs
+++ b/crates/simulation/src/cluster/observe.rs
@@ -54,11 +54,14 @@
         counts.min().unwrap_or(0)
     }
 
-    /// How often any router was reported failed since then, by anybody.
+    /// How often any router was reported lost since then, by anybody.
     pub fn lost_reports(&self, since: Time) -> usize {
         let lost = |observed: &&ObservedChange| {
-            let MembershipChange::Updated { record, .. } = &observed.change else { return false };
-            observed.at >= since && record.state == MemberState::Failed
+            let is_lost = matches!(
+                &observed.change,
+                MembershipChange::Updated { record, .. } if record.state == MemberState::Failed
+            );
+            observed.at >= since && is_lost
         };
         self.changes.iter().filter(lost).count()
     }
--- a/crates/simulation/src/virtual_time/cluster.rs
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -9,6 +9,7 @@
 use crate::Time;
 use hollymux_cluster::membership::{MemberState, MembershipChange};
 use hollymux_cluster::quota::LeaseTimings;
+use hollymux_cluster::RouterCounts;
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::Timestamp;
 
@@ -27,7 +28,8 @@
             let zone = usize::from(settings.zone);
             let in_zone = settings.router_count_by_zone.get(zone).copied().unwrap_or(0);
             cluster.set_zone(index, &self.scenario.sites[router.slot.site].name);
-            cluster.set_router_counts(index, settings.router_count, in_zone);
+            let counts = RouterCounts { all: settings.router_count, own_zone: in_zone };
+            cluster.set_router_counts(index, counts);
             let usage_window = whole_micros(settings.overload_window);
             let timings = LeaseTimings { usage_window, ..LeaseTimings::default() };
             cluster.lease_timings = self.scenario.leased_quotas.then_some(timings);
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -116,12 +116,11 @@
 
     pub(super) fn send_client_attempt(&mut self, attempt: &ClientAttempt) {
         let router = self.scenario.router_index(attempt.site, attempt.router);
-        let received_number =
-            |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
+        let received = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         let request = ClientRequest {
-            request_id: received_number(attempt.rid),
+            request_id: received(attempt.rid),
             class: self.scenario.classes[attempt.class].name.clone().into_bytes(),
-            object: received_number(attempt.key.object),
+            object: received(attempt.key.object),
             chunk: attempt.key.chunk,
             group: attempt.group,
             budget_ms: attempt.timeout_ms,
