--- a/crates/cluster/src/quota/peers.rs
+++ b/crates/cluster/src/quota/peers.rs
@@ -1,7 +1,7 @@
 //! The other routers that limits are shared with.
 
 use super::lease::LeaseHolder;
-use super::message::MessageHeader;
+use super::message::{MessageHeader, NO_ECHO};
 use crate::membership::{MemberState, Membership};
 use crate::Time;
 use std::collections::BTreeMap;
@@ -14,7 +14,8 @@
     pub address: SocketAddr,
     /// Whether it is in the local router's zone.
     pub same_zone: bool,
-    /// Whether it can be reached, as far as membership can tell: saves messages, and decides nothing else.
+    /// Whether it can be reached, as far as membership can tell: saves messages, and decides
+    /// nothing else.
     pub reachable: bool,
 }
 
@@ -61,11 +62,12 @@
 pub(super) struct Peer {
     pub(super) same_zone: bool,
     pub(super) reachable: bool,
-    /// The process that sent the last message; 0 before the first one.
+    /// The process that sent the last message; `UNKNOWN_INSTANCE` before the first one.
     pub(super) instance_id: u64,
-    /// The latest of its clock that it has sent.
+    /// The latest of its clock that it has sent; `NO_ECHO` before the first message.
     pub(super) latest_sent_at: Time,
-    /// The digest of the set of routers by which it divides, and under which all that it has lent fits.
+    /// The digest of the set of routers by which it divides, and under which all that it has lent
+    /// fits.
     pub(super) acknowledged_set: u64,
     /// What it wants, by limit.
     pub(super) demands: BTreeMap<u64, PeerDemand>,
@@ -82,7 +84,7 @@
     pub(super) fn update(&mut self, header: &MessageHeader) {
         if self.instance_id != header.sender_instance {
             self.instance_id = header.sender_instance;
-            self.latest_sent_at = 0;
+            self.latest_sent_at = NO_ECHO;
             self.demands.clear();
         }
         self.latest_sent_at = self.latest_sent_at.max(header.sent_at);
--- a/crates/hollymux/tests/handover.rs
+++ b/crates/hollymux/tests/handover.rs
@@ -155,7 +155,7 @@
         let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log:?}");
         assert!(log.iter().any(|l| l.contains("invariants broken: 0")), "{log:?}");
-        new.wait_for_log("the process that was replaced has ended");
+        new.wait_for_log("predecessor process has ended");
         started.push(std::mem::replace(&mut old, new));
     }
     for sum in loads.end() {
@@ -301,7 +301,7 @@
     let config = config(setup.feed.addr)
         .replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", setup.addr));
     let new = RouterProcess::with_handover_dir(&with_admin_endpoint(&config), &setup.dir);
-    old.wait_for_log("another process takes over");
+    old.wait_for_log("handing over to a successor process");
     old.signal("-TERM");
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(2_500) {
--- a/crates/hollymux/tests/races.rs
+++ b/crates/hollymux/tests/races.rs
@@ -229,7 +229,7 @@
     client.send_request(1, "docs", 90, &object(7));
     let held = manual.next();
     node.signal("-TERM");
-    node.wait_for_log("Stopping");
+    node.wait_for_log("to=Stopping");
     node.pause();
     // What it still waits for comes first, so that it has nothing left to do.
     held.respond("data", b"some bytes");
@@ -269,7 +269,7 @@
     let held = manual.next();
     let start = Instant::now();
     node.signal("-TERM");
-    node.wait_for_log("Stopping");
+    node.wait_for_log("to=Stopping");
     std::thread::sleep(Duration::from_millis(500));
     node.signal("-TERM");
     std::thread::sleep(Duration::from_millis(400));
@@ -358,7 +358,7 @@
     wait_until("work at the box", || (get(&mut client) && a.count() > 0).then_some(()));
     feed.publish_endpoints(false, &[endpoint_line("s-a", a.addr, "std", "draining")]);
     node.reload(&config(feed.addr).replace("\"sendCap\":6", "\"sendCap\":5"));
-    node.wait_for_log("SIGHUP: 2 classes");
+    node.wait_for_log("SIGHUP: configuration applied classes=2");
     // The grace for a drain.
     std::thread::sleep(Duration::from_millis(500));
     let before = a.count();
--- a/crates/simulation/src/multi_process/router_process.rs
+++ b/crates/simulation/src/multi_process/router_process.rs
@@ -24,10 +24,10 @@
 
 /// What a router's log names its addresses by.
 const LISTENING_LOG: &str = "listening on ";
-const ADMIN_LOG: &str = "operators are answered on ";
-const CLUSTER_LOG: &str = "other routers are heard on ";
-/// What a router's log says of a lost router.
-const LOST_LOG_END: &str = " is lost";
+const ADMIN_LOG: &str = "admin endpoint listening address=";
+const CLUSTER_LOG: &str = "cluster socket listening address=";
+/// What a router's log says of a lost router, before its address.
+const LOST_LOG: &str = "cluster: router failed";
 
 /// A line of a router's log that says that another router is lost.
 pub(super) struct LostLogLine {
@@ -40,7 +40,7 @@
 impl LostLogLine {
     /// Whether it is the router at this address that is lost.
     pub fn names(&self, address: SocketAddr) -> bool {
-        self.line.contains(&format!(" at {address}{LOST_LOG_END}"))
+        self.line.contains(&format!(" address={address} "))
     }
 }
 
@@ -209,7 +209,7 @@
                 // Nobody waits any more if it comes too late.
                 let _ = self.listening.send((address, others));
             }
-            if line.contains(LOST_LOG_END) {
+            if line.contains(LOST_LOG) {
                 self.lost_log.push(LostLogLine { at: Instant::now(), by: self.router, line });
             }
         }
