--- a/crates/hollymux/src/simulate/cluster_table.rs
+++ b/crates/hollymux/src/simulate/cluster_table.rs
@@ -45,10 +45,10 @@
     if !options.are_in_range() {
         return Err(CommandError::MeasurementOutOfRange);
     }
-    let rows = cluster_benchmark::table(&options.routers, &options.loss, options.seed, options.minutes);
+    let rows = cluster_benchmark::run(&options.routers, &options.loss, options.seed, options.minutes);
     if options.json {
         output::print_json(&rows)
     } else {
-        output::print(&cluster_benchmark::text(&rows))
+        output::print(&cluster_benchmark::table(&rows))
     }
 }
--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -77,12 +77,18 @@
         seed: u64,
     ) -> Result<VirtualRecorders<'a, 'd>, CommandError> {
         let failed = |cause: Cause| CommandError::Simulation(cause);
-        let configs = virtual_time::configs(unserved.day, seed).map_err(|error| failed(error.into()))?;
+        let configs =
+            virtual_time::router_configs(unserved.day, seed).map_err(|error| failed(error.into()))?;
         let mut recorders = Vec::new();
-        for (router, config) in configs {
+        for config in configs {
             let names = &config.names;
-            let head =
-                RecordingHeader::new(&router, &names.zones, &names.kinds, &names.classes, &config.settings);
+            let head = RecordingHeader::new(
+                &config.name,
+                &names.zones,
+                &names.kinds,
+                &names.classes,
+                &config.settings,
+            );
             let writer = RecordingWriter::new(dir, head, MAX_FILE_BYTES, MAX_FILES)?;
             recorders.push(Recorder::start_blocking(writer)?);
         }
@@ -91,15 +97,15 @@
 
     /// Takes what a router did.
     pub fn on_event(&mut self, router: RouterSlot, event: &RouterRecord<'_>) {
-        if let RouterRecord::Ended(summary) = event {
+        if let RouterRecord::RequestEnded(summary) = event {
             let request = RequestEntry::new(summary, None, None);
             self.unserved.count(usize::from(request.class), request.result, request.reason);
         }
-        let Some(recorder) = self.recorders.get_mut(router.number) else { return };
+        let Some(recorder) = self.recorders.get_mut(router.index) else { return };
         match event {
-            RouterRecord::Ended(summary) => recorder.request(summary),
-            RouterRecord::Members(now, endpoints) => recorder.endpoint_updates(*now, endpoints),
-            RouterRecord::Purge(now, object, group) => recorder.purge(*now, *object, *group),
+            RouterRecord::RequestEnded(summary) => recorder.request(summary),
+            RouterRecord::EndpointsChanged { at, lines } => recorder.endpoint_updates(*at, lines),
+            RouterRecord::Purged { at, object, group } => recorder.purge(*at, *object, *group),
         }
     }
 }
--- a/crates/hollymux/src/simulate/run.rs
+++ b/crates/hollymux/src/simulate/run.rs
@@ -4,7 +4,8 @@
 use super::recorders::{UnservedRequests, VirtualRecorders};
 use crate::error::CommandError;
 use crate::output;
-use hollymux_simulation::report::{report, Report};
+use hollymux_simulation::report::Report;
+use hollymux_simulation::run_result::RunResult;
 use hollymux_simulation::scenario::Scenario;
 use hollymux_simulation::{multi_process, virtual_time};
 use std::path::{Path, PathBuf};
@@ -43,7 +44,7 @@
         write_report(&report, dir)?;
     }
     output::print(&if options.json { report.json() } else { report.text() })?;
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         Ok(())
     } else {
         Err(CommandError::RulesBroken)
@@ -57,7 +58,7 @@
     } else {
         on_sockets(day, options, &mut unserved)?
     };
-    let mut report = report(day, played.start, &played.done, &played.world, &played.counted);
+    let mut report = Report::new(day, &played);
     report.reasons = unserved.into_counts();
     Ok(report)
 }
@@ -66,7 +67,7 @@
     day: &Scenario,
     options: &Options,
     unserved: &mut UnservedRequests<'_>,
-) -> Result<virtual_time::RunResult, CommandError> {
+) -> Result<RunResult, CommandError> {
     let mut recorders = match &options.record {
         Some(dir) => VirtualRecorders::recording(unserved, dir, options.seed)?,
         None => VirtualRecorders::counting(unserved),
@@ -81,15 +82,16 @@
     day: &Scenario,
     options: &Options,
     unserved: &mut UnservedRequests<'_>,
-) -> Result<virtual_time::RunResult, CommandError> {
+) -> Result<RunResult, CommandError> {
     let scratch = tempfile::tempdir()?;
     let recordings = options.record.clone().unwrap_or_else(|| scratch.path().join("load"));
-    let start = multi_process::Start {
+    let router_options = multi_process::RouterOptions {
         program: std::env::current_exe()?,
         dir: options.report.clone().unwrap_or_else(|| scratch.path().to_path_buf()),
         record: std::path::absolute(&recordings)?,
     };
-    let played = multi_process::play(day, options.seed, &start)?;
+    let played = multi_process::play(day, options.seed, &router_options)
+        .map_err(|cause| CommandError::Simulation(cause.into()))?;
     unserved.count_recorded(&recordings, played.start)?;
     Ok(played)
 }
--- a/crates/hollymux/src/simulate/sweep.rs
+++ b/crates/hollymux/src/simulate/sweep.rs
@@ -20,13 +20,13 @@
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let combinations: sweep::Sweep =
         hollymux_config_file::load(&options.file).map_err(CommandError::InvalidFile)?;
-    let rows = sweep::sweep(&combinations).map_err(|cause| CommandError::Simulation(cause.into()))?;
+    let rows = sweep::run(&combinations).map_err(|cause| CommandError::Simulation(cause.into()))?;
     if options.json {
         output::print_json(&rows)?;
     } else {
-        output::print(&sweep::text(&rows))?;
+        output::print(&sweep::table(&rows))?;
     }
-    if rows.iter().all(|row| row.broken.is_empty()) {
+    if rows.iter().all(|row| row.violations.is_empty()) {
         Ok(())
     } else {
         Err(CommandError::RulesBroken)
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -4,7 +4,7 @@
 
 use common::reserved_address::ReservedAddress;
 use common::*;
-use hollymux_simulation::cluster::LinkFault;
+use hollymux_simulation::link_fault::LinkFault;
 use hollymux_simulation::relay::Relay;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CUT: LinkFault = LinkFault { cut: true, loss: 0.0, twice: 0.0, flipped: 0.0, delay: (0, 0) };
+const CUT: LinkFault = LinkFault::CUT;
 
 /// Routers behind a relay, each with the same endpoints and endpoint feed.
 struct Cluster {
@@ -62,10 +62,11 @@
     }
 
     fn section(&self, router: usize, name: &str) -> String {
-        let seeds: Vec<String> = self.seeds.iter().map(|s| format!("'{}'", self.relay.addrs[*s])).collect();
+        let seeds: Vec<String> =
+            self.seeds.iter().map(|s| format!("'{}'", self.relay.addresses[*s])).collect();
         format!(
             "{{fleet: {{name: '{name}', listen: '127.0.0.1:0', advertise: '{}', seeds: [{}]{}}}}}",
-            self.relay.addrs[router],
+            self.relay.addresses[router],
             seeds.join(","),
             self.more
         )
@@ -81,7 +82,7 @@
         let config = config.replace("\"groupSize\":1", "\"groupSize\":2").replace("[1,0]", "[2,0]");
         let node = RouterProcess::with_config_and_operator_file(&config, &self.section(router, cluster_name));
         let heard = node.cluster.expect("the program says where it hears others");
-        self.relay.behind(router, heard);
+        self.relay.set_destination(router, heard);
         self.nodes[router] = Some(node);
     }
 
@@ -112,7 +113,7 @@
 
     /// What a router reports of another.
     fn wait_for_log(&self, by: usize, of: usize) -> Option<String> {
-        let at = self.relay.addrs[of].to_string();
+        let at = self.relay.addresses[of].to_string();
         let status = self.status(by);
         let other = status["others"].as_array()?.iter().find(|o| o["address"] == at.as_str())?;
         other["state"].as_str().map(str::to_string)
@@ -193,7 +194,7 @@
 fn both_sides_of_a_partition_count_all_and_it_heals_while_a_third_side_is_cut_off() {
     let cluster = Cluster::all_started(5);
     let load = Load::at(&cluster, &FIVE);
-    cluster.relay.part(&[0, 1, 2], &[3, 4]);
+    cluster.relay.partition(&[0, 1, 2], &[3, 4]);
     for (side, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice()), (&[3, 4], &[0, 1, 2])] {
         other.iter().for_each(|of| cluster.lost(side, *of));
         for r in side {
@@ -202,7 +203,7 @@
         }
     }
     cluster.relay.heal();
-    cluster.relay.part(&[1], &[0, 2, 3, 4]);
+    cluster.relay.partition(&[1], &[0, 2, 3, 4]);
     cluster.settles(&[0, 2, 3, 4]);
     cluster.lost(&[0, 2, 3, 4], 1);
     assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
@@ -216,9 +217,9 @@
     for hears in [true, false] {
         let cluster = Cluster::all_started(5);
         if hears {
-            cluster.relay.fault(&[4], &FIVE, CUT);
+            cluster.relay.set_link_fault(&[4], &FIVE, CUT);
         } else {
-            cluster.relay.fault(&FIVE, &[4], CUT);
+            cluster.relay.set_link_fault(&FIVE, &[4], CUT);
         }
         cluster.lost(&[0, 1, 2, 3], 4);
         wait_until("the one to know that nobody answers it", || {
@@ -232,7 +233,7 @@
                     &[0, 1, 2, 3],
                     &format!(
                         "router failed, it may still be active address={} router=n{n}",
-                        cluster.relay.addrs[n - 1]
+                        cluster.relay.addresses[n - 1]
                     )
                 ),
                 0
@@ -246,7 +247,7 @@
 #[test]
 fn routers_that_reach_each_other_only_indirectly_hold_each_other_alive() {
     let cluster = Cluster::all_started(6);
-    cluster.relay.part(&[0, 1], &[4, 5]);
+    cluster.relay.partition(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
     assert_eq!(cluster.count_log_lines(&[0, 1, 2, 3, 4, 5], "router failed"), 0);
     cluster.settles(&[0, 1, 2, 3, 4, 5]);
@@ -258,7 +259,7 @@
     let rest = [0, 1, 3, 4];
     for suspected in [false, true] {
         // What it sends arrives 10 s late.
-        cluster.relay.fault(&[2], &rest, LinkFault { delay: (10_000_000, 0), ..LinkFault::default() });
+        cluster.relay.set_link_fault(&[2], &rest, LinkFault { delay: 10_000_000, ..LinkFault::default() });
         if suspected {
             wait_until("a suspicion", || {
                 rest.iter().any(|r| cluster.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
@@ -333,14 +334,14 @@
 fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
     let cluster = Cluster::all_started(5);
     let half = LinkFault { loss: 0.5, ..LinkFault::default() };
-    cluster.relay.fault(&[4], &FIVE, half);
-    cluster.relay.fault(&FIVE, &[4], half);
+    cluster.relay.set_link_fault(&[4], &FIVE, half);
+    cluster.relay.set_link_fault(&FIVE, &[4], half);
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
         assert_eq!(
             cluster.count_log_lines(
                 &FIVE,
-                &format!("router failed, it may still be active address={} ", cluster.relay.addrs[n])
+                &format!("router failed, it may still be active address={} ", cluster.relay.addresses[n])
             ),
             0,
             "n{} is condemned",
@@ -353,7 +354,7 @@
 fn thousands_of_invalid_and_replayed_datagrams_stop_no_service_and_change_no_membership() {
     let cluster = Cluster::all_started(5);
     let before = cluster.status(0);
-    let real = cluster.relay.last(1, 0).unwrap();
+    let real = cluster.relay.latest_datagram(1, 0).unwrap();
     let load = Load::at(&cluster, &[0]);
     let memory = || {
         let text = std::fs::read_to_string(format!("/proc/{}/status", cluster.node(0).child.id())).unwrap();
@@ -403,7 +404,7 @@
     let config = config.replace("\"name\":\"n1\"", "\"name\":\"n5\"");
     (0..4).for_each(|r| cluster.start(r));
     cluster.nodes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
-    cluster.relay.behind(4, heard);
+    cluster.relay.set_destination(4, heard);
     cluster.settles(&FIVE);
     let own = |node: &RouterProcess| -> Value {
         serde_json::from_str(&admin_call(admin_address(node), "GET /status/fleet").1).unwrap()
@@ -475,13 +476,13 @@
 #[test]
 fn an_own_share_is_used_only_when_all_others_count_it() {
     let mut cluster = Cluster::on_lease(6);
-    cluster.relay.part(&[4], &[0, 1, 2, 3, 5]);
+    cluster.relay.partition(&[4], &[0, 1, 2, 3, 5]);
     cluster.lost(&[0, 1, 2, 3], 4);
     cluster.start(5);
     let counted = |not: usize| {
         let l = cluster.limits(5);
         assert_eq!(l["share_in_use"], false, "{l}");
-        assert_eq!(l["not_counted_by"], serde_json::json!([cluster.relay.addrs[not].to_string()]));
+        assert_eq!(l["not_counted_by"], serde_json::json!([cluster.relay.addresses[not].to_string()]));
     };
     wait_until("all but the one who is cut off to count the newcomer", || {
         let l = cluster.limits(5);
