--- a/crates/decision/tests/scale/harness.rs
+++ b/crates/decision/tests/scale/harness.rs
@@ -147,68 +147,115 @@
     pub cancelled: usize,
 }
 
+/// Without a response an attempt times out after this.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
+const STEP: Duration = Duration::from_millis(10);
+const REQUEST_INTERVAL_US: u64 = 140_000;
+const STEP_US: u64 = 10_000;
+
+/// An attempt in flight.
+struct InFlight {
+    ends: Timestamp,
+    began: Timestamp,
+    sent: Sent,
+}
+
 /// Plays one router: a request every 140 ms; `latency_of` gives the latency of an attempt's
 /// response; without one it times out.
 pub fn play(
     harness: &mut Harness,
     span: Duration,
-    mut latency_of: impl FnMut(usize, &Sent) -> Option<Duration>,
+    latency_of: impl FnMut(usize, &Sent) -> Option<Duration>,
 ) -> RouterHistory {
-    let mut seen = RouterHistory::default();
-    let mut due: Vec<(Timestamp, u64)> = Vec::new();
-    let mut open: Vec<(Timestamp, Timestamp, Sent)> = Vec::new();
-    let mut attempt_numbers: BTreeMap<RequestId, u16> = BTreeMap::new();
-    let end = harness.now + span;
-    while harness.now < end {
-        harness.now += Duration::from_millis(10);
-        let now = harness.now;
+    let mut player = Player {
+        harness,
+        latency_of,
+        history: RouterHistory::default(),
+        timers: Vec::new(),
+        in_flight: Vec::new(),
+        attempt_numbers: BTreeMap::new(),
+    };
+    let end = player.harness.now + span;
+    while player.harness.now < end {
+        player.step();
+    }
+    player.history
+}
+
+struct Player<'a, F> {
+    harness: &'a mut Harness,
+    latency_of: F,
+    history: RouterHistory,
+    timers: Vec<(Timestamp, u64)>,
+    in_flight: Vec<InFlight>,
+    attempt_numbers: BTreeMap<RequestId, u16>,
+}
+
+impl<F: FnMut(usize, &Sent) -> Option<Duration>> Player<'_, F> {
+    fn step(&mut self) {
+        self.harness.now += STEP;
         let mut actions = Vec::new();
-        if now.as_micros() % 140_000 < 10_000 {
-            actions = harness.request(seen.asked as u64);
-            seen.asked += 1;
+        if self.harness.now.as_micros() % REQUEST_INTERVAL_US < STEP_US {
+            actions = self.harness.request(self.history.asked as u64);
+            self.history.asked += 1;
+        }
+        actions.extend(self.fire_timers());
+        actions.extend(self.end_attempts());
+        while !actions.is_empty() {
+            self.timers.extend(timers(&actions, self.harness.now));
+            self.send_attempts(&actions);
+            actions = self.cancel_attempts(&actions);
         }
-        let (fire, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|t| t.0 <= now);
-        due = later;
-        actions.extend(fire.into_iter().flat_map(|(_, token)| harness.event(Event::Timer { token })));
-        let (done, later): (Vec<_>, Vec<_>) = open.into_iter().partition(|o| o.0 <= now);
-        open = later;
-        for (_, began, s) in done {
-            let ok = now < began + Duration::from_secs(5);
+    }
+
+    fn fire_timers(&mut self) -> Vec<Action> {
+        let now = self.harness.now;
+        let timers = std::mem::take(&mut self.timers);
+        let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.0 <= now);
+        self.timers = later;
+        due.into_iter().flat_map(|(_, token)| self.harness.event(Event::Timer { token })).collect()
+    }
+
+    fn end_attempts(&mut self) -> Vec<Action> {
+        let now = self.harness.now;
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (ended, later): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|attempt| attempt.ends <= now);
+        self.in_flight = later;
+        let mut actions = Vec::new();
+        for InFlight { began, sent, .. } in ended {
+            let ok = now < began + ATTEMPT_TIMEOUT;
             let status = if ok { AttemptStatus::Ok } else { AttemptStatus::Timeout };
-            actions.extend(harness.end_attempt(
-                &s,
-                status,
-                ok.then_some(CacheStatus::Hit),
-                now.duration_since(began),
-            ));
+            let note = ok.then_some(CacheStatus::Hit);
+            actions.extend(self.harness.end_attempt(&sent, status, note, now.duration_since(began)));
         }
-        while !actions.is_empty() {
-            due.extend(timers(&actions, now));
-            for mut s in attempts(&actions) {
-                s.attempt = *attempt_numbers.entry(s.id).and_modify(|n| *n += 1).or_insert(0);
-                let answer = now + latency_of(seen.sent.len(), &s).unwrap_or(Duration::from_secs(5));
-                seen.sent.push((now, s.clone()));
-                open.push((answer, now, s));
-            }
-            let mut more = Vec::new();
-            for a in &actions {
-                let Action::Cancel { request, attempt } = a else { continue };
-                let called = |o: &(Timestamp, Timestamp, Sent)| o.2.id == *request && o.2.attempt == *attempt;
-                if let Some(i) = open.iter().position(called) {
-                    let (_, began, s) = open.swap_remove(i);
-                    seen.cancelled += 1;
-                    more.extend(harness.end_attempt(
-                        &s,
-                        AttemptStatus::Cancelled,
-                        None,
-                        now.duration_since(began),
-                    ));
-                }
-            }
-            actions = more;
+        actions
+    }
+
+    fn send_attempts(&mut self, actions: &[Action]) {
+        let now = self.harness.now;
+        for mut sent in attempts(actions) {
+            sent.attempt = *self.attempt_numbers.entry(sent.id).and_modify(|n| *n += 1).or_insert(0);
+            let latency = (self.latency_of)(self.history.sent.len(), &sent);
+            let ends = now + latency.unwrap_or(ATTEMPT_TIMEOUT);
+            self.history.sent.push((now, sent.clone()));
+            self.in_flight.push(InFlight { ends, began: now, sent });
+        }
+    }
+
+    fn cancel_attempts(&mut self, actions: &[Action]) -> Vec<Action> {
+        let now = self.harness.now;
+        let mut further = Vec::new();
+        for action in actions {
+            let Action::Cancel { request, attempt } = action else { continue };
+            let is_cancelled = |open: &InFlight| open.sent.id == *request && open.sent.attempt == *attempt;
+            let Some(index) = self.in_flight.iter().position(is_cancelled) else { continue };
+            let InFlight { began, sent, .. } = self.in_flight.swap_remove(index);
+            self.history.cancelled += 1;
+            let latency = now.duration_since(began);
+            further.extend(self.harness.end_attempt(&sent, AttemptStatus::Cancelled, None, latency));
         }
+        further
     }
-    seen
 }
 
 pub fn timers(actions: &[Action], at: Timestamp) -> Vec<(Timestamp, u64)> {
