--- /dev/null
+++ b/crates/server/src/cluster/socket.rs
@@ -0,0 +1,150 @@
+//! The socket and the timer of the cluster.
+
+use super::ClusterMember;
+use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
+use crate::Server;
+use hollymux_cluster::quota::QuotaManager;
+use hollymux_cluster::{Transmit, MAX_DATAGRAM_LEN};
+use hollymux_decision::time::MICROSECOND;
+use hollymux_decision::Timestamp;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use tracing::{debug, info};
+
+/// Datagrams that are received, and sent, for one event: clients come before the rest.
+const MAX_DATAGRAMS_PER_EVENT: usize = 64;
+/// One byte more than is ever accepted shows that a datagram is too long.
+const RECEIVE_BUFFER: usize = MAX_DATAGRAM_LEN + 1;
+
+impl ClusterMember {
+    /// The next datagram to send; membership comes before quotas.
+    fn poll_transmit(&mut self) -> Option<Transmit> {
+        self.membership.poll_transmit().or_else(|| self.quotas.as_mut()?.poll_transmit())
+    }
+
+    /// Sends datagrams; returns whether more of them may wait.
+    fn transmit(&mut self, socket: &UdpSocket) -> bool {
+        for _ in 0..MAX_DATAGRAMS_PER_EVENT {
+            let Some(transmit) = self.poll_transmit() else { return false };
+            if socket.send_to(&transmit.payload, transmit.destination).is_err() {
+                self.unsent_datagrams += 1;
+            }
+        }
+        true
+    }
+
+    /// Logs what has changed in the membership; returns whether anything has.
+    fn log_changes(&mut self) -> bool {
+        let mut has_changed = false;
+        while let Some(change) = self.membership.poll_change() {
+            has_changed = true;
+            super::change_log::log_change(&change);
+        }
+        has_changed
+    }
+
+    /// When the membership or the quotas want to be called.
+    fn next_timeout(&self) -> Timestamp {
+        let quotas = self.quotas.as_ref().map_or(u64::MAX, QuotaManager::next_timeout);
+        Timestamp::from_micros(quotas.min(self.membership.next_timeout()))
+    }
+}
+
+impl Server {
+    /// Opens the socket, if there is a section for it and no other process has it. The housekeeping
+    /// tries again if it can't be bound yet: that is no reason not to serve, and until then limits
+    /// are divided by the configured number of routers.
+    pub(crate) fn open_cluster_socket(&mut self) {
+        let Some(cluster) = self.cluster.as_ref().filter(|cluster| cluster.socket.is_none()) else { return };
+        let address = cluster.section.listen;
+        match self.bind_cluster_socket(address) {
+            Ok(token) => {
+                if let Some(cluster) = &mut self.cluster {
+                    cluster.join(token, &self.config, self.now);
+                }
+                self.on_cluster_timer();
+            }
+            Err(error) => debug!(%address, %error, "cluster socket can't listen yet"),
+        }
+    }
+
+    fn bind_cluster_socket(&mut self, address: SocketAddr) -> io::Result<ConnectionToken> {
+        let socket = UdpSocket::bind(address)?;
+        socket.set_nonblocking(true)?;
+        let bound = socket.local_addr()?;
+        let token = self.insert(ConnectionKind::Cluster(socket))?;
+        info!(address = %bound, "cluster socket listening");
+        Ok(token)
+    }
+
+    /// Datagrams of other routers have arrived.
+    pub(crate) fn on_cluster_datagrams(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
+        let Some(mut cluster) = self.cluster.take() else { return ConnectionAction::Close };
+        let now = self.now.as_micros();
+        let mut buffer = [0; RECEIVE_BUFFER];
+        // No attempt is sent while these are received, so that the demand stays the same.
+        let mut demands = None;
+        for _ in 0..MAX_DATAGRAMS_PER_EVENT {
+            match socket.recv(&mut buffer) {
+                Ok(length) if QuotaManager::is_quota_datagram(&buffer[..length]) => {
+                    let Some(quotas) = &mut cluster.quotas else { continue };
+                    let demands = demands.get_or_insert_with(|| self.router.warm_up_demands(self.now));
+                    quotas.update_demand(now, demands);
+                    quotas.handle_datagram(now, &buffer[..length]);
+                }
+                Ok(length) => cluster.membership.handle_datagram(now, &buffer[..length]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                // A datagram that could not be delivered is reported here; that ends nothing.
+                Err(_) => {}
+            }
+        }
+        self.cluster = Some(cluster);
+        self.after_cluster_event(Some(socket));
+        ConnectionAction::Keep
+    }
+
+    /// The timer of the cluster has expired, or the socket was just opened.
+    pub(crate) fn on_cluster_timer(&mut self) {
+        let now = self.now.as_micros();
+        let Some(cluster) = self.cluster.as_mut().filter(|cluster| cluster.socket.is_some()) else { return };
+        if now >= cluster.membership.next_timeout() {
+            cluster.membership.handle_timeout(now);
+        }
+        if let Some(quotas) = cluster.quotas.as_mut().filter(|quotas| now >= quotas.next_timeout()) {
+            quotas.update_demand(now, &self.router.warm_up_demands(self.now));
+            quotas.handle_timeout(now);
+        }
+        if self.now >= cluster.timer_at {
+            cluster.timer_at = Timestamp::ZERO;
+        }
+        self.after_cluster_event(None);
+    }
+
+    /// Sends what waits, applies what has changed and sets the next timer. The socket is given where
+    /// its handler has taken it out of the connection table.
+    pub(super) fn after_cluster_event(&mut self, socket: Option<&UdpSocket>) {
+        let Some(mut cluster) = self.cluster.take() else { return };
+        let more_waits = match socket.or_else(|| self.cluster_socket(&cluster)) {
+            Some(socket) => cluster.transmit(socket),
+            None => false,
+        };
+        if cluster.log_changes() {
+            cluster.update_quota_peers(self.now);
+        }
+        self.apply_quotas(&mut cluster);
+        self.apply_router_counts(&mut cluster);
+        let wanted = if more_waits { self.now } else { cluster.next_timeout() };
+        if cluster.timer_at == Timestamp::ZERO || wanted < cluster.timer_at {
+            cluster.timer_at = wanted.max(self.now + MICROSECOND);
+            self.timers.set(cluster.timer_at, Timer::Cluster);
+        }
+        self.cluster = Some(cluster);
+    }
+
+    fn cluster_socket(&self, cluster: &ClusterMember) -> Option<&UdpSocket> {
+        match self.connections.get(cluster.socket?) {
+            Some(ConnectionKind::Cluster(socket)) => Some(socket),
+            _ => None,
+        }
+    }
+}
