--- a/crates/simulation/src/multi_process/router_process.rs
+++ b/crates/simulation/src/multi_process/router_process.rs
@@ -26,7 +26,7 @@
 const LISTENING_LOG: &str = "listening on ";
 const ADMIN_LOG: &str = "admin endpoint listening address=";
 const CLUSTER_LOG: &str = "cluster socket listening address=";
-/// What a router's log says of a lost router, before its address.
+/// What a router's log says of a lost router; its address follows.
 const LOST_LOG: &str = "cluster: router failed";
 
 /// A line of a router's log that says that another router is lost.
