--- a/crates/hollymux/tests/common/process.rs
+++ b/crates/hollymux/tests/common/process.rs
@@ -208,7 +208,8 @@
     /// Waits until it has ended: its exit status, and the lines of its log that were not read yet.
     pub fn wait_for_exit(&mut self) -> (ExitStatus, Vec<String>) {
         let status = wait_until("the program's end", || self.child.try_wait().unwrap());
-        (status, self.log.try_iter().collect())
+        // To the end of the stream: the thread that reads the log may be behind the process.
+        (status, self.log.iter().collect())
     }
 }
 
