--- a/crates/hollymux/src/serve.rs
+++ b/crates/hollymux/src/serve.rs
@@ -47,7 +47,7 @@
     }
     let config = Config::load(&config_path)?;
     let mut server = Server::new(config, config_path, operator)?;
-    info!("listening on {}", server.listens_at()?);
+    info!("listening on {}", server.local_address()?);
     server.run()?;
     info!("{}", server.summary());
     Ok(())
--- a/crates/protocol/tests/handover.rs
+++ b/crates/protocol/tests/handover.rs
@@ -90,7 +90,7 @@
             reader.feed(&bytes);
             while let Ok(Some(message)) = reader.next_message() {
                 if let HandoverMessage::State(Some(state)) = message {
-                    let _endpoint_list = state.told(&[], &[]);
+                    let _endpoint_list = state.full_list_event(&[], &[]);
                 }
             }
         }
--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// The size of every buffer, in bytes.
-pub const BUFFER: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 /// One in so many buffers of the pool's limit stays allocated for reuse.
 const LIMIT_PER_FREE_BUFFER: usize = 4;
 
@@ -42,7 +42,7 @@
     }
 
     /// Whether more than this share of the limit is in use.
-    pub fn fuller_than(&self, share: f64) -> bool {
+    pub fn is_fuller_than(&self, share: f64) -> bool {
         let state = self.0.borrow();
         state.in_use as f64 > state.limit as f64 * share
     }
@@ -58,7 +58,7 @@
 
     /// The limit in bytes.
     pub fn bytes(&self) -> usize {
-        self.0.borrow().limit * BUFFER
+        self.0.borrow().limit * BUFFER_BYTES
     }
 
     fn lend(&self) -> Result<Box<[u8]>, Exhausted> {
@@ -67,7 +67,7 @@
             return Err(Exhausted);
         }
         state.in_use += 1;
-        Ok(state.free.pop().unwrap_or_else(|| vec![0; BUFFER].into_boxed_slice()))
+        Ok(state.free.pop().unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice()))
     }
 
     fn give_back(&self, buffer: Box<[u8]>) {
@@ -94,7 +94,7 @@
 
     /// Copies as many of the bytes as have room; returns how many.
     fn fill(&mut self, bytes: &[u8]) -> usize {
-        let copied = bytes.len().min(BUFFER - self.end);
+        let copied = bytes.len().min(BUFFER_BYTES - self.end);
         self.buffer[self.end..self.end + copied].copy_from_slice(&bytes[..copied]);
         self.end += copied;
         copied
@@ -123,7 +123,7 @@
     /// Copies bytes to the end. If the pool is exhausted, those that had room have been added.
     pub fn extend(&mut self, mut bytes: &[u8]) -> Result<(), Exhausted> {
         while !bytes.is_empty() {
-            if self.segments.back().is_none_or(|segment| segment.end == BUFFER) {
+            if self.segments.back().is_none_or(|segment| segment.end == BUFFER_BYTES) {
                 self.segments.push_back(Segment { buffer: self.pool.lend()?, start: 0, end: 0 });
             }
             if let Some(segment) = self.segments.back_mut() {
--- a/crates/router/src/handover_state.rs
+++ b/crates/router/src/handover_state.rs
@@ -64,13 +64,13 @@
 impl HandoverState {
     /// The complete endpoint list, for a router under whose settings zones and kinds have these
     /// names.
-    pub fn told(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
+    pub fn full_list_event(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let endpoints = self.listed_endpoints(zones, kinds);
         FeedEvent::Endpoints { is_full_list: true, endpoints }
     }
 
     /// The draining endpoints: they get no new requests, even if an older list calls them ready.
-    pub fn drained(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
+    pub fn draining_event(&self, zones: &[String], kinds: &[String]) -> FeedEvent {
         let mut endpoints = self.listed_endpoints(zones, kinds);
         endpoints.retain(|endpoint| endpoint.entry.state == EndpointState::Draining);
         FeedEvent::Endpoints { is_full_list: false, endpoints }
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Everything that it needs in order to serve is there.
-    Began,
+    Started,
     /// Clients are to be moved away.
     Standby,
     /// It is to serve again after a standby.
@@ -55,7 +55,7 @@
     /// Another process accepts the new connections.
     Replaced,
     /// The other process has exited.
-    Alone,
+    SuccessorGone,
     /// It is to exit.
     Stop,
 }
@@ -75,12 +75,12 @@
     /// active again.
     pub fn apply(&mut self, now: Timestamp, event: Event) -> bool {
         match event {
-            Event::Began => self.started = true,
+            Event::Started => self.started = true,
             Event::Standby => self.standby_since = self.standby_since.or(Some(now)),
             Event::Active if self.stopping_since.is_some() => return false,
             Event::Active => self.standby_since = None,
             Event::Replaced => self.replaced = true,
-            Event::Alone => self.replaced = false,
+            Event::SuccessorGone => self.replaced = false,
             Event::Stop => self.stopping_since = self.stopping_since.or(Some(now)),
         }
         true
@@ -110,7 +110,7 @@
     /// Whether new connections are accepted. They are in standby too: clients open some until they
     /// have noticed, and a connection that nobody accepts loses its requests.
     pub fn accepts(&self, now: Timestamp) -> bool {
-        self.started && !self.replaced && !self.lingered(now)
+        self.started && !self.replaced && !self.has_lingered(now)
     }
 
     /// Whether a request that arrives now is served; otherwise it is rejected at once. `longest` is
@@ -134,8 +134,8 @@
 
     /// Whether a connection without open requests stays open. `fresh` is the time since which it
     /// has waited for its first request, if none has come yet.
-    pub fn stays(&self, now: Timestamp, fresh: Option<Timestamp>) -> bool {
-        if self.lingered(now) && !self.replaced {
+    pub fn keeps_idle_connection(&self, now: Timestamp, fresh: Option<Timestamp>) -> bool {
+        if self.has_lingered(now) && !self.replaced {
             return false;
         }
         let standby_noticed = self.standby_since.is_some_and(|since| now >= since + STANDBY_NOTICE_PERIOD);
@@ -148,13 +148,13 @@
     /// Whether the process exits although connections without open requests are left: their clients
     /// know that it stops and had time to close them. Connections of a replaced process are closed
     /// one by one instead.
-    pub fn drops(&self, now: Timestamp) -> bool {
+    pub fn abandons_idle_connections(&self, now: Timestamp) -> bool {
         let close_timeout = SHUTDOWN_LINGER + CLIENT_CLOSE_TIMEOUT;
         !self.replaced && self.stopping_since.is_some_and(|since| now >= since + close_timeout)
     }
 
     /// The time from which connections without open requests are closed.
-    pub fn empties_at(&self) -> Option<Timestamp> {
+    pub fn closes_idle_connections_from(&self) -> Option<Timestamp> {
         let linger = if self.replaced { Duration::ZERO } else { SHUTDOWN_LINGER };
         let by_standby = self.standby_since.map(|since| since + STANDBY_NOTICE_PERIOD);
         let by_stop = self.stopping_since.map(|since| since + linger);
@@ -163,7 +163,7 @@
 
     /// Whether the process is stopping and accepts nothing new any more: it exits when no request
     /// is open.
-    pub fn lingered(&self, now: Timestamp) -> bool {
+    pub fn has_lingered(&self, now: Timestamp) -> bool {
         self.stopping_since.is_some_and(|since| now >= since + SHUTDOWN_LINGER)
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -126,12 +126,12 @@
     }
 
     /// The number of clients' requests without a final reply.
-    pub fn owed(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.by_client.len()
     }
 
     /// Whether no request is open, lookups included.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.open_requests.is_empty()
     }
 
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -26,7 +26,7 @@
     }
 
     /// Counts a request whose fields can't be parsed: it is failed.
-    pub fn spoilt(&mut self, class: &[u8]) {
+    pub fn count_invalid_request(&mut self, class: &[u8]) {
         if let Some(class) = self.classes.named(class) {
             self.count(class, CountedEvent::Failed);
         }
--- a/crates/router/src/router/handover.rs
+++ b/crates/router/src/router/handover.rs
@@ -7,7 +7,7 @@
 impl Router {
     /// The state for a successor, except the names of zones and kinds, which the caller adds.
     /// Pending writes that come later are given by [`Router::take_new_pending_writes`].
-    pub fn legacy(&mut self) -> HandoverState {
+    pub fn handover_state(&mut self) -> HandoverState {
         HandoverState {
             classes: self.classes.names().map(str::to_string).collect(),
             endpoints: self.endpoints.records(),
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -81,7 +81,7 @@
             counted.lookups,
             counted.attempts,
             counted.invariant_violations,
-            self.router.idle()
+            self.router.is_idle()
         )
     }
 
@@ -178,7 +178,7 @@
 
     /// Another core goes on in this one's place; `last` is asked of this one after it was handed over.
     fn hand_over(&mut self, now: Timestamp, last: Option<(Caller, Asked)>) -> Vec<Effect> {
-        let mut legacy = self.router.legacy();
+        let mut legacy = self.router.handover_state();
         legacy.zones = ZONES.map(str::to_string).to_vec();
         legacy.kinds = KINDS.map(str::to_string).to_vec();
         let mut commands = Vec::new();
@@ -189,7 +189,7 @@
         let later = self.router.take_new_pending_writes();
         self.router.handle(now, Input::Shutdown, &mut commands);
         let mut successor = router(parse(&self.settings), &self.classes, self.seed ^ 1, self.follows);
-        let told = legacy.told(&legacy.zones, &legacy.kinds);
+        let told = legacy.full_list_event(&legacy.zones, &legacy.kinds);
         successor.handle(now, Input::Feed(told), &mut commands);
         successor.restore(now, &legacy);
         successor.restore_pending_writes(now, &later);
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -356,7 +356,7 @@
         }
         prop_assert!(world.waiting.is_empty(), "{} clients without a reply", world.waiting.len());
         prop_assert!(world.in_flight.is_empty(), "attempts in flight that nobody waits for");
-        prop_assert!(world.router.idle());
+        prop_assert!(world.router.is_idle());
         prop_assert_eq!(world.router.counters.invariant_violations, 0);
     }
 }
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const EVENTS: [Event; 6] =
-    [Event::Began, Event::Standby, Event::Active, Event::Replaced, Event::Alone, Event::Stop];
+    [Event::Started, Event::Standby, Event::Active, Event::Replaced, Event::SuccessorGone, Event::Stop];
 /// Times after an event at which the lifecycle is looked at: on both sides of each of its limits.
 const LOOK_AHEAD_MS: [u64; 8] = [0, 399, 400, 699, 700, 1_999, 2_000, 3_900];
 const LONGEST_DEADLINES: [Duration; 3] =
@@ -25,12 +25,12 @@
 impl Expected {
     fn apply(&mut self, now: Timestamp, event: Event, accepted: bool) {
         match event {
-            Event::Began => self.started = true,
+            Event::Started => self.started = true,
             Event::Standby => self.standby_since = self.standby_since.or(Some(now)),
             Event::Active if accepted => self.standby_since = None,
             Event::Active => {}
             Event::Replaced => self.replaced = true,
-            Event::Alone => self.replaced = false,
+            Event::SuccessorGone => self.replaced = false,
             Event::Stop => self.stopping_since = self.stopping_since.or(Some(now)),
         }
     }
@@ -52,7 +52,7 @@
         prop_assert!(
             lifecycle.accepts(then)
                 && lifecycle.serves(then, Duration::from_secs(1))
-                && lifecycle.stays(then, None)
+                && lifecycle.keeps_idle_connection(then, None)
         );
     }
     prop_assert!(
@@ -68,11 +68,13 @@
         prop_assert!(!serves, "a connection that is never idle is held since {:?}", since);
     }
     if expected.standby_since.is_some_and(|since| then >= since + Duration::from_millis(400)) {
-        prop_assert!(!lifecycle.stays(then, None));
-        prop_assert!(!lifecycle.stays(then, Some(then.saturating_sub(Duration::from_millis(100)))));
+        prop_assert!(!lifecycle.keeps_idle_connection(then, None));
+        prop_assert!(
+            !lifecycle.keeps_idle_connection(then, Some(then.saturating_sub(Duration::from_millis(100))))
+        );
     }
     if exited {
-        prop_assert!(!lifecycle.stays(then, None) && lifecycle.lingered(then));
+        prop_assert!(!lifecycle.keeps_idle_connection(then, None) && lifecycle.has_lingered(then));
         // A request that is accepted late ends before the process can be killed.
         for longest in LONGEST_DEADLINES {
             let ends_by = lifecycle.ends_by(longest);
@@ -112,7 +114,7 @@
             }
             // There is a time at which connections are closed.
             let closes_connections = expected.standby_since.is_some() || expected.stopping_since.is_some();
-            prop_assert_eq!(lifecycle.empties_at().is_some(), closes_connections);
+            prop_assert_eq!(lifecycle.closes_idle_connections_from().is_some(), closes_connections);
         }
     }
 }
--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -182,7 +182,7 @@
     fn metrics_text(&self) -> String {
         let rotation = self.router.rotation();
         self.router.metrics.lines(Gauges {
-            open_requests: self.router.owed(),
+            open_requests: self.router.open_request_count(),
             listed_endpoints: rotation.listed,
             unavailable_endpoints: rotation.avoided,
         })
--- a/crates/server/src/clients/connection.rs
+++ b/crates/server/src/clients/connection.rs
@@ -133,7 +133,7 @@
             return;
         }
         let first_awaited = connection.first_message_awaited_since();
-        if self.lifecycle.stays(self.now, first_awaited) {
+        if self.lifecycle.keeps_idle_connection(self.now, first_awaited) {
             return;
         }
         let pause_ends = connection.last_used + RELEASE_PAUSE;
@@ -185,7 +185,7 @@
         connection: &mut ClientConnection,
     ) -> ConnectionAction {
         self.release_if_idle(token, connection);
-        let write_timeout = if self.buffers.fuller_than(BUFFER_PRESSURE_THRESHOLD) {
+        let write_timeout = if self.buffers.is_fuller_than(BUFFER_PRESSURE_THRESHOLD) {
             WRITE_TIMEOUT / PRESSURE_TIMEOUT_DIVISOR
         } else {
             WRITE_TIMEOUT
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -145,7 +145,7 @@
                 match request {
                     Ok(request) => self.on_request(token, connection, tag, request),
                     Err(invalid) => {
-                        self.router.spoilt(&invalid.class);
+                        self.router.count_invalid_request(&invalid.class);
                         Ok(self.write_response(connection, tag, Reply::Failed)?)
                     }
                 }
@@ -165,7 +165,7 @@
         request: ClientRequest,
     ) -> Result<(), CommandError> {
         let too_many_open = connection.open_requests.len() >= MAX_OPEN_REQUESTS;
-        let buffers_scarce = self.buffers.fuller_than(BUFFER_PRESSURE_THRESHOLD);
+        let buffers_scarce = self.buffers.is_fuller_than(BUFFER_PRESSURE_THRESHOLD);
         let is_served = self.lifecycle.serves(self.now, self.longest_deadline());
         if !too_many_open && !buffers_scarce && is_served {
             connection.open_requests.insert(tag, self.now);
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -157,7 +157,8 @@
 
     /// The periodic check of a TCP connection.
     pub(crate) fn dns_housekeeping(&mut self, connection: &mut DnsConnection) -> ConnectionAction {
-        let is_released = !self.lifecycle.stays(self.now, None) && connection.output.is_empty();
+        let is_released =
+            !self.lifecycle.keeps_idle_connection(self.now, None) && connection.output.is_empty();
         if is_released || self.now > connection.last_used + IDLE_TIMEOUT {
             ConnectionAction::Close
         } else {
--- a/crates/server/src/event_loop/io.rs
+++ b/crates/server/src/event_loop/io.rs
@@ -3,7 +3,7 @@
 use super::{ConnectionKind, ConnectionToken};
 use crate::sockets::Stream;
 use crate::Server;
-use hollymux_router::buffers::{BufferChain, BUFFER};
+use hollymux_router::buffers::{BufferChain, BUFFER_BYTES};
 use rustix::event::epoll::{self, EventFlags};
 use rustix::fd::AsFd;
 use std::io::{self, Read, Write};
@@ -30,7 +30,7 @@
         mut on_bytes: impl FnMut(&mut Server, &mut C, &[u8]) -> ConnectionAction,
     ) -> ConnectionAction {
         let mut buffer = std::mem::take(&mut self.read_buffer);
-        buffer.resize(BUFFER, 0);
+        buffer.resize(BUFFER_BYTES, 0);
         let mut action = ConnectionAction::Keep;
         for _ in 0..max_reads {
             match stream_of(connection).read(&mut buffer) {
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -89,7 +89,7 @@
     fn send_state(&mut self, peer: &mut HandoverPeer) {
         peer.progress = HandoverProgress::StateSent;
         self.update_shared_limits();
-        let mut state = self.router.legacy();
+        let mut state = self.router.handover_state();
         state.zones.clone_from(&self.config.names.zones);
         state.kinds.clone_from(&self.config.names.kinds);
         peer.sends_listener = true;
@@ -132,7 +132,7 @@
         self.handover.successor = None;
         self.router.stop_tracking_pending_writes();
         self.update_shared_limits();
-        self.apply_lifecycle_event(Event::Alone);
+        self.apply_lifecycle_event(Event::SuccessorGone);
         // The successor has replaced the rendezvous socket by its own.
         if let Some(token) = self.handover.rendezvous.take() {
             self.close(token);
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -27,7 +27,7 @@
         let InheritedSockets { listener, state, socket, reader } = inherited;
         match &state {
             Some(state) => {
-                let event = state.told(&self.config.names.zones, &self.config.names.kinds);
+                let event = state.full_list_event(&self.config.names.zones, &self.config.names.kinds);
                 self.apply_feed_event(event);
                 self.execute_pending();
                 info!(
@@ -109,12 +109,12 @@
             return;
         }
         if let Some(state) = self.handover.inherited_state.take() {
-            let drained = state.drained(&self.config.names.zones, &self.config.names.kinds);
+            let drained = state.draining_event(&self.config.names.zones, &self.config.names.kinds);
             self.apply_feed_event(drained);
             self.execute_pending();
             self.router.restore(self.now, &state);
         }
-        self.apply_lifecycle_event(Event::Began);
+        self.apply_lifecycle_event(Event::Started);
         self.open_rendezvous_socket();
     }
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -16,7 +16,7 @@
 use hollymux_capture::Recorder;
 use hollymux_decision::Timestamp;
 use hollymux_protocol::dns::Name;
-use hollymux_router::buffers::{BufferPool, BUFFER};
+use hollymux_router::buffers::{BufferPool, BUFFER_BYTES};
 use hollymux_router::lifecycle::Lifecycle;
 use hollymux_router::{Command, Input, Router};
 use rand_core::SeedableRng;
@@ -142,7 +142,7 @@
             cluster: None,
             drain_timed_out: false,
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(config.seed ^ SEED_SALT),
-            read_buffer: vec![0; BUFFER],
+            read_buffer: vec![0; BUFFER_BYTES],
             config,
             config_path,
         })
@@ -184,7 +184,7 @@
     /// # Errors
     ///
     /// If the listener is closed.
-    pub fn listens_at(&mut self) -> io::Result<SocketAddr> {
+    pub fn local_address(&mut self) -> io::Result<SocketAddr> {
         match self.connections.get(self.client_listener) {
             Some(ConnectionKind::Listener(listener)) => listener.local_addr(),
             _ => Err(io::ErrorKind::NotConnected.into()),
@@ -212,5 +212,5 @@
 /// The number of buffers that the memory limit allows.
 pub(crate) fn max_buffers(config: &Config) -> usize {
     let memory = (config.memory_mb as usize) * (1 << 20);
-    memory / BUFFER_SHARE_OF_MEMORY / BUFFER
+    memory / BUFFER_SHARE_OF_MEMORY / BUFFER_BYTES
 }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -24,7 +24,7 @@
         let before = self.lifecycle.phase();
         let accepted = self.lifecycle.apply(self.now, event);
         let after = self.lifecycle.phase();
-        if let Some(at) = self.lifecycle.empties_at() {
+        if let Some(at) = self.lifecycle.closes_idle_connections_from() {
             self.timers.set(at, Timer::Drain);
         }
         if before != after {
@@ -50,7 +50,7 @@
 
     /// Connections with nothing open are closed; after the linger time the listener is, too.
     pub(crate) fn on_drain_timer(&mut self) {
-        if self.lifecycle.lingered(self.now) {
+        if self.lifecycle.has_lingered(self.now) {
             self.accept_last();
             self.close(self.client_listener);
         }
@@ -68,10 +68,10 @@
         if self.drain_timed_out {
             return true;
         }
-        let clients_gone = self.client_count == 0 || self.lifecycle.drops(self.now);
-        self.lifecycle.lingered(self.now)
+        let clients_gone = self.client_count == 0 || self.lifecycle.abandons_idle_connections(self.now);
+        self.lifecycle.has_lingered(self.now)
             && clients_gone
-            && self.router.idle()
+            && self.router.is_idle()
             && !self.any_client_has_output()
     }
 }
