--- a/crates/decision/src/policy/attempts.rs
+++ b/crates/decision/src/policy/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: what is sent, how, and whether once more.
+//! Sending of attempts: accepts requests, decides whether a further attempt is sent, and fills in
+//! the parameters of each attempt. The endpoint is chosen in `endpoint_choice`.
 
 use crate::interface::{Action, CacheFill, Request, RequestId};
 use crate::module::DecisionModule;
@@ -7,7 +8,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 impl DecisionModule {
-    /// A request of a client: it is counted, registered, and its first attempt is sent or it is rejected.
+    /// Accepts a client's request: counts and registers it, sets its deadline timer, and sends its
+    /// first attempt or gives the final answer. A request whose class is not in the settings fails
+    /// at once.
     pub(crate) fn on_request(&mut self, now: Timestamp, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if usize::from(request.class) >= self.settings.classes.len() {
@@ -25,32 +28,41 @@
         actions.push(Action::timer(time_left, TimerToken::Deadline(id).encode()));
         self.register(request, hash_key);
         self.advance(now, id, actions);
+        // Only after the attempt is sent: its retention priority depends on earlier requests alone.
         self.request_counter.mark_seen(hash_key);
     }
 
-    /// Sends the next attempt of a request, or ends it.
+    /// Sends the request's next attempt, or gives the final answer if no further attempt is allowed
+    /// and none is in flight. Does nothing for a request that is finished, is streaming, or has an
+    /// attempt in flight while hedged requests are not allowed.
     pub(crate) fn advance(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
         let is_in_flight = open.in_flight() > 0;
-        if open.is_finished || open.is_streaming || (is_in_flight && !self.settings.hedging_allowed) {
+        let must_wait = is_in_flight && !self.settings.hedging_allowed;
+        if open.is_finished || open.is_streaming || must_wait {
             return;
         }
         let is_retry = open.is_retry();
-        let is_spent = open.attempts.len() >= open.max_attempts as usize || now >= open.request.deadline;
-        let may_send = !is_spent && (!is_retry || self.retry_budget.allows_retry());
-        match if may_send { self.choose_route(now, open) } else { None } {
+        let has_used_all_attempts = open.attempts.len() >= open.max_attempts as usize;
+        let is_past_deadline = now >= open.request.deadline;
+        let is_within_limits = !has_used_all_attempts && !is_past_deadline;
+        let may_send = is_within_limits && (!is_retry || self.retry_budget.allows_retry());
+        let route = if may_send { self.choose_route(now, open) } else { None };
+        match route {
             Some(route) => {
                 if is_retry {
                     self.retry_budget.spend();
                 }
                 self.send(now, id, &route, actions);
             }
-            // An attempt that is still in flight may yet be answered.
+            // The attempt in flight may still be answered before the deadline.
             None if is_in_flight => {}
             None => self.give_up(now, id, actions),
         }
     }
 
+    /// Sends an attempt on the chosen route and registers it. Its timeout is the time left until
+    /// the request's deadline, and never zero.
     fn send(&mut self, now: Timestamp, id: RequestId, route: &RouteDecision, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
         let fill = self.cache_fill(now, open, route);
@@ -70,12 +82,15 @@
         self.begin_attempt(attempt, actions);
     }
 
-    /// How a miss is filled, and how old a copy may be served.
+    /// Decides how the endpoint fills a miss and how old a copy it may serve. The maximum age is
+    /// the lower of two bounds: freshness plus grace period, for a class that expires and a request
+    /// that accepts stale copies or is shed; and the time since the latest purge of the object.
     fn cache_fill(&self, now: Timestamp, open: &OpenRequest, route: &RouteDecision) -> CacheFill {
         let class = self.settings.class(&open.request);
         let shed = self.shed_for_origin(now, open);
         let expires = !class.fresh.is_zero();
-        let stale_bound = (expires && (open.accepts_stale || shed)).then_some(class.fresh + class.grace);
+        let stale_allowed = expires && (open.accepts_stale || shed);
+        let stale_bound = stale_allowed.then_some(class.fresh + class.grace);
         let purge_bound = self.purge_max_age(now, &open.request);
         let source_is_parent = route.fill_source.is_some_and(|source| self.endpoints.is_parent(source));
         CacheFill {
--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -1,4 +1,5 @@
-//! Which endpoint a request goes to.
+//! Choice of the endpoint for each attempt: among the edge caches of the own zone, or, where these
+//! can't take the request, among parent caches and the origin.
 
 use crate::interface::{DeduplicationScope, Idempotency};
 use crate::module::DecisionModule;
@@ -7,70 +8,110 @@
 use crate::state::{RouteDecision, LOW_RETENTION, MIDDLE_RETENTION, PASS_THROUGH};
 use crate::time::{divide_to_micros, Timestamp};
 
-/// A request leaves its drawn cache for a stand-in with this much spare capacity; it costs a fill.
+/// Minimum spare capacity of a cache that takes over a request from the preferred cache. The bound
+/// is high because the object is usually not cached there, so that the request costs a fill.
 const MIN_STAND_IN_CAPACITY: f64 = 0.8;
-/// One in so many parts of the idempotency window is left for the way to the endpoint.
+/// The last 1/10 of the idempotency window is not used for retries: the retry has to reach the
+/// endpoint before the window ends.
 const WINDOW_MARGIN_DIVISOR: u64 = 10;
 
 impl DecisionModule {
-    /// Whether the class's idempotency allows (re)sending this request to this endpoint now.
+    /// Whether the class's idempotency allows sending this request to `endpoint` now.
+    ///
+    /// Always true for idempotent requests and as long as no earlier attempt may have run. After
+    /// that, a request with an idempotency key may be retried only at an endpoint that shares its
+    /// deduplication scope with the endpoint of the first attempt that may have run, and only
+    /// within the idempotency window of that attempt. Other requests may not be retried.
     fn retry_allowed(&self, now: Timestamp, open: &OpenRequest, endpoint: &Endpoint) -> bool {
         let class = self.settings.class(&open.request);
-        let may_have_run = open.first_possible_run.filter(|_| class.idempotency != Idempotency::Idempotent);
-        let Some(run) = may_have_run else { return true };
-        let first = self.endpoints.get(run.endpoint).map(|first| &first.entry);
+        if class.idempotency == Idempotency::Idempotent {
+            return true;
+        }
+        let Some(first_run) = open.first_possible_run else { return true };
+        let first_entry = self.endpoints.get(first_run.endpoint).map(|first| &first.entry);
         let drops_repeats = match class.scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => first.is_some_and(|first| first.zone == endpoint.entry.zone),
-            DeduplicationScope::Cell => first.is_some_and(|first| first.cell == endpoint.entry.cell),
+            DeduplicationScope::Zone => first_entry.is_some_and(|first| first.zone == endpoint.entry.zone),
+            DeduplicationScope::Cell => first_entry.is_some_and(|first| first.cell == endpoint.entry.cell),
         };
         let margin = divide_to_micros(class.window, WINDOW_MARGIN_DIVISOR);
-        let in_window = now + margin < run.sent_at + class.window;
-        class.idempotency == Idempotency::WithKey && drops_repeats && in_window
+        let window_end = first_run.sent_at + class.window;
+        let is_in_window = now + margin < window_end;
+        class.idempotency == Idempotency::WithKey && drops_repeats && is_in_window
     }
 
-    /// Where the next attempt of a request goes; none: it is rejected, or awaits the attempt in flight.
+    /// Chooses the endpoint and fill source of the request's next attempt. The first of these that
+    /// applies:
+    ///
+    /// 1. an ejected cache that is due for a recovery probe;
+    /// 2. the first cache in preference order that the request does not avoid, that is free, and
+    ///    that has spare capacity;
+    /// 3. if no cache is available, or the request is idempotent and no cache may be tried: a
+    ///    parent cache or the origin, where the settings allow bypassing the caches;
+    /// 4. for a non-idempotent request, the first free cache that it does not avoid, even at
+    ///    capacity;
+    /// 5. the first free cache, even one that the request avoids;
+    /// 6. the first free cache in hash order, even an ejected one.
+    ///
+    /// Returns `None` if nothing applies, or if the endpoints that an idempotent request may use
+    /// are all at capacity. The caller then rejects the request, or waits for the attempt in
+    /// flight.
     pub(crate) fn choose_route(&self, now: Timestamp, open: &OpenRequest) -> Option<RouteDecision> {
         let candidates = self.candidate_caches(now, open);
         if let Some(endpoint) = self.recovery_probe_target(&candidates) {
             let route = self.route_to_cache(&candidates, endpoint, 0);
             return Some(RouteDecision { is_recovery_probe: true, ..route });
         }
+
         let preferences = self.preference_order(&candidates);
-        let cache = |index: usize| candidates.available[index];
-        let is_free = |index: usize| self.is_free(&candidates, cache(index));
-        let is_untried = |index: usize| !open.avoided.contains(&cache(index).entry.id) && is_free(index);
+        let cache_at = |index: usize| candidates.available[index];
+        let is_free = |index: usize| self.is_free(&candidates, cache_at(index));
+        let is_avoided = |index: usize| open.avoided.contains(&cache_at(index).entry.id);
+        let may_be_tried = |index: usize| !is_avoided(index) && is_free(index);
         let has_capacity = |index: usize| {
-            let required = if preferences.first() == Some(&index) { 0.0 } else { MIN_STAND_IN_CAPACITY };
-            self.spare_capacity(now, &open.request, cache(index)) >= required
+            let is_preferred = preferences.first() == Some(&index);
+            let required = if is_preferred { 0.0 } else { MIN_STAND_IN_CAPACITY };
+            self.spare_capacity(now, &open.request, cache_at(index)) >= required
         };
-        let route = |index: usize| Some(self.route_to_cache(&candidates, cache(index), index));
-        let suitable = preferences.iter().copied().find(|index| is_untried(*index) && has_capacity(*index));
-        if let Some(index) = suitable {
-            return route(index);
+        let route_to = |index: usize| self.route_to_cache(&candidates, cache_at(index), index);
+
+        let with_capacity =
+            preferences.iter().copied().find(|index| may_be_tried(*index) && has_capacity(*index));
+        if let Some(index) = with_capacity {
+            return Some(route_to(index));
         }
-        let untried = preferences.iter().copied().find(|index| is_untried(*index));
-        let is_exhausted = !candidates.available.is_empty() && candidates.is_idempotent && untried.is_none();
-        // No cache is in, or those that warm up may get no more: past them, if allowed.
-        if self.settings.bypass_edge_cache && (candidates.available.is_empty() || is_exhausted) {
+
+        let first_to_try = preferences.iter().copied().find(|index| may_be_tried(*index));
+        let has_available = !candidates.available.is_empty();
+        let is_exhausted = has_available && candidates.is_idempotent && first_to_try.is_none();
+        // No cache is available, or the request may try none of the available ones: it avoids them,
+        // has an attempt in flight there, or exceeds their warm-up budgets.
+        if self.settings.bypass_edge_cache && (!has_available || is_exhausted) {
             match self.bypass_caches(&candidates, is_exhausted) {
                 BypassDecision::Route(route) => return Some(route),
                 BypassDecision::AllAtCapacity if candidates.is_idempotent => return None,
                 BypassDecision::AllAtCapacity | BypassDecision::NoneUsable => {}
             }
         }
-        let free = preferences.iter().copied().find(|index| is_free(*index));
-        match untried.or(free) {
-            // All that may be tried are at capacity: what may be rejected is.
-            Some(_) if untried.is_some() && candidates.is_idempotent => None,
-            Some(index) => route(index),
+
+        let first_free = preferences.iter().copied().find(|index| is_free(*index));
+        match first_to_try.or(first_free) {
+            // Every cache that may be tried is at capacity. A rejection is harmless here, since the
+            // client may repeat an idempotent request.
+            Some(_) if first_to_try.is_some() && candidates.is_idempotent => None,
+            Some(index) => Some(route_to(index)),
             None => {
-                let any = candidates.all.iter().copied().find(|cache| self.is_free(&candidates, cache));
-                any.map(|cache| self.route_to_cache(&candidates, cache, 0))
+                let any_free = candidates.all.iter().copied().find(|cache| self.is_free(&candidates, cache));
+                any_free.map(|cache| self.route_to_cache(&candidates, cache, 0))
             }
         }
     }
 
+    /// Collects the caches of the own zone that idempotency allows for this request, in hash order,
+    /// and the values that they are checked against.
+    ///
+    /// An attempt whose response is presumed lost does not make its endpoint busy: the request is
+    /// sent to the same endpoint again.
     fn candidate_caches<'a>(&'a self, now: Timestamp, open: &'a OpenRequest) -> CandidateCaches<'a> {
         let mut all = self.hash_order(open.hash_key, EndpointRole::LocalCache);
         all.retain(|cache| self.retry_allowed(now, open, cache));
@@ -86,19 +127,28 @@
         }
     }
 
-    /// An endpoint ahead of the home cache whose ejection is over: the request leads it back in.
+    /// The ejected cache that this request probes for recovery: the first one ahead of the home
+    /// cache in hash order that is due for readmission and whose warm-up budget admits the request.
+    /// `None` for retries and for requests that are not idempotent.
     fn recovery_probe_target<'a>(&self, candidates: &CandidateCaches<'a>) -> Option<&'a Endpoint> {
-        let ejected_ahead = candidates.all.iter().copied().take_while(|cache| !cache.is_available());
-        let mut due = ejected_ahead.filter(|cache| {
+        let ahead_of_home = candidates.all.iter().copied().take_while(|cache| !cache.is_available());
+        let mut due = ahead_of_home.filter(|cache| {
             cache.readmission_due(candidates.now) && self.admits(candidates.now, cache, candidates.work)
         });
-        due.next().filter(|_| !candidates.open.is_retry() && candidates.is_idempotent)
+        let target = due.next();
+        let may_probe = !candidates.open.is_retry() && candidates.is_idempotent;
+        target.filter(|_| may_probe)
     }
 
+    /// Whether a cache may take the request now: no other attempt of the request is in flight
+    /// there, and its warm-up budget admits the work.
     fn is_free(&self, candidates: &CandidateCaches, cache: &Endpoint) -> bool {
-        !candidates.busy.contains(&cache.entry.id) && self.admits(candidates.now, cache, candidates.work)
+        let is_busy = candidates.busy.contains(&cache.entry.id);
+        !is_busy && self.admits(candidates.now, cache, candidates.work)
     }
 
+    /// The route to a cache. `index` is its position among the available caches; at any position
+    /// but 0 it is not the home cache, and may be filled from the home cache.
     fn route_to_cache(&self, candidates: &CandidateCaches, cache: &Endpoint, index: usize) -> RouteDecision {
         let home = candidates.available.first().copied().filter(|_| index > 0);
         RouteDecision {
@@ -109,23 +159,32 @@
         }
     }
 
-    /// Past the caches, to parents with spare capacity; to the origin only where no cache is in.
+    /// Chooses an endpoint behind the edge caches: the first parent cache in hash order, then the
+    /// origin, that idempotency allows, the request does not avoid, a warm-up budget admits and
+    /// spare capacity suffices for.
+    ///
+    /// `is_exhausted` says that caches are available but none may be tried. The origin is then not
+    /// used, and parents need spare capacity for a fill. The origin is not used for a shed request
+    /// either.
     fn bypass_caches(&self, candidates: &CandidateCaches, is_exhausted: bool) -> BypassDecision {
         let (now, open) = (candidates.now, candidates.open);
-        let origin = self.hash_order(open.hash_key, EndpointRole::Origin);
+        let origins = self.hash_order(open.hash_key, EndpointRole::Origin);
         let shed = self.shed_for_origin(now, open);
+        let may_use_origin = !is_exhausted && !shed;
+
         let mut targets = self.hash_order(open.hash_key, EndpointRole::Parent);
         targets.retain(|parent| parent.is_available());
-        targets.extend(origin.iter().filter(|_| !is_exhausted && !shed));
+        targets.extend(origins.iter().filter(|_| may_use_origin));
         targets.retain(|target| self.retry_allowed(now, open, target));
         let is_avoided = |target: &Endpoint| open.avoided.contains(&target.entry.id);
         targets.retain(|target| !is_avoided(target) && self.admits(now, target, candidates.work));
+
         let required = if is_exhausted { MIN_FILL_CAPACITY } else { 0.0 };
         let has_capacity = |target: &&&Endpoint| self.spare_capacity(now, &open.request, target) >= required;
         match targets.iter().find(has_capacity) {
             Some(target) => BypassDecision::Route(RouteDecision {
                 endpoint: target.entry.id,
-                fill_source: origin.first().filter(|_| !shed).map(|origin| origin.entry.id),
+                fill_source: origins.first().filter(|_| !shed).map(|origin| origin.entry.id),
                 retention: PASS_THROUGH,
                 is_recovery_probe: false,
             }),
@@ -134,8 +193,11 @@
         }
     }
 
-    /// Retention priority of the copy: lowest for extra copies (DESIGN) and for what was not seen lately
-    /// (departure: an object requested once must not push out one that is requested again).
+    /// Retention priority of the copy at the cache at position `index` of the available caches.
+    ///
+    /// Writes leave no copy. Copies outside of the home cache have the lowest priority (DESIGN), and
+    /// so have objects that were not requested lately: an object requested once must not displace
+    /// one that is requested again. The second rule departs from the paper (see `policy`).
     fn retention(&self, open: &OpenRequest, index: usize) -> u8 {
         let is_extra_copy = index > 0;
         if open.is_write {
@@ -147,18 +209,22 @@
         }
     }
 
-    /// The indices of the available caches in the order in which they are tried: the one drawn among the
-    /// replicas (of a lost response the same as before, of another retry the home cache), then the rest of
-    /// the hash order as stand-ins; last, those ahead of it.
+    /// The indices of the available caches in the order in which they are tried.
+    ///
+    /// The first attempt prefers the replica drawn at random; a retry prefers the home cache; a
+    /// retry after a lost response prefers the endpoint of the last attempt, if it is still
+    /// available. The preferred cache is followed by the rest of the hash order, and then by the
+    /// caches ahead of it.
     fn preference_order(&self, candidates: &CandidateCaches) -> Vec<usize> {
         let open = candidates.open;
         let count = candidates.available.len();
-        let repeated = open.attempts.last().filter(|_| open.response_lost);
-        let is_same = |cache: &&Endpoint| repeated.is_some_and(|attempt| attempt.endpoint == cache.entry.id);
+        let last_with_lost_response = open.attempts.last().filter(|_| open.response_lost);
+        let lost_response_index = last_with_lost_response
+            .and_then(|attempt| candidates.available.iter().position(|c| c.entry.id == attempt.endpoint));
         let replicas = replica_count(self.request_counter.level(open.hash_key)).min(count).max(1);
-        let drawn = (open.random_draw % replicas as u64) as usize;
-        let preferred = if open.is_retry() { 0 } else { drawn };
-        let first = candidates.available.iter().position(is_same).unwrap_or(preferred);
+        let drawn_replica = (open.random_draw % replicas as u64) as usize;
+        let preferred = if open.is_retry() { 0 } else { drawn_replica };
+        let first = lost_response_index.unwrap_or(preferred);
         (first..count).chain(0..first).collect()
     }
 }
