--- a/crates/decision/src/policy/final_answer.rs
+++ b/crates/decision/src/policy/final_answer.rs
@@ -1,4 +1,4 @@
-//! The final answer where there is none from an endpoint.
+//! The final answer to a request that no endpoint has served: rejected or failed.
 
 use crate::interface::{Action, DeduplicationScope, Idempotency, RequestId};
 use crate::module::DecisionModule;
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 impl DecisionModule {
-    /// The final answer, at once: rejected with advice where that is allowed, else failed.
+    /// Answers a request at once and finishes it. The answer is a rejection, with a delay for the
+    /// client's retry, if such a retry is harmless and the deadline has not passed; otherwise the
+    /// request fails.
     pub(crate) fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
         if self.repeat_is_harmless(open) && now < open.request.deadline {
@@ -20,7 +22,8 @@
         self.finish(id, actions);
     }
 
-    /// Whether the client may send the request again without running it twice.
+    /// Whether the client may send the request again without the risk that it runs twice: it is
+    /// idempotent, no attempt may have run, or every endpoint drops repeats by its idempotency key.
     fn repeat_is_harmless(&self, open: &OpenRequest) -> bool {
         let class = self.settings.class(&open.request);
         let never_ran = open.first_possible_run.is_none();
@@ -31,14 +34,18 @@
         }
     }
 
-    /// Advice between half of the longest and the longest, drawn so that clients don't come back at once;
-    /// zero: no advice. The draw is made in any case: those that follow don't depend on the settings.
+    /// The delay that a rejected client is advised to wait before its retry: drawn between half of
+    /// the longest delay and the longest, so that rejected clients do not all retry at the same
+    /// time. Zero means no advice.
+    ///
+    /// The random number is drawn even if the settings allow no advice, so that later draws do not
+    /// depend on that setting.
     fn draw_retry_after(&mut self) -> Duration {
         let half = whole_micros(self.settings.max_retry_after) / 2;
-        let advice = Duration::from_micros(half + self.rng.next_u64() % half.max(1));
+        let delay = Duration::from_micros(half + self.rng.next_u64() % half.max(1));
         if !self.settings.retry_after || half == 0 {
             return Duration::ZERO;
         }
-        advice
+        delay
     }
 }
