--- a/crates/decision/src/state/endpoint_set.rs
+++ b/crates/decision/src/state/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the list, those that take work by role, and which attempts they have in flight.
+//! The known endpoints by identity and by role, and the attempts in flight at them.
 
 use crate::interface::{
     AttemptOutcome, CacheStatus, EndpointEntry, EndpointId, EndpointState, ListKind, Settings,
@@ -10,43 +10,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Routers that may be active.
+/// Number of routers that may be active, this one included.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ActiveRouters {
+    /// In all zones, at least 1.
     pub(crate) total: u32,
+    /// In the own zone, at least 1.
     pub(crate) in_zone: u32,
 }
 
-/// The endpoints of the list, and which of them take work.
+/// The known endpoints: those of the latest list, and removed ones that are remembered.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointSet {
+    /// All known endpoints, removed ones included.
     by_id: BTreeMap<EndpointId, Endpoint>,
+    /// Identities of the ready endpoints of each role, in ascending order.
     ready_by_role: BTreeMap<EndpointRole, Vec<EndpointId>>,
-    /// Routers that use the endpoints beyond those that the settings name.
+    /// Number of routers that use the endpoints in addition to those that the settings or the
+    /// membership count, for instance a second process during a handover.
     pub(crate) additional_routers: u32,
-    /// Routers that may be active, where that is known better than by the settings.
+    /// Number of possibly active routers by the membership of the cluster. `None`: the numbers of
+    /// the settings apply.
     pub(crate) active_routers: Option<ActiveRouters>,
-    /// Shares of warm-up budgets that are agreed with other routers, in place of even ones.
+    /// Shares of warm-up budgets that were agreed with other routers. `None`: all routers have even
+    /// shares.
     pub(crate) leased_shares: Option<LeasedShares>,
 }
 
 impl EndpointSet {
-    /// One endpoint, listed or remembered.
+    /// The endpoint with this identity, removed ones included.
     pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// One endpoint, listed or remembered, to be changed.
+    /// Mutable access to the endpoint with this identity, removed ones included.
     pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
-    /// All endpoints in the order of their identities, except removed ones.
+    /// All endpoints that are not removed, in the order of their identities.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.by_id.values().filter(|endpoint| endpoint.entry.state != EndpointState::Gone)
     }
 
-    /// The endpoints of a role that take work, in the order of their identities.
+    /// The ready endpoints of a role, ejected ones included, in the order of their identities.
     pub(crate) fn ready(&self, role: EndpointRole) -> impl Iterator<Item = &Endpoint> {
         self.ready_by_role.get(&role).into_iter().flatten().filter_map(|id| self.by_id.get(id))
     }
@@ -56,7 +63,7 @@
         self.get(id).is_some_and(|endpoint| endpoint.role == EndpointRole::Parent)
     }
 
-    /// The attempt's fill source, if that is a parent cache.
+    /// The fill source of the attempt, if it is a parent cache.
     pub(crate) fn parent_source(&self, attempt: &Attempt) -> Option<EndpointId> {
         attempt.fill_source.filter(|source| self.is_parent(*source))
     }
@@ -66,19 +73,20 @@
         self.get(id).is_some_and(|endpoint| !endpoint.is_available())
     }
 
-    /// How strongly an endpoint's silence since then speaks for a failure; none if it has responded
-    /// to any attempt, or is not known.
+    /// How strongly the endpoint's silence since `since` indicates a failure, 0 to 1. `None` if it
+    /// has responded to any attempt since then or is not known.
     pub(crate) fn silence_evidence(&self, now: Timestamp, id: EndpointId, since: Timestamp) -> Option<f64> {
         let endpoint = self.get(id).filter(|endpoint| endpoint.last_response <= since)?;
         Some(endpoint.silence_evidence(now, since))
     }
 
-    /// Whether an endpoint has responded to any attempt since then.
+    /// Whether the endpoint has responded to any attempt since `since`.
     pub(crate) fn has_responded_since(&self, id: EndpointId, since: Timestamp) -> bool {
         self.get(id).is_some_and(|endpoint| endpoint.last_response > since)
     }
 
-    /// Takes entries of the list; returns which endpoints are new, have started anew or are back.
+    /// Applies entries of the endpoint list. Returns the endpoints that are new, have restarted, or
+    /// are ready again after they were removed.
     pub(crate) fn apply(
         &mut self,
         settings: &Settings,
@@ -99,6 +107,7 @@
         started
     }
 
+    /// Marks endpoints as removed that a complete list does not contain.
     fn mark_unlisted_as_gone(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for (_, endpoint) in self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -106,7 +115,8 @@
         }
     }
 
-    /// Takes one entry; returns whether the endpoint is new, has started anew or is back.
+    /// Applies one entry. Returns whether the endpoint is new, has restarted, or is ready again
+    /// after it was removed.
     fn apply_entry(&mut self, settings: &Settings, entry: EndpointEntry) -> bool {
         let is_new = !self.by_id.contains_key(&entry.id);
         let (id, started_at, predecessor) = (entry.id, entry.started, entry.in_place_of);
@@ -123,17 +133,19 @@
         is_new || is_back || has_restarted
     }
 
-    /// Until its start was announced, the endpoint got what was meant for the one before it at its
-    /// address, and that counts.
+    /// Copies to an endpoint the work that was sent to its predecessor at the same address after
+    /// `since`, the endpoint's start. Until the start was announced, that work reached the new
+    /// endpoint, so that it counts against its warm-up budget.
     fn inherit_load(&mut self, id: EndpointId, predecessor: Option<EndpointId>, since: Timestamp) {
-        let history = predecessor.and_then(|before| self.get(before)).map(|b| b.load_history.clone());
+        let history = predecessor.and_then(|id| self.get(id)).map(|endpoint| endpoint.load_history.clone());
         if let (Some(history), Some(endpoint)) = (history, self.get_mut(id)) {
             endpoint.load_history.extend(history.into_iter().filter(|sent| sent.at >= since));
         }
     }
 
-    /// An attempt is sent: it is in flight at its endpoint, and counts as work of both endpoint and
-    /// source.
+    /// Counts a sent attempt as in flight at its endpoint, and its work (`work`, in seconds) as
+    /// sent to both the endpoint and the fill source. Drops work older than `window` from their
+    /// histories.
     pub(crate) fn begin_attempt(&mut self, attempt: &Attempt, window: Duration, work: f64) {
         let now = attempt.sent_at;
         let oldest = now.saturating_sub(window);
@@ -148,7 +160,8 @@
         }
     }
 
-    /// An attempt has ended: it is no longer in flight, and a recovery probe request is over.
+    /// Removes an ended attempt from the load of its endpoint and fill source, and ends a recovery
+    /// probe that it was.
     pub(crate) fn end_attempt(&mut self, now: Timestamp, attempt: &Attempt, outcome: &AttemptOutcome) {
         if let Some(endpoint) = self.get_mut(attempt.endpoint) {
             if attempt.counted_at_endpoint {
@@ -161,16 +174,17 @@
         if attempt.counted_at_source {
             source.decrement_in_flight(now, FILL_LOAD_WINDOW);
         } else if matches!(outcome.note, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin)) {
-            // Only its outcome tells that the attempt was a fill.
+            // The attempt was a fill, but was too short to be counted while it was in flight.
             source.add_past_load(now, FILL_LOAD_WINDOW, outcome.latency);
         }
         if outcome.note == Some(CacheStatus::Hit) {
-            // A hit needed nothing of its source: the budget gets it back.
+            // A hit needed nothing of its source, so its work is returned to the source's warm-up
+            // budget.
             source.load_history.retain(|sent| sent.attempt != Some(attempt.id));
         }
     }
 
-    /// Gives all endpoints their roles under other settings.
+    /// Assigns roles by new settings to all endpoints.
     pub(crate) fn reassign_roles(&mut self, settings: &Settings) {
         for endpoint in self.by_id.values_mut() {
             endpoint.role = EndpointRole::of(settings, &endpoint.entry);
@@ -179,6 +193,7 @@
         self.rebuild_ready();
     }
 
+    /// Rebuilds `ready_by_role` from the entries.
     fn rebuild_ready(&mut self) {
         self.ready_by_role.clear();
         for (id, endpoint) in &self.by_id {
@@ -188,8 +203,8 @@
         }
     }
 
-    /// Drops removed endpoints once there are more than so many: successors would pile up without
-    /// end.
+    /// Drops removed endpoints without attempts in flight once there are more than `max` endpoints.
+    /// Otherwise repeated replacements of endpoints would fill the memory.
     pub(crate) fn forget_removed(&mut self, max: usize) {
         if self.by_id.len() > max {
             let is_needed =
--- a/crates/decision/src/state/fault_detector.rs
+++ b/crates/decision/src/state/fault_detector.rs
@@ -1,38 +1,39 @@
-//! Evidence that a parent cache is down, where responses do not distinguish hits from fills, and
-//! the probe that settles it.
+//! Fault detector of one parent cache (a CUSUM test), for settings under which outcomes do not
+//! distinguish hits from fills, and the state of its probe.
 
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// What a refusal adds and a response takes off: the logarithms of how much likelier each is at a
-/// parent of which a tenth of the attempts are refused than at one of which a fiftieth are (a
-/// cumulative sum test).
+/// Score that a refusal adds. Both steps are log-likelihood ratios of a parent that refuses 1 of 10
+/// attempts against one that refuses 1 of 50.
 const REFUSAL_STEP: f64 = 1.6;
+/// Score that a response subtracts.
 const RESPONSE_STEP: f64 = 0.085;
-/// The score from which on a parent is probed: three refusals in a row.
+/// Score at which the parent is probed. Three refusals in a row reach it.
 const PROBE_SCORE: f64 = 4.0;
-/// A parent is probed again no sooner than this; doubled each time that it turns out to be well, to
-/// the longest.
+/// Minimum interval between two probes that the score calls for. Each successful probe doubles the
+/// interval up to [`MAX_PROBE_INTERVAL`]; a failed one resets it.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(8);
-/// A probe has failed after two connect timeouts, and after two of these at the least.
+/// A probe fails after twice the connect timeout, and after twice this if the connect timeout is
+/// shorter.
 const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The cumulative sum test of one parent cache, and its probe.
+/// CUSUM test of one parent cache, and its probe in flight.
 #[derive(Debug, Default)]
 pub(crate) struct FaultDetector {
-    /// The cumulative sum, never below zero.
+    /// Cumulative sum of the steps, never below 0. The end of a probe resets it.
     score: f64,
-    /// When the probe in flight was sent.
+    /// Time at which the probe in flight was sent; `None` if there is none.
     probe_sent_at: Option<Timestamp>,
-    /// No probe because of the score before this.
+    /// Earliest time of the next probe that the score calls for.
     next_probe_at: Timestamp,
-    /// Least time between two probes; zero: the shortest.
+    /// Interval to the next such probe; zero stands for [`MIN_PROBE_INTERVAL`].
     probe_interval: Duration,
 }
 
 impl FaultDetector {
-    /// Adds the outcome of one attempt that named the parent.
+    /// Adds the outcome of an attempt that named the parent: refused or served.
     pub(crate) fn record(&mut self, refused: bool) {
         let step = if refused { REFUSAL_STEP } else { -RESPONSE_STEP };
         self.score = (self.score + step).max(0.0);
@@ -48,28 +49,29 @@
         self.probe_sent_at.is_none()
     }
 
-    /// A probe is sent because of the score: the next one keeps its distance.
+    /// Records that a probe is sent because of the score, and sets the earliest time of the next
+    /// one.
     pub(crate) fn begin_spaced_probe(&mut self, now: Timestamp) {
         self.begin_probe(now);
         self.next_probe_at = now + self.probe_interval.max(MIN_PROBE_INTERVAL);
     }
 
-    /// A probe is sent.
+    /// Records that a probe is sent.
     pub(crate) fn begin_probe(&mut self, now: Timestamp) {
         self.probe_sent_at = Some(now);
     }
 
-    /// Whether nothing has come back from a probe in time.
+    /// Whether the probe in flight has had no result for longer than its timeout.
     pub(crate) fn is_probe_overdue(&self, now: Timestamp, connect_timeout: Duration) -> bool {
         let timeout = 2 * connect_timeout.max(MIN_PROBE_TIMEOUT);
         self.probe_sent_at.is_some_and(|sent_at| now >= sent_at + timeout)
     }
 
-    /// A probe has ended; returns how long it took, none if there was none in flight.
-    pub(crate) fn end_probe(&mut self, now: Timestamp, is_well: bool) -> Option<Duration> {
+    /// Ends the probe in flight and returns its duration, or `None` if there is none.
+    pub(crate) fn end_probe(&mut self, now: Timestamp, is_alive: bool) -> Option<Duration> {
         let sent_at = self.probe_sent_at.take()?;
         self.score = 0.0;
-        self.probe_interval = if is_well {
+        self.probe_interval = if is_alive {
             (2 * self.probe_interval.max(MIN_PROBE_INTERVAL)).min(MAX_PROBE_INTERVAL)
         } else {
             Duration::ZERO
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -1,6 +1,5 @@
-//! What the decision module remembers and estimates, a concern a file: scores, counts, estimates,
-//! budgets. Nothing here chooses an endpoint, retries or rejects; the rules that do are in
-//! `policy`.
+//! State of the decision module: scores, counts, estimates and budgets, one file for each concern.
+//! Nothing here chooses an endpoint, retries or rejects; the rules that do are in `policy`.
 
 mod capacity;
 mod endpoint;
@@ -41,8 +40,8 @@
 pub(crate) use warm_up_budget::{warm_up_budget, MAX_WARM_UP_USE};
 pub use warm_up_budget::{QuotaScope, QuotaShare, WarmUpDemand};
 
-/// Bound on each table that is keyed by objects (20,000 entries are a few MB): a full table stops
-/// taking objects or drops old ones, it never grows.
+/// Maximum number of entries of each table that is keyed by objects; 20,000 entries take a few MB.
+/// A full table accepts no new objects or drops old ones.
 pub(crate) const MAX_TRACKED_OBJECTS: usize = 20_000;
-/// Bound on the endpoints remembered, removed ones included: beyond it removed ones are dropped.
+/// Number of known endpoints, removed ones included, above which removed ones are dropped.
 pub(crate) const MAX_REMEMBERED_ENDPOINTS: usize = 2_000;
--- a/crates/decision/src/state/open_request.rs
+++ b/crates/decision/src/state/open_request.rs
@@ -1,4 +1,5 @@
-//! Requests that are not accounted for yet, and their attempts.
+//! Open requests and their attempts. A request stays open until it is finished and all of its
+//! attempts have ended.
 
 use crate::interface::{Action, AttemptOutcome, EndpointId, Request, RequestId};
 use crate::module::DecisionModule;
@@ -8,44 +9,45 @@
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Hits are distinguished from fills at their end at the earliest: an attempt that has been in
-/// flight for this many of its class's mean sending times counts as a fill in flight at the parent
-/// cache that it names.
+/// An attempt that names a parent cache counts as a fill in flight at that parent once it has been
+/// in flight for this multiple of its expected sending time. The outcome would tell a hit from a
+/// fill only at the end of the attempt, if at all.
 const FILL_CHECK_SENDING_TIMES: f64 = 1.0;
-/// A recovery probe request is checked this many times sooner for being overdue.
+/// A recovery probe is overdue after 1/2 of the time after which another attempt would be.
 const RECOVERY_PROBE_DIVISOR: u64 = 2;
 
-/// Identifies an attempt: its request and its number, from 0 in the order of sending.
+/// Identifies an attempt by its request and its number, from 0 in the order of sending.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
     pub(crate) attempt: usize,
 }
 
-/// An attempt at an endpoint.
+/// An attempt to have an endpoint serve a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
     pub(crate) endpoint: EndpointId,
+    /// Source of a fill; `None` if the attempt has none or is sent to the source itself.
     pub(crate) fill_source: Option<EndpointId>,
     pub(crate) sent_at: Timestamp,
-    /// No outcome has come yet.
+    /// Whether the outcome is still missing.
     pub(crate) in_flight: bool,
-    /// It was overdue for long, and that has been recorded.
+    /// Whether the attempt was recorded as long overdue, or as overdue through a failed endpoint.
     pub(crate) overdue_recorded: bool,
-    /// It counts as a fill in flight at its source.
+    /// Whether the attempt counts as a fill in flight at its source.
     pub(crate) counted_at_source: bool,
-    /// It counts as in flight at its endpoint.
+    /// Whether the attempt counts as in flight at its endpoint.
     pub(crate) counted_at_endpoint: bool,
-    /// Its endpoint is ejected, and this attempt decides on the readmission.
+    /// Whether the endpoint is ejected and this attempt decides on its readmission.
     pub(crate) is_recovery_probe: bool,
-    /// It ended with an error.
+    /// Whether the attempt returned an error.
     pub(crate) failed: bool,
-    /// Its source was to give only what it holds.
+    /// Whether the fill source was to serve only what it holds, without a fetch of its own.
     pub(crate) only_if_cached: bool,
 }
 
-/// An attempt that has ended, with its request and what came back.
+/// An attempt that has ended, with its request and its outcome.
 #[derive(Debug)]
 pub(crate) struct EndedAttempt {
     pub(crate) request: Request,
@@ -54,37 +56,43 @@
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// The first attempt of a request that may have run.
+/// The endpoint and sending time of a request's first attempt that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleRun {
     pub(crate) sent_at: Timestamp,
     pub(crate) endpoint: EndpointId,
 }
 
-/// A request that is not accounted for yet.
+/// A request that is not finished, or whose attempts have not all ended.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    /// Hash of the object and its part.
+    /// Hash of the object and its part; determines the order of endpoints.
     pub(crate) hash_key: u64,
+    /// Whether the request or its class is marked as a write.
     pub(crate) is_write: bool,
-    /// The random draw among the replicas that the object's level opens.
+    /// Random number drawn when the request arrived; selects the replica, and whether the request
+    /// is shed.
     pub(crate) random_draw: u64,
+    /// Maximum number of attempts: the lower of the limits at acceptance and now.
     pub(crate) max_attempts: u32,
-    /// The final answer is given; only outcomes are awaited.
+    /// Whether the final answer was given; only outcomes of attempts are still expected.
     pub(crate) is_finished: bool,
-    /// A streamed response has begun; the client owns the attempt.
+    /// Whether a streamed response has begun. The attempt belongs to the client then and is neither
+    /// repeated nor cancelled.
     pub(crate) is_streaming: bool,
-    /// A source failed: a copy past its fresh time is better than none.
+    /// Whether a copy past its freshness may be served, because a fill source has failed.
     pub(crate) accepts_stale: bool,
-    /// A parent cache had no capacity for its fill.
+    /// Whether a parent cache has refused a fill for lack of capacity.
     pub(crate) fill_refused: bool,
-    /// The last attempt's response is presumed lost: the request is sent to the same endpoint
-    /// again.
+    /// Whether the response of the last attempt is presumed lost, so that the request is sent to
+    /// the same endpoint again.
     pub(crate) response_lost: bool,
+    /// Attempts by number, ended ones included.
     pub(crate) attempts: Vec<Attempt>,
+    /// `None` as long as it is certain that no attempt has run.
     pub(crate) first_possible_run: Option<PossibleRun>,
-    /// Endpoints and sources that this request does not use again.
+    /// Endpoints that later attempts use neither as endpoint nor as fill source.
     pub(crate) avoided: BTreeSet<EndpointId>,
 }
 
@@ -94,45 +102,45 @@
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// The attempt of that number, if it is in flight.
+    /// The attempt with the number `index`; `None` if it is not in flight.
     pub(crate) fn in_flight_attempt(&self, index: usize) -> Option<&Attempt> {
         self.attempts.get(index).filter(|attempt| attempt.in_flight)
     }
 
-    /// An attempt in flight beside the one of that number.
+    /// The number of an attempt in flight other than `index`.
     pub(crate) fn other_in_flight(&self, index: usize) -> Option<usize> {
         (0..self.attempts.len()).find(|other| *other != index && self.attempts[*other].in_flight)
     }
 
-    /// Attempts in flight that are not recorded as overdue.
+    /// The attempts in flight that are not recorded as overdue.
     pub(crate) fn unrecorded_in_flight(&self) -> Vec<Attempt> {
         let is_unrecorded = |attempt: &&Attempt| attempt.in_flight && !attempt.overdue_recorded;
         self.attempts.iter().filter(is_unrecorded).cloned().collect()
     }
 
-    /// Whether an attempt with that source ended with an error.
+    /// Whether an attempt with this fill source returned an error.
     pub(crate) fn has_failed_with_source(&self, source: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.failed && attempt.fill_source == Some(source))
     }
 
-    /// Attempts that ended with an error.
+    /// The attempts that returned an error.
     pub(crate) fn failed_attempts(&self) -> Vec<Attempt> {
         self.attempts.iter().filter(|attempt| attempt.failed).cloned().collect()
     }
 
-    /// Both caches that failed may be used again; the parent cache of both is not.
+    /// Avoids the parent cache instead of the caches at which attempts with it failed.
     pub(crate) fn avoid_shared_parent(&mut self, parent: EndpointId) {
         let attempts = &self.attempts;
         self.avoided.retain(|avoided| attempts.iter().all(|attempt| attempt.endpoint != *avoided));
         self.avoided.insert(parent);
     }
 
-    /// Whether attempts are already made.
+    /// Whether the next attempt is a retry: an attempt was already sent.
     pub(crate) fn is_retry(&self) -> bool {
         !self.attempts.is_empty()
     }
 
-    /// The endpoint and time of an attempt that may have run; the first one counts.
+    /// Records that an attempt may have run. Only the first such attempt is kept.
     pub(crate) fn record_possible_run(&mut self, attempt: &Attempt) {
         let run = PossibleRun { sent_at: attempt.sent_at, endpoint: attempt.endpoint };
         self.first_possible_run = self.first_possible_run.or(Some(run));
@@ -140,7 +148,7 @@
 }
 
 impl DecisionModule {
-    /// Registers a request of a client.
+    /// Registers an accepted request and makes its random draw.
     pub(crate) fn register(&mut self, request: Request, hash_key: u64) {
         let class = usize::from(request.class);
         if let Some(work) = self.settings.known_work(&request) {
@@ -158,8 +166,9 @@
         self.requests.insert(id, open);
     }
 
-    /// Registers an attempt that is sent, and sets its timers: when it is overdue, and when it
-    /// counts as a fill at its source, if that is a parent cache.
+    /// Registers an attempt that is sent, and sets its timers: one for the time at which it is
+    /// overdue, and, if its source is a parent cache, one for the time at which it counts as a fill
+    /// there.
     pub(crate) fn begin_attempt(&mut self, attempt: Attempt, actions: &mut Vec<Action>) {
         let id = attempt.id;
         let Some(open) = self.requests.get(&id.request) else { return };
@@ -178,7 +187,8 @@
         }
     }
 
-    /// An overdue attempt that is sent again elsewhere may have run; what is lost is no load.
+    /// Records that an overdue attempt may have run, before its request is sent again. If its
+    /// response is presumed lost, the attempt no longer counts as load of its endpoint.
     pub(crate) fn release_overdue(&mut self, now: Timestamp, id: AttemptId, is_lost: bool) {
         let Some(open) = self.requests.get_mut(&id.request) else { return };
         let attempt = open.attempts[id.attempt].clone();
@@ -191,12 +201,12 @@
         }
     }
 
-    /// A request that is still to be answered.
+    /// The request if it is open, not answered and not streaming.
     pub(crate) fn unanswered_request(&self, id: RequestId) -> Option<&OpenRequest> {
         self.requests.get(&id).filter(|open| !open.is_finished && !open.is_streaming)
     }
 
-    /// Marks an attempt as ended; none if no such attempt is in flight.
+    /// Marks an attempt as ended. Returns `None` if no such attempt is in flight.
     pub(crate) fn end_attempt(&mut self, now: Timestamp, outcome: AttemptOutcome) -> Option<EndedAttempt> {
         let open = self.requests.get_mut(&outcome.request)?;
         let attempt = open.attempts.get_mut(usize::from(outcome.attempt)).filter(|a| a.in_flight)?;
@@ -209,7 +219,8 @@
         Some(EndedAttempt { request: open.request.clone(), is_write: open.is_write, attempt, outcome })
     }
 
-    /// Ends a request here; attempts still in flight are cancelled and then only accounted for.
+    /// Marks a request as finished and cancels its attempts in flight, unless the response is
+    /// streaming. The request is removed once all of its attempts have ended.
     pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !open.is_finished && self.settings.cancel && !open.is_streaming {
@@ -222,22 +233,22 @@
         }
     }
 
-    /// A streamed response has begun.
+    /// Records that a streamed response has begun; ignored if the attempt is not in flight.
     pub(crate) fn on_stream_started(&mut self, request: RequestId, attempt: usize) {
         if let Some(open) = self.requests.get_mut(&request) {
             open.is_streaming = open.attempts.get(attempt).is_some_and(|attempt| attempt.in_flight);
         }
     }
 
-    /// This request does not use that endpoint or source again.
+    /// Excludes an endpoint, if there is one, from later attempts of the request.
     pub(crate) fn avoid(&mut self, id: RequestId, endpoint: Option<EndpointId>) {
         if let Some(open) = self.requests.get_mut(&id) {
             open.avoided.extend(endpoint);
         }
     }
 
-    /// The attempt has been in flight for as long as its like take to be sent: it is a fill, or
-    /// waits like one.
+    /// Counts an attempt as a fill in flight at its source, because it has been in flight for its
+    /// expected sending time: it is a fill, or waits as long as one.
     pub(crate) fn on_fill_check(&mut self, now: Timestamp, id: AttemptId) {
         let open = self.requests.get_mut(&id.request);
         let attempt = open.and_then(|open| open.attempts.get_mut(id.attempt));
--- a/crates/decision/src/state/route.rs
+++ b/crates/decision/src/state/route.rs
@@ -1,52 +1,55 @@
-//! What the choice of an endpoint goes by and comes to: plain types.
+//! Types for the choice of an endpoint: its inputs and its results.
 
 use crate::interface::EndpointId;
 use crate::state::endpoint::Endpoint;
 use crate::state::open_request::OpenRequest;
 use crate::time::Timestamp;
 
-/// Retention priorities of copies, lowest dropped first: none is kept, ...
+/// Retention priority: the copy is not kept. Copies with lower priorities are dropped first.
 pub(crate) const PASS_THROUGH: u8 = 0;
-/// ...extra copies and objects not seen lately, ...
+/// Retention priority of copies outside of the home cache, and of objects that were not requested
+/// lately.
 pub(crate) const LOW_RETENTION: u8 = 1;
-/// ...and all others.
+/// Retention priority of all other copies.
 pub(crate) const MIDDLE_RETENTION: u8 = 2;
 
-/// Where the next attempt goes, and how it is filled and kept there.
+/// Route of the next attempt: its endpoint, its fill source, and the priority of the copy.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteDecision {
     pub(crate) endpoint: EndpointId,
-    /// Where a miss is filled from; none: it is not filled.
+    /// Source that a miss is filled from. `None`: a miss is not filled.
     pub(crate) fill_source: Option<EndpointId>,
-    /// One of the retention priorities above.
+    /// Retention priority: [`PASS_THROUGH`], [`LOW_RETENTION`] or [`MIDDLE_RETENTION`].
     pub(crate) retention: u8,
-    /// The endpoint is ejected, and this attempt decides on its readmission.
+    /// Whether the endpoint is ejected and this attempt decides on its readmission.
     pub(crate) is_recovery_probe: bool,
 }
 
-/// What a request that goes past the caches comes to.
+/// Result of the attempt to route a request past the edge caches.
 #[derive(Debug)]
 pub(crate) enum BypassDecision {
-    /// It goes there.
+    /// The request goes to a parent cache or to the origin.
     Route(RouteDecision),
-    /// There are parents or origins, but none has capacity.
+    /// There are parents or origins that the request may use, but all are at capacity.
     AllAtCapacity,
-    /// There is none that it may go to.
+    /// There is no parent or origin that the request may use.
     NoneUsable,
 }
 
-/// The caches of the own zone that a request may go to, in hash order, and what they are checked
+/// The edge caches of the own zone that a request may use, and the values that they are checked
 /// against.
 #[derive(Debug)]
 pub(crate) struct CandidateCaches<'a> {
     pub(crate) now: Timestamp,
+    /// The request.
     pub(crate) open: &'a OpenRequest,
     /// Mean work of the request's class in seconds.
     pub(crate) work: f64,
     pub(crate) is_idempotent: bool,
+    /// In hash order, ejected ones included.
     pub(crate) all: Vec<&'a Endpoint>,
-    /// Those that are not ejected.
+    /// In hash order, without ejected ones. The first one is the home cache.
     pub(crate) available: Vec<&'a Endpoint>,
-    /// Endpoints with an attempt of this request in flight.
+    /// Endpoints at which an attempt of this request is in flight.
     pub(crate) busy: Vec<EndpointId>,
 }
--- a/crates/decision/src/state/timer_token.rs
+++ b/crates/decision/src/state/timer_token.rs
@@ -1,51 +1,55 @@
-//! The tokens of the module's timers: a request's number and what the timer is for, in 64 bits.
+//! Tokens of the module's timers: 64 bits that hold a request's number and the purpose of the
+//! timer.
 
 use crate::interface::RequestId;
 use crate::state::open_request::AttemptId;
 
-/// The low bits hold an attempt's number or one of the marks below, the bits above them the
-/// request.
+/// The low 16 bits hold an attempt's number or a marker, the bits above them the request's number.
 const ATTEMPT_BITS: u32 = 16;
 const ATTEMPT_MASK: u64 = 0xffff;
-const DEADLINE_MARK: u64 = 0xffff;
-/// Set for the second timer of an attempt; attempts have numbers below it.
+/// Marker of a deadline timer.
+const DEADLINE_MARKER: u64 = 0xffff;
+/// Bit that marks the fill-check timer of an attempt. The numbers of attempts are below it.
 const FILL_CHECK_BIT: u64 = 0x8000;
+/// Token of the timer that belongs to no request.
 const RESUBSCRIBE: u64 = u64::MAX;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
-    /// Subscribe to the endpoint list again.
+    /// The module subscribes to the endpoint list again.
     Resubscribe,
-    /// The request's deadline has come.
+    /// The request's deadline has passed.
     Deadline(RequestId),
-    /// An attempt that has no response by now is overdue.
+    /// The attempt is overdue if it has no response by now.
     Overdue(AttemptId),
-    /// An attempt that has no response by now is probably a fill at its source.
+    /// The attempt counts as a fill at its source if it has no response by now.
     FillCheck(AttemptId),
 }
 
 impl TimerToken {
-    /// The token as the actions carry it.
+    /// The token that an action carries.
     pub(crate) fn encode(self) -> u64 {
-        let with_request = |request: RequestId, low: u64| u64::from(request) << ATTEMPT_BITS | low;
+        let with_request = |request: RequestId, low_bits: u64| u64::from(request) << ATTEMPT_BITS | low_bits;
         match self {
             TimerToken::Resubscribe => RESUBSCRIBE,
-            TimerToken::Deadline(request) => with_request(request, DEADLINE_MARK),
+            TimerToken::Deadline(request) => with_request(request, DEADLINE_MARKER),
             TimerToken::Overdue(id) => with_request(id.request, id.attempt as u64),
             TimerToken::FillCheck(id) => with_request(id.request, id.attempt as u64 | FILL_CHECK_BIT),
         }
     }
 
-    /// What a token that comes back was for.
+    /// The purpose of a token that an event returns.
     pub(crate) fn decode(token: u64) -> TimerToken {
         let request = (token >> ATTEMPT_BITS) as RequestId;
         let attempt = |number: u64| AttemptId { request, attempt: number as usize };
         match token & ATTEMPT_MASK {
             _ if token == RESUBSCRIBE => TimerToken::Resubscribe,
-            DEADLINE_MARK => TimerToken::Deadline(request),
-            low if low >= FILL_CHECK_BIT => TimerToken::FillCheck(attempt(low - FILL_CHECK_BIT)),
-            low => TimerToken::Overdue(attempt(low)),
+            DEADLINE_MARKER => TimerToken::Deadline(request),
+            low_bits if low_bits >= FILL_CHECK_BIT => {
+                TimerToken::FillCheck(attempt(low_bits - FILL_CHECK_BIT))
+            }
+            low_bits => TimerToken::Overdue(attempt(low_bits)),
         }
     }
 }
