--- a/crates/decision/src/state/capacity.rs
+++ b/crates/decision/src/state/capacity.rs
@@ -1,5 +1,5 @@
-//! Capacity and load of endpoints: what they can serve, and how far their load slows a transfer.
-//! Plain arithmetic.
+//! Capacity and load of endpoints: how much work they can serve, and by which factor their load
+//! slows a transfer.
 
 use crate::interface::{EndpointId, ListedWeights, Request};
 use crate::module::DecisionModule;
@@ -7,33 +7,34 @@
 use crate::time::{micros_f64, secs, Timestamp, MICROSECOND};
 use std::time::Duration;
 
-/// A cache is at capacity for a class when a transfer would take this part of the latency objective
-/// there.
+/// Fraction of the latency objective that a transfer may take at an endpoint before the endpoint
+/// counts as at capacity for the request's class.
 const USABLE_OBJECTIVE: f64 = 0.9;
-/// Own load at an endpoint counts as this many requests before the mean of endpoints of its role is
-/// trusted more.
+/// Weight, in requests, of the mean load of an endpoint's role against the load measured at the
+/// endpoint itself.
 const LOAD_PRIOR_REQUESTS: f64 = 12.0;
-/// Responses that take more of their latency objective than this on average show a bottleneck that
-/// is not seen.
+/// An endpoint whose responses take more than this fraction of their latency objective on average
+/// has a bottleneck that its load does not show.
 const NORMAL_LATENESS: f64 = 0.5;
-/// Lateness is smoothed by this factor and counts at most so many objectives.
+/// Smoothing factor of the lateness.
 const LATENESS_SMOOTHING: f64 = 0.05;
+/// Maximum lateness of one response, in latency objectives.
 pub(crate) const MAX_LATENESS: f64 = 2.0;
-/// The least slack of a class, as a multiple of its service time.
+/// Minimum slack of a class, as a multiple of its service time.
 const MIN_SLACK: f64 = 0.1;
 
-/// What an endpoint can do while it warms up.
+/// Capacity of an endpoint while it warms up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUpCapacity {
-    /// What it can do at the least, in seconds of sending per second.
+    /// Work in seconds per second that the endpoint can do at least.
     pub(crate) capacity: f64,
-    /// The multiple of that at which it falls over.
+    /// The endpoint fails at this multiple of `capacity`.
     pub(crate) overload_multiple: f64,
 }
 
 impl DecisionModule {
-    /// An endpoint's capacity in seconds of sending per second: its listed weight, or else what its
-    /// like are given.
+    /// Capacity of a warm endpoint in seconds of work per second: the listed size, or, where sizes
+    /// are not listed, the mean work that warm edge caches of the own zone were sent.
     fn full_capacity(&self, endpoint: &Endpoint) -> f64 {
         if self.settings.weights == ListedWeights::Size && endpoint.entry.weight > 0.0 {
             return endpoint.entry.weight;
@@ -44,8 +45,10 @@
         work / peers().count().max(1) as f64 / self.overload_window_secs()
     }
 
-    /// What an endpoint that warms up can do by now; none if it is warm. One whose process was lost
-    /// starts anew when it responds.
+    /// Present capacity of an endpoint that warms up: it grows linearly from the floor to the full
+    /// capacity over the warm-up period. `None` for an endpoint that is warm, that the settings
+    /// exempt, and for the origin. An endpoint whose process is presumed lost counts as just
+    /// started.
     pub(crate) fn warm_up_capacity(&self, now: Timestamp, endpoint: &Endpoint) -> Option<WarmUpCapacity> {
         let settings = &self.settings;
         let (floor, period, overload_multiple) = match endpoint.role {
@@ -71,10 +74,13 @@
         Some(WarmUpCapacity { capacity: share * self.full_capacity(endpoint), overload_multiple })
     }
 
-    /// Whether one more request of its class could still be served in time at an endpoint, by what
-    /// is in flight there against its capacity: 1 if idle, 0 at capacity. A class of small weight
-    /// for its work has the least slack and is rejected first. Also covers a congested link and a
-    /// slow endpoint.
+    /// Spare capacity of an endpoint for one more request of its class: 1 if the endpoint is idle,
+    /// 0 or less if it is at capacity, so that the request could not be served in time.
+    ///
+    /// The slowdown by the attempts in flight is set against the slack of the class: its latency
+    /// objective as a multiple of its service time. So a class with a tight objective for its work
+    /// has the least slack and is rejected first. The lateness of earlier responses reduces the
+    /// slack; this covers congested links and slow endpoints.
     pub(crate) fn spare_capacity(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> f64 {
         let class = self.settings.class(request);
         let slack =
@@ -83,10 +89,13 @@
         1.0 - (self.slowdown(now, endpoint) - 1.0) / (usable * slack - 1.0).max(MIN_SLACK)
     }
 
-    /// The factor by which others slow a transfer at an endpoint, with one more; 1 where sizes are
-    /// not known. Own attempts are counted. Each other router is assumed to have as many there as
-    /// this one has on average: at this endpoint as far as enough was sent there to tell, else at
-    /// endpoints of its role in proportion to size.
+    /// Factor by which other transfers slow one more transfer at an endpoint; 1 where sizes are not
+    /// listed.
+    ///
+    /// The transfers of this router are counted. Each other router that shares the endpoint is
+    /// assumed to have as many in flight there as this router has on average. That average is taken
+    /// at the endpoint itself as far as this router has sent enough work there, and otherwise at
+    /// all endpoints of the role in proportion to their sizes.
     pub(crate) fn slowdown(&self, now: Timestamp, endpoint: &Endpoint) -> f64 {
         let weight = endpoint.entry.weight;
         if self.settings.weights != ListedWeights::Size || weight <= 0.0 {
@@ -104,7 +113,7 @@
         ((1.0 + f64::from(endpoint.in_flight) + others) / weight).max(1.0)
     }
 
-    /// Adds a latency to the endpoint's lateness.
+    /// Adds the latency of a response, or of an attempt without one, to the endpoint's lateness.
     pub(crate) fn record_lateness(&mut self, request: &Request, id: EndpointId, latency: Duration) {
         let objective = self.latency_objective(request);
         if let Some(endpoint) = self.endpoints.get_mut(id) {
--- a/crates/decision/src/state/warm_up_budget.rs
+++ b/crates/decision/src/state/warm_up_budget.rs
@@ -1,5 +1,6 @@
-//! Who shares an endpoint's capacity, and which share of a warm-up budget is this router's: plain
-//! arithmetic over what is counted, set or agreed with other routers.
+//! Division of capacity among routers: how many routers share an endpoint, the warm-up budget of an
+//! endpoint, and this router's share of it. The values come from the settings, the cluster's
+//! membership, or agreement with other routers.
 
 use crate::interface::{EndpointId, EndpointState};
 use crate::module::DecisionModule;
@@ -10,27 +11,30 @@
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// All routers together use this part of the load at which an endpoint that warms up falls over...
+/// All routers together use at most this fraction of the load at which an endpoint that warms up
+/// fails.
 const OVERLOAD_SAFETY: f64 = 0.6;
-/// ...and at most this multiple of its present capacity: beyond it responses are only late.
+/// All routers together use at most this multiple of the present capacity of an endpoint that warms
+/// up. More would only make responses late.
 pub(crate) const MAX_WARM_UP_USE: f64 = 1.2;
-/// The least budget and window that are divided by.
+/// Lower bounds of values that are used as divisors: a budget in seconds of work, and a window in
+/// seconds.
 const MIN_BUDGET: f64 = 1e-9;
 const MIN_WINDOW_SECS: f64 = 0.001;
 
-/// Who shares an endpoint's warm-up budget.
+/// The routers among which an endpoint's warm-up budget is divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuotaScope {
-    /// All routers.
+    /// All routers of the cluster.
     All,
-    /// Those of the own zone.
+    /// The routers of this router's zone.
     Zone,
-    /// Those of another zone: this one has no share in it.
+    /// The routers of another zone; this router has no share of the budget.
     Elsewhere,
 }
 
 impl QuotaScope {
-    /// The name that operators are shown.
+    /// The name in the replies of the admin endpoint.
     pub fn name(self) -> &'static str {
         match self {
             QuotaScope::All => "all",
@@ -40,44 +44,48 @@
     }
 }
 
-/// This router's demand for the budget of an endpoint that warms up.
+/// This router's demand for the warm-up budget of an endpoint, over the last overload window. All
+/// amounts are fractions of the whole budget of one window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpDemand {
-    /// The endpoint.
+    /// The endpoint that warms up.
     pub endpoint: EndpointId,
-    /// Who shares its budget.
+    /// The routers among which the endpoint's budget is divided.
     pub sharers: QuotaScope,
-    /// Used within the last window, as a part of the whole budget.
+    /// Work that this router sent to the endpoint.
     pub used: f64,
-    /// The same with what was not admitted.
+    /// Work that this router sent, plus the work that its share did not admit.
     pub wanted: f64,
-    /// What one request uses of it at most.
+    /// Work of one request of the largest class.
     pub unit: f64,
 }
 
-/// This router's share of an endpoint's warm-up budget, as a part of the whole: `now` until
-/// `until`, `after` from then on.
+/// This router's share of an endpoint's warm-up budget, as a fraction of the whole: `now` before
+/// the time `until`, and `after` from then on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaShare {
-    /// Until `until`.
+    /// Share that applies before `until`, 0 to 1.
     pub now: f64,
-    /// By the same clock as all times that the module is given.
+    /// End of the first share, on the clock of the timestamps that the module is given.
     pub until: Timestamp,
-    /// From then on, unless a new share is set.
+    /// Share that applies from `until` on, 0 to 1, until another share is set.
     pub after: f64,
 }
 
-/// Shares of warm-up budgets that are agreed with other routers.
+/// Shares of warm-up budgets that were agreed with other routers, as fractions of the whole.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeasedShares {
-    /// Of an endpoint without a share of its own that all routers share.
+    /// Share of an endpoint that all routers use and that has no entry in `by_endpoint`.
     default_all: f64,
-    /// The same where the own zone's routers share it.
+    /// Share of an endpoint that the routers of the own zone use and that has no entry in
+    /// `by_endpoint`.
     default_zone: f64,
     by_endpoint: BTreeMap<EndpointId, QuotaShare>,
 }
 
 impl LeasedShares {
+    /// This router's share of an endpoint's warm-up budget at `now`; 0 for an endpoint of another
+    /// zone without an entry.
     fn share(&self, now: Timestamp, endpoint: EndpointId, sharers: QuotaScope) -> f64 {
         match (self.by_endpoint.get(&endpoint), sharers) {
             (Some(share), _) if now < share.until => share.now,
@@ -89,43 +97,45 @@
     }
 }
 
-/// What all routers together may send to an endpoint that warms up within a window of so many
-/// seconds, in seconds of sending.
+/// Work in seconds that all routers together may send to an endpoint within a window of
+/// `window_secs` seconds while it warms up.
 pub(crate) fn warm_up_budget(warm_up: WarmUpCapacity, window_secs: f64) -> f64 {
     MAX_WARM_UP_USE.min(OVERLOAD_SAFETY * warm_up.overload_multiple) * warm_up.capacity * window_secs
 }
 
 impl DecisionModule {
-    /// Sets the routers that share the endpoints beyond those that the settings name, for as long
-    /// as a process and the one that replaces it work side by side.
-    pub fn share(&mut self, further: u32) {
-        self.endpoints.additional_routers = further;
+    /// Sets how many routers use the endpoints in addition to the counted ones: 1 for as long as a
+    /// process and its successor serve side by side, otherwise 0.
+    pub fn share(&mut self, additional: u32) {
+        self.endpoints.additional_routers = additional;
     }
 
-    /// Sets the routers that may be active, in all and in the own zone; the settings' numbers no
-    /// longer count.
-    pub fn count_routers(&mut self, all: u32, here: u32) {
-        // Where the zones' numbers are not known, all share every endpoint.
-        let here = if self.settings.router_count_by_zone.is_empty() { all } else { here };
-        let active = ActiveRouters { total: all.max(1), in_zone: here.max(1) };
+    /// Sets the number of routers that may be active, this one included: in all zones and in the
+    /// own zone. From then on the numbers of the settings are ignored.
+    pub fn count_routers(&mut self, total: u32, in_zone: u32) {
+        // If the settings do not give the numbers by zone, all routers share every endpoint.
+        let in_zone = if self.settings.router_count_by_zone.is_empty() { total } else { in_zone };
+        let active = ActiveRouters { total: total.max(1), in_zone: in_zone.max(1) };
         self.endpoints.active_routers = Some(active);
     }
 
-    /// From now on shares of warm-up budgets are agreed with other routers: `homes` holds the share
-    /// of every endpoint that all routers share, and that the own zone shares, unless `parts` holds
-    /// another one.
-    pub fn lease(&mut self, homes: (f64, f64), parts: BTreeMap<EndpointId, QuotaShare>) {
-        let (default_all, default_zone) = homes;
-        self.endpoints.leased_shares = Some(LeasedShares { default_all, default_zone, by_endpoint: parts });
+    /// Replaces even shares of warm-up budgets by shares agreed with other routers. `by_endpoint`
+    /// holds the shares of single endpoints. `default_shares` applies to all others: the first
+    /// value to endpoints that all routers share, the second to those that only the own zone
+    /// shares.
+    pub fn lease(&mut self, default_shares: (f64, f64), by_endpoint: BTreeMap<EndpointId, QuotaShare>) {
+        let (default_all, default_zone) = default_shares;
+        self.endpoints.leased_shares = Some(LeasedShares { default_all, default_zone, by_endpoint });
     }
 
-    /// This router's demand for the budgets of endpoints that warm up, to agree on shares by; empty
-    /// where none does.
+    /// This router's demand for the budgets of the endpoints that warm up, from which the routers
+    /// agree on shares. Empty if no endpoint warms up.
     pub fn warm_up_demands(&self, now: Timestamp) -> Vec<WarmUpDemand> {
         self.warming_up.iter().filter_map(|id| self.warm_up_demand(now, *id)).collect()
     }
 
-    /// The endpoint's process is presumed lost: it warms up from its next response on.
+    /// Presumes the endpoint's process to have ended, so that the endpoint warms up from its next
+    /// response on. Does nothing if that is already presumed.
     pub(crate) fn begin_warm_up(&mut self, id: EndpointId) {
         let endpoint = self.endpoints.get_mut(id).filter(|endpoint| !endpoint.process_lost);
         let Some(endpoint) = endpoint else { return };
@@ -134,8 +144,8 @@
         self.warming_up.insert(id);
     }
 
-    /// Moves the admission slots of all endpoints that warm up to the present, and forgets those
-    /// that are warm.
+    /// Advances the admission slots of all endpoints that warm up, and removes those that are warm
+    /// from the set. One random number is drawn for each endpoint that warms up.
     pub(crate) fn advance_admission_slots(&mut self, now: Timestamp) {
         let unit = self.max_mean_work();
         for id in self.warming_up.clone() {
@@ -150,8 +160,8 @@
         }
     }
 
-    /// None if the endpoint is warm or takes no work; one whose process is lost counts from its
-    /// return on.
+    /// This router's demand for the warm-up budget of one endpoint. `None` if the endpoint is warm,
+    /// is not ready, or its process is presumed lost: it has a budget again once it responds.
     fn warm_up_demand(&self, now: Timestamp, id: EndpointId) -> Option<WarmUpDemand> {
         let window = self.settings.overload_window;
         let endpoint = self.endpoints.get(id)?;
@@ -171,22 +181,23 @@
         })
     }
 
-    /// The overload window in seconds, for division.
+    /// The overload window in seconds, at least [`MIN_WINDOW_SECS`], for use as a divisor.
     pub(crate) fn overload_window_secs(&self) -> f64 {
         secs(self.settings.overload_window).max(MIN_WINDOW_SECS)
     }
 
+    /// The routers among which an endpoint's warm-up budget is divided.
     fn budget_sharers(&self, endpoint: &Endpoint) -> QuotaScope {
         match endpoint.role {
             EndpointRole::RemoteCache => QuotaScope::Elsewhere,
-            // Where the zones' numbers are not known, all share every endpoint.
+            // If the settings do not give the numbers by zone, all routers share every endpoint.
             EndpointRole::LocalCache if !self.settings.router_count_by_zone.is_empty() => QuotaScope::Zone,
             _ => QuotaScope::All,
         }
     }
 
-    /// What an endpoint's warm-up budget is divided by to give this router's share; infinite: it
-    /// has none.
+    /// The divisor by which an endpoint's warm-up budget gives this router's share. Infinite if
+    /// this router has no share.
     pub(crate) fn budget_divisor(&self, now: Timestamp, endpoint: &Endpoint) -> f64 {
         match &self.endpoints.leased_shares {
             Some(leased) => 1.0 / leased.share(now, endpoint.entry.id, self.budget_sharers(endpoint)),
@@ -194,7 +205,8 @@
         }
     }
 
-    /// How many routers share an endpoint, this one included.
+    /// Number of routers that send to an endpoint, this one included: those of the zone for an edge
+    /// cache of the own zone, otherwise all routers.
     pub(crate) fn routers_sharing(&self, endpoint: &Endpoint) -> u32 {
         let is_local = endpoint.role == EndpointRole::LocalCache;
         let routers = match self.endpoints.active_routers {
