--- a/crates/decision/src/state/learning.rs
+++ b/crates/decision/src/state/learning.rs
@@ -1,27 +1,28 @@
-//! What the module learns from the end of an attempt, apart from the health of endpoints.
+//! Updates of estimates at the end of an attempt, or when an attempt is overdue. The health of
+//! endpoints is updated in `policy`.
 
 use crate::interface::{AttemptStatus, CacheStatus, CacheStatusReporting};
 use crate::module::DecisionModule;
 use crate::state::open_request::{Attempt, EndedAttempt};
 use crate::time::Timestamp;
 
-/// Likelihood that a response is lost which is long overdue: lost, or waiting for a fill, only
-/// sending again tells.
+/// Likelihood that the response of a long overdue attempt is lost. It may also be waiting for a
+/// fill; only sending the request again would tell.
 const OVERDUE_LOST_LIKELIHOOD: f64 = 0.5;
 
-/// What an overdue attempt comes to.
+/// Why an attempt is overdue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverdueFinding {
-    /// Its endpoint or source has failed.
+    /// Whether the attempt's endpoint or parent cache has failed.
     pub(crate) is_attributed: bool,
-    /// Its response is presumed lost.
+    /// Whether the response is presumed lost.
     pub(crate) is_lost: bool,
-    /// It is overdue for as long again as it takes to be overdue.
+    /// Whether the attempt has taken at least twice the time after which it is overdue.
     pub(crate) is_long_overdue: bool,
 }
 
 impl DecisionModule {
-    /// Learns lateness, service time and lost responses from a response.
+    /// Updates lateness, service time and the share of lost responses by a response.
     pub(crate) fn learn_from_response(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let (attempt, outcome) = (&ended.attempt, &ended.outcome);
         let endpoint = self.endpoints.get(attempt.endpoint);
@@ -30,15 +31,16 @@
         self.record_service_time(&ended.request, outcome, slowdown);
         let open = self.requests.get(&outcome.request);
         if open.is_some_and(|open| open.response_lost && outcome.attempt > 0) {
-            // A hit: the first attempt had been served. A fill: it was still on its way.
+            // A hit at the second attempt shows that the first one was served and its response was
+            // lost. A fill shows that the first one was still waiting for its fill.
             let was_lost = outcome.note == Some(CacheStatus::Hit);
             self.lost_responses.record(if was_lost { 1.0 } else { 0.0 });
         }
         self.lost_responses.record(0.0);
     }
 
-    /// Learns latency and lost responses from an attempt that is overdue, once for each attempt.
-    /// Returns whether its parent counts as overdue.
+    /// Updates the latency quantile and the share of lost responses by an overdue attempt, once for
+    /// each attempt. Returns whether the attempt counts as overdue for its parent cache.
     pub(crate) fn learn_from_overdue(&mut self, attempt: &Attempt, finding: OverdueFinding) -> bool {
         let id = attempt.id;
         let Some(open) = self.requests.get_mut(&id.request) else { return false };
@@ -59,14 +61,15 @@
         finding.is_long_overdue
     }
 
-    /// Whether a refusal comes without its cause, where causes are not reported.
+    /// Whether a refusal comes without a cause because the settings say that causes are not
+    /// reported.
     pub(crate) fn is_cause_unreported(&self, ended: &EndedAttempt) -> bool {
         ended.outcome.status == AttemptStatus::Full
             && ended.outcome.note.is_none()
             && self.settings.cache_status_reporting != CacheStatusReporting::All
     }
 
-    /// Whether a response does not say if it is a hit or a fill.
+    /// Whether responses do not distinguish hits from fills.
     pub(crate) fn hits_unreported(&self) -> bool {
         self.settings.cache_status_reporting == CacheStatusReporting::None
     }
--- a/crates/decision/src/state/origin_load.rs
+++ b/crates/decision/src/state/origin_load.rs
@@ -1,41 +1,47 @@
-//! How much may be requested of what is behind the parent caches: the share of requests that may
-//! have something fetched there, cut by late responses and recovered slowly (multiplicative
-//! decrease, exponential recovery). What is done with it is in `policy`.
+//! Estimate of the load that the origin can take: the share of requests that may cause fetches
+//! behind the parent caches. Late responses cut it, and it recovers exponentially. Which requests
+//! are shed is decided in `policy`.
 
 use crate::interface::EndpointId;
 use crate::time::{micros_f64, Timestamp};
 use std::time::Duration;
 
-/// Lateness is that of about so many of the last responses, and decays over this long.
+/// The share of late responses is smoothed over about this many responses.
 const LATE_SAMPLE_WINDOW: f64 = 16.0;
+/// Time constant of the decay of the share of late responses.
 const LATE_DECAY: Duration = Duration::from_secs(3);
-/// From this share of late responses on each further one cuts the load. Overloaded endpoints alone
-/// have a tenth late (the simulator's overloaded days), sources that stand still all misses.
+/// Share of late responses above which each further late response cuts the allowed share.
+/// Overloaded caches alone make about 0.1 of the responses late (in the simulator's overload
+/// scenarios), stalled sources all misses.
 const LATE_THRESHOLD: f64 = 0.2;
-/// By so much each time: large, as what waits at the sources is late whatever is done...
+/// Factor by which a late response cuts the allowed share. The cut is large because requests that
+/// already wait at the sources will be late in any case.
 const CUT_FACTOR: f64 = 0.67;
-/// ...and the recovery is slow, e-fold in this time: all routers recover at once.
+/// Time in which the allowed share grows by a factor of e. The growth is slow because all routers
+/// recover at the same time.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// This share is always allowed: it shows when the sources are well again.
+/// Minimum allowed share. The remaining requests show when the sources have recovered.
 const MIN_ALLOWED_SHARE: f64 = 0.03;
-/// A late write cuts the share by so many steps at once.
+/// Number of cuts that a late write makes at once.
 const WRITE_CUTS: f64 = 2.0;
 
-/// How much may be requested of the origin, and the evidence that it can't keep up.
+/// Share of requests that may cause fetches from the origin, and the evidence that the origin can't
+/// keep up.
 #[derive(Debug)]
 pub(crate) struct OriginLoad {
-    /// The share of requests whose fills may have a parent cache fetch, as of `updated_at`.
+    /// Share of requests whose fills may have a parent cache fetch, as of `updated_at`.
     pub(crate) allowed_share: f64,
-    /// Share of late responses among the last of them, as of `updated_at`.
+    /// Smoothed share of late responses, as of `updated_at`.
     pub(crate) late_share: f64,
     pub(crate) updated_at: Timestamp,
-    /// When the origin itself last responded in time.
+    /// Time of the last write that the origin answered in time; [`Timestamp::ZERO`] if there was
+    /// none or a write was late since.
     pub(crate) last_in_time: Timestamp,
-    /// The last attempt that was refused.
+    /// The latest refusal of an attempt; `None` before the first one.
     pub(crate) last_refusal: Option<Refusal>,
 }
 
-/// An attempt that was refused: where it went, and where its fill was to come from.
+/// The endpoint that refused an attempt, and the source that the attempt named.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
     pub(crate) endpoint: EndpointId,
@@ -55,8 +61,8 @@
 }
 
 impl OriginLoad {
-    /// The share of requests that may have something fetched now. It grows once the lateness has
-    /// decayed.
+    /// Share of requests that may cause fetches at `now`. It begins to grow once the share of late
+    /// responses has decayed to the threshold.
     pub(crate) fn allowed_share(&self, now: Timestamp) -> f64 {
         let elapsed = micros_f64(now.saturating_duration_since(self.updated_at));
         let decay_time = (self.late_share / LATE_THRESHOLD).max(1.0).ln() * micros_f64(LATE_DECAY);
@@ -64,29 +70,33 @@
         (self.allowed_share * recovery.exp()).min(1.0)
     }
 
-    fn late_share(&self, now: Timestamp) -> f64 {
+    /// Share of late responses, decayed to `now`.
+    fn decayed_late_share(&self, now: Timestamp) -> f64 {
         let elapsed = micros_f64(now.saturating_duration_since(self.updated_at));
         self.late_share * (-elapsed / micros_f64(LATE_DECAY)).exp()
     }
 
+    /// Brings both shares up to `now`.
     fn advance(&mut self, now: Timestamp) {
         let allowed_share = self.allowed_share(now);
-        self.late_share = self.late_share(now);
+        self.late_share = self.decayed_late_share(now);
         self.allowed_share = allowed_share;
         self.updated_at = now;
     }
 
+    /// Adds a response to the smoothed share of late responses: `late` is 1 if it was late, else 0.
     fn add_sample(&mut self, late: f64, weight: f64) {
         self.late_share += (late - self.late_share) * weight / LATE_SAMPLE_WINDOW;
     }
 
-    /// Adds a response in time that may have come from the origin.
+    /// Records a response in time that may have come from the origin.
     pub(crate) fn record_in_time(&mut self, now: Timestamp) {
         self.advance(now);
         self.add_sample(0.0, 1.0);
     }
 
-    /// Adds a late response that may have come from the origin, or what counts as so many of them.
+    /// Records evidence of overload: late responses that may have come from the origin. `weight` is
+    /// the number of late responses that it counts as.
     pub(crate) fn record_late(&mut self, now: Timestamp, weight: f64) {
         self.advance(now);
         self.add_sample(1.0, weight);
@@ -95,7 +105,8 @@
         }
     }
 
-    /// Adds a write that was late: no hit is among those, so that one is enough.
+    /// Records a late write. One is enough to cut the allowed share, because writes are never cache
+    /// hits.
     pub(crate) fn record_late_write(&mut self, now: Timestamp) {
         self.advance(now);
         self.last_in_time = Timestamp::ZERO;
--- a/crates/decision/src/state/request_counter.rs
+++ b/crates/decision/src/state/request_counter.rs
@@ -1,65 +1,79 @@
-//! Requests per object in the present sampling interval, replication levels, and objects seen
-//! lately.
+//! Request counts per object in the present sampling interval, replication levels, and the objects
+//! that were requested lately.
 
 use crate::state::MAX_TRACKED_OBJECTS;
 use crate::time::{secs, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests are counted per object in intervals of this length (DESIGN), or until so many were
-/// counted: at a few a second a share of one second's requests is noise...
+/// Minimum length of a sampling interval (DESIGN).
 const SAMPLING_INTERVAL: Duration = Duration::from_secs(1);
+/// An interval is extended until it has this many requests: at a few requests per second, an
+/// object's share of the requests of one second is noise.
 const MIN_SAMPLES: u32 = 40;
-/// ...but no longer than this, after which levels expire.
+/// Maximum length of a sampling interval, and the time after which a level that is not confirmed
+/// falls by one.
 const LEVEL_EXPIRY: Duration = Duration::from_secs(10);
-/// What was requested within one to two of these spans counts as seen lately.
+/// Smoothing factor of the request rate.
+const RATE_SMOOTHING: f64 = 0.2;
+/// Length of the spans in which requested objects are recorded. An object counts as requested
+/// lately for one to two spans.
 const SEEN_SPAN: Duration = Duration::from_secs(20);
 
-/// Levels count up to this: 2^20 caches.
+/// Maximum replication level. Block `l` has 2^`l` caches, so that the last block has 2^20.
 pub(crate) const MAX_LEVEL: u32 = 20;
 
-/// How many caches the blocks up to a level hold.
+/// Number of caches in the blocks 0 to `level`.
 pub(crate) fn replica_count(level: u32) -> usize {
     (2usize << level.min(MAX_LEVEL)) - 1
 }
 
-/// What was counted in a sampling interval.
+/// The counts of a closed sampling interval.
 #[derive(Debug)]
 pub(crate) struct ClosedInterval {
-    /// Requests by the object's hash key.
+    /// Number of requests by the hash key of the object and part.
     pub(crate) counts: BTreeMap<u64, u32>,
-    /// How many requests it would usually have counted, and no less than it has: a share is one of
-    /// these, as a few leftovers of one object are no demand.
+    /// Number of requests that an interval of this length usually has, and at least the number that
+    /// it had. Shares are computed against it, so that a few remaining requests for one object in a
+    /// quiet interval do not count as demand.
     pub(crate) usual_total: f64,
 }
 
-/// How many blocks of caches serve an object beyond its home cache, and since when.
+/// Replication level of an object, and the time at which it was last raised, confirmed or lowered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicationLevel {
+    /// The object is served by the caches of the blocks 0 to this; 0 is the home cache alone.
     pub(crate) level: u32,
     pub(crate) since: Timestamp,
 }
 
-/// Requests per object: those of this interval, the levels they led to, and what was requested
-/// lately.
+/// Requests of the present sampling interval, the replication levels, and the objects that were
+/// requested lately.
 #[derive(Debug, Default)]
 pub(crate) struct RequestCounter {
+    /// Beginning of the present interval; [`Timestamp::ZERO`] before the first request.
     pub(crate) interval_start: Timestamp,
+    /// Requests of the present interval by hash key, for at most [`MAX_TRACKED_OBJECTS`] keys.
     pub(crate) counts: BTreeMap<u64, u32>,
+    /// All requests of the present interval.
     pub(crate) total: u32,
-    /// Requests a second, smoothed over intervals.
+    /// Requests per second, smoothed over intervals; 0 before the first interval is closed.
     pub(crate) rate: f64,
+    /// Time of the latest request.
     pub(crate) last_request: Timestamp,
-    /// A stall before this interval began; its requests have gathered for as long.
+    /// Duration of a stall of this router before the present interval, zero if there was none. The
+    /// first requests of the interval have accumulated during the stall.
     pub(crate) stall: Duration,
+    /// Levels above 0 by hash key.
     pub(crate) levels: BTreeMap<u64, ReplicationLevel>,
-    /// Objects requested since `seen_since`, and those of the span before.
+    /// Hash keys requested since `seen_since`, and those requested in the span before.
     pub(crate) seen: [BTreeSet<u64>; 2],
+    /// Beginning of the present span.
     pub(crate) seen_since: Timestamp,
 }
 
 impl RequestCounter {
-    /// Counts a request; returns the sampling interval before it if that is over.
+    /// Counts a request. Returns the interval that it closed, or `None` if the interval goes on.
     pub(crate) fn record(&mut self, now: Timestamp, key: u64) -> Option<ClosedInterval> {
         if self.interval_start == Timestamp::ZERO {
             self.interval_start = now;
@@ -75,11 +89,14 @@
         closed
     }
 
+    /// Closes the interval and begins the next one with a request that came `gap` after the last
+    /// one.
     fn close_interval(&mut self, now: Timestamp, gap: Duration) -> ClosedInterval {
         let rate_before = self.rate;
         let elapsed = now.duration_since(self.interval_start) + self.stall;
         let usual_total = self.update_rate(secs(elapsed));
-        // What comes after a stall has gathered for as long: its interval counts as so much longer.
+        // Requests after a stall have accumulated during it, so that their interval counts as
+        // longer by the duration of the stall.
         let is_stall = gap > SAMPLING_INTERVAL && secs(gap) * rate_before > f64::from(MIN_SAMPLES);
         self.stall = if is_stall { gap } else { Duration::ZERO };
         self.interval_start = now;
@@ -87,7 +104,7 @@
         ClosedInterval { counts: std::mem::take(&mut self.counts), usual_total }
     }
 
-    /// A full table takes no further objects.
+    /// Counts the request for its object. A full table accepts no new objects.
     fn add(&mut self, key: u64) {
         self.total += 1;
         if self.counts.len() < MAX_TRACKED_OBJECTS || self.counts.contains_key(&key) {
@@ -95,7 +112,7 @@
         }
     }
 
-    /// Starts a new table of what was seen after a span, or when it is full.
+    /// Begins a new span when the present one is over or its table is full.
     fn rotate_seen(&mut self, now: Timestamp) {
         if now >= self.seen_since + SEEN_SPAN || self.seen[0].len() > MAX_TRACKED_OBJECTS {
             self.seen_since = now;
@@ -103,30 +120,31 @@
         }
     }
 
-    /// Notes that the object was requested.
+    /// Records that the object was requested.
     pub(crate) fn mark_seen(&mut self, key: u64) {
         self.seen[0].insert(key);
     }
 
-    /// Whether the object was requested lately.
+    /// Whether the object was requested within the last one or two spans.
     pub(crate) fn seen_lately(&self, key: u64) -> bool {
         self.seen.iter().any(|objects| objects.contains(&key))
     }
 
-    /// The object's replication level; 0: its home cache alone serves it.
+    /// The object's replication level; 0 means that only its home cache serves it.
     pub(crate) fn level(&self, key: u64) -> u32 {
         self.levels.get(&key).map_or(0, |entry| entry.level)
     }
 
-    /// Adds the interval's rate to the smoothed one and returns what it would usually have counted.
+    /// Adds the interval's request rate to the smoothed rate. Returns `usual_total` of
+    /// [`ClosedInterval`].
     fn update_rate(&mut self, elapsed_secs: f64) -> f64 {
         let rate = f64::from(self.total) / elapsed_secs;
         let before = if self.rate == 0.0 { rate } else { self.rate };
-        self.rate = 0.8 * before + 0.2 * rate;
+        self.rate = (1.0 - RATE_SMOOTHING) * before + RATE_SMOOTHING * rate;
         self.rate.max(rate) * elapsed_secs
     }
 
-    /// Lowers the levels that were not confirmed for so long by one.
+    /// Lowers by one each level that was not confirmed for [`LEVEL_EXPIRY`].
     pub(crate) fn expire_levels(&mut self, now: Timestamp) {
         self.levels.retain(|_, entry| {
             if now >= entry.since + LEVEL_EXPIRY {
--- a/crates/decision/src/state/retry_budget.rs
+++ b/crates/decision/src/state/retry_budget.rs
@@ -1,13 +1,16 @@
-//! How many retries this router may still send: a token bucket that new requests fill.
+//! Retry budget: a token bucket that bounds how many retries this router sends. New requests fill
+//! it.
 
-/// The most retries saved up: enough for the loss of one endpoint at once.
+/// Capacity of the bucket, in retries. It suffices for the retries that the loss of one endpoint
+/// causes at once.
 const MAX_TOKENS: f64 = 40.0;
-/// Each new request earns this many retries, so that a storm of retries does not feed itself.
+/// Retries that each new request adds. It is below 1 so that retries do not amplify themselves.
 const TOKENS_PER_REQUEST: f64 = 0.5;
 
-/// Retries saved up, in attempts.
+/// Token bucket of retries. It starts full.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
+    /// Number of retries that may be sent now.
     pub(crate) tokens: f64,
 }
 
@@ -18,17 +21,17 @@
 }
 
 impl RetryBudget {
-    /// Adds what a new request earns.
+    /// Adds the tokens of a new request.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether a retry may be sent.
+    /// Whether the budget has a token for a retry.
     pub(crate) fn allows_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one retry off.
+    /// Takes the token of a retry that is sent.
     pub(crate) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
