--- a/crates/decision/src/state/purge_history.rs
+++ b/crates/decision/src/state/purge_history.rs
@@ -1,4 +1,4 @@
-//! When which objects were purged last.
+//! History of purges: the time of the latest purge of each object and group.
 
 use crate::interface::{Purge, Request};
 use crate::module::DecisionModule;
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A copy must be younger than the purge of its object by this.
+/// Margin by which a copy must be younger than the purge of its object.
 const MIN_AGE_MARGIN: Duration = Duration::from_millis(1);
 
-/// What a purge names. The order decides which purges a full table drops first.
+/// Target of a purge. A full table drops purges in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PurgeTarget {
     Object(u64),
@@ -33,17 +33,17 @@
     }
 }
 
-/// The time of the latest purge of each object and group, in a bounded table.
+/// The latest purge of each object and group, in a bounded table.
 #[derive(Debug, Default)]
 pub struct PurgeHistory {
     latest: BTreeMap<PurgeTarget, Timestamp>,
-    /// Every object counts as purged then.
+    /// Every object counts as purged at this time; [`Timestamp::ZERO`] if no purge was dropped yet.
     floor: Timestamp,
 }
 
 impl PurgeHistory {
-    /// Adds a purge. Beyond `max` entries the latest time of those dropped stands for every object:
-    /// no purge is forgotten.
+    /// Adds a purge. If the table has more than `max` entries, some are dropped, and every object
+    /// counts as purged at the latest time of the dropped ones. So no purge loses its effect.
     pub fn add(&mut self, now: Timestamp, purge: &Purge, max: usize) {
         let purged_at = now.saturating_sub(purge.since);
         let latest = self.latest.entry(PurgeTarget::of(purge)).or_insert(purged_at);
@@ -51,11 +51,13 @@
         self.trim(max);
     }
 
-    /// The greatest age at which a copy may still be served now of what was purged at that time.
+    /// Maximum age of a copy that may still be served at `now`, if its object was purged at
+    /// `purged`. Never zero, since an age of zero would stand for no bound.
     pub fn oldest_copy(now: Timestamp, purged: Timestamp) -> Duration {
         now.saturating_duration_since(purged + MIN_AGE_MARGIN).max(MICROSECOND)
     }
 
+    /// Drops entries until the table has at most `max`.
     fn trim(&mut self, max: usize) {
         while self.latest.len() > max {
             let dropped = self.latest.pop_first().map_or(Timestamp::ZERO, |(_, at)| at);
@@ -63,20 +65,21 @@
         }
     }
 
-    /// Drops purges at or before that time.
+    /// Drops purges at or before the time `before`.
     pub fn forget(&mut self, before: Timestamp) {
         self.latest.retain(|_, at| *at > before);
     }
 
-    /// The latest purge of a request's object; [`Timestamp::ZERO`] if none is known.
+    /// Time of the latest purge of the request's object or group; [`Timestamp::ZERO`] if none is
+    /// known.
     pub fn latest(&self, request: &Request) -> Timestamp {
         let object = self.latest.get(&PurgeTarget::Object(request.object));
         let group = self.latest.get(&PurgeTarget::Group(u64::from(request.group)));
         *object.max(group).unwrap_or(&Timestamp::ZERO).max(&self.floor)
     }
 
-    /// All purges known: whether of a group, of which object or group, and when; and when every
-    /// object counts as purged.
+    /// All purges for a snapshot, and the time at which every object counts as purged. A purge
+    /// consists of whether it names a group, the number of the group or object, and its time.
     pub fn list(&self) -> (Vec<(bool, u64, Timestamp)>, Timestamp) {
         let entry = |(target, at): (&PurgeTarget, &Timestamp)| match target {
             PurgeTarget::Object(key) => (false, *key, *at),
@@ -85,15 +88,16 @@
         (self.latest.iter().map(entry).collect(), self.floor)
     }
 
-    /// Adds what another history held; times in the future count as now.
+    /// Adds the purges of another history, in the form of [`PurgeHistory::list`]. Times in the
+    /// future count as `now`.
     pub fn restore(
         &mut self,
         now: Timestamp,
-        known: &[(bool, u64, Timestamp)],
+        purges: &[(bool, u64, Timestamp)],
         floor: Timestamp,
         max: usize,
     ) {
-        for (is_group, key, at) in known {
+        for (is_group, key, at) in purges {
             let target = PurgeTarget::from_entry(*is_group, *key);
             let latest = self.latest.entry(target).or_insert(Timestamp::ZERO);
             *latest = (*latest).max((*at).min(now));
@@ -104,8 +108,8 @@
 }
 
 impl DecisionModule {
-    /// The greatest age of a copy that purges allow, until all older copies have gone by
-    /// themselves.
+    /// Maximum age of a copy of the request's object by its latest purge. `None` if there was no
+    /// purge, or if all endpoints have dropped older copies since.
     pub(crate) fn purge_max_age(&self, now: Timestamp, request: &Request) -> Option<Duration> {
         let purged_at = self.purges.latest(request);
         let is_recent = purged_at > Timestamp::ZERO && purged_at + self.settings.purge_life() > now;
--- a/crates/decision/src/state/snapshot.rs
+++ b/crates/decision/src/state/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a module knows that another one at its place would have to learn anew: plain data, handed
-//! to the process that replaces this one. Open requests stay here and are no part of it.
+//! Snapshot of what a decision module has learnt, as plain data for the process that replaces this
+//! one. Open requests are not part of it; they stay with this process.
 
 use crate::interface::EndpointId;
 use crate::module::DecisionModule;
@@ -12,82 +12,85 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Bounds of what is taken over beside those of the module's own tables: entries of one endpoint's
-/// load history, ...
+/// Bounds of restored values, in addition to those of the module's own tables. Maximum number of
+/// entries of one endpoint's load history.
 const MAX_LOAD_HISTORY: usize = 10_000;
-/// ...scores, counts and seconds of work, ...
+/// Maximum of scores, counts and seconds of work.
 const MAX_SCORE: f64 = 1e6;
-/// ...requests a second, ...
+/// Maximum request rate, in requests per second.
 const MAX_RATE: f64 = 1e9;
-/// ...and the share of lost responses, which stays below 1.
+/// Maximum share of lost responses. It has to stay below 1.
 const MAX_LOST_SHARE: f64 = 0.9;
 
-/// All that is handed over. The names of the fields are free, their order and types are the format.
+/// State that is handed over to a successor process. The fields are serialized by position: their
+/// order and types are the format, their names are not part of it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecisionSnapshot {
-    /// The endpoints of the list.
+    /// The endpoints that are not removed.
     pub endpoints: Vec<EndpointSnapshot>,
-    /// The classes, by number.
+    /// The classes, by class number.
     pub classes: Vec<ClassSnapshot>,
-    /// Replication levels: hash key of the object, level, and since when.
+    /// Replication levels: hash key of the object and part, level, and time at which the level was
+    /// last raised, confirmed or lowered.
     pub levels: Vec<(u64, u32, Timestamp)>,
-    /// Requests a second, smoothed.
+    /// Requests per second, smoothed.
     pub rate: f64,
-    /// Hash keys of the objects requested lately: in the span that has begun last, and in the one
-    /// before.
+    /// Hash keys of the objects requested lately: in the present span, and in the one before.
     pub seen: [Vec<u64>; 2],
-    /// When the last span began.
+    /// Beginning of the present span.
     pub seen_since: Timestamp,
-    /// Purges: whether of a group, of which object or group, and when.
+    /// Purges: whether it names a group, the number of the group or object, and the time of the
+    /// purge.
     pub purges: Vec<(bool, u64, Timestamp)>,
-    /// Every object counts as purged then.
+    /// Every object counts as purged at this time, because older purges were dropped from a full
+    /// table.
     pub floor: Timestamp,
-    /// Retries that the budget holds.
+    /// Number of retries in the retry budget.
     pub retries: f64,
-    /// Share of responses that are lost.
+    /// Share of responses that are lost, 0 to 1.
     pub lost: f64,
 }
 
-/// What is known of an endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// Its identity.
+    /// The endpoint's identity.
     pub id: u64,
-    /// Since when it may be warming up.
+    /// Start of the warm-up; `None` if the endpoint is warm.
     pub cold_since: Option<Timestamp>,
-    /// Error score, error rate, and overdue score as a parent cache.
+    /// Error score, error rate, and, for a parent cache, overdue score.
     pub blame: [f64; 3],
-    /// When it responded last.
+    /// Time of the last response.
     pub last_ok: Timestamp,
-    /// How often it responds: responses in about ten seconds.
+    /// Number of responses in about the last ten seconds before `last_ok`.
     pub answers: f64,
-    /// Ejected until then.
+    /// End of the ejection; `None` if the endpoint is not ejected.
     pub out: Option<Timestamp>,
-    /// The next ejection lasts this long.
+    /// Duration of the next ejection.
     #[serde(with = "serde_micros")]
     pub backoff: Duration,
-    /// Its process was seen to end.
+    /// Whether the endpoint's process is presumed to have ended.
     pub died: bool,
-    /// Part of the latency objective that its responses take.
+    /// Smoothed ratio of the latency of responses to the latency objective.
     pub tardy: f64,
-    /// Attempts in flight, smoothed, and as of when.
+    /// Smoothed number of attempts in flight, and the time of that value.
     pub load: (f64, Timestamp),
-    /// Work that was sent to it lately: when, and seconds of sending.
+    /// Work that was sent to the endpoint lately: sending time of the attempt, and seconds of work.
     pub ledger: Vec<(Timestamp, f64)>,
 }
 
-/// What is known of a class.
+/// Estimates of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassSnapshot {
-    /// Mean work in seconds, and from how many samples.
+    /// Mean service time in seconds, and the number of samples in it.
     pub work: (f64, f64),
-    /// Mean sending time of the bytes, in seconds.
+    /// Mean sending time of response bytes in seconds; `None` if there were none.
     pub sent: Option<f64>,
-    /// High quantile of latency, as a multiple of the expected latency.
+    /// High quantile of the latency, as a multiple of the expected latency.
     pub slow: f64,
 }
 
-/// A restored number: 0 if it is not finite, else within 0 and `max`.
+/// Makes a restored number valid: 0 if it is not finite, otherwise limited to 0 to `max`.
 fn sanitize(value: f64, max: f64) -> f64 {
     if value.is_finite() {
         value.clamp(0.0, max)
@@ -113,6 +116,8 @@
         }
     }
 
+    /// Sets the state of `endpoint`. Times in the future count as `now`, and invalid numbers are
+    /// replaced by valid ones.
     fn restore_into(&self, now: Timestamp, endpoint: &mut Endpoint) {
         let [error_score, error_rate, overdue_score] = self.blame;
         let warm_up_started = self.cold_since.map(|at| at.min(now));
@@ -147,6 +152,7 @@
         }
     }
 
+    /// Sets the estimate of a class. Does nothing if the service time is not a positive number.
     fn restore_into(&self, estimate: &mut ServiceTimeEstimate) {
         let (work, samples) = self.work;
         if !work.is_finite() || work <= 0.0 {
@@ -160,6 +166,8 @@
 }
 
 impl RequestCounter {
+    /// Restores levels, request rate and the objects that were requested lately. Times in the
+    /// future count as `now`.
     fn restore(&mut self, now: Timestamp, snapshot: &DecisionSnapshot) {
         for (key, level, since) in snapshot.levels.iter().take(MAX_TRACKED_OBJECTS) {
             let entry = ReplicationLevel { level: (*level).min(MAX_LEVEL), since: (*since).min(now) };
@@ -174,7 +182,7 @@
 }
 
 impl DecisionModule {
-    /// What another module could go on with.
+    /// The state that a successor's module can restore.
     pub fn snapshot(&self) -> DecisionSnapshot {
         let counter = &self.request_counter;
         let (purges, floor) = self.purges.list();
@@ -192,19 +200,20 @@
         }
     }
 
-    /// Goes on with what another module knew, after the endpoint list was received. Classes are
-    /// this module's own, by number; what is not finite or lies in the future is not taken.
+    /// Restores the state of a predecessor's module. Called after the endpoint list was received:
+    /// endpoints that are not in it are ignored. The estimates of classes are assigned by class
+    /// number. Numbers that are not finite and times in the future are not adopted.
     pub fn restore(&mut self, now: Timestamp, snapshot: &DecisionSnapshot) {
-        for known in snapshot.endpoints.iter().take(MAX_REMEMBERED_ENDPOINTS) {
-            let id = EndpointId(known.id);
+        for saved in snapshot.endpoints.iter().take(MAX_REMEMBERED_ENDPOINTS) {
+            let id = EndpointId(saved.id);
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-            known.restore_into(now, endpoint);
+            saved.restore_into(now, endpoint);
             if endpoint.warm_up_started.is_some() || endpoint.process_lost {
                 self.warming_up.insert(id);
             }
         }
-        for (estimate, known) in self.service_times.iter_mut().zip(&snapshot.classes) {
-            known.restore_into(estimate);
+        for (estimate, saved) in self.service_times.iter_mut().zip(&snapshot.classes) {
+            saved.restore_into(estimate);
         }
         self.request_counter.restore(now, snapshot);
         self.purges.restore(now, &snapshot.purges, snapshot.floor, MAX_TRACKED_OBJECTS);
