--- a/crates/decision/src/interface/actions.rs
+++ b/crates/decision/src/interface/actions.rs
@@ -1,91 +1,96 @@
-//! Actions: what the decision module has its router do.
+//! Actions: what the decision module tells its router to do.
 
 use crate::interface::{EndpointId, RequestId};
 use std::time::Duration;
 
-/// How a miss at the endpoint is filled, and how the copy is kept.
+/// How an endpoint fills a miss, which copies it may serve, and with which priority it keeps the
+/// copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheFill {
-    /// Where a miss is filled from; `None`: no fill.
+    /// The endpoint that a miss is filled from. `None`: a miss is not filled.
     pub source: Option<EndpointId>,
-    /// Priority at which the copy is retained, 1 to 3, lowest dropped first; 0: passed through.
+    /// Retention priority of the copy, 1 to 3; copies with lower priorities are dropped first. 0:
+    /// the response is passed through without a copy.
     pub retention: u8,
-    /// Greatest age of a copy that may be served; `None`: fresh ones only.
+    /// Maximum age of a copy that may be served. `None`: only fresh copies.
     pub max_age: Option<Duration>,
-    /// Join a fill in flight.
+    /// Whether a miss may join a fill of the same object that is in flight (request coalescing).
     pub coalesce: bool,
-    /// Serve an ageing copy and fetch it anew in the background.
+    /// Whether a stale copy may be served while it is revalidated in the background.
     pub stale_while_revalidate: bool,
-    /// The source gives only what it holds, and fetches nothing.
+    /// Whether the source may serve only what it holds, without a fetch of its own.
     pub only_if_cached: bool,
 }
 
-/// What the router is to do.
+/// An action that the router executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; numbered from 0 per request in the order of sending.
+    /// Sends an attempt. The attempts of a request are numbered from 0 in the order of sending.
     Attempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The endpoint to send it to.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// Its timeout.
+        /// Time after which the attempt fails without a response.
         timeout: Duration,
-        /// How a miss is filled.
+        /// How the endpoint fills a miss.
         fill: CacheFill,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request.
         attempt: u16,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Final answer: the request is rejected, and may be sent again without the risk that it runs
+    /// twice.
     Refuse {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
-        /// Delay before the retry; zero: no advice.
+        /// Delay that the client is advised to wait before it sends the request again; zero for no
+        /// advice.
         retry_after: Duration,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: the request has failed, and may have run.
     Fail {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
     },
-    /// Hand back [`Event::Timer`](crate::Event::Timer).
+    /// Sets a timer; when it expires, the router passes [`Event::Timer`](crate::Event::Timer).
     Timer {
-        /// After this long.
+        /// Time until the timer expires.
         after: Duration,
-        /// With this token.
+        /// Token that the event returns.
         token: u64,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
-    /// Request the whole endpoint list once.
+    /// Requests the complete endpoint list once.
     FetchHosts,
-    /// Probe an endpoint.
+    /// Sends an active health probe, whose result arrives as
+    /// [`Event::Probed`](crate::Event::Probed).
     Probe {
-        /// The endpoint.
+        /// The endpoint that is probed.
         endpoint: EndpointId,
     },
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
 
 impl Action {
-    /// An [`Action::Timer`].
+    /// Creates an [`Action::Timer`].
     pub fn timer(after: Duration, token: u64) -> Action {
         Action::Timer { after, token }
     }
 
-    /// An [`Action::Cancel`].
+    /// Creates an [`Action::Cancel`] for the attempt with this number.
     pub fn cancel(request: RequestId, attempt: usize) -> Action {
         let attempt = u16::try_from(attempt).unwrap_or(u16::MAX);
         Action::Cancel { request, attempt }
     }
 
-    /// An [`Action::Refuse`].
+    /// Creates an [`Action::Refuse`]; a `retry_after` of zero gives no advice.
     pub fn refuse(request: RequestId, retry_after: Duration) -> Action {
         Action::Refuse { request, retry_after }
     }
--- a/crates/decision/src/interface/classes.rs
+++ b/crates/decision/src/interface/classes.rs
@@ -1,57 +1,62 @@
-//! Classes of requests: objectives, priorities, and how far a request may be repeated.
+//! Request classes: latency objectives, priorities, and whether requests may be repeated.
 
 use std::time::Duration;
 
-/// Whether requests of a class may be repeated once an attempt may have run.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// They may be repeated and rejected at any time.
+    /// The request may be repeated and rejected at any time.
     Idempotent,
-    /// Repeats are dropped by the endpoints of one scope, for a limited time.
+    /// The request has an idempotency key: the endpoints of one scope drop repeats within the
+    /// idempotency window.
     WithKey,
-    /// Never once an attempt may have run.
+    /// The request must not be sent again after an attempt that may have run.
     NotIdempotent,
 }
 
-/// Which endpoints recognise repeats of a request with a key together.
+/// The set of endpoints that recognise repeats of a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Any endpoint.
+    /// All endpoints together.
     All,
-    /// Endpoints of the same zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Endpoints of the same cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// One class of requests.
+/// Attributes of one class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time has its full priority weight...
+    /// Fixed part of the latency objective. A response within the latency objective earns the full
+    /// priority weight.
     pub latency_objective: Duration,
-    /// ...plus this multiple of the request's own sending time.
+    /// Part of the latency objective that depends on the size: this multiple of the request's own
+    /// sending time.
     pub latency_objective_stretch: f64,
-    /// How long the client waits in all.
+    /// Time that the client waits for a response.
     pub deadline: Duration,
-    /// Priority of a request against those of other classes.
+    /// Weight of a request against requests of other classes, at least 0.
     pub priority_weight: f64,
-    /// Share of the priority weight that a late response still has.
+    /// Fraction of the priority weight that a late response earns, 0 to 1.
     pub late_weight: f64,
-    /// Whether it may be repeated.
+    /// Whether requests may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// With [`Idempotency::WithKey`]: which endpoints drop repeats...
+    /// With [`Idempotency::WithKey`]: the endpoints that drop repeats.
     pub scope: DeduplicationScope,
-    /// ...and for how long after the first attempt that may have run.
+    /// With [`Idempotency::WithKey`]: the idempotency window, which begins with the first attempt
+    /// that may have run.
     pub window: Duration,
-    /// Responses are streamed.
+    /// Whether responses are streamed to the client.
     pub stream: bool,
-    /// Requests run at the origin and leave no copy.
+    /// Whether requests are writes, which run at the origin and leave no copy.
     pub write: bool,
-    /// How long a copy is fresh; zero: until purged.
+    /// Time for which a copy is fresh; zero if it is fresh until it is purged.
     pub fresh: Duration,
-    /// How much older a copy may be where a stale one is accepted.
+    /// Grace period: time for which a copy may be served after it has become stale, where stale
+    /// copies are accepted.
     pub grace: Duration,
-    /// Share of the priority weight that a stale copy has.
+    /// Fraction of the priority weight that a stale copy earns, 0 to 1.
     pub stale_weight: f64,
 }
 
--- a/crates/decision/src/interface/endpoints.rs
+++ b/crates/decision/src/interface/endpoints.rs
@@ -1,53 +1,55 @@
-//! The endpoint list.
+//! Entries of the endpoint list.
 
 use crate::time::Timestamp;
 
-/// An opaque endpoint identity, the same at every router. Its value has no meaning; it may be
-/// hashed.
+/// Opaque identity of an endpoint, the same at every router. Its value has no meaning, except that
+/// it may be hashed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// Whether an endpoint takes work.
+/// Lifecycle state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes new requests.
+    /// The endpoint accepts new requests.
     #[default]
     Ready,
-    /// Finishes the requests that it has and takes no new ones.
+    /// The endpoint finishes its open requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The endpoint was removed from the list.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Its identity.
+    /// Identity of the endpoint.
     pub id: EndpointId,
-    /// Its cell.
+    /// Cell that the endpoint is in; see
+    /// [`DeduplicationScope::Cell`](crate::DeduplicationScope::Cell).
     pub cell: u16,
-    /// Its zone.
+    /// Zone that the endpoint is in.
     pub zone: u16,
-    /// Its kind; the settings say which kinds are parent caches and origins.
+    /// Kind of endpoint. The settings define which kinds are parent caches and origins.
     pub kind: u16,
-    /// Its weight, comparable across endpoints.
+    /// Size of the endpoint, comparable across endpoints; its meaning is set by
+    /// [`ListedWeights`](crate::ListedWeights).
     pub weight: f64,
-    /// Whether it takes work.
+    /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// When it last started; [`Timestamp::ZERO`]: long past.
+    /// Time at which its process last started; [`Timestamp::ZERO`] if that was long ago.
     pub started: Timestamp,
-    /// The endpoint whose address it took over: what was sent there since it started reached this
-    /// one.
+    /// The endpoint whose address this one took over, if any. Requests that were sent to that
+    /// address since `started` have reached this endpoint.
     pub in_place_of: Option<EndpointId>,
 }
 
-/// How complete a list is.
+/// How complete a received list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta,
-    /// All endpoints; one that is not in it was removed.
+    /// All endpoints; those not in the list were removed.
     Full,
-    /// All endpoints as this router last had them, perhaps outdated.
+    /// All endpoints as this router last knew them; the list may be outdated.
     Cached,
 }
--- a/crates/decision/src/interface/events.rs
+++ b/crates/decision/src/interface/events.rs
@@ -1,86 +1,87 @@
-//! Events: what a router hands to its decision module.
+//! Events: what a router passes to its decision module.
 
 use crate::interface::{AttemptOutcome, AttemptStatus, EndpointEntry, EndpointId, ListKind};
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Identifies a request while it is open; never seen twice by one router.
+/// Number of a request at one router, unique for as long as the router runs.
 pub type RequestId = u32;
 
-/// A client's request.
+/// A client's request for one part of an object.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Number of the request.
     pub id: RequestId,
-    /// Its class, by index.
+    /// Number of its class, the index in [`Settings::classes`](crate::Settings::classes).
     pub class: u16,
-    /// The object requested.
+    /// Number of the requested object.
     pub object: u64,
-    /// The part of the object.
+    /// Number of the requested part of the object.
     pub part: u32,
-    /// The object's group, as purges may name it.
+    /// Group of the object; purges may name it.
     pub group: u32,
-    /// The part's size in KB, where known.
+    /// Size of the part in KB; `None` if it is not known.
     pub size_kb: Option<f64>,
-    /// When the client stops waiting.
+    /// Time until which the client waits.
     pub deadline: Timestamp,
-    /// The client marked it as a repeat of an earlier request.
+    /// Whether the client marked it as a repeat of an earlier request.
     pub repeat: bool,
-    /// It is a write.
+    /// Whether it is a write, in addition to the writes by class.
     pub write: bool,
 }
 
-/// A purge that is announced to this router.
+/// A purge of an object or of an object group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// How long ago it happened.
+    /// Time since the purge.
     pub since: Duration,
-    /// The object with all parts, or `None`: the whole group.
+    /// The object, of which all parts are purged. `None`: the whole group is purged.
     pub object: Option<u64>,
-    /// The group.
+    /// The group; ignored if an object is named.
     pub group: u32,
 }
 
-/// What happens while a router runs.
+/// An event that the router observed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Entries of the endpoint list.
+    /// The router received entries of the endpoint list.
     EndpointList {
-        /// How complete they are.
+        /// How complete the entries are.
         kind: ListKind,
-        /// The entries.
+        /// The received entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A call for the endpoint list failed; the old list stays in force.
+    /// A request for the endpoint list failed; the last list stays in force.
     EndpointListFailed,
-    /// A client's request.
+    /// A client sent a request.
     Request(Request),
-    /// A streamed response has begun; the attempt belongs to the client from now on.
+    /// An attempt's streamed response has begun. From now on the client receives it, and the module
+    /// neither repeats nor cancels the attempt.
     Started {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request.
         attempt: u16,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptOutcome(AttemptOutcome),
-    /// The client has left; no answer is due.
+    /// The client has withdrawn its request; no final answer is sent.
     Withdrawn {
-        /// The request.
+        /// The request that was withdrawn.
         request: RequestId,
     },
-    /// A timer of the module is due.
+    /// A timer that the module set has expired.
     Timer {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
     },
-    /// A purge.
+    /// The router received a purge.
     Purged(Purge),
-    /// A probe came back.
+    /// A probe has ended.
     Probed {
-        /// The endpoint probed.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How the probe ended.
+        /// Result of the probe.
         status: AttemptStatus,
     },
 }
--- a/crates/decision/src/interface/mod.rs
+++ b/crates/decision/src/interface/mod.rs
@@ -1,7 +1,5 @@
-//! The interface of the decision module: settings, endpoint list, events and actions, as plain
-//! types.
-//!
-//! Nothing here decides anything.
+//! The interface of the decision module: settings, endpoint list, events, actions and outcomes as
+//! plain types. The decisions are in `policy`.
 
 mod actions;
 mod classes;
--- a/crates/decision/src/interface/outcomes.rs
+++ b/crates/decision/src/interface/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts end.
+//! Outcomes of attempts.
 
 use crate::interface::{EndpointId, RequestId};
 use std::time::Duration;
@@ -6,54 +6,56 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Served.
+    /// The endpoint served the request.
     Ok,
-    /// No usable copy, and none was filled; did not run.
+    /// The endpoint has no usable copy and did not fill the miss. The request did not run.
     Miss,
-    /// The endpoint returned an error; may have run.
+    /// The endpoint returned an error. The request may have run.
     Error,
-    /// Rejected for lack of capacity, or its source refused or was not reached; did not run.
+    /// The endpoint rejected the request for lack of capacity, or because its fill source refused
+    /// or was not reached. The request did not run.
     Full,
-    /// No response in time; may have run.
+    /// No response arrived before the timeout. The request may have run.
     Timeout,
-    /// No connection; did not run.
+    /// The connection failed. The request did not run.
     ConnectFailed,
-    /// No connection came up while one was waited for; did not run. It may yet come up.
+    /// No connection was established while the attempt waited for one. The request did not run. The
+    /// connection may still be established later.
     Unreached,
-    /// The connection broke; may have run.
+    /// The connection broke. The request may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
 impl AttemptStatus {
-    /// Whether this outcome proves that the attempt did not run.
+    /// Whether this status proves that the request did not run at the endpoint.
     pub fn never_ran(self) -> bool {
         use AttemptStatus::{ConnectFailed, Full, Miss, Moot, Unreached};
         matches!(self, Miss | Full | ConnectFailed | Unreached | Moot)
     }
 }
 
-/// What an outcome reports of its fill.
+/// What an endpoint reports of the copy or fill behind an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Served from a copy at the endpoint.
+    /// A copy at the endpoint was served.
     Hit,
-    /// Filled from the source's copy.
+    /// The miss was filled from a copy at the fill source.
     Filled,
-    /// Filled by way of the origin.
+    /// The miss was filled by way of the origin.
     FilledByOrigin,
-    /// Joined a fill in flight; on a miss: there is one.
+    /// The request joined a fill in flight. With [`AttemptStatus::Miss`]: such a fill is in flight.
     Joined,
-    /// Served from a copy past its fresh time.
+    /// A stale copy was served.
     Stale,
-    /// The source refused.
+    /// The fill source refused the fill.
     SourceRefused,
-    /// The source was not reached, broke off or was too slow.
+    /// The fill source was not reached, broke off or was too slow.
     SourceUnreachable,
-    /// The source lacks it.
+    /// The fill source does not have the object.
     SourceLacks,
     /// The cache has no capacity for another fill.
     NoFillPlace,
@@ -64,20 +66,20 @@
 /// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number, from 0 in the order of sending.
+    /// Number of the attempt within its request, from 0 in the order of sending.
     pub attempt: u16,
-    /// The endpoint it went to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Time since it was sent.
+    /// Time from sending to the end.
     pub latency: Duration,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// The request is finished, by this or an earlier outcome.
+    /// Whether the request is finished, by this or an earlier outcome.
     pub ended: bool,
-    /// What is reported of the fill.
+    /// What the endpoint reported of copy or fill; `None` if nothing was reported.
     pub note: Option<CacheStatus>,
-    /// Its own sending time in seconds, where what came back shows it.
+    /// Sending time of the response's bytes in seconds; `None` if the response does not show it.
     pub work: Option<f64>,
 }
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -1,121 +1,126 @@
-//! The settings of a router, and which of them are impossible.
+//! The settings of a router and their validation.
 
 use crate::interface::{Request, RequestClass};
 use std::time::Duration;
 
-/// A purge counts for this much longer than endpoints say that they need to drop purged copies.
+/// A purge stays in effect for this much longer than endpoints are said to take to drop purged
+/// copies.
 const PURGE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Which other edge caches may be the source of a fill.
+/// Which other edge caches a miss may be filled from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiblingCaches {
-    /// None.
+    /// No other edge cache.
     None,
-    /// Caches of the router's own zone.
+    /// The edge caches of the router's own zone.
     Location,
-    /// Caches of any zone.
+    /// The edge caches of all zones.
     Any,
 }
 
-/// What outcomes report of hits and fills.
+/// Which details of hits and fills outcomes report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatusReporting {
-    /// Nothing: a hit can't be told from a fill.
+    /// No details: hits are not distinguished from fills.
     None,
-    /// Hits, fills and stale copies are distinguished; failures carry no cause.
+    /// Hits, fills and stale copies are distinguished; failures have no cause.
     Hit,
-    /// Everything is reported, the cause of a failed fill too.
+    /// All details, the causes of failed fills included.
     All,
 }
 
 /// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// They are sent by themselves.
+    /// Changes are sent without a subscription.
     Push,
-    /// Only after a subscription.
+    /// Changes are sent only after a subscription.
     Ask,
 }
 
-/// What the weights of the endpoint list mean.
+/// Meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedWeights {
-    /// Nothing: they are ignored.
+    /// The weights have no meaning and are ignored.
     None,
-    /// An endpoint's size, exactly or roughly, the same in every list.
+    /// The weight is the endpoint's size, exactly or roughly, and the same in every list.
     Size,
-    /// A size that changes with load from one list to the next.
+    /// The weight is a size that changes with the load from list to list.
     Live,
 }
 
 /// The settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Request classes, by index.
+    /// Request classes, by class number.
     pub classes: Vec<RequestClass>,
-    /// The zone of this router.
+    /// Zone that this router is in.
     pub zone: u16,
-    /// Number of routers in all.
+    /// Number of routers in all zones, at least 1.
     pub router_count: u32,
-    /// Number of routers by zone; empty if not known.
+    /// Number of routers by zone; empty if it is not known.
     pub router_count_by_zone: Vec<u32>,
-    /// Kind of the endpoints that are parent caches, if there are any.
+    /// Kind of endpoint that is a parent cache; `None` if there are no parent caches.
     pub parent_kind: Option<u16>,
-    /// Kind of the endpoints that are the origin.
+    /// Kind of endpoint that is the origin; `None` if no endpoint is the origin.
     pub origin_kind: Option<u16>,
-    /// Requests may go to a parent cache or the origin directly.
+    /// Whether requests may be sent to a parent cache or the origin directly.
     pub bypass_edge_cache: bool,
-    /// A request may join a fill in flight (request coalescing).
+    /// Whether a request may join a fill in flight (request coalescing).
     pub coalesce_fills: bool,
-    /// Which edge caches may be the source of a fill.
+    /// Which other edge caches a miss may be filled from.
     pub sibling_caches: SiblingCaches,
-    /// What outcomes report of hits and fills.
+    /// Which details of hits and fills outcomes report.
     pub cache_status_reporting: CacheStatusReporting,
-    /// Greatest speed of one transfer to a client, in KB per second; 0: not known.
+    /// Maximum rate of one transfer to a client, in KB per second; 0 if it is not known.
     pub flow_kb_per_s: f64,
-    /// What the weights of the endpoint list mean.
+    /// Meaning of the weights in the endpoint list.
     pub weights: ListedWeights,
-    /// How the endpoint list arrives.
+    /// How changes of the endpoint list arrive.
     pub discovery: Discovery,
-    /// With [`Discovery::Ask`]: after this long without a list the old one counts as confirmed.
+    /// With [`Discovery::Ask`]: time without a new list after which the last one counts as
+    /// confirmed.
     pub list_silence_timeout: Duration,
-    /// From this long after a purge was announced, no older copy may be served.
+    /// Time after the announcement of a purge from which on no copy older than the purge may be
+    /// served.
     pub purge_slack: Duration,
-    /// After this long endpoints have dropped purged copies themselves.
+    /// Time after a purge within which endpoints drop purged copies by themselves.
     pub purge_done: Duration,
-    /// No attempts may be sent to a draining or removed endpoint after this long.
+    /// Time after which no attempts may be sent to a draining or removed endpoint.
     pub drain_grace: Duration,
-    /// A final answer still counts this long after the client's deadline.
+    /// Time after the client's deadline within which a final answer still counts.
     pub answer_slack: Duration,
-    /// A cache starts at this share of its capacity or more...
+    /// Minimum fraction of its capacity, 0 to 1, that an edge cache has right after its start.
     pub warm_up_floor: f64,
-    /// ...and is warm after this long at the latest.
+    /// Time after its start at which an edge cache has its full capacity at the latest.
     pub warm_up_period: Duration,
-    /// It fails at this multiple of its present capacity...
+    /// An edge cache that warms up fails at this multiple of its present capacity; 0: no budget
+    /// limits its warm-up.
     pub overload_multiple: f64,
-    /// ...sustained for this long (edge and parent caches).
+    /// Time for which an edge or parent cache must be overloaded to fail.
     pub overload_window: Duration,
-    /// A parent cache starts at this share of its capacity or more...
+    /// Minimum fraction of its capacity, 0 to 1, that a parent cache has right after its start.
     pub parent_warm_up_floor: f64,
-    /// ...and is warm after this long at the latest.
+    /// Time after its start at which a parent cache has its full capacity at the latest.
     pub parent_warm_up_period: Duration,
-    /// A parent cache that warms up fails at this multiple.
+    /// A parent cache that warms up fails at this multiple of its present capacity; 0: no budget
+    /// limits its warm-up.
     pub parent_overload_multiple: f64,
-    /// The origin stops for a while at this multiple of its capacity; 0: it never does.
+    /// The origin stops for some time at this multiple of its capacity; 0: it never does.
     pub origin_overload_multiple: f64,
-    /// Greatest number of attempts of one request.
+    /// Maximum number of attempts of one request, at least 1.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at the same time (hedged requests).
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Rejections advise clients when to retry.
+    /// Whether rejections advise clients how long to wait before they send the request again.
     pub retry_after: bool,
-    /// The longest such delay that clients honour.
+    /// Longest such delay that clients observe.
     pub max_retry_after: Duration,
-    /// A connection not made within this time has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Duration,
 }
 
@@ -160,8 +165,8 @@
 }
 
 impl Settings {
-    /// Checks that a router could work under these settings; the error names the first field that
-    /// rules it out.
+    /// Checks whether a router can work with these settings. The error names the first invalid
+    /// field.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_at_least_one("dispatchers", self.router_count)?;
         check_at_least_one("max_attempts", self.max_attempts)?;
@@ -177,25 +182,25 @@
         Ok(())
     }
 
-    /// The class of a request; its class number must be one of the settings.
+    /// The class of a request. Panics if the request's class number is not in the settings.
     pub fn class(&self, request: &Request) -> &RequestClass {
         &self.classes[usize::from(request.class)]
     }
 
-    /// How long a purge counts: until endpoints have dropped purged copies themselves, and a little
-    /// more.
+    /// Time for which a purge is in effect: until endpoints have dropped purged copies by
+    /// themselves, plus a margin of 1 s.
     pub fn purge_life(&self) -> Duration {
         self.purge_done + PURGE_MARGIN
     }
 
-    /// The sending time of a request in seconds, where its size is known.
+    /// Sending time of a request in seconds; `None` if its size or the transfer rate is not known.
     pub(crate) fn known_work(&self, request: &Request) -> Option<f64> {
         let size_kb = request.size_kb.filter(|_| self.flow_kb_per_s > 0.0)?;
         Some(size_kb / self.flow_kb_per_s)
     }
 
-    /// How many routers share an endpoint: those of its zone if only they use it and their number
-    /// is known, else all.
+    /// Number of routers that share an endpoint of the zone `zone`: those of the zone if only they
+    /// use it and their number is known, otherwise all.
     pub(crate) fn sharing(&self, zone_only: bool, zone: u16) -> u32 {
         let in_zone = self.router_count_by_zone.get(usize::from(zone)).copied();
         in_zone.filter(|count| *count > 0 && zone_only).unwrap_or(self.router_count)
@@ -207,11 +212,11 @@
 }
 
 fn check_share(field: &str, value: f64) -> Result<(), SettingsError> {
-    check((0.0..=1.0).contains(&value), field, "a share lies between 0 and 1")
+    check((0.0..=1.0).contains(&value), field, "must be between 0 and 1")
 }
 
 fn check_number(field: &str, value: f64) -> Result<(), SettingsError> {
-    check(value.is_finite() && value >= 0.0, field, "must be a number of 0 or more")
+    check(value.is_finite() && value >= 0.0, field, "must be a finite number of at least 0")
 }
 
 fn check(is_valid: bool, field: &str, why: &'static str) -> Result<(), SettingsError> {
@@ -222,15 +227,15 @@
     }
 }
 
-/// Settings that no router could work under.
+/// The reason why settings were rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A field holds a value outside of its range.
+    /// The value of a field is out of range.
     #[error("setting {field}: {why}")]
     Invalid {
-        /// The field's name, with its index where it is one of several.
+        /// Name of the field, with its index if it belongs to a class.
         field: String,
-        /// What is wrong with it.
+        /// The condition that the value violates.
         why: &'static str,
     },
 }
