--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -1,4 +1,4 @@
-//! Events in, actions out: each event goes to the rules that it is for.
+//! Dispatch of events to the rules that handle them.
 
 use crate::interface::{Action, Discovery, EndpointEntry, EndpointState, Event, ListKind};
 use crate::module::DecisionModule;
@@ -6,13 +6,14 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// After a call for the endpoint list failed, the next one comes after this long.
+/// Delay before the endpoint list is requested again after a request for it failed.
 const RESUBSCRIBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Ejected endpoints are logged no more often than this.
+/// Minimum interval between two log lines about ejected endpoints.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl DecisionModule {
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event that happened at `now`, and appends to `actions` what the router must do,
+    /// in order. `now` must not be earlier than that of the event before.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, entries } => self.on_endpoint_list(kind, entries, actions),
@@ -38,6 +39,8 @@
         }
     }
 
+    /// Applies entries of the endpoint list. Endpoints that have started begin to warm up. The
+    /// first list makes the module subscribe to changes, if changes have to be subscribed to.
     fn on_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>, actions: &mut Vec<Action>) {
         for id in self.endpoints.apply(&self.settings, kind, entries) {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Logs which endpoints are ejected, at most once in a [`LOG_INTERVAL`].
+    /// Logs the ready endpoints that are ejected, at most once per [`LOG_INTERVAL`].
     pub(crate) fn log_ejected(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if now < self.last_log + LOG_INTERVAL {
             return;
--- a/crates/decision/src/insight.rs
+++ b/crates/decision/src/insight.rs
@@ -1,19 +1,19 @@
-//! What the module reports of itself: it decides nothing.
+//! Counts about the module's state for metrics.
 
 use crate::interface::EndpointState;
 use crate::module::DecisionModule;
 
-/// The endpoints of the list, and those that get no work now.
+/// Number of listed endpoints, and of those among them that get no new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rotation {
-    /// In the list: ready or draining.
+    /// Endpoints in the list that are ready or draining.
     pub listed: usize,
-    /// Among them: draining, or ejected until a recovery probe request succeeds.
+    /// Endpoints among them that are draining, or that are ejected until a recovery probe succeeds.
     pub avoided: usize,
 }
 
 impl DecisionModule {
-    /// How many endpoints are in the list, and how many of them are avoided.
+    /// Counts the endpoints of the list, and those that get no new requests.
     pub fn rotation(&self) -> Rotation {
         let mut rotation = Rotation::default();
         for endpoint in self.endpoints.listed() {
--- a/crates/decision/src/reconfigure.rs
+++ b/crates/decision/src/reconfigure.rs
@@ -1,17 +1,23 @@
-//! New settings for a module in service.
+//! Change of the settings of a module in service.
 
 use crate::interface::{RequestClass, Settings, SettingsError};
 use crate::module::DecisionModule;
 use crate::state::ServiceTimeEstimate;
 
 impl DecisionModule {
-    /// Goes on under other settings; what is impossible changes nothing. `from` holds for each
-    /// class the one, by its number until now, whose estimates it takes. Requests under way keep
-    /// their class's number, which must mean the same class as before, and get no more attempts
-    /// than they were accepted with, or than are allowed now.
-    pub fn reconfigure(&mut self, settings: Settings, from: &[Option<usize>]) -> Result<(), SettingsError> {
+    /// Replaces the settings. Returns an error and changes nothing if a setting is invalid.
+    ///
+    /// `previous_classes` holds for each new class the number of the old class whose estimates it
+    /// takes over, or `None` for a class without a predecessor. Open requests keep their class
+    /// number, which must stand for the same class as before. They get at most the lower of the
+    /// number of attempts at their acceptance and the new limit.
+    pub fn reconfigure(
+        &mut self,
+        settings: Settings,
+        previous_classes: &[Option<usize>],
+    ) -> Result<(), SettingsError> {
         settings.check()?;
-        let previous_class = |index: usize| from.get(index).copied().flatten();
+        let previous_class = |index: usize| previous_classes.get(index).copied().flatten();
         let estimates = settings
             .classes
             .iter()
@@ -27,7 +33,8 @@
         Ok(())
     }
 
-    /// The estimate that a class starts with: that of its previous number, if there was one.
+    /// Initial estimate of a new class: that of the old class with the number `previous`, or a
+    /// default.
     fn estimate_for(&self, class: &RequestClass, previous: Option<usize>) -> ServiceTimeEstimate {
         let estimate = previous.and_then(|index| self.service_times.get(index));
         let old_class = previous.and_then(|index| self.settings.classes.get(index));
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings by path, as both the simulator's protocol and the configuration file give them.
+//! Parser of settings that are given as a map from path to value, which the simulator's protocol
+//! and the configuration file have in common.
 
 use crate::interface::{
     CacheStatusReporting, DeduplicationScope, Discovery, Idempotency, ListedWeights, RequestClass, Settings,
@@ -32,29 +33,30 @@
     ("zone", DeduplicationScope::Zone),
     ("cell", DeduplicationScope::Cell),
 ];
-/// Stands for "no such kind".
+/// Kind in the settings that stands for "no endpoint has this role".
 const NO_KIND: i64 = -1;
 
-/// A setting that can't be read.
+/// A value of the settings that can't be parsed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("setting {key}: can't read {value:?}")]
 pub struct SettingParseError {
-    /// The path.
+    /// Path of the setting.
     pub key: String,
-    /// The value that stands there.
+    /// Value as given.
     pub value: String,
 }
 
-/// Settings as path and value, a list of objects with its length under `.count`.
+/// Settings as a map from path to value. The length of a list of objects is the value at the path
+/// of the list with `.count` appended.
 pub struct SettingsMap(BTreeMap<String, String>);
 
 impl SettingsMap {
-    /// Settings by path.
+    /// Settings from a map of path to value.
     pub fn new(map: BTreeMap<String, String>) -> SettingsMap {
         SettingsMap(map)
     }
 
-    /// One value, or none where it is absent or empty.
+    /// The parsed value at a path. `None` if it is absent or empty; an error if it can't be parsed.
     pub fn read<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingParseError> {
         match self.non_empty(key) {
             None => Ok(None),
@@ -62,17 +64,20 @@
         }
     }
 
-    /// A comma-separated list; empty if absent.
+    /// The parsed elements of a comma-separated list, empty if the value is absent or empty.
+    /// Returns an error if an element can't be parsed.
     pub fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>, SettingParseError> {
         let Some(values) = self.non_empty(key) else { return Ok(Vec::new()) };
         let parse = |value: &str| value.trim().parse().map_err(|_| self.unreadable(key));
         values.split(',').map(parse).collect()
     }
 
+    /// The value at a path, unless it is absent or empty.
     fn non_empty(&self, key: &str) -> Option<&String> {
         self.0.get(key).filter(|value| !value.is_empty())
     }
 
+    /// Replaces `target` by a finite number, if there is a value.
     fn read_number(&self, key: &str, target: &mut f64) -> Result<(), SettingParseError> {
         match self.read::<f64>(key)? {
             Some(value) if !value.is_finite() => return Err(self.unreadable(key)),
@@ -82,6 +87,7 @@
         Ok(())
     }
 
+    /// Replaces `target` by the parsed value, if there is one.
     fn read_value<T: FromStr>(&self, key: &str, target: &mut T) -> Result<(), SettingParseError> {
         if let Some(value) = self.read(key)? {
             *target = value;
@@ -89,7 +95,7 @@
         Ok(())
     }
 
-    /// A duration in microseconds.
+    /// Replaces `target` by a duration that is given in microseconds, if there is a value.
     fn read_duration(&self, key: &str, target: &mut Duration) -> Result<(), SettingParseError> {
         if let Some(micros) = self.read(key)? {
             *target = Duration::from_micros(micros);
@@ -101,7 +107,8 @@
         Ok(self.list(key)?.into_iter().map(Duration::from_micros).collect())
     }
 
-    /// One of several words; unlike other values it must not be empty.
+    /// Replaces `target` by the meaning of one of `words`, if there is a value. Unlike other
+    /// values, it must not be empty.
     fn read_word<T: Copy>(
         &self,
         key: &str,
@@ -115,6 +122,7 @@
         Ok(())
     }
 
+    /// The kind of endpoint at a path. `None` if it is absent or [`NO_KIND`].
     fn kind(&self, key: &str) -> Result<Option<u16>, SettingParseError> {
         match self.read::<i64>(key)? {
             None | Some(NO_KIND) => Ok(None),
@@ -122,13 +130,16 @@
         }
     }
 
+    /// The error for a value that can't be parsed.
     fn unreadable(&self, key: &str) -> SettingParseError {
         let value = self.0.get(key).cloned().unwrap_or_default();
         SettingParseError { key: key.to_string(), value }
     }
 }
 
-/// Reads the settings; unknown keys are skipped, absent ones keep their defaults.
+/// Parses the settings of a router. Unknown paths are ignored, and absent ones keep their defaults.
+/// Returns an error for the first value that can't be parsed; impossible values are found by
+/// [`Settings::check`].
 pub fn parse_settings(map: &SettingsMap) -> Result<Settings, SettingParseError> {
     let mut settings = Settings::default();
     map.read_value("az", &mut settings.zone)?;
@@ -179,7 +190,8 @@
     map.read_duration("limits.dialTimeout", &mut settings.connect_timeout)
 }
 
-/// Some attributes of classes stand in lists by class number, the others under the class.
+/// Parses the classes. Some attributes are given as lists by class number, the others at paths
+/// below the class.
 fn read_classes(map: &SettingsMap, settings: &mut Settings) -> Result<(), SettingParseError> {
     let count: u16 = map.read("classes.count")?.unwrap_or(0);
     let write: Vec<bool> = map.list("familyInfo.classWrite")?;
