--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small site, and a decision module that is driven through its interface.
+//! Test harness: a small site, and a decision module that is driven through its public interface.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Kinds of endpoints; edge caches have kind 0.
+/// Kinds of endpoints in the endpoint list; edge caches have kind 0.
 pub const PARENT: u16 = 1;
 pub const ORIGIN: u16 = 2;
-/// When the tests begin.
+/// Time at which each test begins.
 pub const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 /// A class of idempotent requests.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Settings of one of two routers, in zone 0.
+/// Settings of one of two routers, in zone 0, with the other router in zone 1.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class()],
@@ -55,7 +55,7 @@
     }
 }
 
-/// An entry of the endpoint list that is ready.
+/// A ready entry of the endpoint list with a size of 8.
 pub fn entry(id: u64, zone: u16, kind: u16) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(id),
@@ -69,7 +69,8 @@
     }
 }
 
-/// Four caches here (1 to 4), two elsewhere, three parents (21 to 23), an origin (31).
+/// Four edge caches in zone 0 (1 to 4), two in zone 1 (11 and 12), three parent caches (21 to 23)
+/// and an origin (31).
 pub fn endpoint_list() -> Vec<EndpointEntry> {
     let mut all: Vec<_> = (1..=4).map(|i| entry(i, 0, 0)).collect();
     all.extend((11..=12).map(|i| entry(i, 1, 0)));
@@ -78,23 +79,23 @@
     all
 }
 
-/// A decision module, the time, and the last request.
+/// A decision module with the current time and the number of the last request.
 pub struct Harness {
     pub module: DecisionModule,
     pub now: Timestamp,
     pub last_request: RequestId,
 }
 
-/// An attempt that was sent.
+/// An attempt that the module has sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub id: RequestId,
     pub endpoint: u64,
     pub fill: CacheFill,
 }
 
 impl Harness {
-    /// A module that has received the endpoint list.
+    /// A harness whose module has received the endpoint list.
     pub fn new(settings: Settings) -> Harness {
         let module = DecisionModule::new(settings, 5).unwrap();
         let mut harness = Harness { module, now: START, last_request: 1 };
@@ -102,19 +103,19 @@
         harness
     }
 
-    /// The actions that follow an event.
+    /// Passes an event to the module and returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.module.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// The module receives an endpoint list.
+    /// Passes an endpoint list to the module.
     pub fn apply_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
         self.event(Event::EndpointList { kind, entries });
     }
 
-    /// The actions that follow a request.
+    /// Sends a request for a part of an object, and returns the actions.
     pub fn request_part(&mut self, object: u64, part: u32, class: u16) -> Vec<Action> {
         self.last_request += 1;
         let request = Request {
@@ -131,73 +132,73 @@
         self.event(Event::Request(request))
     }
 
-    /// The attempt that follows a request of the first part of an object.
-    pub fn request(&mut self, object: u64) -> Sent {
-        sent(&self.request_part(object, 0, 0)).expect("an attempt")
+    /// Sends a request for part 0 of an object, and returns the attempt. Panics if none is sent.
+    pub fn request(&mut self, object: u64) -> SentAttempt {
+        sent_attempt(&self.request_part(object, 0, 0)).expect("the request must cause an attempt")
     }
 
-    /// An attempt ends after a tenth of a second.
+    /// Ends an attempt with a latency of 100 ms, and returns the actions.
     pub fn end_attempt(
         &mut self,
-        s: &Sent,
+        sent: &SentAttempt,
         attempt: u16,
         status: AttemptStatus,
-        note: Option<CacheStatus>,
+        cache_status: Option<CacheStatus>,
     ) -> Vec<Action> {
-        self.end_attempt_after(s, attempt, status, note, Duration::from_millis(100))
+        self.end_attempt_after(sent, attempt, status, cache_status, Duration::from_millis(100))
     }
 
-    /// An attempt ends after that long.
+    /// Ends an attempt with the given latency, and returns the actions.
     pub fn end_attempt_after(
         &mut self,
-        s: &Sent,
+        sent: &SentAttempt,
         attempt: u16,
         status: AttemptStatus,
-        note: Option<CacheStatus>,
+        cache_status: Option<CacheStatus>,
         latency: Duration,
     ) -> Vec<Action> {
         self.event(Event::AttemptOutcome(AttemptOutcome {
-            request: s.id,
+            request: sent.id,
             attempt,
-            endpoint: EndpointId(s.endpoint),
+            endpoint: EndpointId(sent.endpoint),
             latency,
             status,
             ended: status == AttemptStatus::Ok,
-            note,
+            note: cache_status,
             work: None,
         }))
     }
 
-    /// A request that is served as a hit; its attempt.
-    pub fn serve(&mut self, object: u64) -> Sent {
-        let s = self.request(object);
-        self.end_attempt(&s, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
-        s
+    /// Sends a request for an object and serves it as a hit. Returns the attempt.
+    pub fn serve(&mut self, object: u64) -> SentAttempt {
+        let sent = self.request(object);
+        self.end_attempt(&sent, 0, AttemptStatus::Ok, Some(CacheStatus::Hit));
+        sent
     }
 
-    /// Home cache and home parent of every object of a sample.
+    /// The home cache and home parent of each of 200 objects, by object.
     pub fn homes(&mut self) -> BTreeMap<u64, (u64, u64)> {
         let mut homes = BTreeMap::new();
         for object in 1_000..1_200 {
-            let s = self.serve(object);
-            homes.insert(object, (s.endpoint, s.fill.source.unwrap().0));
+            let sent = self.serve(object);
+            homes.insert(object, (sent.endpoint, sent.fill.source.unwrap().0));
         }
         homes
     }
 }
 
-/// The attempt among the actions.
-pub fn sent(actions: &[Action]) -> Option<Sent> {
+/// The first attempt among the actions.
+pub fn sent_attempt(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Attempt { request, endpoint, fill, .. } => {
-            Some(Sent { id: *request, endpoint: endpoint.0, fill: fill.clone() })
+            Some(SentAttempt { id: *request, endpoint: endpoint.0, fill: fill.clone() })
         }
         _ => None,
     })
 }
 
-/// How many final answers are among the actions.
+/// Number of final answers among the actions.
 pub fn final_answers(actions: &[Action]) -> usize {
-    let last = |a: &&Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
-    actions.iter().filter(last).count()
+    let is_final = |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+    actions.iter().filter(is_final).count()
 }
--- a/crates/decision/tests/purges.rs
+++ b/crates/decision/tests/purges.rs
@@ -1,14 +1,14 @@
-//! How purges bound the age of copies.
+//! Bounds on the age of copies after purges.
 
 mod common;
 
-use common::{sent, settings, Harness};
+use common::{sent_attempt, settings, Harness};
 use hollymux_decision::time::MICROSECOND;
 use hollymux_decision::*;
 use std::time::Duration;
 
 #[test]
-fn purges_bound_the_age_at_once_until_all_copies_are_cleared() {
+fn purges_bound_the_age_of_copies_until_endpoints_have_dropped_them() {
     let mut harness = Harness::new(settings());
     assert_eq!(harness.request(42).fill.max_age, None);
     let purge = |object, group, since| Event::Purged(Purge { since, object, group });
@@ -17,19 +17,24 @@
     assert!((MICROSECOND..Duration::from_millis(300)).contains(&age));
     assert_eq!(harness.request(43).fill.max_age, None);
     harness.event(purge(None, 7, Duration::ZERO));
-    assert_eq!(harness.request(43).fill.max_age, Some(MICROSECOND), "a zero bound would mean none");
+    assert_eq!(
+        harness.request(43).fill.max_age,
+        Some(MICROSECOND),
+        "the bound must not be zero, which would stand for no bound"
+    );
     harness.now += Duration::from_secs(1);
-    let s = harness.request(43);
-    let age = s.fill.max_age.unwrap();
+    let sent = harness.request(43);
+    let age = sent.fill.max_age.unwrap();
     assert!(
         age < Duration::from_secs(1) && age > Duration::from_millis(900),
-        "the bound grows with the time since the purge"
+        "the bound must grow with the time since the purge"
     );
-    // A later attempt of a request that was in flight when the purge came is bound too.
+    // A purge also bounds the later attempts of a request that was in flight when the purge
+    // arrived.
     let before = harness.request(77);
     harness.event(purge(Some(77), 1, Duration::ZERO));
     let actions = harness.end_attempt(&before, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
-    assert_eq!(sent(&actions).unwrap().fill.max_age, Some(MICROSECOND));
+    assert_eq!(sent_attempt(&actions).unwrap().fill.max_age, Some(MICROSECOND));
     harness.now += Duration::from_secs(8);
     assert_eq!(harness.request(43).fill.max_age, None);
 }
--- a/crates/decision/tests/time.rs
+++ b/crates/decision/tests/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans: what is truncated to whole microseconds, and what saturates.
+//! Timestamps and durations: truncation to whole microseconds, and saturation.
 
 use hollymux_decision::time::{divide_to_micros, secs, span_from_secs, whole_micros};
 use hollymux_decision::Timestamp;
@@ -16,8 +16,8 @@
     assert_eq!(whole_micros(Duration::MAX), u64::MAX);
 }
 
-/// Guards against a half of an odd span that keeps half a microsecond: it would differ from the
-/// integers' in comparisons.
+/// Guards against half of an odd duration that keeps half a microsecond, so that comparisons differ
+/// from those of integers.
 #[test]
 fn fractions_of_microseconds_are_dropped() {
     let odd = Duration::from_micros(5);
@@ -33,7 +33,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against arithmetic that rounds otherwise than that of microseconds as integers.
+    /// Guards against arithmetic with durations that rounds differently from that with integers of
+    /// microseconds.
     #[test]
     fn spans_count_as_integers_of_microseconds(span: u64, divisor in 1u64..1_000, seconds in 0.0..1e9f64) {
         let duration = Duration::from_micros(span);
