--- a/crates/decision/tests/origin_protection.rs
+++ b/crates/decision/tests/origin_protection.rs
@@ -1,4 +1,4 @@
-//! Protection of the origin: fewer fetches from it when it can't keep up, under fixed seeds.
+//! Origin protection: load shedding when the origin can't keep up, under fixed seeds.
 
 use hollymux_decision::*;
 use std::time::Duration;
@@ -42,9 +42,9 @@
     last_request: RequestId,
 }
 
-/// An attempt: its request and number, its endpoint, and how it is filled.
+/// An attempt that the module has sent.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentAttempt {
     request: RequestId,
     attempt: u16,
     endpoint: u64,
@@ -72,22 +72,23 @@
         actions
     }
 
-    /// The next object's request, 100 ms after the last one.
-    fn request(&mut self, class: u16) -> Sent {
+    /// Sends a request for a new object, 100 ms after the previous request, and returns the
+    /// attempt. Panics if none is sent.
+    fn request(&mut self, class: u16) -> SentAttempt {
         self.now += Duration::from_millis(100);
         self.last_request += 1;
         let (id, object, deadline) =
             (self.last_request, u64::from(self.last_request), self.now + Duration::from_secs(2));
         let actions =
             self.event(Event::Request(Request { id, class, object, deadline, ..Request::default() }));
-        attempt_sent(&actions, 0).expect("an attempt")
+        sent_attempt(&actions, 0).expect("the request must cause an attempt")
     }
 
-    fn end_attempt(&mut self, s: &Sent, status: AttemptStatus, latency: Duration) -> Vec<Action> {
+    fn end_attempt(&mut self, sent: &SentAttempt, status: AttemptStatus, latency: Duration) -> Vec<Action> {
         self.event(Event::AttemptOutcome(AttemptOutcome {
-            request: s.request,
-            attempt: s.attempt,
-            endpoint: EndpointId(s.endpoint),
+            request: sent.request,
+            attempt: sent.attempt,
+            endpoint: EndpointId(sent.endpoint),
             latency,
             status,
             ended: status == AttemptStatus::Ok,
@@ -96,170 +97,181 @@
         }))
     }
 
-    /// So many requests that are served in time; how many of them had a parent give only what it
-    /// holds.
+    /// Sends `requests` requests that are served in time. Returns for how many of them the parent
+    /// was to serve only what it holds.
     fn served_from_copies(&mut self, requests: usize) -> usize {
         let mut only_if_cached = 0;
         for _ in 0..requests {
-            let s = self.request(READ_CLASS);
-            only_if_cached += usize::from(s.fill.only_if_cached);
-            self.end_attempt(&s, AttemptStatus::Ok, Duration::from_millis(50));
+            let sent = self.request(READ_CLASS);
+            only_if_cached += usize::from(sent.fill.only_if_cached);
+            self.end_attempt(&sent, AttemptStatus::Ok, Duration::from_millis(50));
         }
         only_if_cached
     }
 
     fn write(&mut self, latency: Duration) {
-        let s = self.request(WRITE_CLASS);
+        let sent = self.request(WRITE_CLASS);
         assert_eq!(
-            (s.fill.source, s.fill.only_if_cached),
+            (sent.fill.source, sent.fill.only_if_cached),
             (Some(EndpointId(ORIGIN)), false),
-            "a write is never shed"
+            "a write must not be shed"
         );
-        self.end_attempt(&s, AttemptStatus::Ok, latency);
+        self.end_attempt(&sent, AttemptStatus::Ok, latency);
     }
 }
 
-fn attempt_sent(actions: &[Action], number: u16) -> Option<Sent> {
+fn sent_attempt(actions: &[Action], number: u16) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Attempt { request, endpoint, fill, .. } => {
-            Some(Sent { request: *request, attempt: number, endpoint: endpoint.0, fill: fill.clone() })
+            Some(SentAttempt { request: *request, attempt: number, endpoint: endpoint.0, fill: fill.clone() })
         }
         _ => None,
     })
 }
 
-/// Guards against a cache that is slow itself being taken for an origin that can't keep up: a write
-/// by another cache, sent later and answered in time before, shows that it can. Writes that are all
-/// late show the opposite.
+/// Guards against taking a slow cache for an origin that can't keep up. A write through another
+/// cache that was sent later and answered in time shows that the origin keeps up. If several writes
+/// are all late, the origin does not.
 #[test]
-fn a_write_that_alone_was_late_sheds_nothing() {
+fn a_single_late_write_sheds_no_requests() {
     let mut harness = Harness::new();
     let (slow, quick) = (harness.request(WRITE_CLASS), harness.request(WRITE_CLASS));
     harness.now += Duration::from_millis(50);
     harness.end_attempt(&quick, AttemptStatus::Ok, Duration::from_millis(50));
     harness.now += Duration::from_millis(400);
     harness.end_attempt(&slow, AttemptStatus::Ok, Duration::from_millis(550));
-    assert_eq!(harness.served_from_copies(100), 0, "one cache was slow");
-    let late: Vec<Sent> = (0..3).map(|_| harness.request(WRITE_CLASS)).collect();
+    assert_eq!(harness.served_from_copies(100), 0, "one slow cache must not cause shedding");
+    let late: Vec<SentAttempt> = (0..3).map(|_| harness.request(WRITE_CLASS)).collect();
     harness.now += Duration::from_millis(400);
-    late.iter().for_each(|s| drop(harness.end_attempt(s, AttemptStatus::Ok, Duration::from_millis(500))));
-    assert!(harness.served_from_copies(20) > 5, "all were late");
+    late.iter()
+        .for_each(|sent| drop(harness.end_attempt(sent, AttemptStatus::Ok, Duration::from_millis(500))));
+    assert!(harness.served_from_copies(20) > 5, "late writes through several caches must cause shedding");
 }
 
-/// Guards against all routers together keeping the origin down: the writes of each show it early.
+/// Guards against all routers together keeping the origin overloaded: the late writes of each
+/// router must show the overload early.
 #[test]
-fn late_writes_limit_parents_to_their_copies_until_time_has_passed() {
+fn late_writes_limit_parents_to_their_copies_for_a_limited_time() {
     let mut harness = Harness::new();
-    assert_eq!(harness.served_from_copies(100), 0, "nothing was late");
+    assert_eq!(harness.served_from_copies(100), 0, "without late writes nothing may be shed");
     (0..10).for_each(|_| harness.write(Duration::from_millis(300)));
-    assert_eq!(harness.served_from_copies(100), 0, "writes in time say nothing");
+    assert_eq!(harness.served_from_copies(100), 0, "writes in time must not cause shedding");
     harness.write(Duration::from_millis(400));
-    let few = harness.served_from_copies(20);
-    assert!((4..=18).contains(&few), "{few} of 20 after one late write");
+    let after_one = harness.served_from_copies(20);
+    assert!((4..=18).contains(&after_one), "{after_one} of 20 were shed after one late write");
     (0..6).for_each(|_| harness.write(Duration::from_millis(900)));
-    let most = harness.served_from_copies(20);
-    assert!(most >= 17, "{most} of 20 after six more");
+    let after_seven = harness.served_from_copies(20);
+    assert!(after_seven >= 17, "{after_seven} of 20 were shed after seven late writes");
     harness.now += Duration::from_secs(30);
-    assert_eq!(harness.served_from_copies(100), 0, "long over");
+    assert_eq!(harness.served_from_copies(100), 0, "30 s after the last late write nothing may be shed");
 }
 
-/// Guards against fills that are dropped when their clients leave and restarted without end.
+/// Guards against fills that are dropped when their clients leave and then restarted, over and
+/// over.
 #[test]
 fn several_overdue_fills_cut_the_load_and_one_does_not() {
     let mut harness = Harness::new();
     harness.served_from_copies(40);
-    for (late, least, most) in [(1, 0, 0), (12, 12, 20)] {
-        let out: Vec<Sent> =
-            (0..late).map(|_| harness.request(READ_CLASS)).filter(|s| !s.fill.only_if_cached).collect();
+    for (late, min, max) in [(1, 0, 0), (12, 12, 20)] {
+        let in_flight: Vec<SentAttempt> =
+            (0..late).map(|_| harness.request(READ_CLASS)).filter(|sent| !sent.fill.only_if_cached).collect();
         // The caches go on serving what they hold.
         harness.served_from_copies(12);
         harness.now += Duration::from_secs(1);
-        for s in &out {
-            harness.end_attempt(s, AttemptStatus::Timeout, Duration::from_secs(2));
+        for sent in &in_flight {
+            harness.end_attempt(sent, AttemptStatus::Timeout, Duration::from_secs(2));
         }
         let only_if_cached = harness.served_from_copies(20);
-        assert!((least..=most).contains(&only_if_cached), "{only_if_cached} of 20 after {late} late ones");
+        assert!(
+            (min..=max).contains(&only_if_cached),
+            "{only_if_cached} of 20 were shed after {late} overdue fills"
+        );
     }
 }
 
-/// Guards against taking overloaded parents for an origin that can't keep up, while it answers
+/// Guards against taking overloaded parents for an overloaded origin while the origin answers
 /// writes in time.
 #[test]
 fn while_writes_are_in_time_overdue_attempts_cut_no_load() {
     let mut harness = Harness::new();
     harness.served_from_copies(40);
-    let out: Vec<Sent> = (0..12).map(|_| harness.request(READ_CLASS)).collect();
+    let in_flight: Vec<SentAttempt> = (0..12).map(|_| harness.request(READ_CLASS)).collect();
     harness.served_from_copies(12);
     harness.write(Duration::from_millis(100));
     harness.now += Duration::from_secs(1);
-    out.iter().for_each(|s| drop(harness.end_attempt(s, AttemptStatus::Timeout, Duration::from_secs(2))));
+    in_flight
+        .iter()
+        .for_each(|sent| drop(harness.end_attempt(sent, AttemptStatus::Timeout, Duration::from_secs(2))));
     assert_eq!(harness.served_from_copies(20), 0);
 }
 
-/// Guards against taking one parent that is down for the origin: there the others hold what is
-/// requested.
+/// Guards against taking one parent that is down for an overloaded origin: other parents hold the
+/// requested objects.
 #[test]
 fn refusals_by_one_parent_shed_nothing_and_by_several_do() {
-    let refuse = |only: Option<u64>| {
+    let shed_after_refusals = |only: Option<u64>| {
         let mut harness = Harness::new();
         harness.served_from_copies(40);
         for _ in 0..60 {
-            let s = harness.request(READ_CLASS);
-            let named = s.fill.source.map(|s| s.0).filter(|s| PARENTS.contains(s));
-            let refused = named.is_some_and(|n| only.is_none_or(|o| o == n)) && !s.fill.only_if_cached;
-            let (status, took) = if refused {
+            let sent = harness.request(READ_CLASS);
+            let parent = sent.fill.source.map(|source| source.0).filter(|source| PARENTS.contains(source));
+            let refuses = parent.is_some_and(|parent| only.is_none_or(|only| only == parent));
+            let is_refused = refuses && !sent.fill.only_if_cached;
+            let (status, latency) = if is_refused {
                 (AttemptStatus::Full, Duration::from_millis(30))
             } else {
                 (AttemptStatus::Ok, Duration::from_millis(50))
             };
-            harness.end_attempt(&s, status, took);
+            harness.end_attempt(&sent, status, latency);
         }
         harness.served_from_copies(20)
     };
-    assert_eq!(refuse(Some(22)), 0);
-    let all = refuse(None);
-    assert!(all >= 10, "{all} of 20");
+    assert_eq!(shed_after_refusals(Some(22)), 0);
+    let shed = shed_after_refusals(None);
+    assert!(shed >= 10, "{shed} of 20 were shed after refusals by all parents");
 }
 
-/// Guards against a rejection that keeps its client waiting, and against retries for what nobody
-/// holds: a shed request takes an old copy, renews nothing, and is rejected with a delay when
-/// nobody holds it.
+/// Guards against a rejection that keeps its client waiting, and against retries for an object that
+/// no cache holds. A shed request accepts a stale copy, causes no revalidation, and is rejected
+/// with a retry delay if there is no copy.
 #[test]
-fn what_nobody_holds_is_rejected_at_once_with_a_delay() {
+fn shed_requests_without_a_copy_are_rejected_at_once_with_a_delay() {
     let mut harness = Harness::new();
     (0..8).for_each(|_| harness.write(Duration::from_millis(900)));
-    let shed =
-        (0..20).map(|_| harness.request(READ_CLASS)).find(|s| s.fill.only_if_cached).expect("one is shed");
+    let shed = (0..20)
+        .map(|_| harness.request(READ_CLASS))
+        .find(|sent| sent.fill.only_if_cached)
+        .expect("one of 20 requests must be shed");
     assert_eq!((shed.fill.max_age, shed.fill.stale_while_revalidate), (Some(Duration::from_secs(38)), false));
-    let (mut actions, mut asked) =
-        (harness.end_attempt(&shed, AttemptStatus::Miss, Duration::from_millis(20)), 1);
-    while let Some(next) = attempt_sent(&actions, asked) {
+    let mut actions = harness.end_attempt(&shed, AttemptStatus::Miss, Duration::from_millis(20));
+    let mut attempts = 1;
+    while let Some(next) = sent_attempt(&actions, attempts) {
         assert!(next.fill.only_if_cached || next.fill.source.is_none(), "{next:?}");
-        asked += 1;
+        attempts += 1;
         actions = harness.end_attempt(&next, AttemptStatus::Miss, Duration::from_millis(20));
     }
-    let wait = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|a| match a {
         Action::Refuse { request, retry_after } if *request == shed.request => Some(*retry_after),
         _ => None,
     });
-    assert!(wait.is_some_and(|w| w >= Duration::from_millis(500)), "{actions:?}");
-    assert!(asked <= 2, "{asked} attempts for what nobody holds");
+    assert!(retry_after.is_some_and(|delay| delay >= Duration::from_millis(500)), "{actions:?}");
+    assert!(attempts <= 2, "{attempts} attempts for an object that no cache holds");
 }
 
-/// Guards against retries adding to the overload that they wait for.
+/// Guards against retries that add to the overload that caused them.
 #[test]
 fn retries_are_shed_first() {
     let mut harness = Harness::new();
     harness.write(Duration::from_millis(900));
-    let mut again = 0;
+    let mut retries = 0;
     for _ in 0..20 {
-        let s = harness.request(READ_CLASS);
-        let actions = harness.end_attempt(&s, AttemptStatus::Error, Duration::from_millis(20));
-        if let Some(second) = attempt_sent(&actions, 1) {
-            again += 1;
-            assert!(second.fill.only_if_cached || second.fill.source.is_none(), "{second:?}");
+        let sent = harness.request(READ_CLASS);
+        let actions = harness.end_attempt(&sent, AttemptStatus::Error, Duration::from_millis(20));
+        if let Some(retry) = sent_attempt(&actions, 1) {
+            retries += 1;
+            assert!(retry.fill.only_if_cached || retry.fill.source.is_none(), "{retry:?}");
         }
         harness.now = harness.now - Duration::from_millis(100);
     }
-    assert!(again > 5, "{again} second attempts");
+    assert!(retries > 5, "{retries} of 20 requests were retried");
 }
