--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Rules that must hold under random events.
+//! Invariants that must hold under random events.
 
 mod common;
 
@@ -19,17 +19,17 @@
     AttemptStatus::Cancelled,
 ];
 const STATES: [EndpointState; 3] = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone];
-/// These prove that an attempt did not run.
+/// Statuses that prove that an attempt did not run.
 const NEVER_RAN: [AttemptStatus; 3] =
     [AttemptStatus::Miss, AttemptStatus::Full, AttemptStatus::ConnectFailed];
-/// The greatest identity of a cache of the own zone.
+/// Highest identity of an edge cache of the own zone.
 const LAST_LOCAL_CACHE: u64 = 4;
-/// An answer may come this long after the deadline.
+/// Time after the deadline within which a request must be answered.
 const ANSWER_SLACK: Duration = Duration::from_millis(100);
-/// After the last step all timers within this time are due.
+/// Time after the last step within which all remaining timers expire.
 const LAST_WAIT: Duration = Duration::from_secs(60);
 
-/// What may happen next, by the first number of a step.
+/// Kind of a step, derived from the step's first random number.
 #[derive(Clone, Copy, PartialEq)]
 enum Step {
     Request,
@@ -50,10 +50,10 @@
     }
 }
 
-/// What is known of a request from outside of the module.
+/// State of a request as seen from outside of the module.
 #[derive(Default)]
 struct OpenRequest {
-    /// The endpoints of attempts in flight, by number.
+    /// Endpoints of the attempts in flight, by attempt number.
     in_flight: BTreeMap<u16, u64>,
     attempts: u16,
     may_have_run: bool,
@@ -61,11 +61,12 @@
     deadline: Timestamp,
 }
 
-/// Two modules from the same seed that receive the same events, and the rules that are checked.
+/// Checks the invariants on two modules with the same seed that receive the same events.
 struct RuleChecker {
     modules: [Harness; 2],
     settings: Settings,
     idempotency: Idempotency,
+    /// Endpoints that are draining or removed.
     unavailable: BTreeSet<u64>,
     requests: BTreeMap<RequestId, OpenRequest>,
     timers: Vec<(Timestamp, u64)>,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Plays a step: the timers that are due by then come first, at their time.
+    /// Executes a step. Timers that expire before it are passed first, at their time.
     fn step(&mut self, step: Step, random: u64) -> Result<(), TestCaseError> {
         let now = self.modules[0].now + Duration::from_micros(random % 80_000);
         let until = if step == Step::End { now + LAST_WAIT } else { now };
@@ -121,7 +122,7 @@
         })
     }
 
-    /// The end of an attempt in flight, if there is one.
+    /// The end of an attempt in flight; `None` if there is none.
     fn outcome(&self, random: u64) -> Option<Event> {
         let (request, attempt, endpoint, has_ended) = self.requests.iter().find_map(|(id, open)| {
             let (attempt, endpoint) = open.in_flight.iter().nth(random as usize % 3)?;
@@ -140,7 +141,7 @@
         }))
     }
 
-    /// Hands an event to both modules and checks the actions.
+    /// Passes an event to both modules and checks the actions.
     fn apply(&mut self, at: Timestamp, event: Event) -> Result<(), TestCaseError> {
         for module in &mut self.modules {
             module.now = at.max(module.now);
@@ -154,11 +155,12 @@
         let now = self.modules[0].now;
         for open in self.requests.values() {
             let is_in_time = now <= open.deadline + ANSWER_SLACK;
-            prop_assert!(open.has_ended || is_in_time, "left without an answer");
+            prop_assert!(open.has_ended || is_in_time, "a request was not answered by its deadline");
         }
         Ok(())
     }
 
+    /// Updates the state outside of the module by an event.
     fn observe(&mut self, event: &Event) {
         match event {
             Event::EndpointList { entries, .. } => {
@@ -178,6 +180,7 @@
         }
     }
 
+    /// Checks the invariants on an action.
     fn check_action(&mut self, action: Action) -> Result<(), TestCaseError> {
         match action {
             Action::Attempt { request, endpoint, fill, .. } => {
@@ -185,13 +188,19 @@
             }
             Action::Refuse { request, .. } => {
                 let open = self.requests.get_mut(&request).unwrap();
-                prop_assert!(!std::mem::replace(&mut open.has_ended, true), "answered twice");
+                prop_assert!(
+                    !std::mem::replace(&mut open.has_ended, true),
+                    "a request got two final answers"
+                );
                 let never_ran = !open.may_have_run && open.in_flight.is_empty();
                 prop_assert!(self.idempotency == Idempotency::Idempotent || never_ran);
             }
             Action::Fail { request } => {
                 let open = self.requests.get_mut(&request).unwrap();
-                prop_assert!(!std::mem::replace(&mut open.has_ended, true), "answered twice");
+                prop_assert!(
+                    !std::mem::replace(&mut open.has_ended, true),
+                    "a request got two final answers"
+                );
             }
             Action::Cancel { request, attempt } => {
                 prop_assert!(attempt < self.requests[&request].attempts);
@@ -202,6 +211,7 @@
         Ok(())
     }
 
+    /// Checks the invariants on an attempt that is sent.
     fn check_attempt(
         &mut self,
         request: RequestId,
@@ -211,14 +221,17 @@
         let open = self.requests.get_mut(&request).unwrap();
         let never_ran = !open.may_have_run && open.in_flight.is_empty();
         let is_available = |endpoint: EndpointId| !self.unavailable.contains(&endpoint.0);
-        prop_assert!(!open.has_ended, "sent after the end");
+        prop_assert!(!open.has_ended, "an attempt was sent after the final answer");
         prop_assert!(is_available(endpoint) && fill.source.is_none_or(is_available));
-        prop_assert!(self.settings.hedging_allowed || open.in_flight.is_empty(), "two at once");
+        prop_assert!(
+            self.settings.hedging_allowed || open.in_flight.is_empty(),
+            "two attempts were in flight without hedged requests"
+        );
         prop_assert!(self.idempotency != Idempotency::NotIdempotent || never_ran);
-        prop_assert!(open.attempts < 4, "the attempt limit");
+        prop_assert!(open.attempts < 4, "more attempts were sent than the limit of 4");
         prop_assert!(
             self.settings.bypass_edge_cache || endpoint.0 <= LAST_LOCAL_CACHE,
-            "caches of the own zone only"
+            "an attempt was sent to another endpoint than a cache of the own zone"
         );
         open.in_flight.insert(open.attempts, endpoint.0);
         open.attempts += 1;
@@ -258,11 +271,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// Random permitted events: one final answer each, nothing sent after it or to an endpoint that
-    /// drains, no two attempts at once where that is forbidden, no repeat that idempotency forbids, and
-    /// the same again from the same seed.
+    /// Under random permitted events, each request must get exactly one final answer. No attempt
+    /// may be sent after it or to a draining endpoint, no two attempts may be in flight at once
+    /// without hedged requests, no request may be repeated against its idempotency, and the same
+    /// seed must give the same actions.
     #[test]
-    fn random_events_keep_the_rules(
+    fn random_events_keep_the_invariants(
         steps in prop::collection::vec((0u8..6, any::<u64>()), 50..400),
         hedging_allowed: bool,
         idempotency in any_idempotency(),
@@ -284,7 +298,7 @@
         checker.step(Step::End, 0)?;
         prop_assert!(
             checker.requests.values().all(|open| open.has_ended),
-            "some request was never answered"
+            "a request was never answered"
         );
     }
 }
