--- a/crates/decision/tests/scale/harness.rs
+++ b/crates/decision/tests/scale/harness.rs
@@ -1,4 +1,5 @@
-//! A site of seven caches and eight parents that many routers share, and ways to play its routers.
+//! Test harness: a site with seven edge caches and eight parent caches that many routers share, and
+//! functions that drive its routers.
 
 use hollymux_decision::*;
 use std::collections::BTreeMap;
@@ -10,7 +11,8 @@
 pub const CACHES: std::ops::RangeInclusive<u64> = 1..=7;
 pub const PARENTS: std::ops::RangeInclusive<u64> = 21..=28;
 
-pub fn settings(here: u32, all: u32) -> Settings {
+/// Settings of one of `in_zone` routers in zone 0, of `total` routers in two zones.
+pub fn settings(in_zone: u32, total: u32) -> Settings {
     let class = RequestClass {
         latency_objective: Duration::from_millis(500),
         latency_objective_stretch: 1.6,
@@ -21,8 +23,8 @@
     };
     Settings {
         classes: vec![class],
-        router_count: all,
-        router_count_by_zone: vec![here, all - here],
+        router_count: total,
+        router_count_by_zone: vec![in_zone, total - in_zone],
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         coalesce_fills: true,
@@ -51,21 +53,23 @@
     EndpointEntry { id: EndpointId(id), zone, kind, weight, ..EndpointEntry::default() }
 }
 
-/// Seven caches in the own zone, eight parents in zones 2 and 3, an origin.
+/// Seven edge caches in the own zone, eight parent caches in the zones 2 and 3, and an origin.
 pub fn endpoint_list() -> Vec<EndpointEntry> {
     let caches = CACHES.map(|i| entry(i, 0, 0, 4.0));
     let parents = PARENTS.map(|i| entry(i, if i < 25 { 2 } else { 3 }, PARENT, 40.0));
     caches.chain(parents).chain([entry(31, 2, ORIGIN, 100.0)]).collect()
 }
 
+/// A decision module with the current time and the number of the last request.
 pub struct Harness {
     pub module: DecisionModule,
     pub now: Timestamp,
     pub last_request: RequestId,
 }
 
+/// An attempt that the module has sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub id: RequestId,
     pub attempt: u16,
     pub endpoint: u64,
@@ -86,7 +90,7 @@
         actions
     }
 
-    /// A request of 0.2 s of sending.
+    /// Sends a request for an object with a sending time of 0.2 s, and returns the actions.
     pub fn request(&mut self, object: u64) -> Vec<Action> {
         self.last_request += 1;
         self.event(Event::Request(Request {
@@ -100,72 +104,78 @@
 
     pub fn end_attempt(
         &mut self,
-        s: &Sent,
+        sent: &SentAttempt,
         status: AttemptStatus,
-        note: Option<CacheStatus>,
+        cache_status: Option<CacheStatus>,
         latency: Duration,
     ) -> Vec<Action> {
         self.event(Event::AttemptOutcome(AttemptOutcome {
-            request: s.id,
-            attempt: s.attempt,
-            endpoint: EndpointId(s.endpoint),
+            request: sent.id,
+            attempt: sent.attempt,
+            endpoint: EndpointId(sent.endpoint),
             latency,
             status,
             ended: status == AttemptStatus::Ok,
-            note,
+            note: cache_status,
             work: None,
         }))
     }
 
-    pub fn serve(&mut self, object: u64, note: CacheStatus) -> Option<Sent> {
-        let s = sent(&self.request(object), 0)?;
-        self.end_attempt(&s, AttemptStatus::Ok, Some(note), Duration::from_millis(250));
-        Some(s)
+    /// Sends a request for an object and serves it after 250 ms. Returns the attempt, or `None` if
+    /// none was sent.
+    pub fn serve(&mut self, object: u64, cache_status: CacheStatus) -> Option<SentAttempt> {
+        let sent = sent_attempt(&self.request(object), 0)?;
+        self.end_attempt(&sent, AttemptStatus::Ok, Some(cache_status), Duration::from_millis(250));
+        Some(sent)
     }
 }
 
-pub fn attempts(actions: &[Action]) -> Vec<Sent> {
-    let attempt = |a: &Action| match a {
-        Action::Attempt { request, endpoint, fill, .. } => {
-            Some(Sent { id: *request, attempt: 0, endpoint: endpoint.0, source: fill.source.map(|s| s.0) })
-        }
+/// The attempts among the actions, with 0 in place of their numbers.
+pub fn attempts(actions: &[Action]) -> Vec<SentAttempt> {
+    let attempt = |action: &Action| match action {
+        Action::Attempt { request, endpoint, fill, .. } => Some(SentAttempt {
+            id: *request,
+            attempt: 0,
+            endpoint: endpoint.0,
+            source: fill.source.map(|source| source.0),
+        }),
         _ => None,
     };
     actions.iter().filter_map(attempt).collect()
 }
 
-pub fn sent(actions: &[Action], attempt: u16) -> Option<Sent> {
-    attempts(actions).pop().map(|s| Sent { attempt, ..s })
+/// The last attempt among the actions, with the number `attempt`.
+pub fn sent_attempt(actions: &[Action], attempt: u16) -> Option<SentAttempt> {
+    attempts(actions).pop().map(|sent| SentAttempt { attempt, ..sent })
 }
 
-/// What a router at seven requests a second did: attempts in order with the time, and
-/// cancellations.
+/// Requests, attempts with their sending times, and cancellations of one router.
 #[derive(Default)]
 pub struct RouterHistory {
-    pub asked: usize,
-    pub sent: Vec<(Timestamp, Sent)>,
+    pub requests: usize,
+    pub sent: Vec<(Timestamp, SentAttempt)>,
     pub cancelled: usize,
 }
 
-/// Without a response an attempt times out after this.
+/// Time after which an attempt without a response times out.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(10);
 const REQUEST_INTERVAL_US: u64 = 140_000;
 const STEP_US: u64 = 10_000;
 
-/// An attempt in flight.
+/// An attempt in flight, with the times of its sending and its end.
 struct InFlight {
-    ends: Timestamp,
-    began: Timestamp,
-    sent: Sent,
+    ends_at: Timestamp,
+    sent_at: Timestamp,
+    sent: SentAttempt,
 }
 
-/// Plays one router: a request every 140 ms; `latency_of` gives the latency of an attempt's
-/// response; without one it times out.
+/// Drives one router for `span`, with one request every 140 ms. `latency_of` returns the latency of
+/// an attempt's response by the number and the attempt; without a response the attempt times out.
 pub fn play(
     harness: &mut Harness,
     span: Duration,
-    latency_of: impl FnMut(usize, &Sent) -> Option<Duration>,
+    latency_of: impl FnMut(usize, &SentAttempt) -> Option<Duration>,
 ) -> RouterHistory {
     let mut player = Player {
         harness,
@@ -191,13 +201,13 @@
     attempt_numbers: BTreeMap<RequestId, u16>,
 }
 
-impl<F: FnMut(usize, &Sent) -> Option<Duration>> Player<'_, F> {
+impl<F: FnMut(usize, &SentAttempt) -> Option<Duration>> Player<'_, F> {
     fn step(&mut self) {
         self.harness.now += STEP;
         let mut actions = Vec::new();
         if self.harness.now.as_micros() % REQUEST_INTERVAL_US < STEP_US {
-            actions = self.harness.request(self.history.asked as u64);
-            self.history.asked += 1;
+            actions = self.harness.request(self.history.requests as u64);
+            self.history.requests += 1;
         }
         actions.extend(self.fire_timers());
         actions.extend(self.end_attempts());
@@ -219,14 +229,16 @@
     fn end_attempts(&mut self) -> Vec<Action> {
         let now = self.harness.now;
         let in_flight = std::mem::take(&mut self.in_flight);
-        let (ended, later): (Vec<_>, Vec<_>) = in_flight.into_iter().partition(|attempt| attempt.ends <= now);
+        let (ended, later): (Vec<_>, Vec<_>) =
+            in_flight.into_iter().partition(|attempt| attempt.ends_at <= now);
         self.in_flight = later;
         let mut actions = Vec::new();
-        for InFlight { began, sent, .. } in ended {
-            let ok = now < began + ATTEMPT_TIMEOUT;
-            let status = if ok { AttemptStatus::Ok } else { AttemptStatus::Timeout };
-            let note = ok.then_some(CacheStatus::Hit);
-            actions.extend(self.harness.end_attempt(&sent, status, note, now.duration_since(began)));
+        for InFlight { sent_at, sent, .. } in ended {
+            let is_served = now < sent_at + ATTEMPT_TIMEOUT;
+            let status = if is_served { AttemptStatus::Ok } else { AttemptStatus::Timeout };
+            let cache_status = is_served.then_some(CacheStatus::Hit);
+            let latency = now.duration_since(sent_at);
+            actions.extend(self.harness.end_attempt(&sent, status, cache_status, latency));
         }
         actions
     }
@@ -236,9 +248,9 @@
         for mut sent in attempts(actions) {
             sent.attempt = *self.attempt_numbers.entry(sent.id).and_modify(|n| *n += 1).or_insert(0);
             let latency = (self.latency_of)(self.history.sent.len(), &sent);
-            let ends = now + latency.unwrap_or(ATTEMPT_TIMEOUT);
+            let ends_at = now + latency.unwrap_or(ATTEMPT_TIMEOUT);
             self.history.sent.push((now, sent.clone()));
-            self.in_flight.push(InFlight { ends, began: now, sent });
+            self.in_flight.push(InFlight { ends_at, sent_at: now, sent });
         }
     }
 
@@ -249,60 +261,65 @@
             let Action::Cancel { request, attempt } = action else { continue };
             let is_cancelled = |open: &InFlight| open.sent.id == *request && open.sent.attempt == *attempt;
             let Some(index) = self.in_flight.iter().position(is_cancelled) else { continue };
-            let InFlight { began, sent, .. } = self.in_flight.swap_remove(index);
+            let InFlight { sent_at, sent, .. } = self.in_flight.swap_remove(index);
             self.history.cancelled += 1;
-            let latency = now.duration_since(began);
+            let latency = now.duration_since(sent_at);
             further.extend(self.harness.end_attempt(&sent, AttemptStatus::Cancelled, None, latency));
         }
         further
     }
 }
 
+/// The timers among the actions except deadlines, with their time and token. `at` is the time of
+/// the actions.
 pub fn timers(actions: &[Action], at: Timestamp) -> Vec<(Timestamp, u64)> {
-    let timer = |a: &Action| match a {
+    let timer = |action: &Action| match action {
         Action::Timer { after, token } if token & 0xffff != 0xffff => Some((at + *after, *token)),
         _ => None,
     };
     actions.iter().filter_map(timer).collect()
 }
 
-/// Pseudo-random numbers from a fixed seed.
+/// Generator of pseudo-random numbers (LCG) from a fixed seed.
 pub struct PseudoRandom(pub u64);
 
 impl PseudoRandom {
+    /// The next number, from 0 to `limit` - 1.
     pub fn next_below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
 }
 
-/// Many instances with one endpoint that warms up, all misses, six requests a second each. Returns
-/// when it was used.
+/// Drives many routers with one endpoint that warms up for `span`, with about six requests per
+/// second each, all of them misses. Returns the times at which the endpoint was used as endpoint or
+/// as fill source.
 pub fn times_used_while_warming_up(
     harnesses: &mut [Harness],
     id: u64,
-    start: EndpointEntry,
+    started_entry: EndpointEntry,
     span: Duration,
     random: &mut PseudoRandom,
 ) -> Vec<Timestamp> {
-    let mut asked = Vec::new();
-    let began = harnesses[0].now;
-    let mut at: Vec<Timestamp> =
-        harnesses.iter().map(|_| began + Duration::from_micros(random.next_below(170_000))).collect();
+    let mut use_times = Vec::new();
+    let started_at = harnesses[0].now;
+    let mut next_requests: Vec<Timestamp> =
+        harnesses.iter().map(|_| started_at + Duration::from_micros(random.next_below(170_000))).collect();
     for harness in harnesses.iter_mut() {
-        harness.event(Event::EndpointList { kind: ListKind::Delta, entries: vec![start.clone()] });
+        harness.event(Event::EndpointList { kind: ListKind::Delta, entries: vec![started_entry.clone()] });
     }
     for step in 0..span.as_micros().div_ceil(2_000) as u32 {
-        let now = began + step * Duration::from_millis(2);
-        for (harness, at) in harnesses.iter_mut().zip(&mut at).filter(|(_, at)| **at <= now) {
-            *at = now + 2 * Duration::from_micros(random.next_below(170_000));
+        let now = started_at + step * Duration::from_millis(2);
+        let due = harnesses.iter_mut().zip(&mut next_requests).filter(|(_, at)| **at <= now);
+        for (harness, next_request) in due {
+            *next_request = now + 2 * Duration::from_micros(random.next_below(170_000));
             harness.now = now;
             let object = random.next_below(1 << 40);
-            let Some(s) = harness.serve(object, CacheStatus::Filled) else { continue };
-            if s.endpoint == id || s.source == Some(id) {
-                asked.push(now);
+            let Some(sent) = harness.serve(object, CacheStatus::Filled) else { continue };
+            if sent.endpoint == id || sent.source == Some(id) {
+                use_times.push(now);
             }
         }
     }
-    asked
+    use_times
 }
--- a/crates/decision/tests/scale/main.rs
+++ b/crates/decision/tests/scale/main.rs
@@ -1,275 +1,315 @@
-//! Many routers to an endpoint, each of which sees a few requests a second, under fixed seeds.
+//! Decisions where many routers share each endpoint and each router receives a few requests per
+//! second, under fixed seeds.
 
 mod harness;
 
 use harness::{
-    entry, play, sent, settings, timers, times_used_while_warming_up, Harness, PseudoRandom, Sent, CACHES,
-    PARENT, START,
+    entry, play, sent_attempt, settings, timers, times_used_while_warming_up, Harness, PseudoRandom,
+    SentAttempt, CACHES, PARENT, START,
 };
 use hollymux_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// All routers together stay under the load at which an endpoint that warms up fails, over every
-/// window, and yet it is used: a cache shared by fourteen and a parent shared by three hundred,
-/// whose even shares are below one request.
+/// All routers together must stay below the load at which an endpoint that warms up fails, over
+/// every window, and must still use the endpoint. Checked for a cache shared by 14 routers and a
+/// parent shared by 300, where an even share is less than one request.
 #[test]
 fn hundreds_of_routers_share_a_warm_up_budget_within_its_bound_and_use_it() {
     for (id, zone, kind, weight, router_count) in [(2, 0, 0, 4.0, 14), (22, 2, PARENT, 40.0, 300)] {
         for seed in [1, 2, 3] {
-            let s = settings(14, 300);
-            let parent = kind == PARENT;
-            let (from, over) = if parent { (0.07, 20.0) } else { (0.22, 18.0) };
-            let multiple = if parent { s.parent_overload_multiple } else { s.overload_multiple };
+            let settings = settings(14, 300);
+            let is_parent = kind == PARENT;
+            let (floor, period_s) = if is_parent { (0.07, 20.0) } else { (0.22, 18.0) };
+            let multiple =
+                if is_parent { settings.parent_overload_multiple } else { settings.overload_multiple };
             let mut random = PseudoRandom(seed);
             let mut harnesses: Vec<Harness> =
-                (0..router_count).map(|i| Harness::new(s.clone(), seed * 1_000 + i)).collect();
+                (0..router_count).map(|i| Harness::new(settings.clone(), seed * 1_000 + i)).collect();
             for harness in &mut harnesses {
                 for i in 0..60 {
                     harness.serve(i, CacheStatus::Hit);
                 }
             }
             let start = EndpointEntry { started: START, ..entry(id, zone, kind, weight) };
-            let asked =
+            let use_times =
                 times_used_while_warming_up(&mut harnesses, id, start, Duration::from_secs(12), &mut random);
-            let able = |t: Timestamp| {
-                weight * (from + (1.0 - from) * t.duration_since(START).as_micros() as f64 / 1e6 / over)
+            let capacity_at = |time: Timestamp| {
+                let age_micros = time.duration_since(START).as_micros() as f64;
+                weight * (floor + (1.0 - floor) * age_micros / 1e6 / period_s)
             };
-            let mut worst: f64 = 0.0;
-            for (i, t) in asked.iter().enumerate() {
-                let work =
-                    asked[..=i].iter().filter(|x| **x + Duration::from_secs(1) > *t).count() as f64 * 0.2;
-                worst = worst.max(work / able(*t));
+            let mut worst_load: f64 = 0.0;
+            for (i, time) in use_times.iter().enumerate() {
+                let is_in_window = |earlier: &&Timestamp| **earlier + Duration::from_secs(1) > *time;
+                let work = use_times[..=i].iter().filter(is_in_window).count() as f64 * 0.2;
+                worst_load = worst_load.max(work / capacity_at(*time));
             }
-            assert!(worst < multiple, "{worst} times what host {id} could do, seed {seed}");
-            let could: f64 = (0..12).map(|i| able(START + Duration::from_secs(i))).sum();
-            let did = asked.len() as f64 * 0.2;
-            assert!(did > 0.15 * could, "host {id} did {did} of {could}, seed {seed}");
+            assert!(
+                worst_load < multiple,
+                "endpoint {id} had {worst_load} times its capacity within a window, seed {seed}"
+            );
+            let possible: f64 = (0..12).map(|i| capacity_at(START + Duration::from_secs(i))).sum();
+            let used = use_times.len() as f64 * 0.2;
+            assert!(
+                used > 0.15 * possible,
+                "endpoint {id} did {used} s of work of a possible {possible} s, seed {seed}"
+            );
         }
     }
 }
 
-/// One own request in flight is one, not a dozen; and what all routers are likely to have in flight
-/// is still shed.
+/// Guards against counting one request in flight of this router several times. The load that all
+/// routers are likely to have in flight together must still be shed.
 #[test]
 fn spare_capacity_counts_own_load_once_and_overload_is_still_shed() {
     let mut harness = Harness::new(settings(14, 300), 5);
-    let mut refused = 0;
+    let mut rejected = 0;
     for i in 0..200 {
-        refused += usize::from(harness.serve(i, CacheStatus::Hit).is_none());
+        rejected += usize::from(harness.serve(i, CacheStatus::Hit).is_none());
         harness.now += Duration::from_millis(150);
     }
-    assert_eq!(refused, 0, "an idle location refuses nothing");
-    // Each of fourteen is assumed to have as many in flight as this one: three at seven caches fill
-    // them.
-    let (mut held, mut refused) = (Vec::new(), 0);
+    assert_eq!(rejected, 0, "an idle zone must reject nothing");
+    // Each of the 14 routers is assumed to have as many requests in flight as this one, so that
+    // three requests at the seven caches fill them.
+    let (mut in_flight, mut rejected) = (Vec::new(), 0);
     for i in 0..60 {
-        match sent(&harness.request(1_000 + i), 0) {
-            Some(s) => held.push(s),
-            None => refused += 1,
+        match sent_attempt(&harness.request(1_000 + i), 0) {
+            Some(sent) => in_flight.push(sent),
+            None => rejected += 1,
         }
         harness.now += Duration::from_millis(300);
     }
-    assert!(refused > 20 && held.len() < 40, "{refused} refused, {} in hand", held.len());
+    assert!(
+        rejected > 20 && in_flight.len() < 40,
+        "{rejected} requests rejected, {} in flight",
+        in_flight.len()
+    );
 }
 
-/// A cache that gets one request a second is not ejected because it has not responded for a second,
-/// nor used for long when it does not respond at all.
+/// A cache that gets one request per second must not be ejected because it has not responded for
+/// one second. A cache that does not respond at all must soon get no requests.
 #[test]
-fn health_follows_the_responses_to_be_expected() {
-    let slow = |n: usize| {
-        Some(if n.is_multiple_of(12) { Duration::from_millis(900) } else { Duration::from_millis(250) })
+fn silence_counts_as_a_failure_only_where_responses_are_expected() {
+    let latency_of = |number: usize| {
+        let is_slow = number.is_multiple_of(12);
+        Some(if is_slow { Duration::from_millis(900) } else { Duration::from_millis(250) })
     };
     let mut harness = Harness::new(settings(14, 300), 5);
-    let live = play(&mut harness, Duration::from_secs(40), |n, _| slow(n));
-    let used = live.sent.iter().filter(|s| s.1.endpoint == 3).count();
-    assert!(live.cancelled * 20 < live.asked && used > 20, "{} moved, {used} at cache 3", live.cancelled);
+    let live = play(&mut harness, Duration::from_secs(40), |number, _| latency_of(number));
+    let used = live.sent.iter().filter(|sent| sent.1.endpoint == 3).count();
+    assert!(
+        live.cancelled * 20 < live.requests && used > 20,
+        "{} attempts were cancelled, {used} were sent to cache 3",
+        live.cancelled
+    );
     let mut harness = Harness::new(settings(14, 300), 5);
-    play(&mut harness, Duration::from_secs(10), |n, _| slow(n));
-    let fell = harness.now;
-    let silent = play(&mut harness, Duration::from_secs(20), |n, s| slow(n).filter(|_| s.endpoint != 3));
-    let late =
-        silent.sent.iter().filter(|s| s.1.endpoint == 3 && s.0 > fell + Duration::from_secs(8)).count();
-    let early =
-        silent.sent.iter().filter(|s| s.1.endpoint == 3 && s.0 <= fell + Duration::from_secs(8)).count();
+    play(&mut harness, Duration::from_secs(10), |number, _| latency_of(number));
+    let failed_at = harness.now;
+    let silent = play(&mut harness, Duration::from_secs(20), |number, sent| {
+        latency_of(number).filter(|_| sent.endpoint != 3)
+    });
+    let detected_by = failed_at + Duration::from_secs(8);
+    let late = silent.sent.iter().filter(|sent| sent.1.endpoint == 3 && sent.0 > detected_by).count();
+    let early = silent.sent.iter().filter(|sent| sent.1.endpoint == 3 && sent.0 <= detected_by).count();
     assert!(
         silent.cancelled > 0 && early <= 8 && late <= 6,
-        "{early} sent to a silent cache at first, {late} later"
+        "{early} attempts were sent to a silent cache within 8 s, {late} later"
     );
 }
 
-/// At five requests a second an object that takes a good part of them is replicated; noise is not.
+/// At five requests per second, an object with a considerable share of them must be replicated, and
+/// objects with random fluctuations must not.
 #[test]
-fn levels_rise_with_a_true_share_of_few_requests_and_not_with_noise() {
+fn levels_rise_with_a_real_share_of_few_requests_and_not_with_noise() {
     let mut harness = Harness::new(settings(14, 300), 5);
     let mut random = PseudoRandom(9);
-    let (mut endpoints, mut noise) = (BTreeSet::new(), BTreeMap::<u64, BTreeSet<u64>>::new());
+    let mut popular_at = BTreeSet::new();
+    let mut others_at = BTreeMap::<u64, BTreeSet<u64>>::new();
     for i in 0..400 {
         let object = if i % 5 < 2 { 42 } else { 100 + random.next_below(40) };
-        let s = harness.serve(object, CacheStatus::Hit).unwrap();
+        let sent = harness.serve(object, CacheStatus::Hit).unwrap();
         if object == 42 {
-            endpoints.insert(s.endpoint);
+            popular_at.insert(sent.endpoint);
         } else {
-            noise.entry(object).or_default().insert(s.endpoint);
+            others_at.entry(object).or_default().insert(sent.endpoint);
         }
         harness.now += Duration::from_millis(200);
     }
-    assert!(endpoints.len() >= 3, "the hot object is served by {endpoints:?}");
-    assert!(noise.values().all(|h| h.len() == 1), "{noise:?}");
+    assert!(popular_at.len() >= 3, "the popular object was served only by {popular_at:?}");
+    assert!(others_at.values().all(|caches| caches.len() == 1), "{others_at:?}");
 }
 
-/// Responses of healthy caches get lost: once that shows, an overdue attempt is sent to the same
-/// cache again, by a hedged attempt or after cancelling; nothing is ejected, and there is no retry
-/// storm.
+/// Responses of live caches are lost. Once enough losses have been observed, the request of an
+/// overdue attempt must be sent to the same cache again, as a hedged request or after cancelling.
+/// No cache may be ejected, and retries must not multiply.
 #[test]
 fn requests_whose_response_is_lost_are_retried_at_the_same_cache() {
     for hedging_allowed in [false, true] {
         let mut harness = Harness::new(Settings { hedging_allowed, ..settings(14, 300) }, 5);
-        let seen = play(&mut harness, Duration::from_secs(60), |n, _| {
-            Some(Duration::from_millis(250)).filter(|_| n % 4 != 0)
+        let history = play(&mut harness, Duration::from_secs(60), |number, _| {
+            Some(Duration::from_millis(250)).filter(|_| number % 4 != 0)
         });
         let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
-        let (mut again, mut elsewhere) = (0, 0);
-        for (_, s) in &seen.sent {
-            let home = *homes.entry(s.id).or_insert(s.endpoint);
-            again += usize::from(s.attempt > 0 && s.endpoint == home);
-            elsewhere += usize::from(s.attempt > 0 && s.endpoint != home);
+        let (mut at_same_cache, mut elsewhere) = (0, 0);
+        for (_, sent) in &history.sent {
+            let home = *homes.entry(sent.id).or_insert(sent.endpoint);
+            at_same_cache += usize::from(sent.attempt > 0 && sent.endpoint == home);
+            elsewhere += usize::from(sent.attempt > 0 && sent.endpoint != home);
         }
-        let (asked, attempts) = (seen.asked, seen.sent.len());
-        assert!(again > asked / 8, "{again} of {asked} asked for again");
-        assert!(elsewhere < again / 2, "{elsewhere} moved elsewhere against {again}");
-        assert!(attempts < asked * 8 / 5, "{attempts} attempts for {asked}");
+        let (requests, attempts) = (history.requests, history.sent.len());
+        assert!(
+            at_same_cache > requests / 8,
+            "{at_same_cache} retries at the same cache for {requests} requests"
+        );
+        assert!(
+            elsewhere < at_same_cache / 2,
+            "{elsewhere} retries elsewhere, {at_same_cache} at the same cache"
+        );
+        assert!(attempts < requests * 8 / 5, "{attempts} attempts for {requests} requests");
     }
 }
 
-/// Guards against congestion that feeds itself: where hits are not reported, fills that take long
-/// must not be cancelled and restarted at the same cache, over and over.
+/// Guards against congestion that amplifies itself: where hits are not reported, slow fills must
+/// not be cancelled and restarted at the same cache over and over.
 #[test]
 fn slow_fills_are_not_restarted_where_hits_are_not_reported() {
     let mut harness =
         Harness::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
-    let seen = play(&mut harness, Duration::from_secs(60), |n, _| {
-        Some(if n % 6 == 0 { Duration::from_millis(2_500) } else { Duration::from_millis(250) })
+    let history = play(&mut harness, Duration::from_secs(60), |number, _| {
+        Some(if number % 6 == 0 { Duration::from_millis(2_500) } else { Duration::from_millis(250) })
     });
     let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
-    let same = |s: &&(Timestamp, Sent)| {
-        *homes.entry(s.1.id).or_insert(s.1.endpoint) == s.1.endpoint && s.1.attempt > 0
+    let is_retry_at_home = |sent: &&(Timestamp, SentAttempt)| {
+        *homes.entry(sent.1.id).or_insert(sent.1.endpoint) == sent.1.endpoint && sent.1.attempt > 0
     };
-    let again = seen.sent.iter().filter(same).count();
-    assert!(again < seen.asked / 50, "{again} of {} fills begun anew", seen.asked);
+    let restarted = history.sent.iter().filter(is_retry_at_home).count();
+    assert!(
+        restarted < history.requests / 50,
+        "the fills of {restarted} of {} requests were restarted",
+        history.requests
+    );
 }
 
-/// Guards against a parent whose fills never come while hits at the caches that name it are taken
-/// for its responses. Where all parents' fills stay overdue, what is behind them is at fault, and
-/// none is ejected.
+/// Guards against a parent whose fills never complete while hits at the caches that name it are
+/// taken for its responses. If the fills of all parents stay overdue, what is behind the parents
+/// has failed, and no parent may be ejected.
 #[test]
 fn a_parent_whose_fills_stay_overdue_is_ejected_though_hits_name_it() {
-    let share = |all: bool| {
+    let uses_of_failed_parent = |all_failed: bool| {
         let mut harness = Harness::new(
             Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) },
             5,
         );
         let before = play(&mut harness, Duration::from_secs(30), |_, _| Some(Duration::from_millis(250)));
         let mut uses: BTreeMap<u64, usize> = BTreeMap::new();
-        before.sent.iter().filter_map(|s| s.1.source).for_each(|p| *uses.entry(p).or_default() += 1);
-        let (parent, _) = uses.into_iter().max_by_key(|u| u.1).unwrap();
-        let sick = |s: &Sent| all || s.source == Some(parent);
-        let fell = harness.now;
-        let seen = play(&mut harness, Duration::from_secs(120), |n, s| {
-            Some(Duration::from_millis(250)).filter(|_| n % 2 == 0 || !sick(s) || all && n % 8 != 1)
+        let sources = before.sent.iter().filter_map(|sent| sent.1.source);
+        sources.for_each(|parent| *uses.entry(parent).or_default() += 1);
+        let (parent, _) = uses.into_iter().max_by_key(|(_, count)| *count).unwrap();
+        let names_failed = |sent: &SentAttempt| all_failed || sent.source == Some(parent);
+        let failed_at = harness.now;
+        let history = play(&mut harness, Duration::from_secs(120), |number, sent| {
+            let is_served = number % 2 == 0 || !names_failed(sent) || all_failed && number % 8 != 1;
+            Some(Duration::from_millis(250)).filter(|_| is_served)
         });
-        let filled = seen.sent.iter().filter(|s| s.1.source.is_some());
-        let late: Vec<_> = filled.filter(|s| s.0 > fell + Duration::from_secs(60)).collect();
-        (late.iter().filter(|s| s.1.source == Some(parent)).count() * 100, late.len())
+        let with_source = history.sent.iter().filter(|sent| sent.1.source.is_some());
+        let late: Vec<_> = with_source.filter(|sent| sent.0 > failed_at + Duration::from_secs(60)).collect();
+        (late.iter().filter(|sent| sent.1.source == Some(parent)).count() * 100, late.len())
     };
-    let (one, of) = share(false);
-    assert!(one < 11 * of, "named in {one} of {of} hundredths while its fills stay away");
-    let (all, of) = share(true);
-    assert!(all > 11 * of, "named in {all} of {of} hundredths while all fills stay away");
+    let (uses, attempts) = uses_of_failed_parent(false);
+    assert!(uses < 11 * attempts, "the failed parent was named {}% of the time", uses / attempts);
+    let (uses, attempts) = uses_of_failed_parent(true);
+    assert!(
+        uses > 11 * attempts,
+        "a parent was named only {}% of the time although all parents' fills were overdue",
+        uses / attempts
+    );
 }
 
-/// Two lost parents of a zone, and all of that zone warm up when they respond again; those of the
-/// other zone do not. Guards as well against six tenths of all parents standing idle for as long as
-/// a restart takes after a network cut of 6 s: parents that were only silent come back as they
-/// were.
+/// If two parents of a zone lose their process, all parents of the zone must warm up when they
+/// respond again, and those of the other zone must not. Also guards against six of ten parents
+/// being unused for as long as a restart takes after a network partition of 6 s: parents that were
+/// only silent must be used again as before.
 #[test]
 fn parents_of_a_zone_that_restarts_warm_up_as_a_whole_and_those_cut_off_do_not() {
-    for (told_after, cold) in [(Duration::from_millis(5), true), (Duration::from_millis(400), false)] {
+    for (latency, must_warm_up) in [(Duration::from_millis(5), true), (Duration::from_millis(400), false)] {
         let mut harness = Harness::new(settings(14, 300), 5);
         for i in 0..200 {
             harness.serve(i, CacheStatus::Hit);
         }
-        // Refused fills, two of each parent: the second ejects it.
+        // Two fills are refused for each of two parents; the second refusal ejects the parent.
         let mut failed: BTreeMap<u64, usize> = BTreeMap::new();
         for i in 1_000..3_000 {
             harness.now += Duration::from_millis(20);
-            let s = sent(&harness.request(i), 0).unwrap();
-            match s.source {
-                Some(p @ 21..=22) if failed.get(&p).is_none_or(|n| *n < 2) => {
-                    *failed.entry(p).or_default() += 1;
-                    harness.end_attempt(
-                        &s,
-                        AttemptStatus::Full,
-                        Some(CacheStatus::SourceUnreachable),
-                        told_after,
-                    );
+            let sent = sent_attempt(&harness.request(i), 0).unwrap();
+            match sent.source {
+                Some(parent @ 21..=22) if failed.get(&parent).is_none_or(|count| *count < 2) => {
+                    *failed.entry(parent).or_default() += 1;
+                    let unreachable = Some(CacheStatus::SourceUnreachable);
+                    harness.end_attempt(&sent, AttemptStatus::Full, unreachable, latency);
+                }
+                _ => {
+                    let hit = Some(CacheStatus::Hit);
+                    harness.end_attempt(&sent, AttemptStatus::Ok, hit, Duration::from_millis(250));
                 }
-                _ => drop(harness.end_attempt(
-                    &s,
-                    AttemptStatus::Ok,
-                    Some(CacheStatus::Hit),
-                    Duration::from_millis(250),
-                )),
             }
-            if failed.values().sum::<usize>() == 4 || cold && failed.len() == 2 {
+            if failed.values().sum::<usize>() == 4 || must_warm_up && failed.len() == 2 {
                 break;
             }
         }
         assert_eq!(failed.len(), 2);
         let mut used: BTreeMap<u64, usize> = BTreeMap::new();
-        // Fills of a twentieth of a second: three hundred as busy as this one leave the other
-        // zone's parents capacity.
+        // With fills of 50 ms, 300 routers as busy as this one leave spare capacity at the parents
+        // of the other zone.
         for i in 5_000..5_060 {
             harness.now += Duration::from_millis(200);
-            let Some(s) = sent(&harness.request(i), 0) else { continue };
-            harness.end_attempt(&s, AttemptStatus::Ok, Some(CacheStatus::Filled), Duration::from_millis(50));
-            s.source.into_iter().for_each(|p| *used.entry(p).or_default() += 1);
+            let Some(sent) = sent_attempt(&harness.request(i), 0) else { continue };
+            let filled = Some(CacheStatus::Filled);
+            harness.end_attempt(&sent, AttemptStatus::Ok, filled, Duration::from_millis(50));
+            sent.source.into_iter().for_each(|parent| *used.entry(parent).or_default() += 1);
         }
-        let zone_uses = |r: std::ops::RangeInclusive<u64>| r.filter_map(|p| used.get(&p)).sum::<usize>();
-        assert_eq!(zone_uses(21..=24) < 8 && zone_uses(25..=28) > 50, cold, "{used:?}");
-        assert!(cold || zone_uses(21..=24) > 12 && zone_uses(21..=22) > 4, "back from its silence: {used:?}");
+        let uses_of = |parents: std::ops::RangeInclusive<u64>| {
+            parents.filter_map(|parent| used.get(&parent)).sum::<usize>()
+        };
+        assert_eq!(uses_of(21..=24) < 8 && uses_of(25..=28) > 50, must_warm_up, "{used:?}");
+        assert!(
+            must_warm_up || uses_of(21..=24) > 12 && uses_of(21..=22) > 4,
+            "parents that were only silent must be used again: {used:?}"
+        );
     }
 }
 
-/// A parent at capacity: the fill is not retried at parents that would have to fetch it; where home
-/// caches of other zones may supply it, they do.
+/// A fill that a parent at capacity has refused must not be retried at parents that would have to
+/// fetch the object. Where the home caches of other zones may supply it, they must.
 #[test]
 fn a_refused_fill_is_not_retried_from_parent_to_parent() {
-    let refuse = |sibling_caches| {
+    let actions_after_refusal = |sibling_caches| {
         let mut harness = Harness::new(Settings { sibling_caches, ..settings(14, 300) }, 5);
         let entries = vec![entry(11, 1, 0, 4.0), entry(12, 1, 0, 4.0)];
         harness.event(Event::EndpointList { kind: ListKind::Delta, entries });
-        let s = sent(&harness.request(42), 0).unwrap();
+        let sent = sent_attempt(&harness.request(42), 0).unwrap();
         harness.end_attempt(
-            &s,
+            &sent,
             AttemptStatus::Full,
             Some(CacheStatus::SourceRefused),
             Duration::from_millis(60),
         )
     };
-    let actions = refuse(SiblingCaches::Location);
-    assert!(sent(&actions, 1).is_none() && actions.iter().any(|a| matches!(a, Action::Refuse { .. })));
-    assert!([11, 12].contains(&sent(&refuse(SiblingCaches::Any), 1).unwrap().source.unwrap()));
+    let actions = actions_after_refusal(SiblingCaches::Location);
+    assert!(
+        sent_attempt(&actions, 1).is_none() && actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    );
+    let retry = sent_attempt(&actions_after_refusal(SiblingCaches::Any), 1).unwrap();
+    assert!([11, 12].contains(&retry.source.unwrap()));
 }
 
-/// Endless successors: the memory of removed endpoints stays bounded, and old starts are not
-/// visited.
+/// Guards against unbounded memory for removed endpoints when endpoints are replaced over and over.
+/// Earlier endpoints must not be used.
 #[test]
 fn endless_endpoint_list_changes_keep_memory_bounded() {
     let mut harness = Harness::new(settings(14, 300), 5);
     for i in 0..6_000_u64 {
-        let new = EndpointEntry { started: harness.now, ..entry(10_000 + i, 0, 0, 4.0) };
-        let mut entries = vec![new];
+        let successor = EndpointEntry { started: harness.now, ..entry(10_000 + i, 0, 0, 4.0) };
+        let mut entries = vec![successor];
         if i > 0 {
             entries.push(EndpointEntry { state: EndpointState::Gone, ..entry(9_999 + i, 0, 0, 4.0) });
         }
@@ -279,75 +319,85 @@
     }
     let remembered = format!("{:?}", harness.module).matches("entry: EndpointEntry").count();
     assert!((1..2_500).contains(&remembered), "{remembered} endpoints remembered");
-    let s = harness.serve(77, CacheStatus::Hit).unwrap();
-    assert!(CACHES.contains(&s.endpoint) || s.endpoint == 15_999);
+    let sent = harness.serve(77, CacheStatus::Hit).unwrap();
+    assert!(CACHES.contains(&sent.endpoint) || sent.endpoint == 15_999);
 }
 
 /// Guards against a few hundred routers that each have only two fills in flight at a parent, which
-/// then has hundreds and sends none in time: copies are requested without a fill until the fills in
-/// flight are fewer. A pair of routers with as many in flight is no overload.
+/// then has hundreds and completes none in time. Requests must be served from copies alone until
+/// there are fewer fills in flight. Two routers with as many fills each are no overload.
 #[test]
-fn a_parent_with_fills_of_all_routers_gets_no_more_where_hits_are_not_reported() {
-    let unfilled = |router_count| {
+fn a_parent_with_fills_of_all_routers_gets_no_further_fills_where_hits_are_not_reported() {
+    let percentages_without_fill = |router_count| {
         let mut harness = Harness::new(
             Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(2, router_count) },
             5,
         );
-        let slow = |n: usize, s: &Sent| n < 200 && n.is_multiple_of(2) && s.source.is_some();
-        let seen = play(&mut harness, Duration::from_secs(60), |n, s| {
-            Some(if slow(n, s) { Duration::from_secs(2) } else { Duration::from_millis(100) })
+        let is_slow = |number: usize, sent: &SentAttempt| {
+            number < 200 && number.is_multiple_of(2) && sent.source.is_some()
+        };
+        let history = play(&mut harness, Duration::from_secs(60), |number, sent| {
+            Some(if is_slow(number, sent) { Duration::from_secs(2) } else { Duration::from_millis(100) })
         });
-        let share =
-            |of: &[(Timestamp, Sent)]| of.iter().filter(|s| s.1.source.is_none()).count() * 100 / of.len();
-        (share(&seen.sent[50..200]), share(&seen.sent[300..]))
+        let percentage = |attempts: &[(Timestamp, SentAttempt)]| {
+            attempts.iter().filter(|sent| sent.1.source.is_none()).count() * 100 / attempts.len()
+        };
+        (percentage(&history.sent[50..200]), percentage(&history.sent[300..]))
     };
-    let (jam, after) = unfilled(300);
-    assert!(jam > 30 && after == 0, "{jam} in 100 without a fill in the jam, {after} after it");
-    assert_eq!(unfilled(2), (0, 0));
+    let (during, after) = percentages_without_fill(300);
+    assert!(
+        during > 30 && after == 0,
+        "{during}% of the attempts had no fill source during the congestion, {after}% after it"
+    );
+    assert_eq!(percentages_without_fill(2), (0, 0));
 }
 
-/// Guards against fills that are known at their end only, where outcomes report them: until then
-/// nobody counts them, and a parent gets more than it can send.
+/// Guards against fills that are counted only at their end, even if outcomes report them: until
+/// then no router would count them, and a parent would get more fills than it can serve.
 #[test]
 fn fills_are_counted_by_their_age_whether_they_are_reported_or_not() {
-    for notes in [CacheStatusReporting::None, CacheStatusReporting::Hit, CacheStatusReporting::All] {
-        let mut harness = Harness::new(Settings { cache_status_reporting: notes, ..settings(14, 300) }, 5);
-        let r = Request {
+    for cache_status_reporting in
+        [CacheStatusReporting::None, CacheStatusReporting::Hit, CacheStatusReporting::All]
+    {
+        let mut harness = Harness::new(Settings { cache_status_reporting, ..settings(14, 300) }, 5);
+        let request = Request {
             id: 1,
             object: 1,
             deadline: harness.now + Duration::from_secs(5),
             ..Request::default()
         };
-        let actions = harness.event(Event::Request(r));
-        assert!(sent(&actions, 0).unwrap().source.is_some());
-        let by_age = timers(&actions, Timestamp::ZERO).into_iter().filter(|t| t.1 & 0xffff == 0x8000).count();
-        assert_eq!(by_age, 1, "{notes:?}");
+        let actions = harness.event(Event::Request(request));
+        assert!(sent_attempt(&actions, 0).unwrap().source.is_some());
+        let is_fill_check = |timer: &&(Timestamp, u64)| timer.1 & 0xffff == 0x8000;
+        let fill_checks = timers(&actions, Timestamp::ZERO).iter().filter(is_fill_check).count();
+        assert_eq!(fill_checks, 1, "{cache_status_reporting:?}");
     }
 }
 
-/// Guards against taking congestion for large objects: the bytes that came give the sending time,
-/// however long it took.
+/// Guards against taking congestion for large objects: the bytes of a response determine the
+/// sending time, however long the response took.
 #[test]
 fn congestion_does_not_change_the_service_time_of_a_class() {
     let mut harness =
         Harness::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
-    let mut held = Vec::new();
+    let mut fill_check_delays = Vec::new();
     for id in 1..=60 {
-        let r = Request {
+        let request = Request {
             id,
             object: u64::from(id),
             deadline: harness.now + Duration::from_secs(5),
             ..Request::default()
         };
-        let actions = harness.event(Event::Request(r));
-        let s = sent(&actions, 0).unwrap();
-        let fills = |t: &(Timestamp, u64)| t.1 & 0xffff == 0x8000;
-        held.extend(timers(&actions, Timestamp::ZERO).into_iter().find(fills).map(|t| t.0));
+        let actions = harness.event(Event::Request(request));
+        let sent = sent_attempt(&actions, 0).unwrap();
+        let is_fill_check = |timer: &(Timestamp, u64)| timer.1 & 0xffff == 0x8000;
+        let fill_check = timers(&actions, Timestamp::ZERO).into_iter().find(is_fill_check);
+        fill_check_delays.extend(fill_check.map(|timer| timer.0));
         harness.now += Duration::from_secs(2);
         harness.event(Event::AttemptOutcome(AttemptOutcome {
-            request: s.id,
+            request: sent.id,
             attempt: 0,
-            endpoint: EndpointId(s.endpoint),
+            endpoint: EndpointId(sent.endpoint),
             latency: Duration::from_secs(2),
             status: AttemptStatus::Ok,
             ended: true,
@@ -355,5 +405,5 @@
             work: Some(0.25),
         }));
     }
-    assert_eq!(held.last(), Some(&Timestamp::from_micros(250_000)));
+    assert_eq!(fill_check_delays.last(), Some(&Timestamp::from_micros(250_000)));
 }
