--- a/crates/decision/src/events.rs
+++ b/crates/decision/src/events.rs
@@ -6,7 +6,8 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Delay before the endpoint list is requested again after a request for it failed.
+/// Delay before the module subscribes to the endpoint list again after a request for the list
+/// failed.
 const RESUBSCRIBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum interval between two log lines about ejected endpoints.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -84,8 +84,8 @@
         let first_to_try = preferences.iter().copied().find(|index| may_be_tried(*index));
         let has_available = !candidates.available.is_empty();
         let is_exhausted = has_available && candidates.is_idempotent && first_to_try.is_none();
-        // No cache is available, or the request may try none of the available ones: it avoids them,
-        // has an attempt in flight there, or exceeds their warm-up budgets.
+        // No cache is available, or an idempotent request may try none of the available ones: it
+        // avoids them, has an attempt in flight there, or exceeds their warm-up budgets.
         if self.settings.bypass_edge_cache && (!has_available || is_exhausted) {
             match self.bypass_caches(&candidates, is_exhausted) {
                 BypassDecision::Route(route) => return Some(route),
--- a/crates/decision/src/policy/error_attribution.rs
+++ b/crates/decision/src/policy/error_attribution.rs
@@ -119,8 +119,8 @@
         self.add_failure(now, parent, FULL_WEIGHT, signal);
     }
 
-    /// Adds an error to a cache's error rate, and ejects the cache if the rate is above
-    /// [`ERROR_RATE_THRESHOLD`].
+    /// Adds an error to a cache's error rate. If the rate is above [`ERROR_RATE_THRESHOLD`], also
+    /// adds a failure that suffices for the cache's ejection.
     fn record_cache_error(&mut self, now: Timestamp, cache: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(cache) else { return };
         endpoint.count_error();
@@ -131,7 +131,8 @@
     /// Attributes a refusal. It counts as a response of the cache, which has just sent it.
     ///
     /// - If the fill source failed, by the reported cause, the request avoids the source and
-    ///   accepts stale copies. An unreachable source also gets a failure.
+    ///   accepts stale copies. A source that was not reached also gets a failure; one that refused
+    ///   lets a sibling cache be chosen as the next source.
     /// - Where causes are not reported, either may have refused: the source gets a failure whose
     ///   weight depends on the latency, and the request avoids both.
     /// - Otherwise the cache itself refused, and the request avoids the cache.
--- a/crates/decision/src/policy/health.rs
+++ b/crates/decision/src/policy/health.rs
@@ -132,8 +132,8 @@
     /// Called when a parent's process is presumed lost: presumes all parents of its zone to have
     /// restarted if enough of them are lost.
     ///
-    /// If hardly any parent would then count as running, the origin behind them has failed rather
-    /// than the parents: no parent's process is presumed lost any more.
+    /// If hardly any of more than three parents would then count as running, the origin behind them
+    /// has failed rather than the parents: no parent's process is presumed lost any more.
     fn check_zone_restart(&mut self, zone: u16) {
         let parents = || self.endpoints.ready(EndpointRole::Parent);
         let is_in_zone = |parent: &&Endpoint| parent.entry.zone == zone;
--- a/crates/decision/src/policy/warm_up.rs
+++ b/crates/decision/src/policy/warm_up.rs
@@ -50,7 +50,8 @@
     /// are not used, so that no router saves slots up. All routers whose slot begins within two
     /// overload windows can send within a single window. The number of these slots is random. Its
     /// mean is set such that the mean plus [`SLOT_SAFETY_DEVIATIONS`] standard deviations stays
-    /// below the overload limit: it solves `mean + deviations * sqrt(mean) = limit`.
+    /// below the overload limit: it solves `mean + deviations * sqrt(mean) = limit`. The mean use
+    /// of the endpoint is also limited to [`MAX_WARM_UP_USE`].
     pub(crate) fn slot_rate(&self, now: Timestamp, id: EndpointId, largest_request: f64) -> Option<f64> {
         let endpoint = self.endpoints.get(id).filter(|e| e.entry.state == EndpointState::Ready)?;
         let WarmUpCapacity { capacity, overload_multiple } = self.warm_up_capacity(now, endpoint)?;
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -9,6 +9,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
+// Words of the settings, with their meanings.
 const SIBLING_CACHES: [(&str, SiblingCaches); 3] =
     [("none", SiblingCaches::None), ("location", SiblingCaches::Location), ("any", SiblingCaches::Any)];
 const CACHE_STATUS_REPORTING: [(&str, CacheStatusReporting); 3] = [
--- a/crates/decision/src/state/capacity.rs
+++ b/crates/decision/src/state/capacity.rs
@@ -34,7 +34,8 @@
 
 impl DecisionModule {
     /// Capacity of a warm endpoint in seconds of work per second: the listed size, or, where sizes
-    /// are not listed, the mean work that warm edge caches of the own zone were sent.
+    /// are not listed, the mean rate at which work was sent to the warm edge caches of the own
+    /// zone.
     fn full_capacity(&self, endpoint: &Endpoint) -> f64 {
         if self.settings.weights == ListedWeights::Size && endpoint.entry.weight > 0.0 {
             return endpoint.entry.weight;
--- a/crates/decision/src/state/endpoint.rs
+++ b/crates/decision/src/state/endpoint.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// Work of one attempt that was sent to an endpoint, or to a cache that was told to fill from it.
+/// Work of one attempt that was sent to an endpoint, or to a cache that may fill from it.
 #[derive(Clone, Debug)]
 pub(crate) struct AssignedWork {
     /// Time at which the attempt was sent.
--- a/crates/decision/src/state/endpoint_set.rs
+++ b/crates/decision/src/state/endpoint_set.rs
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Removes an ended attempt from the load of its endpoint and fill source, and ends a recovery
-    /// probe that it was.
+    /// Removes an ended attempt from the load of its endpoint and fill source. If it was a recovery
+    /// probe, further ones may be sent.
     pub(crate) fn end_attempt(&mut self, now: Timestamp, attempt: &Attempt, outcome: &AttemptOutcome) {
         if let Some(endpoint) = self.get_mut(attempt.endpoint) {
             if attempt.counted_at_endpoint {
--- a/crates/decision/src/state/learning.rs
+++ b/crates/decision/src/state/learning.rs
@@ -31,7 +31,7 @@
         self.record_service_time(&ended.request, outcome, slowdown);
         let open = self.requests.get(&outcome.request);
         if open.is_some_and(|open| open.response_lost && outcome.attempt > 0) {
-            // A hit at the second attempt shows that the first one was served and its response was
+            // A hit at a later attempt shows that the first one was served and its response was
             // lost. A fill shows that the first one was still waiting for its fill.
             let was_lost = outcome.note == Some(CacheStatus::Hit);
             self.lost_responses.record(if was_lost { 1.0 } else { 0.0 });
--- a/crates/decision/src/state/service_time.rs
+++ b/crates/decision/src/state/service_time.rs
@@ -125,8 +125,9 @@
         self.service_times.iter().map(ServiceTimeEstimate::mean).fold(MIN_SERVICE_TIME, f64::max)
     }
 
-    /// Latency in seconds that latencies of the request are related to: the sending time and a
-    /// fraction of the latency objective, or the latency objective where the size is not known.
+    /// Expected latency of the request in seconds, the unit of the latency quantile: the sending
+    /// time plus a fraction of the latency objective, or the latency objective where the size is
+    /// not known.
     fn expected_latency(&self, request: &Request) -> f64 {
         let objective = secs(self.settings.class(request).latency_objective).max(MIN_SERVICE_TIME);
         self.settings
--- a/crates/decision/src/state/snapshot.rs
+++ b/crates/decision/src/state/snapshot.rs
@@ -56,7 +56,7 @@
 pub struct EndpointSnapshot {
     /// The endpoint's identity.
     pub id: u64,
-    /// Start of the warm-up; `None` if the endpoint is warm.
+    /// Start of the latest warm-up; `None` if none is known.
     pub cold_since: Option<Timestamp>,
     /// Error score, error rate, and, for a parent cache, overdue score.
     pub blame: [f64; 3],
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Sets the state of `endpoint`. Times in the future count as `now`, and invalid numbers are
-    /// replaced by valid ones.
+    /// Sets the state of `endpoint`. Times that must lie in the past are limited to `now`, and
+    /// invalid numbers are replaced by valid ones.
     fn restore_into(&self, now: Timestamp, endpoint: &mut Endpoint) {
         let [error_score, error_rate, overdue_score] = self.blame;
         let warm_up_started = self.cold_since.map(|at| at.min(now));
@@ -166,8 +166,8 @@
 }
 
 impl RequestCounter {
-    /// Restores levels, request rate and the objects that were requested lately. Times in the
-    /// future count as `now`.
+    /// Restores levels, request rate and the objects that were requested lately. Times are limited
+    /// to `now`.
     fn restore(&mut self, now: Timestamp, snapshot: &DecisionSnapshot) {
         for (key, level, since) in snapshot.levels.iter().take(MAX_TRACKED_OBJECTS) {
             let entry = ReplicationLevel { level: (*level).min(MAX_LEVEL), since: (*since).min(now) };
