--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -10,7 +10,7 @@
 
 /// Minimum spare capacity of a cache that takes over a request from the preferred cache. The bound
 /// is high because the object is usually not cached there, so that the request costs a fill.
-const MIN_STAND_IN_CAPACITY: f64 = 0.8;
+const MIN_OVERFLOW_CAPACITY: f64 = 0.8;
 /// The last 1/10 of the idempotency window is not used for retries: the retry has to reach the
 /// endpoint before the window ends.
 const WINDOW_MARGIN_DIVISOR: u64 = 10;
@@ -70,7 +70,7 @@
         let may_be_tried = |index: usize| !is_avoided(index) && is_free(index);
         let has_capacity = |index: usize| {
             let is_preferred = preferences.first() == Some(&index);
-            let required = if is_preferred { 0.0 } else { MIN_STAND_IN_CAPACITY };
+            let required = if is_preferred { 0.0 } else { MIN_OVERFLOW_CAPACITY };
             self.spare_capacity(now, &open.request, cache_at(index)) >= required
         };
         let route_to = |index: usize| self.route_to_cache(&candidates, cache_at(index), index);
--- a/crates/decision/src/policy/fault_detection.rs
+++ b/crates/decision/src/policy/fault_detection.rs
@@ -74,7 +74,7 @@
             let signal = HealthSignal::from_failed_connect(&self.settings, latency);
             self.add_failure(now, id, EJECTION_SCORE, signal);
         } else if endpoint.awaits_probe() {
-            self.record_proof_of_life(now, id);
+            self.record_liveness(now, id);
         }
     }
 }
--- a/crates/decision/src/policy/health.rs
+++ b/crates/decision/src/policy/health.rs
@@ -60,7 +60,7 @@
     /// and that only a probe can readmit.
     pub(crate) fn record_response(&mut self, now: Timestamp, id: EndpointId) {
         if self.endpoints.get(id).is_some_and(|endpoint| !endpoint.awaits_probe()) {
-            self.record_proof_of_life(now, id);
+            self.record_liveness(now, id);
         }
     }
 
@@ -70,7 +70,7 @@
     /// An endpoint that fails most of its requests still serves some, so one success is not enough:
     /// while its error rate or its share of overdue attempts is too high, it stays ejected until
     /// further recovery probes succeed.
-    pub(crate) fn record_proof_of_life(&mut self, now: Timestamp, id: EndpointId) {
+    pub(crate) fn record_liveness(&mut self, now: Timestamp, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         endpoint.mark_alive(now);
         if endpoint.is_available() {
--- a/crates/decision/tests/endpoint_choice.rs
+++ b/crates/decision/tests/endpoint_choice.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn overload_overflows_to_stand_ins_and_is_then_rejected() {
+fn overload_overflows_to_other_caches_and_is_then_rejected() {
     let mut harness = Harness::new(settings());
     let home = harness.request(42).endpoint;
     let (mut overflowed, mut rejected) = (0, 0);
--- a/crates/decision/tests/scale/harness.rs
+++ b/crates/decision/tests/scale/harness.rs
@@ -172,12 +172,12 @@
 
 /// Drives one router for `span`, with one request every 140 ms. `latency_of` returns the latency of
 /// an attempt's response by the number and the attempt; without a response the attempt times out.
-pub fn play(
+pub fn drive_router(
     harness: &mut Harness,
     span: Duration,
     latency_of: impl FnMut(usize, &SentAttempt) -> Option<Duration>,
 ) -> RouterHistory {
-    let mut player = Player {
+    let mut driver = RouterDriver {
         harness,
         latency_of,
         history: RouterHistory::default(),
@@ -185,14 +185,14 @@
         in_flight: Vec::new(),
         attempt_numbers: BTreeMap::new(),
     };
-    let end = player.harness.now + span;
-    while player.harness.now < end {
-        player.step();
+    let end = driver.harness.now + span;
+    while driver.harness.now < end {
+        driver.step();
     }
-    player.history
+    driver.history
 }
 
-struct Player<'a, F> {
+struct RouterDriver<'a, F> {
     harness: &'a mut Harness,
     latency_of: F,
     history: RouterHistory,
@@ -201,7 +201,7 @@
     attempt_numbers: BTreeMap<RequestId, u16>,
 }
 
-impl<F: FnMut(usize, &SentAttempt) -> Option<Duration>> Player<'_, F> {
+impl<F: FnMut(usize, &SentAttempt) -> Option<Duration>> RouterDriver<'_, F> {
     fn step(&mut self) {
         self.harness.now += STEP;
         let mut actions = Vec::new();
--- a/crates/decision/tests/scale/main.rs
+++ b/crates/decision/tests/scale/main.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{
-    entry, play, sent_attempt, settings, timers, times_used_while_warming_up, Harness, PseudoRandom,
+    drive_router, entry, sent_attempt, settings, timers, times_used_while_warming_up, Harness, PseudoRandom,
     SentAttempt, CACHES, PARENT, START,
 };
 use hollymux_decision::*;
@@ -95,7 +95,7 @@
         Some(if is_slow { Duration::from_millis(900) } else { Duration::from_millis(250) })
     };
     let mut harness = Harness::new(settings(14, 300), 5);
-    let live = play(&mut harness, Duration::from_secs(40), |number, _| latency_of(number));
+    let live = drive_router(&mut harness, Duration::from_secs(40), |number, _| latency_of(number));
     let used = live.sent.iter().filter(|sent| sent.1.endpoint == 3).count();
     assert!(
         live.cancelled * 20 < live.requests && used > 20,
@@ -103,9 +103,9 @@
         live.cancelled
     );
     let mut harness = Harness::new(settings(14, 300), 5);
-    play(&mut harness, Duration::from_secs(10), |number, _| latency_of(number));
+    drive_router(&mut harness, Duration::from_secs(10), |number, _| latency_of(number));
     let failed_at = harness.now;
-    let silent = play(&mut harness, Duration::from_secs(20), |number, sent| {
+    let silent = drive_router(&mut harness, Duration::from_secs(20), |number, sent| {
         latency_of(number).filter(|_| sent.endpoint != 3)
     });
     let detected_by = failed_at + Duration::from_secs(8);
@@ -146,7 +146,7 @@
 fn requests_whose_response_is_lost_are_retried_at_the_same_cache() {
     for hedging_allowed in [false, true] {
         let mut harness = Harness::new(Settings { hedging_allowed, ..settings(14, 300) }, 5);
-        let history = play(&mut harness, Duration::from_secs(60), |number, _| {
+        let history = drive_router(&mut harness, Duration::from_secs(60), |number, _| {
             Some(Duration::from_millis(250)).filter(|_| number % 4 != 0)
         });
         let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
@@ -175,7 +175,7 @@
 fn slow_fills_are_not_restarted_where_hits_are_not_reported() {
     let mut harness =
         Harness::new(Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) }, 5);
-    let history = play(&mut harness, Duration::from_secs(60), |number, _| {
+    let history = drive_router(&mut harness, Duration::from_secs(60), |number, _| {
         Some(if number % 6 == 0 { Duration::from_millis(2_500) } else { Duration::from_millis(250) })
     });
     let mut homes: BTreeMap<RequestId, u64> = BTreeMap::new();
@@ -200,14 +200,15 @@
             Settings { cache_status_reporting: CacheStatusReporting::None, ..settings(14, 300) },
             5,
         );
-        let before = play(&mut harness, Duration::from_secs(30), |_, _| Some(Duration::from_millis(250)));
+        let before =
+            drive_router(&mut harness, Duration::from_secs(30), |_, _| Some(Duration::from_millis(250)));
         let mut uses: BTreeMap<u64, usize> = BTreeMap::new();
         let sources = before.sent.iter().filter_map(|sent| sent.1.source);
         sources.for_each(|parent| *uses.entry(parent).or_default() += 1);
         let (parent, _) = uses.into_iter().max_by_key(|(_, count)| *count).unwrap();
         let names_failed = |sent: &SentAttempt| all_failed || sent.source == Some(parent);
         let failed_at = harness.now;
-        let history = play(&mut harness, Duration::from_secs(120), |number, sent| {
+        let history = drive_router(&mut harness, Duration::from_secs(120), |number, sent| {
             let is_served = number % 2 == 0 || !names_failed(sent) || all_failed && number % 8 != 1;
             Some(Duration::from_millis(250)).filter(|_| is_served)
         });
@@ -336,7 +337,7 @@
         let is_slow = |number: usize, sent: &SentAttempt| {
             number < 200 && number.is_multiple_of(2) && sent.source.is_some()
         };
-        let history = play(&mut harness, Duration::from_secs(60), |number, sent| {
+        let history = drive_router(&mut harness, Duration::from_secs(60), |number, sent| {
             Some(if is_slow(number, sent) { Duration::from_secs(2) } else { Duration::from_millis(100) })
         });
         let percentage = |attempts: &[(Timestamp, SentAttempt)]| {
