--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,7 @@
-//! The core of a request router: it owns the decision module, the open requests and attempts, and
-//! the endpoint list. Timed events go in, commands come out; it knows no wire format, socket or
-//! clock. Every protocol that clients use and every source of endpoints goes through it.
+//! The core of a request router. It owns the decision module, the open requests and attempts, and
+//! the endpoint list. The caller passes timed inputs and executes the returned commands; the core
+//! knows no wire format, socket or clock. All client protocols and all sources of endpoints share
+//! it.
 
 pub mod buffers;
 pub mod classes;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,6 +1,6 @@
 //! The core of a request router. It owns the decision module, the open requests, the attempts in
-//! flight and the endpoint table. Timed events go in, commands come out; it knows no wire format,
-//! socket or clock.
+//! flight and the endpoint table. The caller passes timed inputs to [`Router::handle`] and executes
+//! the commands that it returns. The core knows no wire format, socket or clock.
 
 mod admission;
 mod attempts;
@@ -27,23 +27,24 @@
 use open_request::OpenRequest;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Requests open at a time, and attempts that lookups may hold in flight; beyond them new ones are
-/// rejected.
+/// Maximum number of open requests; further requests are rejected. A lookup is rejected if this
+/// many attempts are in flight.
 const MAX_OPEN_REQUESTS: usize = 4_096;
 
-/// What a router is started with.
+/// The options with which a router is created.
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
-    /// The settings of the decision module.
+    /// The settings of the decision module, including the request classes.
     pub settings: Settings,
-    /// The names of the classes, by number.
+    /// The name of each class in `settings`, in the same order. A class without a name is dropped.
     pub classes: Vec<String>,
-    /// The seed of random numbers.
+    /// The seed of the decision module's random number generator.
     pub seed: u64,
-    /// The memory limit in MB: it bounds the table of pending writes.
+    /// The memory limit of the process in MB. It bounds the table of pending writes.
     pub memory_mb: u64,
-    /// The throughput of a single transfer; 0: unknown, so that no transfer time follows from the
-    /// size of a response.
+    /// The throughput of a single transfer in bytes per second, by which the size of a response is
+    /// converted to its transfer time. At 0 the throughput is unknown and no transfer time is
+    /// derived.
     pub flow_bytes_per_s: f64,
 }
 
@@ -51,32 +52,38 @@
 #[derive(Debug)]
 pub struct Router {
     decision: DecisionModule,
-    /// Routes clients' requests where they follow lookups at another router.
+    /// Routes client requests by lookups at another router; `None` if the decision module routes
+    /// them.
     hint_follower: Option<HintFollower>,
     classes: Classes,
     settings: Settings,
     flow_bytes_per_s: f64,
     pending_writes: PendingWrites,
-    /// The result of the lookup that is being answered.
+    /// The result of the lookup that [`Router::lookup`] is executing; `None` at any other time.
     lookup_result: Option<LookupResult<Target>>,
     endpoints: EndpointTable,
     open_requests: HashMap<RequestId, OpenRequest>,
+    /// The open request of each client that waits for a reply.
     by_client: BTreeMap<ClientHandle, RequestId>,
-    /// The ids that clients gave their open requests.
+    /// The request ids that clients gave their open requests.
     open_client_ids: HashSet<u64>,
+    /// Attempts that have not ended, including those that were only named to the caller of a
+    /// lookup.
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    /// The id of the next request to be opened. Ids wrap around and skip 0.
     next_request: RequestId,
-    /// Totals since the start.
+    /// Totals of requests, lookups and attempts since the router was created.
     pub counters: Counters,
-    /// What operators are shown.
+    /// The metrics by class that are shown to operators.
     pub metrics: Metrics,
-    /// Where the counters of each class are in `metrics`.
+    /// The index of each class's counters in `metrics`, by class slot.
     metric_indexes: Vec<usize>,
 }
 
 impl Router {
-    /// A router with no endpoints yet. `follow`: clients' requests go where lookups at another
-    /// router say, rather than where the decision module of this one does.
+    /// Creates a router with an empty endpoint table. If `follow` is set, client requests are sent
+    /// to the endpoints that lookups at another router name; otherwise the decision module of this
+    /// router chooses. Returns an error if the settings are invalid.
     pub fn new(setup: RouterOptions, follow: bool) -> Result<Router, SettingsError> {
         let mut metrics = Metrics::default();
         let mut classes = Classes::default();
@@ -104,7 +111,7 @@
         })
     }
 
-    /// Applies one input and appends what is to be done, in order.
+    /// Applies one input and appends the resulting commands, which the caller executes in order.
     pub fn handle(&mut self, now: Timestamp, input: Input, commands: &mut Vec<Command>) {
         match input {
             Input::Request(client, request) => self.on_request(now, client, request, commands),
@@ -125,67 +132,72 @@
         }
     }
 
-    /// The number of clients' requests without a final reply.
+    /// The number of client requests without a final reply. Lookups are not counted.
     pub fn open_request_count(&self) -> usize {
         self.by_client.len()
     }
 
-    /// Whether no request is open, lookups included.
+    /// Whether no request of a client or of a lookup is open.
     pub fn is_idle(&self) -> bool {
         self.open_requests.is_empty()
     }
 
-    /// How many endpoints are listed, and how many of them get no requests.
+    /// The number of endpoints in the endpoint list, and the number of those that get no requests
+    /// because they are draining or ejected.
     pub fn rotation(&self) -> Rotation {
         self.decision.rotation()
     }
 
-    /// The classes.
+    /// The request classes by slot. They include retired classes, which accept no new requests.
     pub fn classes(&self) -> &Classes {
         &self.classes
     }
 
-    /// The settings in force. Their classes include those that take no new requests any more.
+    /// The settings in force. Their classes are indexed by slot and include retired classes, which
+    /// accept no new requests.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The name of an endpoint, if it is known.
+    /// The name of an endpoint in the endpoint protocol, or `None` if the endpoint is unknown.
     pub fn uid(&self, endpoint: EndpointId) -> Option<&str> {
         self.endpoints.uid(endpoint).map(|uid| &**uid)
     }
 
-    /// Counts an event of a class in the metrics.
+    /// Counts an event in the metrics of a class. A class number without a slot is ignored.
     pub fn count(&mut self, class: u16, event: CountedEvent) {
         if let Some(index) = self.metric_indexes.get(usize::from(class)) {
             self.metrics.record(*index, event);
         }
     }
 
-    /// Sets how many routers may be active, in all and in this one's zone: limits are divided by
-    /// that.
-    pub fn count_routers(&mut self, all: u32, here: u32) {
-        self.decision.count_routers(all, here);
+    /// Sets the number of possibly active routers in the whole cluster (`all`) and in this router's
+    /// zone (`own_zone`). Limits that routers share are divided by these numbers.
+    pub fn count_routers(&mut self, all: u32, own_zone: u32) {
+        self.decision.count_routers(all, own_zone);
     }
 
-    /// Sets the leased shares of warm-up budgets: see [`DecisionModule::lease`].
-    pub fn lease(&mut self, homes: (f64, f64), parts: BTreeMap<EndpointId, QuotaShare>) {
-        self.decision.lease(homes, parts);
+    /// Sets this router's leased shares of warm-up budgets. `default_shares` holds the share for
+    /// endpoints that all routers use, and the share for endpoints that only this router's zone
+    /// uses; `by_endpoint` holds the endpoints with another share. See [`DecisionModule::lease`].
+    pub fn lease(&mut self, default_shares: (f64, f64), by_endpoint: BTreeMap<EndpointId, QuotaShare>) {
+        self.decision.lease(default_shares, by_endpoint);
     }
 
-    /// The requests that endpoints in warm-up get from this router.
+    /// This router's demand for the warm-up budget of each endpoint that is warming up. Routers
+    /// agree on leased shares by these demands.
     pub fn warm_up_demands(&self, now: Timestamp) -> Vec<WarmUpDemand> {
         self.decision.warm_up_demands(now)
     }
 
-    /// Sets whether warm-up budgets are shared with another process that serves on this one's
-    /// address.
+    /// Sets whether another process serves the same address, as during a handover. While it does,
+    /// limits are divided by one more router.
     pub fn share(&mut self, with_another: bool) {
         self.decision.share(u32::from(with_another));
     }
 }
 
-/// The classes of settings with their names.
+/// The classes of the settings with their names. A class without a name is dropped.
 fn named_classes(names: &[String], settings: &Settings) -> Vec<NamedClass> {
     let classes = names.iter().cloned().zip(settings.classes.iter().cloned());
     classes.map(|(name, class)| NamedClass { name, class }).collect()
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Intake of clients' requests: the checks before a request is opened, and opening it.
+//! Admission of client requests: the checks that a request has to pass, and opening it.
 
 use super::open_request::{NewRequest, OpenRequest, WaitingClient};
 use super::{Router, MAX_OPEN_REQUESTS};
@@ -10,12 +10,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request may not ask to wait for longer than this multiple of its class's deadline.
+/// Maximum budget of a request as a multiple of its class's deadline. A request with a longer
+/// budget is failed.
 const MAX_BUDGET_MULTIPLE: u32 = 2;
 
 impl Router {
-    /// Counts a request that is rejected before it is opened, as the process is overloaded or
-    /// stopping. Returns its summary if its class is known.
+    /// Counts a request that the caller rejects without passing it to [`Router::handle`], because
+    /// the process is overloaded or stopping. Returns the request's summary, or `None` if its class
+    /// is unknown.
     pub fn reject_unopened(&mut self, now: Timestamp, request: &ClientRequest) -> Option<Command> {
         self.counters.shed += 1;
         let class = self.classes.named(&request.class)?;
@@ -25,14 +27,16 @@
         Some(unopened_summary(now, request, requested, RequestResult::Rejected, reason))
     }
 
-    /// Counts a request whose fields can't be parsed: it is failed.
+    /// Counts a request that the caller fails because its fields can't be parsed. A request of an
+    /// unknown class is not counted.
     pub fn count_invalid_request(&mut self, class: &[u8]) {
         if let Some(class) = self.classes.named(class) {
             self.count(class, CountedEvent::Failed);
         }
     }
 
-    /// A client sent a request: opens it, or answers it at once.
+    /// Handles a client's request: opens it if it passes the admission checks, and replies at once
+    /// otherwise.
     pub(super) fn on_request(
         &mut self,
         now: Timestamp,
@@ -64,7 +68,7 @@
         self.open_request(now, new, commands);
     }
 
-    /// Opens a request and routes it.
+    /// Opens a request and passes it to the decision module or the hint follower. Returns its id.
     pub(super) fn open_request(
         &mut self,
         now: Timestamp,
@@ -97,7 +101,8 @@
         self.classes.idempotency(class) == Idempotency::NotIdempotent
     }
 
-    /// The checks in their order; the last one remembers a non-idempotent request.
+    /// Runs the admission checks in order; the last one adds a non-idempotent request to the
+    /// pending writes. Returns the reason if a check fails.
     fn admit(
         &mut self,
         now: Timestamp,
@@ -111,7 +116,8 @@
         self.reserve_room(now, write_id)
     }
 
-    /// Endpoints know a request by its id: two open ones must not share it.
+    /// Returns an error if an open request has the same id. Endpoints identify a request by its id,
+    /// so two open requests must not share one.
     fn check_request_id(&self, request: &ClientRequest) -> Result<(), ResultReason> {
         if self.open_client_ids.contains(&request.request_id.value) {
             return Err(ResultReason::InvalidRequest);
@@ -119,6 +125,8 @@
         Ok(())
     }
 
+    /// Returns an error if the budget exceeds the maximum of the class. A class without a deadline
+    /// has no maximum.
     fn check_budget(&self, request: &ClientRequest, class: u16) -> Result<(), ResultReason> {
         let max_budget = self.settings.classes[usize::from(class)].deadline * MAX_BUDGET_MULTIPLE;
         let budget = Duration::from_millis(request.budget_ms);
@@ -128,8 +136,8 @@
         Ok(())
     }
 
-    /// A non-idempotent request that was accepted before, or that a lookup named an endpoint for,
-    /// may have run.
+    /// Returns an error if a non-idempotent request may have run: one with its id was accepted
+    /// before, or a lookup named an endpoint for it.
     fn check_not_sent_before(&self, write_id: Option<u64>) -> Result<(), ResultReason> {
         if write_id.is_some_and(|id| self.pending_writes.contains(id)) {
             return Err(ResultReason::MayHaveRun);
@@ -137,6 +145,8 @@
         Ok(())
     }
 
+    /// Adds a non-idempotent request to the pending writes. Returns an error if too many requests
+    /// are open or the table of pending writes is full.
     fn reserve_room(&mut self, now: Timestamp, write_id: Option<u64>) -> Result<(), ResultReason> {
         if self.open_requests.len() >= MAX_OPEN_REQUESTS {
             return Err(ResultReason::TableFull);
@@ -147,7 +157,8 @@
         Ok(())
     }
 
-    /// The reply to a request that was not admitted: only the lack of room passes.
+    /// The reply to a request that was not admitted. Only a full table is a temporary condition, so
+    /// the request is rejected with the longest retry advice; for any other reason it is failed.
     fn admission_reply(&self, reason: ResultReason) -> Reply {
         match reason {
             ResultReason::TableFull => Reply::Rejected(whole_micros(self.settings.max_retry_after) / 1_000),
@@ -165,7 +176,7 @@
     }
 }
 
-/// The summary of a request that was answered without being opened.
+/// Builds the summary of a request that was answered without being opened.
 fn unopened_summary(
     now: Timestamp,
     request: &ClientRequest,
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts of requests at endpoints: starting, their responses and failures, and their end.
+//! Attempts of requests at endpoints: starting an attempt, its response, failure, timeout or
+//! cancellation, and its outcome.
 
 use super::open_request::{AttemptedEndpoint, WaitingClient};
 use super::Router;
@@ -15,7 +16,7 @@
 };
 use std::time::Duration;
 
-/// An attempt to be started.
+/// The parameters of an attempt that is to be started.
 #[derive(Debug)]
 pub(super) struct NewAttempt {
     pub(super) request: RequestId,
@@ -24,13 +25,14 @@
     pub(super) fill: CacheFill,
 }
 
-/// Whom an attempt was made for.
+/// Whether this router sends an attempt itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptKind {
-    /// This router sends it.
+    /// This router sends the attempt and waits for the response.
     Sent,
-    /// The endpoint was only named to the caller of a lookup. The attempt counts as in flight for a
-    /// while, and no response to it will come.
+    /// A lookup named the endpoint to its caller, which sends the request itself. The attempt
+    /// counts as in flight for the latency objective of its class; this router gets no response to
+    /// it.
     Named,
 }
 
@@ -45,13 +47,14 @@
     kind: AttemptKind,
 }
 
-/// How an attempt ended.
+/// How an attempt ended, and what its response says about the endpoint.
 struct AttemptEnd {
     status: AttemptStatus,
-    /// How long the transfer of the response took the endpoint, in seconds, as far as it follows
-    /// from the size.
+    /// The time that the endpoint spent on the transfer of the response, in seconds, derived from
+    /// the size of the body. `None` if the response carries no data or the throughput of a transfer
+    /// is unknown.
     transfer_time_s: Option<f64>,
-    /// What the endpoint said of its cache.
+    /// The cache status that the endpoint reported, or `None`.
     cache_status: Option<CacheStatus>,
 }
 
@@ -62,8 +65,8 @@
 }
 
 impl Router {
-    /// Starts an attempt: it is sent, or named to the caller of a lookup. Returns its end if it has
-    /// ended already.
+    /// Starts an attempt: sends it, or names its endpoint to the caller of a lookup. Returns the
+    /// outcome if the attempt ended at once because the endpoint or its fill source is not ready.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -74,7 +77,7 @@
         let has_attempt_in_flight = self.has_attempt_in_flight(request);
         let Some(open) = self.open_requests.get_mut(&request).filter(|_| !has_attempt_in_flight) else {
             self.counters.invariant_violations += 1;
-            debug_assert!(false, "an attempt of request {request} that has ended or has one in flight");
+            debug_assert!(false, "attempt for request {request}, which is closed or has one in flight");
             return None;
         };
         let attempt = AttemptId { request, number: open.attempts };
@@ -89,7 +92,7 @@
         };
         self.in_flight.insert(attempt, in_flight);
         let Some(target) = self.endpoints.target(endpoint, fill) else {
-            // The endpoint or the source is not ready: the attempt can't have run.
+            // The endpoint or its fill source is not ready, so the attempt is not sent.
             return self.finish_attempt(now, attempt, AttemptStatus::Moot.into(), commands);
         };
         let open = self.open_requests.get_mut(&request)?;
@@ -102,7 +105,8 @@
         None
     }
 
-    /// Cancels an attempt that was sent; returns its end.
+    /// Cancels an attempt that was sent and returns its outcome. Returns `None` if the attempt has
+    /// ended already or was only named to the caller of a lookup.
     pub(super) fn cancel_attempt(
         &mut self,
         now: Timestamp,
@@ -116,7 +120,8 @@
         self.finish_attempt(now, attempt, AttemptStatus::Cancelled.into(), commands)
     }
 
-    /// An endpoint responded to an attempt.
+    /// Handles the response to an attempt: replies to the client if the response allows it, and
+    /// ends the attempt.
     pub(super) fn on_response(
         &mut self,
         now: Timestamp,
@@ -132,13 +137,13 @@
         if let Some(reply) = reply.filter(|_| is_awaited && is_open) {
             self.reply(now, attempt.request, reply, commands);
         }
-        // A cache status that the settings don't announce is not believed.
+        // A cache status is ignored if the settings say that endpoints report none.
         let is_announced = self.settings.cache_status_reporting != CacheStatusReporting::None;
         let cache_status = cache_status.filter(|_| is_announced);
         self.end_attempt(now, attempt, AttemptEnd { status, transfer_time_s, cache_status }, commands);
     }
 
-    /// An attempt ended without a response.
+    /// Handles the failure of an attempt that got no response.
     pub(super) fn on_attempt_failure(
         &mut self,
         now: Timestamp,
@@ -155,8 +160,8 @@
         self.end_attempt(now, attempt, status.into(), commands);
     }
 
-    /// The timeout of an attempt is over, or the time for which one that was only named counts as
-    /// in flight.
+    /// Handles the timer of an attempt. An attempt that was sent has timed out and is cancelled. An
+    /// attempt that was only named to the caller of a lookup no longer counts as in flight.
     pub(super) fn on_attempt_timer(
         &mut self,
         now: Timestamp,
@@ -205,9 +210,10 @@
         }));
     }
 
-    /// The end of the window in which endpoints recognise a repeat by its idempotency key, if the
-    /// request may have run. A tenth of the window is left for the way there, as in the decision
-    /// module.
+    /// The latest time at which a retry with an idempotency key may be sent, which is nine tenths
+    /// of the idempotency window after the first attempt that may have run. Like the decision
+    /// module, this leaves the last tenth of the window for the transfer to the endpoint. `None` if
+    /// the class has no idempotency key or no attempt may have run.
     fn retry_send_before(&self, class: u16, may_have_run_since: Option<Timestamp>) -> Option<Timestamp> {
         let class = &self.settings.classes[usize::from(class)];
         if class.idempotency != Idempotency::WithKey {
@@ -218,7 +224,7 @@
     }
 
     /// Ends a lookup with the endpoint that was chosen. The attempt stays in flight for the latency
-    /// objective of the class, as the caller is expected to send the request.
+    /// objective of its class, because the caller is expected to send the request to that endpoint.
     fn answer_lookup(
         &mut self,
         now: Timestamp,
@@ -234,18 +240,21 @@
         self.lookup_result = Some(LookupResult::Endpoint(target));
     }
 
+    /// Builds the command that cancels an attempt. A retry may follow if the request is still open.
     fn cancel_command(&self, attempt: AttemptId) -> Command {
         let may_retry = self.open_requests.contains_key(&attempt.request);
         Command::CancelAttempt { attempt, may_retry }
     }
 
-    /// How long the transfer of a response took, by its size.
+    /// The transfer time of a response in seconds, derived from the size of its body. `None` if the
+    /// response carries no data or the throughput of a transfer is unknown.
     fn transfer_time_s(&self, response: &AttemptResponse) -> Option<f64> {
         let AttemptResponse::Data(_, body) = response else { return None };
         Some(body.len() as f64 / self.flow_bytes_per_s).filter(|seconds| seconds.is_finite())
     }
 
-    /// Ends an attempt and lets whoever decides know. Later messages about the attempt are ignored.
+    /// Ends an attempt and passes its outcome to the decision module or the hint follower. Does
+    /// nothing if the attempt has ended already, so late messages about an attempt are ignored.
     fn end_attempt(
         &mut self,
         now: Timestamp,
@@ -259,7 +268,8 @@
         }
     }
 
-    /// Removes an attempt that has ended; returns its outcome as an event.
+    /// Removes an attempt from those in flight and, if it was sent, reports its end. Returns its
+    /// outcome as an event, or `None` if the attempt has ended already.
     fn finish_attempt(
         &mut self,
         now: Timestamp,
@@ -287,7 +297,8 @@
         }))
     }
 
-    /// The summary of an attempt for the log; `None` if its endpoint is no longer known.
+    /// Builds the summary of an attempt for the log, or returns `None` if its endpoint is no longer
+    /// known.
     fn attempt_summary(
         &self,
         attempt: AttemptId,
@@ -301,7 +312,8 @@
     }
 }
 
-/// What a response means for the attempt, and the final reply that it allows.
+/// The status of an attempt that got this response, and the final reply to the client if the
+/// response allows one.
 fn classify_response(response: AttemptResponse) -> (AttemptStatus, Option<Reply>) {
     match response {
         AttemptResponse::Data(digest, body) => (AttemptStatus::Ok, Some(Reply::Served(digest, body))),
--- a/crates/router/src/router/dispatch.rs
+++ b/crates/router/src/router/dispatch.rs
@@ -1,5 +1,5 @@
-//! Events for whoever decides on a request, the decision module or the hint follower, and execution
-//! of the actions that they return.
+//! Passes events to the decision module or the hint follower, and executes the actions that they
+//! return.
 
 use super::attempts::NewAttempt;
 use super::Router;
@@ -9,7 +9,8 @@
 use hollymux_decision::{Action, AttemptStatus, EndpointId, Event, Timestamp};
 
 impl Router {
-    /// Passes an event to whoever decides in that mode and executes the actions.
+    /// Passes an event to the decision module or, in the mode [`RoutingMode::FollowHint`], to the
+    /// hint follower, and executes the returned actions.
     pub(super) fn decide(
         &mut self,
         now: Timestamp,
@@ -25,7 +26,8 @@
         self.execute_actions(now, mode, actions, commands);
     }
 
-    /// Executes actions in order. What they come to at once are events again, after all of them.
+    /// Executes actions in order. An event that an action causes at once, such as the end of an
+    /// attempt that can't be sent, is handled after all of the actions.
     pub(super) fn execute_actions(
         &mut self,
         now: Timestamp,
@@ -43,7 +45,7 @@
         self.request_lookups(commands);
     }
 
-    /// A probe of an endpoint ended; `None`: without a response.
+    /// Handles the result of a health probe; `healthy` is `None` if the endpoint did not respond.
     pub(super) fn on_probe_result(
         &mut self,
         now: Timestamp,
@@ -59,7 +61,7 @@
         self.decide(now, RoutingMode::Decide, Event::Probed { endpoint, status }, commands);
     }
 
-    /// Executes one action; returns the event that it comes to at once, if any.
+    /// Executes one action. Returns the event that it causes at once, if any.
     fn execute(
         &mut self,
         now: Timestamp,
@@ -87,14 +89,15 @@
                 let address = self.endpoints.address(endpoint)?;
                 commands.push(Command::Probe(endpoint, address));
             }
-            // The endpoint feed is always subscribed to and always complete.
+            // Nothing to do: the router is always subscribed to the endpoint feed, which is always
+            // complete.
             Action::Subscribe | Action::FetchHosts => {}
             Action::Log(line) => commands.push(Command::Log(line)),
         }
         None
     }
 
-    /// Asks for the lookups that the hint follower waits for.
+    /// Appends a command for each lookup that the hint follower has queued.
     fn request_lookups(&mut self, commands: &mut Vec<Command>) {
         let Some(follower) = &mut self.hint_follower else { return };
         for request in follower.take_lookups() {
--- a/crates/router/src/router/endpoint_feed.rs
+++ b/crates/router/src/router/endpoint_feed.rs
@@ -1,4 +1,4 @@
-//! Events of the endpoint feed: updates of the endpoint list, and purges.
+//! Handling of events from the endpoint feed: updates of the endpoint list, and purges.
 
 use super::Router;
 use crate::endpoint_list::{FeedEvent, ListedEndpoint};
@@ -6,7 +6,7 @@
 use hollymux_decision::{Event, ListKind, Purge, Timestamp};
 
 impl Router {
-    /// Applies an event of the endpoint feed.
+    /// Applies an update of the endpoint list or a purge.
     pub(super) fn on_feed_event(&mut self, now: Timestamp, event: FeedEvent, commands: &mut Vec<Command>) {
         match event {
             FeedEvent::Purge { object, group, at } => {
@@ -36,7 +36,8 @@
         let entries = self.endpoints.apply_update(is_full_list, endpoints, commands);
         let kind = if is_full_list { ListKind::Full } else { ListKind::Delta };
         self.decide(now, RoutingMode::Decide, Event::EndpointList { kind, entries }, commands);
-        // Not before: attempts that this ends are still logged by the names of their endpoints.
+        // Endpoints that are gone are removed only after the event: attempts that it ends are
+        // logged with the names of their endpoints.
         self.endpoints.forget_gone();
     }
 }
--- a/crates/router/src/router/lookups.rs
+++ b/crates/router/src/router/lookups.rs
@@ -1,5 +1,5 @@
-//! Lookups: endpoints that are named to somebody who sends the request himself, and the results of
-//! lookups at another router that this one follows.
+//! Lookups: choosing an endpoint for a caller that sends the request itself, and handling the
+//! results of lookups at another router whose routing this one follows.
 
 use super::open_request::NewRequest;
 use super::{Router, MAX_OPEN_REQUESTS};
@@ -11,13 +11,14 @@
 use std::net::SocketAddr;
 
 impl Router {
-    /// The address of a ready endpoint by its name, in upper or lower case.
+    /// The address of the ready endpoint with a name, which is matched case-insensitively. `None`
+    /// if no ready endpoint has the name or its address is unknown.
     pub fn ready_address(&self, uid: &[u8]) -> Option<SocketAddr> {
         self.endpoints.address(self.endpoints.ready_by_name(uid)?)
     }
 
-    /// Chooses an endpoint for somebody who sends the request himself. The attempt counts as in
-    /// flight until the latency objective of its class has passed; how it ends is not known, and
+    /// Chooses an endpoint for a caller that sends the request itself. The attempt counts as in
+    /// flight until the latency objective of its class has passed. Its outcome stays unknown, and
     /// nothing is learnt from it.
     pub fn lookup(
         &mut self,
@@ -27,7 +28,7 @@
     ) -> LookupResult<Target> {
         let class = requested.class;
         self.counters.lookups += 1;
-        let result = self.look_up(now, requested, commands);
+        let result = self.find_target(now, requested, commands);
         let event = match &result {
             LookupResult::Endpoint(_) => CountedEvent::Served,
             LookupResult::Rejected => CountedEvent::Rejected,
@@ -37,7 +38,8 @@
         result
     }
 
-    fn look_up(
+    /// Executes a lookup without counting its result.
+    fn find_target(
         &mut self,
         now: Timestamp,
         requested: RequestedObject,
@@ -45,7 +47,7 @@
     ) -> LookupResult<Target> {
         let write_id = requested.request_id;
         if let Some(write) = write_id.and_then(|id| self.pending_writes.get(id)) {
-            return self.name_again(write.endpoint);
+            return self.repeat_lookup(write.endpoint);
         }
         if !self.has_room_for_lookup(write_id) {
             return LookupResult::Rejected;
@@ -59,21 +61,24 @@
         result
     }
 
-    /// A non-idempotent request has one endpoint for good: it is named again while it is ready, and
-    /// no other is.
-    fn name_again(&self, named: Option<EndpointId>) -> LookupResult<Target> {
+    /// The result of a repeated lookup for a non-idempotent request. Only the endpoint that was
+    /// named before may get the request, so the lookup is rejected while that endpoint is not
+    /// ready, and always if this router sent the request itself.
+    fn repeat_lookup(&self, named: Option<EndpointId>) -> LookupResult<Target> {
         let target = named.and_then(|endpoint| self.write_target(endpoint));
         target.map_or(LookupResult::Rejected, LookupResult::Endpoint)
     }
 
-    /// Lookups cost their sender nothing: they must not use up the room of requests that are sent
-    /// to this router.
+    /// Whether there is room for one more lookup. Lookups cost their sender nothing, so they must
+    /// not use up the room of requests that are sent to this router.
     fn has_room_for_lookup(&self, write_id: Option<u64>) -> bool {
         let has_room_for_write = write_id.is_none() || self.pending_writes.has_room_for_lookups();
         self.in_flight.len() < MAX_OPEN_REQUESTS && has_room_for_write
     }
 
-    /// Opens a request without a client, for which the decision module names an endpoint or none.
+    /// Opens a request without a client for the decision module to choose an endpoint, and closes
+    /// it again. The lookup fails if the decision module chooses none and doesn't reject the
+    /// request.
     fn choose_endpoint(
         &mut self,
         now: Timestamp,
@@ -91,8 +96,9 @@
         result.unwrap_or(LookupResult::Failed)
     }
 
-    /// The target of a non-idempotent request that was named before: it runs at the origin, through
-    /// that endpoint.
+    /// The target of a non-idempotent request whose endpoint was named before. The request runs at
+    /// the origin, so the origin is the fill source if one is ready. `None` if the endpoint is not
+    /// ready.
     fn write_target(&self, endpoint: EndpointId) -> Option<Target> {
         let origin = self.settings.origin_kind.and_then(|kind| self.endpoints.first_ready_of_kind(kind));
         let fill = CacheFill {
@@ -106,8 +112,9 @@
         self.endpoints.target(endpoint, fill)
     }
 
-    /// A lookup at another router ended. Its endpoint is checked right before sending: one that is
-    /// not ready, or is at another address by now, counts as no result.
+    /// Handles the result of a lookup at another router. The named endpoint is checked right before
+    /// the request is sent: the lookup counts as failed if the endpoint is not ready or is at
+    /// another address by now.
     pub(super) fn on_lookup_result(
         &mut self,
         now: Timestamp,
@@ -128,8 +135,8 @@
         self.execute_actions(now, RoutingMode::FollowHint, actions, commands);
     }
 
-    /// The endpoint that a hint names, if it is ready at that address, and the fill, if its source
-    /// is ready.
+    /// The endpoint and the fill that a hint names. `None` if the endpoint is not ready at the
+    /// address of the hint, or the fill source is not ready.
     fn resolve_hint(&self, hint: &RoutingHint) -> Option<HintedEndpoint> {
         let endpoint = self.endpoints.ready_by_name(hint.uid.as_bytes())?;
         if self.endpoints.address(endpoint) != Some(hint.addr) {
@@ -139,6 +146,7 @@
         Some(HintedEndpoint { endpoint, fill })
     }
 
+    /// The fill that a hint describes. `None` if its source is not ready.
     fn resolve_fill(&self, hint: &FillHint) -> Option<CacheFill> {
         let source = match &hint.source {
             Some(uid) => Some(self.endpoints.ready_by_name(uid.as_bytes())?),
--- a/crates/router/src/router/open_request.rs
+++ b/crates/router/src/router/open_request.rs
@@ -1,30 +1,32 @@
-//! A request that was accepted and has no final reply yet.
+//! The state of a request between its admission and its final reply.
 
 use crate::messages::{ClientHandle, Command, RequestResult, RequestSummary, ResultReason, RoutingMode};
 use crate::request::{ClientRequest, RequestedObject};
 use hollymux_decision::{AttemptStatus, RequestId, Timestamp};
 use std::rc::Rc;
 
-/// The client that waits for the reply, and what it sent.
+/// The client that waits for the reply, and the request that it sent.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingClient {
     pub(super) handle: ClientHandle,
     pub(super) request: Rc<ClientRequest>,
 }
 
-/// The endpoint and the fill source of an attempt, by name.
+/// The names of an attempt's endpoint and of its fill source. The source is `None` if there is no
+/// fill or the endpoint is its own source.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptedEndpoint {
     pub(super) uid: Rc<str>,
     pub(super) source: Option<Rc<str>>,
 }
 
-/// A request to be opened.
+/// The parameters of a request that is to be opened.
 #[derive(Debug)]
 pub(super) struct NewRequest {
     pub(super) mode: RoutingMode,
     pub(super) requested: RequestedObject,
-    /// `None`: a lookup, whose caller sends the request itself.
+    /// The client that waits for the reply; `None` for a lookup, whose caller sends the request
+    /// itself.
     pub(super) client: Option<WaitingClient>,
     pub(super) deadline: Timestamp,
 }
@@ -34,16 +36,19 @@
 pub(super) struct OpenRequest {
     pub(super) mode: RoutingMode,
     pub(super) requested: RequestedObject,
-    /// `None`: a lookup, whose caller sends the request itself.
+    /// The client that waits for the reply; `None` for a lookup, whose caller sends the request
+    /// itself.
     pub(super) client: Option<WaitingClient>,
     pub(super) arrived: Timestamp,
     pub(super) deadline: Timestamp,
-    /// Attempts made so far.
+    /// The number of attempts started so far.
     pub(super) attempts: u16,
+    /// The endpoint of the last attempt that was sent or named; `None` before the first one.
     pub(super) last_endpoint: Option<AttemptedEndpoint>,
-    /// How the last attempt that has ended did.
+    /// The status of the last attempt that has ended; `None` if none has.
     pub(super) last_status: Option<AttemptStatus>,
-    /// When the first attempt was sent that may have run.
+    /// The send time of the first attempt that may have run; `None` if no ended attempt may have
+    /// run.
     pub(super) may_have_run_since: Option<Timestamp>,
 }
 
@@ -70,17 +75,19 @@
         }
     }
 
-    /// Why the request could not be served: how its last attempt ended, or that none could be made.
+    /// Why the request was not served: the status of its last attempt, or
+    /// [`ResultReason::NoEndpoint`] if no attempt was started.
     pub(super) fn failure_reason(&self) -> ResultReason {
         match self.last_status {
             Some(status) => ResultReason::Attempt(status),
-            // The only attempt is still in flight and has no response.
+            // The only attempt is still in flight without a response.
             None if self.attempts > 0 => ResultReason::Attempt(AttemptStatus::Timeout),
             None => ResultReason::NoEndpoint,
         }
     }
 
-    /// The summary of the request, which ends now.
+    /// Builds the summary of the request, which is closed at `now`. `bytes` is the size of the
+    /// reply's body.
     pub(super) fn summary(
         &self,
         id: RequestId,
--- a/crates/router/src/router/reconfiguration.rs
+++ b/crates/router/src/router/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! A change of the settings while requests are open.
+//! Changes of the settings while requests are open.
 
 use super::{named_classes, Router};
 use crate::classes::ClassTable;
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Continues under other settings, whose classes have these names. Settings that can't be used
-    /// change nothing.
+    /// Applies new settings; `names` holds the name of each of their classes, in the same order.
+    /// Returns an error and changes nothing if the settings are invalid.
     pub fn reconfigure(&mut self, settings: &Settings, names: &[String]) -> Result<(), SettingsError> {
         settings.check()?;
         let named = named_classes(names, settings);
@@ -21,7 +21,7 @@
         self.decision.reconfigure(self.settings.clone(), &from)
     }
 
-    /// The slots of the classes of open requests and of attempts in flight.
+    /// The class slots of open requests and of attempts in flight.
     fn classes_in_use(&self) -> BTreeSet<u16> {
         let of_requests = self.open_requests.values().map(|open| open.requested.class);
         let of_attempts = self.in_flight.values().map(|attempt| attempt.class);
--- a/crates/router/src/router/replies.rs
+++ b/crates/router/src/router/replies.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its one final reply, its cancellation, and what is counted.
+//! Closing of requests: the final reply, cancellation, and the counters of replies.
 
 use super::Router;
 use crate::hint_follower::LookupResult;
@@ -8,7 +8,8 @@
 use hollymux_decision::{Event, RequestId, Timestamp};
 
 impl Router {
-    /// Sends the final reply of a request and closes it.
+    /// Sends the final reply of a request and closes the request. For a lookup the reply becomes
+    /// the lookup's result.
     pub(super) fn reply(
         &mut self,
         now: Timestamp,
@@ -17,9 +18,10 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(open) = self.open_requests.remove(&request) else {
-            // The client would take a second reply for the reply to another request.
+            // A second reply is not sent: the client would take it for the reply to another
+            // request.
             self.counters.invariant_violations += 1;
-            debug_assert!(false, "a final reply after the end of request {request}");
+            debug_assert!(false, "second final reply to request {request}");
             return;
         };
         let (result, reason, bytes) = match &reply {
@@ -37,7 +39,8 @@
         if let Some(client_id) = open.requested.request_id {
             self.open_client_ids.remove(&client_id);
             if result == RequestResult::Rejected && self.is_non_idempotent(open.requested.class) {
-                // It never ran, so the client may send it again.
+                // A rejected non-idempotent request never ran, so the client may send it again with
+                // the same id.
                 self.pending_writes.remove(client_id);
             }
         }
@@ -45,7 +48,7 @@
         commands.push(Command::Reply(client.handle, reply));
     }
 
-    /// Counts a final reply.
+    /// Counts a final reply in the totals and in the metrics of its class.
     pub(super) fn count_reply(&mut self, class: u16, reply: &Reply) {
         let (total, event) = match reply {
             Reply::Served(..) | Reply::NotModified(_) => (&mut self.counters.served, CountedEvent::Served),
@@ -56,7 +59,7 @@
         self.count(class, event);
     }
 
-    /// A client stopped waiting for a reply.
+    /// Handles the cancellation of a request by its client: the request is closed without a reply.
     pub(super) fn cancel_request(
         &mut self,
         now: Timestamp,
@@ -72,7 +75,7 @@
         self.decide(now, open.mode, Event::Withdrawn { request }, commands);
     }
 
-    /// A client's connection ended: nobody waits for the replies to its requests.
+    /// Handles the end of a client's connection by cancelling the requests of the connection.
     pub(super) fn on_client_closed(&mut self, now: Timestamp, connection: u64, commands: &mut Vec<Command>) {
         let first = ClientHandle { conn: connection, tag: 0 };
         let last = ClientHandle { conn: connection, tag: u64::MAX };
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Fails the open requests of all clients: none may be left without a reply when the router
-    /// ends.
+    /// Fails the open requests of all clients, so that every client has a reply before the router
+    /// shuts down.
     pub(super) fn fail_open_requests(&mut self, now: Timestamp, commands: &mut Vec<Command>) {
         for request in std::mem::take(&mut self.by_client).into_values() {
             let Some(mode) = self.open_requests.get(&request).map(|open| open.mode) else { continue };
@@ -93,7 +96,7 @@
     }
 }
 
-/// What a lookup comes to whose request was closed without an endpoint.
+/// The result of a lookup whose request was closed by this reply, without an endpoint.
 fn lookup_result<T>(reply: &Reply) -> LookupResult<T> {
     match reply {
         Reply::Rejected(_) => LookupResult::Rejected,
