--- a/crates/router/src/pending_writes.rs
+++ b/crates/router/src/pending_writes.rs
@@ -1,27 +1,29 @@
-//! Non-idempotent requests, remembered by their id so that none runs twice.
+//! The table of pending writes: non-idempotent requests that may have run, remembered by their id
+//! so that none runs twice.
 
 use crate::handover_state::PendingWrite;
 use hollymux_decision::{EndpointId, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a request is remembered at least.
+/// The minimum time for which a pending write is remembered.
 const RETENTION_PERIOD: Duration = Duration::from_secs(3_600);
-/// Bound of the table.
+/// Maximum number of entries in the table, whatever the memory limit is.
 const MAX_PENDING_WRITES: usize = 100_000;
-/// Bound of the table for each MB of the memory limit: an entry takes some 120 bytes.
+/// Maximum number of entries for each MB of the memory limit. An entry takes about 120 bytes.
 const MAX_PENDING_WRITES_PER_MB: usize = 1_000;
 
-/// What is remembered of a non-idempotent request.
+/// What the table holds for a pending write.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RememberedWrite {
     arrived: Timestamp,
-    /// The endpoint that a lookup named; `None` if this router sent the request itself.
+    /// The endpoint that a lookup named for the request; `None` if this router sent the request
+    /// itself.
     pub(crate) endpoint: Option<EndpointId>,
 }
 
-/// An arrival in the order of the clock. Its request may have been forgotten or have arrived again
-/// since.
+/// The arrival of a pending write. It is outdated if its request was removed from the table since,
+/// or was removed and arrived again.
 #[derive(Debug)]
 struct Arrival {
     arrived: Timestamp,
@@ -29,18 +31,20 @@
 }
 
 /// The table of non-idempotent requests that may have run. Its size is bounded; within the bound,
-/// entries are forgotten after [`RETENTION_PERIOD`] at the earliest.
+/// an entry is kept for at least [`RETENTION_PERIOD`] unless its request turns out never to have
+/// run.
 #[derive(Debug)]
 pub(crate) struct PendingWrites {
     by_id: HashMap<u64, RememberedWrite>,
+    /// Arrivals in order of time, including outdated ones.
     by_arrival: VecDeque<Arrival>,
     max_entries: usize,
-    /// Entries added since they were last taken, while a successor needs them.
+    /// Entries added since they were last taken for a successor; `None` if there is no successor.
     untransferred: Option<Vec<PendingWrite>>,
 }
 
 impl PendingWrites {
-    /// An empty table for a process with that memory limit.
+    /// Creates an empty table for a process with a memory limit of `memory_mb` MB.
     pub(crate) fn new(memory_mb: u64) -> PendingWrites {
         let by_memory = usize::try_from(memory_mb)
             .unwrap_or(MAX_PENDING_WRITES)
@@ -53,24 +57,24 @@
         }
     }
 
-    /// Whether the request may have run.
+    /// Whether the table has an entry for the request, which means that the request may have run.
     pub(crate) fn contains(&self, request_id: u64) -> bool {
         self.by_id.contains_key(&request_id)
     }
 
-    /// What is remembered of a request that may have run.
+    /// The entry of a request, or `None` if the table has none.
     pub(crate) fn get(&self, request_id: u64) -> Option<&RememberedWrite> {
         self.by_id.get(&request_id)
     }
 
-    /// Whether lookups may add entries: clients that only look up must not fill the table for the
-    /// others.
+    /// Whether lookups may add entries. They may fill only half of the table, so that clients that
+    /// only look up leave room for requests that are sent to this router.
     pub(crate) fn has_room_for_lookups(&self) -> bool {
         self.by_id.len() < self.max_entries / 2
     }
 
-    /// Remembers a request. Returns false if the table is full and no entry is old enough to be
-    /// forgotten.
+    /// Adds an entry for a request, with the endpoint that a lookup named for it. Returns false if
+    /// the table is full of entries younger than [`RETENTION_PERIOD`].
     pub(crate) fn add(&mut self, now: Timestamp, request_id: u64, endpoint: Option<EndpointId>) -> bool {
         if self.by_id.len() >= self.max_entries || self.by_arrival.len() >= 2 * self.max_entries {
             self.forget_old(now);
@@ -87,13 +91,15 @@
         true
     }
 
-    /// Forgets a request that never ran: it may be sent again under the same id.
+    /// Removes the entry of a request that never ran, so that it may be sent again with the same
+    /// id.
     pub(crate) fn remove(&mut self, request_id: u64) {
         self.by_id.remove(&request_id);
     }
 
+    /// Removes outdated arrivals, and entries older than [`RETENTION_PERIOD`].
     fn forget_old(&mut self, now: Timestamp) {
-        // Arrivals of removed entries must not take up the room of requests that may have run.
+        // Outdated arrivals must not take up the room of requests that may have run.
         let by_id = &self.by_id;
         let is_current = |arrival: &Arrival| {
             by_id.get(&arrival.request_id).is_some_and(|entry| entry.arrived == arrival.arrived)
@@ -107,8 +113,8 @@
         }
     }
 
-    /// All entries by arrival. From now on [`PendingWrites::take_untransferred`] gives those that
-    /// are added.
+    /// Returns all entries in order of arrival, to be handed over to a successor. Entries added
+    /// from now on are collected for [`PendingWrites::take_untransferred`].
     pub(crate) fn begin_transfer(&mut self) -> Vec<PendingWrite> {
         self.untransferred = Some(Vec::new());
         let mut entries: Vec<PendingWrite> =
@@ -117,12 +123,13 @@
         entries
     }
 
-    /// The entries added since the last call, during a transfer.
+    /// Returns the entries added since the last call, or since the transfer began. Empty if no
+    /// transfer has begun.
     pub(crate) fn take_untransferred(&mut self) -> Vec<PendingWrite> {
         self.untransferred.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Ends the transfer: there is no successor any more.
+    /// Ends the transfer, as there is no successor any more. Added entries are no longer collected.
     pub(crate) fn end_transfer(&mut self) {
         self.untransferred = None;
     }
