--- a/crates/router/src/hint_follower.rs
+++ b/crates/router/src/hint_follower.rs
@@ -1,9 +1,10 @@
-//! Routing by DNS lookups at another router: each request goes to the endpoint that a lookup names,
-//! and nowhere else. The follower takes the events of the decision module and returns its actions,
-//! so that the router treats both alike.
+//! Routing by DNS lookups at another router: each request is sent to the endpoint that a lookup
+//! names, and to no other. The hint follower takes the events of the decision module and returns
+//! the same actions, so the router treats both alike.
 //!
-//! The result of a lookup is used at once or not at all. A request that is not idempotent is looked
-//! up and sent once: it fails if it may have run, and is rejected if it can't have.
+//! The result of a lookup is used at once or discarded. A request whose class is not
+//! [`Idempotency::Idempotent`] is looked up and sent once only. If it is not served, it is rejected
+//! while it can't have run, and failed otherwise.
 
 use hollymux_decision::time::divide_to_micros;
 use hollymux_decision::{
@@ -13,33 +14,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The wait before a further lookup is this, times the attempts so far.
+/// Wait before the next lookup of a request, multiplied by the number of its lookups that have
+/// ended.
 const LOOKUP_RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// Purges remembered.
+/// Maximum number of purges remembered. Beyond it the oldest entries are dropped, and every object
+/// counts as purged at the latest time among those dropped.
 const MAX_PURGES: usize = 20_000;
 
-/// What a lookup came to.
+/// The result of a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookupResult<T> {
-    /// An endpoint and how it is to fill its cache.
+    /// An endpoint was named, with the fill that it is to use.
     Endpoint(T),
-    /// No endpoint may be named now.
+    /// No endpoint may be named at the moment.
     Rejected,
-    /// No response, or none that can be used.
+    /// The lookup failed: there is no response, or none that can be used.
     Failed,
 }
 
-/// The endpoint that a lookup named, as this router knows it.
+/// The endpoint that a lookup named, resolved in this router's endpoint table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HintedEndpoint {
-    /// The endpoint.
+    /// The id of the endpoint, which was ready when the result arrived.
     pub endpoint: EndpointId,
-    /// How it is to fill its cache.
+    /// How the endpoint fills a miss, and how it keeps the copy.
     pub fill: CacheFill,
 }
 
-/// What a timer of the follower is for. The lowest bit of its token tells them apart, the others
-/// are the request.
+/// The purpose of a timer of the hint follower. The lowest bit of a token distinguishes the
+/// variants, the other bits hold the request id.
 enum Timer {
     Deadline(RequestId),
     LookupRetry(RequestId),
@@ -65,69 +68,76 @@
     }
 }
 
-/// What a request waits for.
+/// What a request is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// The time of the next lookup.
+    /// The request waits for the time of its next lookup.
     Waiting,
-    /// The result of a lookup.
+    /// The request waits for the result of a lookup.
     LookingUp,
-    /// The outcome of an attempt.
+    /// The request waits for the outcome of an attempt.
     InFlight,
 }
 
+/// An open request that is routed by lookups.
 #[derive(Debug)]
 struct FollowedRequest {
     request: Request,
-    /// Its class is not idempotent: it is sent once at most.
+    /// Whether the request may be sent only once, because its class is not
+    /// [`Idempotency::Idempotent`].
     send_once: bool,
-    /// Lookups that ended; each but the rejected and failed ones led to an attempt.
+    /// The number of lookups that have ended. Each lookup that was neither rejected nor failed led
+    /// to an attempt.
     attempts: u32,
     progress: Progress,
-    /// An attempt ended that may have run.
+    /// Whether an attempt has ended that may have run.
     may_have_run: bool,
 }
 
 impl FollowedRequest {
-    /// Whether it can be rejected: if it was sent, repeating it does no harm.
+    /// Whether the request may be rejected: the client may send it again without harm, because it
+    /// may run more than once or can't have run.
     fn is_safe_to_reject(&self) -> bool {
         let may_run = self.may_have_run || self.progress == Progress::InFlight;
         !self.send_once || !may_run
     }
 }
 
-/// The requests that follow lookups.
+/// Routes requests by lookups at another router. It tracks their progress, and the purges that
+/// bound the age of the copies that they may get.
 #[derive(Debug)]
 pub struct HintFollower {
     settings: Settings,
     purges: PurgeHistory,
     open: BTreeMap<RequestId, FollowedRequest>,
-    /// Requests whose lookup has not been taken by the router yet.
+    /// Requests that are to be looked up and were not yet returned by
+    /// [`HintFollower::take_lookups`].
     lookups: Vec<RequestId>,
 }
 
 impl HintFollower {
-    /// A follower under these settings.
+    /// Creates a hint follower without open requests.
     pub fn new(settings: Settings) -> HintFollower {
         HintFollower { settings, purges: PurgeHistory::default(), open: BTreeMap::new(), lookups: Vec::new() }
     }
 
-    /// Adds the purges that another router knew.
+    /// Adds the purges that a predecessor process knew.
     pub fn restore(&mut self, now: Timestamp, snapshot: &DecisionSnapshot) {
         self.purges.restore(now, &snapshot.purges, snapshot.floor, MAX_PURGES);
     }
 
-    /// Continues under other settings, in which the classes of open requests are the same.
+    /// Applies new settings. The classes of open requests must be unchanged in them.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// The requests that are to be looked up now, in order.
+    /// Returns the requests that are to be looked up now, in the order in which they were queued.
     pub fn take_lookups(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.lookups)
     }
 
-    /// Applies one event and appends what is to be done.
+    /// Applies one event and appends the resulting actions. Events of the endpoint list, of probes
+    /// and of streamed responses are ignored.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.on_request(now, request, actions),
@@ -145,7 +155,8 @@
         }
     }
 
-    /// The lookup of a request has ended.
+    /// Handles the result of a request's lookup. It is ignored if the request is closed or is not
+    /// being looked up.
     pub fn on_lookup_result(
         &mut self,
         now: Timestamp,
@@ -184,21 +195,24 @@
         self.look_up(now, id, actions);
     }
 
+    /// Queues a lookup of the request, or gives the request up if it may have no further one.
     fn look_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let followed = self.open.get_mut(&id);
         let Some(followed) = followed.filter(|followed| followed.progress == Progress::Waiting) else {
             return;
         };
         let has_attempts_left = followed.attempts < self.settings.max_attempts;
-        let is_over = now >= followed.request.deadline;
-        let was_sent_once = followed.send_once && followed.attempts > 0;
-        if !has_attempts_left || is_over || was_sent_once {
+        let deadline_passed = now >= followed.request.deadline;
+        let was_looked_up_once = followed.send_once && followed.attempts > 0;
+        if !has_attempts_left || deadline_passed || was_looked_up_once {
             return self.give_up(now, id, actions);
         }
         followed.progress = Progress::LookingUp;
         self.lookups.push(id);
     }
 
+    /// Sends the request to the endpoint that its lookup named. The age of the copy it may get is
+    /// limited by the latest purge of its object.
     fn send(&mut self, now: Timestamp, id: RequestId, hinted: HintedEndpoint, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get_mut(&id) else { return };
         followed.progress = Progress::InFlight;
@@ -212,7 +226,8 @@
         actions.push(Action::Attempt { request: id, endpoint, timeout, fill });
     }
 
-    /// Looks the request up again after a while, if its class allows that.
+    /// Schedules another lookup of the request, or gives the request up if it may be sent only
+    /// once.
     fn retry_later(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get(&id) else { return };
         if followed.send_once {
@@ -222,6 +237,8 @@
         actions.push(Action::timer(wait, Timer::LookupRetry(id).token()));
     }
 
+    /// Handles the outcome of an attempt. The request is closed if it has its final answer, and is
+    /// looked up again or given up otherwise.
     fn on_outcome(&mut self, now: Timestamp, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get_mut(&outcome.request) else { return };
         if followed.progress == Progress::InFlight {
@@ -240,8 +257,8 @@
         self.purges.add(now, purge, MAX_PURGES);
     }
 
-    /// Gives a request its final answer. It is rejected if it can't have run twice by being sent
-    /// again in time.
+    /// Gives a request its final answer without a response. It is rejected if its deadline has not
+    /// passed and sending it again does no harm; otherwise it is failed.
     fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get(&id) else { return };
         if followed.is_safe_to_reject() && now < followed.request.deadline {
@@ -252,7 +269,8 @@
         self.close(id, actions);
     }
 
-    /// The advice to a rejected client: half of the longest one, if any is given.
+    /// The retry advice for a rejected client: half of the longest delay that clients honour, or
+    /// zero if the settings allow no advice.
     fn retry_after(&self) -> Duration {
         if self.settings.retry_after {
             divide_to_micros(self.settings.max_retry_after, 2)
@@ -261,7 +279,7 @@
         }
     }
 
-    /// Closes a request and cancels its attempt if one is in flight.
+    /// Closes a request, and cancels its attempt if one is in flight.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(closed) = self.open.remove(&id) else { return };
         if closed.progress == Progress::InFlight {
