--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,4 +1,4 @@
-//! The router's inputs and commands, and what they carry.
+//! The inputs and commands of the router, and the types that they carry.
 
 use crate::endpoint_list::FeedEvent;
 use crate::hint_follower::LookupResult;
@@ -8,250 +8,261 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request as its driver knows it: replies carry it back, the router doesn't interpret
-/// it.
+/// Identifies a client's request for the driver. The router returns it with the reply and
+/// interprets only the connection, to cancel the requests of a closed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientHandle {
-    /// The connection.
+    /// The id of the client's connection.
     pub conn: u64,
     /// The tag of the request, unique on its connection.
     pub tag: u64,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt, from 0 in the order of sending.
     pub number: u16,
 }
 
-/// An endpoint that was chosen, and how it is to fill its cache.
+/// The endpoint chosen for a request, and its cache fill.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its name in the endpoint protocol.
+    /// The endpoint's name in the endpoint protocol.
     pub uid: Rc<str>,
-    /// Its address.
+    /// The address on which the endpoint listens.
     pub addr: SocketAddr,
-    /// The name of the fill's source; `None` if there is no source or it is the endpoint itself.
+    /// The name of the fill source; `None` if there is no source or the endpoint is its own source.
     pub source: Option<Rc<str>>,
-    /// How it is to fill its cache, and what it keeps.
+    /// How the endpoint fills a miss, and how it keeps the copy.
     pub fill: CacheFill,
 }
 
-/// An attempt that is to be sent.
+/// An attempt that the driver is to send.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// The attempt.
+    /// The id under which the driver reports the response or failure.
     pub attempt: AttemptId,
-    /// Where it goes.
+    /// The endpoint to send the attempt to, and its cache fill.
     pub target: Target,
-    /// How long a response is waited for.
+    /// How long the router waits for a response before it cancels the attempt.
     pub timeout: Duration,
-    /// The class of the request, by number.
+    /// The class slot of the request.
     pub class: u16,
-    /// The client's request.
+    /// The client's request, whose fields are sent to the endpoint.
     pub request: Rc<ClientRequest>,
-    /// The client: nothing is sent for one that has left.
+    /// The client that waits for the reply. The driver sends nothing for a client that has left.
     pub client: ClientHandle,
-    /// The attempt may not be sent after this, if it repeats one that may have run: endpoints
-    /// recognise a repeat by its idempotency key only until then.
+    /// The latest time at which the attempt may be sent, if it retries a request with an
+    /// idempotency key that may have run: endpoints recognise the retry only within the idempotency
+    /// window. `None` if there is no limit.
     pub send_before: Option<Timestamp>,
 }
 
-/// An endpoint that the DNS response of another router names, and how it is to fill its cache.
+/// An endpoint that the DNS response of another router names, and its cache fill.
 #[derive(Debug)]
 pub struct RoutingHint {
-    /// The endpoint's name, in lower case.
+    /// The endpoint's name, matched case-insensitively with the endpoint table.
     pub uid: String,
-    /// The endpoint's address.
+    /// The endpoint's address. The hint is not used if the endpoint table has another one.
     pub addr: SocketAddr,
-    /// The fill.
+    /// How the endpoint fills a miss.
     pub fill: FillHint,
 }
 
-/// A cache fill as a DNS response describes it. Its source is a name that may be unknown here.
+/// A cache fill as a DNS response describes it. Its source is a name that may be missing from this
+/// router's endpoint table.
 #[derive(Debug, Default)]
 pub struct FillHint {
-    /// The name of the source; `None`: no fill.
+    /// The name of the fill source; `None` if there is no fill.
     pub source: Option<String>,
-    /// The retention priority of the copy, 0 to 3.
+    /// The retention priority of the copy, from 0 (not kept) to 3 (evicted last).
     pub retention: u8,
-    /// The greatest age of a copy that may be served.
+    /// The greatest age of a copy that may be served; `None` if only fresh copies may be served.
     pub max_age: Option<Duration>,
-    /// Join a fill of the same object that is under way.
+    /// Whether the request may join a fill of the same object that is in flight.
     pub coalesce: bool,
-    /// Serve a stale copy and revalidate it in the background.
+    /// Whether the endpoint may serve a stale copy and revalidate it in the background.
     pub stale_while_revalidate: bool,
-    /// The source gives only what it holds.
+    /// Whether the source returns only a copy that it holds, without a fill of its own.
     pub only_if_cached: bool,
 }
 
-/// Who decides where a request goes.
+/// What chooses the endpoint of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingMode {
-    /// The decision module.
+    /// The decision module of this router chooses.
     Decide,
-    /// Lookups at another router.
+    /// The hint follower sends the request where lookups at another router say.
     FollowHint,
 }
 
 /// What a timer of the router is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// A timer of the decision module or of the hint follower, with its token.
+    /// A timer of the decision module or of the hint follower, with the token that it is returned
+    /// with.
     Decision(RoutingMode, u64),
-    /// The timeout of an attempt.
+    /// The timeout of an attempt that was sent, or the end of the time for which an attempt that
+    /// was only named by a lookup counts as in flight.
     Attempt(AttemptId),
 }
 
 /// Why an attempt ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The endpoint refused a connection, so the attempt never ran.
+    /// The endpoint refused the connection, so the attempt never ran.
     ConnectionRefused,
     /// No connection was established in time, so the attempt never ran.
     ConnectTimeout,
-    /// It was not written completely, so it never ran. That says nothing about the endpoint.
+    /// The attempt was not written completely, so it never ran. This failure says nothing about the
+    /// endpoint.
     NotSent,
-    /// The connection ended after the attempt was written completely.
+    /// The connection ended after the attempt was written completely, so the attempt may have run.
     ConnectionLost,
 }
 
-/// An event for the router.
+/// An event that the driver passes to the router.
 #[derive(Debug)]
 pub enum Input {
     /// A client sent a request.
     Request(ClientHandle, ClientRequest),
     /// A client cancelled its request.
     Cancel(ClientHandle),
-    /// A client's connection ended.
+    /// A client's connection, given by its id, ended.
     ClientClosed(u64),
-    /// An endpoint responded to an attempt, with the status of its cache if it reported one.
+    /// An endpoint responded to an attempt, with the cache status if it reported one.
     Responded(AttemptId, AttemptResponse, Option<CacheStatus>),
     /// An attempt ended without a response.
     Failed(AttemptId, AttemptFailure),
-    /// A probe ended: whether the endpoint is healthy, or `None` without a response.
+    /// A health probe of an endpoint ended with the endpoint's health, or with `None` if it got no
+    /// response.
     Probed(EndpointId, Option<bool>),
-    /// A lookup for a request ended.
+    /// The lookup of a request at another router ended.
     LookedUp(RequestId, LookupResult<RoutingHint>),
     /// The endpoint feed sent an event.
     Feed(FeedEvent),
-    /// A timer expired.
+    /// A timer set by [`Command::Wake`] expired.
     Wake(Wake),
-    /// The process exits: open requests get their replies now.
+    /// The process exits: open client requests are failed now.
     Shutdown,
 }
 
 /// How a request was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
-    /// Served with the bytes of the object.
+    /// The request was served with the bytes of the object.
     Served,
-    /// Served: the client's copy is current.
+    /// The request was served without a body, because the client's copy is current.
     NotModified,
-    /// Rejected: it never ran.
+    /// The request was rejected: the client may send it again without harm.
     Rejected,
-    /// Failed.
+    /// The request failed. It may have run.
     Failed,
-    /// The client cancelled it.
+    /// The client cancelled the request or closed its connection.
     Cancelled,
-    /// A lookup was answered with an endpoint.
+    /// The request was a lookup, and an endpoint was named to its caller.
     Named,
 }
 
-/// Why a request was closed as it was.
+/// Why a request was closed with its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultReason {
-    /// It was served, or its lookup answered.
+    /// The request was served, or its lookup was answered with an endpoint.
     Completed,
     /// Too many requests are open, or the table of pending writes is full.
     TableFull,
-    /// Its id is in use or its budget too great.
+    /// The request's id is in use, or its budget is too long.
     InvalidRequest,
-    /// It is not idempotent, and a request of its id may have run.
+    /// The request is non-idempotent, and a request with its id may have run.
     MayHaveRun,
-    /// There was no endpoint to send it to.
+    /// No attempt was started, for example because no endpoint was available.
     NoEndpoint,
-    /// Its last attempt ended like this.
+    /// The last attempt of the request ended with this status. A sole attempt that is still in
+    /// flight counts as [`AttemptStatus::Timeout`].
     Attempt(AttemptStatus),
-    /// Too much is pending on the client's connection or in the buffers: it was not opened.
+    /// The request was rejected before it was opened: too much is pending on its client's
+    /// connection or in the buffers, or the process is stopping or in standby.
     Overloaded,
 }
 
-/// What became of a request; reported once, when it is closed.
+/// The result of a request, reported once when the request is closed.
 #[derive(Clone, Debug)]
 pub struct RequestSummary {
-    /// The request; 0 if it was never opened.
+    /// The id of the request; 0 if it was never opened.
     pub request: RequestId,
-    /// The object that was asked for.
+    /// The requested object.
     pub requested: RequestedObject,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Timestamp,
-    /// How long the client would wait.
+    /// How long the client was willing to wait.
     pub budget: Duration,
-    /// How long it was open.
+    /// How long the request was open.
     pub duration: Duration,
-    /// How it was closed.
+    /// How the request was closed.
     pub result: RequestResult,
-    /// Why.
+    /// Why the request was closed with `result`.
     pub reason: ResultReason,
-    /// The size of the reply's body.
+    /// The size of the reply's body in bytes.
     pub bytes: u64,
-    /// The number of attempts.
+    /// The number of attempts that were started.
     pub attempts: u16,
-    /// The endpoint of the last attempt, by name.
+    /// The name of the last attempt's endpoint; `None` if no attempt was sent or named.
     pub endpoint: Option<Rc<str>>,
-    /// The fill source of the last attempt, by name.
+    /// The name of the last attempt's fill source; `None` if there is none or the endpoint is its
+    /// own source.
     pub source: Option<Rc<str>>,
 }
 
-/// An attempt that has ended.
+/// The result of an attempt, reported once when the attempt has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptSummary {
-    /// The attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
-    /// Its endpoint, by name.
+    /// The name of the endpoint that the attempt was sent to.
     pub endpoint: Rc<str>,
-    /// Its fill source, by name.
+    /// The name of the fill source; `None` if there is none or it is no longer known.
     pub source: Option<Rc<str>>,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// How long it was in flight.
+    /// How long the attempt was in flight.
     pub duration: Duration,
 }
 
-/// What the router wants done.
+/// What the driver is to do for the router.
 #[derive(Debug)]
 pub enum Command {
-    /// Send an attempt.
+    /// Send an attempt to its endpoint.
     SendAttempt(AttemptRequest),
-    /// Cancel an attempt.
+    /// Cancel an attempt; no response to it is expected any more.
     CancelAttempt {
-        /// The attempt.
+        /// The id of the attempt.
         attempt: AttemptId,
-        /// Its request is still open, so a further attempt may follow.
+        /// Whether the request is still open, so that a further attempt may follow.
         may_retry: bool,
     },
-    /// Send a client its final reply.
+    /// Send the final reply to a client.
     Reply(ClientHandle, Reply),
-    /// Set a timer.
+    /// Set a timer that expires at this time, and return it as [`Input::Wake`].
     Wake(Timestamp, Wake),
-    /// Look up at another router where a request is to go.
+    /// Look up the endpoint of a request at another router, and return the result as
+    /// [`Input::LookedUp`].
     Lookup(RequestId, RequestedObject),
-    /// Probe the health of an endpoint.
+    /// Probe the health of an endpoint, and return the result as [`Input::Probed`].
     Probe(EndpointId, SocketAddr),
-    /// Close all connections to an endpoint: its process is gone or has restarted.
+    /// Close all connections to an endpoint, because its process is gone or has restarted, or has
+    /// moved to another address.
     CloseConnections(EndpointId),
-    /// Send nothing more to an endpoint, not even what was accepted for it but not sent yet.
+    /// Send nothing more to an endpoint, including attempts that are queued for it.
     StopSending(EndpointId),
-    /// An attempt has ended: for the log.
+    /// Log the end of an attempt.
     AttemptEnded(AttemptSummary),
-    /// A request was closed: for the log and the capture.
+    /// Log and capture the end of a request.
     RequestEnded(Box<RequestSummary>),
-    /// A message for the operator.
+    /// Write a message to the log.
     Log(String),
 }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -1,44 +1,45 @@
-//! Clients' requests and the replies to them, and the responses of endpoints. The codecs turn bytes
-//! into these and back.
+//! Client requests, the replies to them, and the responses of endpoints, independent of wire
+//! formats: codecs convert them from and to bytes.
 
 use crate::buffers::BufferChain;
 
-/// A number in a client's request. Endpoints are sent the text, so that they see what the client
+/// A number in a client's request. Endpoints are sent its text, so that they see what the client
 /// wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedNumber {
     /// The number as the client wrote it.
     pub text: Vec<u8>,
-    /// Its value.
+    /// The number's value.
     pub value: u64,
 }
 
-/// A client's request.
+/// A request as a client sent it.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The request's id, unique among the open requests of all clients.
     pub request_id: ReceivedNumber,
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: Vec<u8>,
-    /// The object.
+    /// The id of the requested object.
     pub object: ReceivedNumber,
-    /// The chunk of the object.
+    /// The number of the requested chunk of the object.
     pub chunk: u32,
-    /// The object's group, which can be purged as a whole.
+    /// The group of the object, which can be purged as a whole.
     pub group: u32,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the reply, in milliseconds.
     pub budget_ms: u64,
-    /// The digest of the copy that the client holds: if that is current, the reply has no body.
+    /// The digest of the copy that the client holds. If that copy is current, the reply has no
+    /// body.
     pub if_none_match: Option<Vec<u8>>,
-    /// The idempotency key, if the class has one: endpoints recognise repeats by it. It is sent on
-    /// unchanged.
+    /// The idempotency key by which endpoints recognise repeats, if the class uses one. It is
+    /// forwarded unchanged.
     pub idempotency_key: Option<Vec<u8>>,
-    /// The body of a write.
+    /// The body of a write; empty for a read.
     pub body: BufferChain,
 }
 
 impl ClientRequest {
-    /// The object that is asked for, with the class by number.
+    /// The object that the request asks for. `class` is the class slot.
     pub fn requested_object(&self, class: u16) -> RequestedObject {
         RequestedObject {
             class,
@@ -50,50 +51,50 @@
     }
 }
 
-/// A chunk of an object that is asked for, by a request or a lookup.
+/// The chunk of an object that a request or a lookup asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedObject {
-    /// The class, by number.
+    /// The slot of the class.
     pub class: u16,
-    /// The object.
+    /// The id of the object.
     pub object: u64,
-    /// The chunk of the object.
+    /// The number of the chunk.
     pub chunk: u32,
-    /// The object's group.
+    /// The group of the object.
     pub group: u32,
-    /// The request's id. A lookup has one only if its class is not idempotent.
+    /// The request id that the client chose. A lookup has one only if its class is not idempotent.
     pub request_id: Option<u64>,
 }
 
 /// The final reply to a client.
 #[derive(Debug)]
 pub enum Reply {
-    /// Served: the digest of the copy, except for a write, and the bytes.
+    /// The request was served, with the body and the digest of the copy. A write has no digest.
     Served(Option<Vec<u8>>, BufferChain),
-    /// The copy of that digest, which the client holds, is current.
+    /// The client's copy, which has this digest, is current.
     NotModified(Vec<u8>),
-    /// Rejected: it never ran. The client is advised to wait for so many milliseconds; 0: no
-    /// advice.
+    /// The request was rejected and may be sent again without harm. The value advises the client
+    /// how many milliseconds to wait before that; 0 gives no advice.
     Rejected(u64),
-    /// Failed: it may have run.
+    /// The request failed. It may have run.
     Failed,
 }
 
-/// The response of an endpoint.
+/// The response of an endpoint to an attempt or to a probe.
 #[derive(Debug)]
 pub enum AttemptResponse {
-    /// The digest of the copy, except for a write, and the bytes.
+    /// The attempt was served, with the body and the digest of the copy. A write has no digest.
     Data(Option<Vec<u8>>, BufferChain),
-    /// The client's copy, of that digest, is current.
+    /// The client's copy, which has this digest, is current.
     NotModified(Vec<u8>),
-    /// A cache miss: it never ran.
+    /// The endpoint has no usable copy and filled none, so the attempt never ran.
     Absent,
-    /// The endpoint is at capacity: it never ran.
+    /// The endpoint is at capacity, so the attempt never ran.
     AtCapacity,
-    /// An error: it may have run.
+    /// The endpoint reported an error. The attempt may have run.
     Failed,
-    /// It was cancelled before: it never ran.
+    /// The attempt was cancelled before the endpoint began it, so it never ran.
     AlreadyCancelled,
-    /// The response to a probe: whether the endpoint is healthy.
+    /// The response to a probe, with whether the endpoint is healthy.
     ProbeResult(bool),
 }
