--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -1,15 +1,17 @@
-//! Buffers of one size, reused from a bounded pool, and chains of them for what is larger.
+//! A bounded pool of buffers of one size, which are reused, and chains of buffers for longer byte
+//! sequences.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// The size of every buffer, in bytes.
+/// The size of each buffer, in bytes.
 pub const BUFFER_BYTES: usize = 16 * 1024;
-/// One in so many buffers of the pool's limit stays allocated for reuse.
+/// The pool keeps at most one free buffer for every this many buffers of its limit. Further buffers
+/// are deallocated when they are released.
 const LIMIT_PER_FREE_BUFFER: usize = 4;
 
-/// All buffers of the pool are in use.
+/// Error: all buffers that the pool's limit allows are in use.
 #[derive(Debug, PartialEq)]
 pub struct Exhausted;
 
@@ -26,12 +28,12 @@
     }
 }
 
-/// Lends buffers up to a limit. Clones share the buffers and the limit.
+/// A pool that hands out buffers up to a limit. Clones share the buffers and the limit.
 #[derive(Clone, Debug)]
 pub struct BufferPool(Rc<RefCell<PoolState>>);
 
 impl BufferPool {
-    /// A pool that lends so many buffers at most.
+    /// Creates a pool with a limit of that many buffers.
     pub fn new(limit: usize) -> BufferPool {
         BufferPool(Rc::new(RefCell::new(PoolState { free: Vec::new(), in_use: 0, limit })))
     }
@@ -41,14 +43,14 @@
         BufferChain { pool: self.clone(), segments: VecDeque::new(), len: 0 }
     }
 
-    /// Whether more than this share of the limit is in use.
+    /// Whether more than this share of the limit is in use; the share is between 0 and 1.
     pub fn is_fuller_than(&self, share: f64) -> bool {
         let state = self.0.borrow();
         state.in_use as f64 > state.limit as f64 * share
     }
 
-    /// Changes the limit. Buffers in use stay so; no more are lent until fewer than the limit are
-    /// in use.
+    /// Changes the limit, which is at least one buffer. Buffers in use stay valid; no more are
+    /// handed out until fewer than the limit are in use.
     pub fn limit(&self, limit: usize) {
         let mut state = self.0.borrow_mut();
         state.limit = limit.max(1);
@@ -56,12 +58,12 @@
         state.free.truncate(max_free);
     }
 
-    /// The limit in bytes.
+    /// The limit of the pool in bytes.
     pub fn bytes(&self) -> usize {
         self.0.borrow().limit * BUFFER_BYTES
     }
 
-    fn lend(&self) -> Result<Box<[u8]>, Exhausted> {
+    fn acquire(&self) -> Result<Box<[u8]>, Exhausted> {
         let mut state = self.0.borrow_mut();
         if state.in_use >= state.limit {
             return Err(Exhausted);
@@ -70,7 +72,7 @@
         Ok(state.free.pop().unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice()))
     }
 
-    fn give_back(&self, buffer: Box<[u8]>) {
+    fn release(&self, buffer: Box<[u8]>) {
         let mut state = self.0.borrow_mut();
         state.in_use -= 1;
         if state.free.len() < state.max_free() {
@@ -79,7 +81,7 @@
     }
 }
 
-/// A buffer whose bytes from `start` to `end` are in use.
+/// A buffer of a chain. Its bytes from `start` to `end` are in use.
 #[derive(Debug)]
 struct Segment {
     buffer: Box<[u8]>,
@@ -92,7 +94,7 @@
         &self.buffer[self.start..self.end]
     }
 
-    /// Copies as many of the bytes as have room; returns how many.
+    /// Copies as many of the bytes as there is room for, and returns their number.
     fn fill(&mut self, bytes: &[u8]) -> usize {
         let copied = bytes.len().min(BUFFER_BYTES - self.end);
         self.buffer[self.end..self.end + copied].copy_from_slice(&bytes[..copied]);
@@ -101,7 +103,7 @@
     }
 }
 
-/// A queue of bytes in buffers of a pool.
+/// A queue of bytes, stored in buffers of a pool. Dropping the chain returns its buffers.
 #[derive(Debug)]
 pub struct BufferChain {
     pool: BufferPool,
@@ -110,21 +112,22 @@
 }
 
 impl BufferChain {
-    /// The number of bytes.
+    /// The number of bytes in the chain.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there are no bytes.
+    /// Whether the chain holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Copies bytes to the end. If the pool is exhausted, those that had room have been added.
+    /// Copies bytes to the end of the chain. If the pool is exhausted, the bytes for which there
+    /// was room have been added.
     pub fn extend(&mut self, mut bytes: &[u8]) -> Result<(), Exhausted> {
         while !bytes.is_empty() {
             if self.segments.back().is_none_or(|segment| segment.end == BUFFER_BYTES) {
-                self.segments.push_back(Segment { buffer: self.pool.lend()?, start: 0, end: 0 });
+                self.segments.push_back(Segment { buffer: self.pool.acquire()?, start: 0, end: 0 });
             }
             if let Some(segment) = self.segments.back_mut() {
                 let copied = segment.fill(bytes);
@@ -135,25 +138,25 @@
         Ok(())
     }
 
-    /// Moves all bytes of another chain to the end.
+    /// Moves all bytes of another chain to the end of this one.
     pub fn append(&mut self, mut other: BufferChain) {
         self.len += std::mem::take(&mut other.len);
         self.segments.append(&mut other.segments);
     }
 
-    /// The first bytes, as many as are in one piece; empty only if the chain is.
+    /// The first contiguous bytes of the chain; empty only if the chain is empty.
     pub fn front(&self) -> &[u8] {
         self.segments.front().map_or(&[], Segment::bytes)
     }
 
-    /// All bytes in order, piece by piece.
+    /// All bytes of the chain in order, as contiguous slices.
     pub fn runs(&self) -> impl Iterator<Item = &[u8]> {
         self.segments.iter().map(Segment::bytes)
     }
 
-    /// Removes bytes from the front.
+    /// Removes `count` bytes from the front of the chain.
     pub fn advance(&mut self, mut count: usize) {
-        debug_assert!(count <= self.len, "advanced past the end");
+        debug_assert!(count <= self.len, "advance past the end of the buffer chain");
         while count > 0 {
             let Some(segment) = self.segments.front_mut() else { return };
             let removed = count.min(segment.end - segment.start);
@@ -162,7 +165,7 @@
             count -= removed;
             if segment.start == segment.end {
                 if let Some(emptied) = self.segments.pop_front() {
-                    self.pool.give_back(emptied.buffer);
+                    self.pool.release(emptied.buffer);
                 }
             }
         }
@@ -172,7 +175,7 @@
 impl Drop for BufferChain {
     fn drop(&mut self) {
         for segment in self.segments.drain(..) {
-            self.pool.give_back(segment.buffer);
+            self.pool.release(segment.buffer);
         }
     }
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,55 +1,59 @@
 //! The metrics that operators are shown. Each event is counted once, where it happens: the end of a
-//! request when it is closed, by the reply that its client gets; an attempt when it has been
-//! written completely.
+//! request when its reply is determined, a lookup when it is answered, and an attempt when it has
+//! been written completely.
 
 use std::fmt::Write;
 
-/// Classes with counters of their own; those of further classes are summed up.
+/// Maximum number of classes with counters of their own. The events of all further classes are
+/// counted together.
 const MAX_CLASSES: usize = 256;
-/// The name of the counters of further classes. No class is printed like that.
+/// The printed name of the counters of further classes. It differs from every printed class name,
+/// in which `%` is followed by two hex digits.
 const OTHER_CLASSES: &str = "%";
 
-/// The counters of a class. They are printed as `fulfilled`, `throttled`, `faulted` and `relayed`.
+/// The counters of a class, printed as `fulfilled`, `throttled`, `faulted` and `relayed`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests served.
+    /// Requests and lookups that were served. Printed as `fulfilled`.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests and lookups that were rejected. Printed as `throttled`.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests and lookups that failed. Printed as `faulted`.
     pub failed: u64,
-    /// Attempts written completely to endpoints.
+    /// Attempts that were written completely to endpoints. Printed as `relayed`.
     pub attempts_sent: u64,
 }
 
 /// An event that is counted by class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedEvent {
-    /// A request was served.
+    /// A request or a lookup was served.
     Served,
-    /// A request was rejected.
+    /// A request or a lookup was rejected.
     Rejected,
-    /// A request failed.
+    /// A request or a lookup failed.
     Failed,
-    /// An attempt was written completely.
+    /// An attempt was written completely to its endpoint.
     AttemptSent,
 }
 
-/// State at the time when the metrics are read.
+/// Values that are read from the router's state when the metrics are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests without a final reply. Printed as `open_requests`.
+    /// Client requests without a final reply. Printed as `open_requests`.
     pub open_requests: usize,
-    /// Endpoints of the list, with parent caches and origin. Printed as `registry_entries`.
+    /// Endpoints of the endpoint list, including parent caches and the origin. Printed as
+    /// `registry_entries`.
     pub listed_endpoints: usize,
-    /// Those among them that get no requests: they drain or are ejected. Printed as
+    /// Listed endpoints that get no requests because they are draining or ejected. Printed as
     /// `out_of_rotation`.
     pub unavailable_endpoints: usize,
 }
 
+/// The counters of a class with its printed name.
 #[derive(Clone, Debug)]
 struct NamedCounters {
-    /// The name of the class as it is printed.
+    /// The class name as it is printed; see [`printed_name`].
     name: String,
     counters: ClassCounters,
 }
@@ -58,15 +62,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     classes: Vec<NamedCounters>,
-    /// Configurations accepted at SIGHUP. Printed as `cfg_accepted`.
+    /// Configurations that were accepted at SIGHUP. Printed as `cfg_accepted`.
     pub reloads_accepted: u64,
-    /// Configurations rejected at SIGHUP. Printed as `cfg_invalid`.
+    /// Configurations that were rejected at SIGHUP. Printed as `cfg_invalid`.
     pub reloads_rejected: u64,
 }
 
 impl Metrics {
-    /// The index of a class's counters, by its name. A class that comes back goes on with the
-    /// counters it had.
+    /// The index of a class's counters, which are added if the class has none. A class that was
+    /// removed from the settings and is added again continues with its old counters.
     pub fn class_index(&mut self, name: &str) -> usize {
         let printed = printed_name(name);
         if let Some(index) = self.classes.iter().position(|class| class.name == printed) {
@@ -80,7 +84,7 @@
         self.classes.len() - 1
     }
 
-    /// Counts an event of the class at that index.
+    /// Counts an event of the class at an index. An index without counters is ignored.
     pub fn record(&mut self, class_index: usize, event: CountedEvent) {
         let Some(class) = self.classes.get_mut(class_index) else { return };
         let counter = match event {
@@ -92,7 +96,7 @@
         *counter += 1;
     }
 
-    /// The metrics as lines, `svc.NAME=VALUE`.
+    /// The metrics as text, with a line `svc.NAME=VALUE` for each.
     pub fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
@@ -119,8 +123,8 @@
     }
 }
 
-/// A class's name as a part of a metric's name: bytes that could end the name or the line are
-/// printed as %XX.
+/// The name of a class as a part of a metric's name. Bytes that could end the name or the line are
+/// printed as `%XX`.
 fn printed_name(name: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     let printed = |byte: u8| {
