--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -1,7 +1,8 @@
-//! The router under any order of events, without sockets: whatever can cross on sockets does. Each
-//! order of requests, responses, late and second responses, lost connections, cancellations, closed
-//! connections, drains, purges, stalls and the shutdown has to leave every client that still waits
-//! with exactly one final reply, and nothing may be sent that a rule forbids.
+//! Property tests of the router under any order of events, without sockets. Requests, responses,
+//! late and duplicate responses, lost connections, cancellations, closed connections, drains,
+//! purges, stalls and the shutdown are applied in any order in which they can arrive on sockets.
+//! Every client that still waits must get exactly one final reply, and no command may break a rule
+//! of sending.
 
 use hollymux_decision::{
     DeduplicationScope, EndpointEntry, EndpointId, EndpointState, Idempotency, ListedWeights, RequestClass,
@@ -20,11 +21,11 @@
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
 const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(900);
-/// By class: what may be repeated, what endpoints recognise as a repeat for [`IDEMPOTENCY_WINDOW`],
-/// and what never runs twice.
+/// The idempotency of each class, by index. Endpoints recognise repeats of the class with an
+/// idempotency key for [`IDEMPOTENCY_WINDOW`].
 const IDEMPOTENCY: [Idempotency; 3] =
     [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
-const CLASS_NAMES: [&str; 3] = ["read", "order", "filing"];
+const CLASS_NAMES: [&str; 3] = ["read", "order", "write"];
 const UIDS: [&str; 6] = ["s-a", "s-b", "s-c", "s-p", "s-q", "s-o"];
 const MAX_ATTEMPTS: u32 = 4;
 
@@ -76,31 +77,31 @@
     ListedEndpoint { entry, uid: UIDS[index].into(), addr }
 }
 
-/// What is known of a client's open request.
+/// What the test knows of a client's open request.
 #[derive(Default)]
 struct OpenRequest {
     class: usize,
-    /// When the first attempt was sent that may have run.
+    /// The send time of the first attempt that may have run; `None` if none may have.
     may_have_run_since: Option<Timestamp>,
     attempts: u32,
 }
 
-/// The router, and clients, endpoints and timers around it.
+/// The router under test, and the clients, endpoints and timers around it.
 struct World {
     router: Router,
     pool: BufferPool,
     now: Timestamp,
-    /// Timers by time; the serial number keeps those of one time in the order in which they were
-    /// set.
+    /// Timers in order of expiry. The serial number keeps timers of the same time in the order in
+    /// which they were set.
     timers: BTreeMap<(Timestamp, usize), Wake>,
     serial: usize,
-    /// The clients that wait for a reply.
+    /// The open request of each client that waits for a reply.
     waiting: BTreeMap<ClientHandle, OpenRequest>,
-    /// The client of each request that was sent.
+    /// The client of each request that an attempt was sent for.
     client_of: BTreeMap<u32, ClientHandle>,
-    /// Attempts in flight, and when they were sent.
+    /// The send time of each attempt in flight.
     in_flight: BTreeMap<AttemptId, Timestamp>,
-    /// Attempts that were cancelled or answered: their endpoints may still respond.
+    /// Attempts that were cancelled or have ended. Their endpoints may still respond.
     ended: Vec<AttemptId>,
     ready: BTreeSet<EndpointId>,
     replies: usize,
@@ -129,28 +130,28 @@
             replies: 0,
         };
         let endpoints = (0..UIDS.len()).map(|index| listed_endpoint(index, EndpointState::Ready)).collect();
-        world.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: true, endpoints }));
+        world.apply_input(Input::Feed(FeedEvent::Endpoints { is_full_list: true, endpoints }));
         world
     }
 
-    /// Passes an event to the router and checks its commands.
-    fn feed(&mut self, input: Input) {
+    /// Passes an input to the router and checks the resulting commands.
+    fn apply_input(&mut self, input: Input) {
         let mut commands = Vec::new();
         self.router.handle(self.now, input, &mut commands);
         for command in commands {
-            self.check(command);
+            self.check_command(command);
         }
     }
 
-    fn check(&mut self, command: Command) {
+    fn check_command(&mut self, command: Command) {
         match command {
             Command::SendAttempt(attempt) => self.check_attempt(&attempt),
             Command::CancelAttempt { attempt, may_retry } => {
                 let client = self.client_of[&attempt.request];
                 let is_waiting = self.waiting.contains_key(&client);
-                assert_eq!(may_retry, is_waiting, "it is known whether it may be sent again");
-                // Written completely or not: it may have run.
-                self.end(attempt, true);
+                assert_eq!(may_retry, is_waiting, "may_retry differs from whether the client still waits");
+                // The attempt may have been written completely, so it may have run.
+                self.record_attempt_end(attempt, true);
             }
             Command::Reply(client, reply) => self.check_reply(client, &reply),
             Command::Wake(at, wake) => {
@@ -162,20 +163,35 @@
     }
 
     fn check_attempt(&mut self, sent: &AttemptRequest) {
-        let open = self.waiting.get_mut(&sent.client).expect("sent for a client that waits for no reply");
+        let open = self
+            .waiting
+            .get_mut(&sent.client)
+            .expect("attempt sent for a client that does not wait for a reply");
         let request = sent.attempt.request;
-        assert!(self.in_flight.keys().all(|attempt| attempt.request != request), "two attempts in flight");
-        assert!(self.ready.contains(&sent.target.endpoint), "sent to an endpoint that is not ready");
+        assert!(
+            self.in_flight.keys().all(|attempt| attempt.request != request),
+            "request has two attempts in flight"
+        );
+        assert!(self.ready.contains(&sent.target.endpoint), "attempt sent to an endpoint that is not ready");
         let source = sent.target.fill.source;
-        assert!(source.is_none_or(|source| self.ready.contains(&source)), "a source that is not ready");
+        assert!(
+            source.is_none_or(|source| self.ready.contains(&source)),
+            "attempt with a fill source that is not ready"
+        );
         open.attempts += 1;
-        assert!(open.attempts <= MAX_ATTEMPTS, "too many attempts");
+        assert!(open.attempts <= MAX_ATTEMPTS, "more than {MAX_ATTEMPTS} attempts of a request");
         match (IDEMPOTENCY[open.class], open.may_have_run_since) {
-            (Idempotency::NotIdempotent, since) => assert_eq!(since, None, "it may have run"),
+            (Idempotency::NotIdempotent, since) => {
+                assert_eq!(since, None, "retry of a non-idempotent request that may have run")
+            }
             (Idempotency::WithKey, Some(since)) => {
-                let send_before = sent.send_before.expect("a repeat has a latest time");
+                let send_before =
+                    sent.send_before.expect("retry with an idempotency key without a latest send time");
                 let window_end = since + IDEMPOTENCY_WINDOW;
-                assert!(self.now <= send_before && send_before < window_end, "a repeat after its window");
+                assert!(
+                    self.now <= send_before && send_before < window_end,
+                    "retry may be sent after its idempotency window"
+                );
             }
             _ => assert_eq!(sent.send_before, None),
         }
@@ -184,18 +200,18 @@
     }
 
     fn check_reply(&mut self, client: ClientHandle, reply: &Reply) {
-        let open = self.waiting.remove(&client).expect("a reply that no client waits for");
+        let open = self.waiting.remove(&client).expect("reply to a client that does not wait for one");
         let has_attempt_in_flight =
             self.in_flight.keys().any(|attempt| self.client_of[&attempt.request] == client);
         let may_have_run = open.may_have_run_since.is_some() || has_attempt_in_flight;
         let is_rejected = matches!(reply, Reply::Rejected(_));
         let is_safe = IDEMPOTENCY[open.class] != Idempotency::NotIdempotent || !may_have_run;
-        assert!(!is_rejected || is_safe, "rejected, though it may have run");
+        assert!(!is_rejected || is_safe, "non-idempotent request rejected though it may have run");
         self.replies += 1;
     }
 
-    /// An attempt is no longer in flight.
-    fn end(&mut self, attempt: AttemptId, may_have_run: bool) {
+    /// Records that an attempt is no longer in flight.
+    fn record_attempt_end(&mut self, attempt: AttemptId, may_have_run: bool) {
         let Some(sent) = self.in_flight.remove(&attempt) else { return };
         self.ended.push(attempt);
         let client = self.client_of[&attempt.request];
@@ -204,7 +220,7 @@
         }
     }
 
-    /// A client sends a request.
+    /// Sends a request of a client.
     fn send_request(&mut self, connection: u64, class: usize, object: u64) {
         self.serial += 1;
         let tag = self.serial as u64;
@@ -222,11 +238,11 @@
         };
         let client = ClientHandle { conn: connection, tag };
         self.waiting.insert(client, OpenRequest { class, ..OpenRequest::default() });
-        self.feed(Input::Request(client, request));
+        self.apply_input(Input::Request(client, request));
     }
 
-    /// An endpoint responds or a connection is lost; one time in four for an attempt that has ended
-    /// already.
+    /// Ends the attempt selected by `pick` with a response or a failure selected by `how`. One time
+    /// in four the attempt has ended already, so that the event is late.
     fn end_some_attempt(&mut self, pick: usize, how: u8) {
         let in_flight: Vec<AttemptId> = self.in_flight.keys().copied().collect();
         let is_late = pick.is_multiple_of(4) && !self.ended.is_empty();
@@ -245,11 +261,12 @@
             7 => (Input::Failed(attempt, AttemptFailure::ConnectionRefused), false),
             _ => (Input::Failed(attempt, AttemptFailure::NotSent), false),
         };
-        self.end(attempt, may_have_run);
-        self.feed(input);
+        self.record_attempt_end(attempt, may_have_run);
+        self.apply_input(input);
     }
 
-    /// Time passes. After a stall all timers that are due expire at once, in order.
+    /// Lets time pass and fires the timers that are due. After a stall, all of them fire at its
+    /// end, in order.
     fn advance(&mut self, duration: Duration, is_stall: bool) {
         let until = self.now + duration;
         if is_stall {
@@ -258,12 +275,12 @@
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), wake) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.feed(Input::Wake(wake));
+            self.apply_input(Input::Wake(wake));
         }
         self.now = until;
     }
 
-    /// An endpoint drains, goes or is back.
+    /// Sends an update of the endpoint list in which an endpoint is draining, gone or ready.
     fn update_endpoint(&mut self, index: usize, state: EndpointState) {
         let endpoint = listed_endpoint(index, state);
         let id = endpoint.entry.id;
@@ -272,34 +289,39 @@
         } else {
             self.ready.remove(&id);
         }
-        self.feed(Input::Feed(FeedEvent::Endpoints { is_full_list: false, endpoints: vec![endpoint] }));
+        self.apply_input(Input::Feed(FeedEvent::Endpoints {
+            is_full_list: false,
+            endpoints: vec![endpoint],
+        }));
     }
 
-    /// A client cancels its oldest request.
+    /// Cancels the oldest request of a connection, or closes the connection if it has no open
+    /// request.
     fn cancel_oldest(&mut self, connection: u64) {
         let oldest = self.waiting.keys().copied().find(|client| client.conn == connection);
         match oldest {
             Some(client) => {
                 self.waiting.remove(&client);
-                self.feed(Input::Cancel(client));
+                self.apply_input(Input::Cancel(client));
             }
             None => self.close_client(connection),
         }
     }
 
-    /// A client closes its connection.
+    /// Closes a client's connection.
     fn close_client(&mut self, connection: u64) {
         self.waiting.retain(|client, _| client.conn != connection);
-        self.feed(Input::ClientClosed(connection));
+        self.apply_input(Input::ClientClosed(connection));
     }
 
     fn purge(&mut self, object: Option<u64>) {
         let at = self.now - Duration::from_millis(10);
-        self.feed(Input::Feed(FeedEvent::Purge { object, group: 1, at }));
+        self.apply_input(Input::Feed(FeedEvent::Purge { object, group: 1, at }));
     }
 }
 
-/// One step of an order of events, as it is generated.
+/// One step of a generated sequence of events. `event` selects its kind, `subject` and `pick` its
+/// parameters.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     event: u8,
@@ -339,9 +361,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a second reply or none, attempts for a client that has left, two attempts in
-    /// flight, a non-idempotent request that runs twice, and requests for a draining endpoint,
-    /// whatever crosses.
+    /// Guards, for any order of events, against a client with no reply or two, attempts for a
+    /// client that has left, two attempts of a request in flight, a non-idempotent request that
+    /// runs twice, and attempts at a draining endpoint.
     #[test]
     fn each_client_gets_one_reply_in_any_order_of_events(steps in steps(), is_shut_down in any::<bool>()) {
         let mut world = World::new();
@@ -349,32 +371,31 @@
             apply(&mut world, step);
         }
         if is_shut_down {
-            // Open requests get their replies at once.
-            world.feed(Input::Shutdown);
+            // The shutdown must answer all open requests at once.
+            world.apply_input(Input::Shutdown);
         } else {
             world.advance(Duration::from_secs(3), false);
         }
         prop_assert!(world.waiting.is_empty(), "{} clients without a reply", world.waiting.len());
-        prop_assert!(world.in_flight.is_empty(), "attempts in flight that nobody waits for");
+        prop_assert!(world.in_flight.is_empty(), "{} attempts still in flight", world.in_flight.len());
         prop_assert!(world.router.is_idle());
         prop_assert_eq!(world.router.counters.invariant_violations, 0);
     }
 }
 
-/// Guards against a test of orders that passes as it sees nothing: they do send, repeat and answer
-/// requests.
+/// Guards against a property test that passes because its worlds send, retry and answer nothing.
 #[test]
 fn orders_of_events_reach_retries_and_replies() {
     let mut world = World::new();
     world.send_request(1, 1, 3);
     world.end_some_attempt(1, 6);
-    assert_eq!((world.in_flight.len(), world.waiting.len()), (1, 1), "a repeat within its window");
+    assert_eq!((world.in_flight.len(), world.waiting.len()), (1, 1), "retry within its idempotency window");
     assert!(world.in_flight.keys().all(|attempt| attempt.number == 1));
     world.send_request(1, 2, 3);
     let write = *world.in_flight.keys().last().unwrap();
-    world.end(write, true);
-    world.feed(Input::Failed(write, AttemptFailure::ConnectionLost));
-    assert_eq!((world.replies, world.in_flight.len()), (1, 1), "a write that may have run is failed");
-    world.feed(Input::Shutdown);
+    world.record_attempt_end(write, true);
+    world.apply_input(Input::Failed(write, AttemptFailure::ConnectionLost));
+    assert_eq!((world.replies, world.in_flight.len()), (1, 1), "write that may have run is not failed");
+    world.apply_input(Input::Shutdown);
     assert_eq!((world.replies, world.in_flight.len()), (2, 0));
 }
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The phases of the router process under any order of signals, admin calls and takeovers.
+//! Property test of the lifecycle of the router process under any order of signals, admin calls and
+//! takeovers.
 
 use hollymux_decision::Timestamp;
 use hollymux_router::lifecycle::{Event, Lifecycle, SHUTDOWN_LINGER};
@@ -7,13 +8,15 @@
 
 const EVENTS: [Event; 6] =
     [Event::Started, Event::Standby, Event::Active, Event::Replaced, Event::SuccessorGone, Event::Stop];
-/// Times after an event at which the lifecycle is looked at: on both sides of each of its limits.
+/// Times after an event, in milliseconds, at which the lifecycle is checked. They lie on both sides
+/// of each of its limits.
 const LOOK_AHEAD_MS: [u64; 8] = [0, 399, 400, 699, 700, 1_999, 2_000, 3_900];
 const LONGEST_DEADLINES: [Duration; 3] =
     [Duration::from_micros(1), Duration::from_millis(500), Duration::from_secs(5)];
 const MAX_SHUTDOWN_GRACE: Duration = Duration::from_secs(3);
 
-/// What the events so far come to, kept apart from the lifecycle under test.
+/// The state that follows from the events so far, tracked independently of the lifecycle under
+/// test.
 #[derive(Default)]
 struct Expected {
     started: bool,
@@ -46,7 +49,7 @@
     }
 }
 
-/// What must hold at a time, if no event comes until then.
+/// Checks what must hold at the time `then` if no event comes until then.
 fn check_at(lifecycle: &Lifecycle, expected: &Expected, then: Timestamp) -> Result<(), TestCaseError> {
     if lifecycle.ready() {
         prop_assert!(
@@ -59,13 +62,13 @@
         !(lifecycle.accepts(then) && expected.replaced),
         "two processes accept the same connections"
     );
-    // A client that connects is accepted by this process, by another one, or finds that it has
-    // exited.
+    // A client that connects is accepted by this process or by another one, or the process has
+    // stopped accepting.
     let exited = expected.stopping_since.is_some_and(|since| then >= since + SHUTDOWN_LINGER);
     prop_assert_eq!(lifecycle.accepts(then), expected.started && !expected.replaced && !exited);
     if let Some(since) = expected.standby_since.filter(|since| then >= *since + Duration::from_secs(2)) {
         let serves = lifecycle.serves(then, Duration::from_secs(1));
-        prop_assert!(!serves, "a connection that is never idle is held since {:?}", since);
+        prop_assert!(!serves, "requests are served although the process is in standby since {:?}", since);
     }
     if expected.standby_since.is_some_and(|since| then >= since + Duration::from_millis(400)) {
         prop_assert!(!lifecycle.keeps_idle_connection(then, None));
@@ -75,7 +78,7 @@
     }
     if exited {
         prop_assert!(!lifecycle.keeps_idle_connection(then, None) && lifecycle.has_lingered(then));
-        // A request that is accepted late ends before the process can be killed.
+        // A request that is accepted after the linger ends before the process can be killed.
         for longest in LONGEST_DEADLINES {
             let ends_by = lifecycle.ends_by(longest);
             prop_assert_eq!(ends_by.is_some(), expected.replaced);
@@ -87,7 +90,7 @@
     Ok(())
 }
 
-/// Events by their index, each after a wait in milliseconds.
+/// Generates events, each as an index into [`EVENTS`] and the wait before it in milliseconds.
 fn steps() -> impl Strategy<Value = Vec<(usize, u64)>> {
     proptest::collection::vec((0usize..6, 0u64..3_000), 1..40)
 }
@@ -95,8 +98,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against readiness of a router that is in standby, stops or accepts nobody; against
-    /// connections that it neither serves nor closes; and against a way back from a stop.
+    /// Guards against a router that reports readiness although it is in standby, stopping or not
+    /// accepting connections, against connections that it neither serves nor closes, and against a
+    /// stop that can be revoked.
     #[test]
     fn a_router_that_serves_nobody_is_never_ready(steps in steps()) {
         let mut lifecycle = Lifecycle::default();
@@ -112,7 +116,8 @@
             for ahead in LOOK_AHEAD_MS {
                 check_at(&lifecycle, &expected, now + Duration::from_millis(ahead))?;
             }
-            // There is a time at which connections are closed.
+            // Idle connections are closed from some time on exactly if the process is in standby or
+            // stopping.
             let closes_connections = expected.standby_since.is_some() || expected.stopping_since.is_some();
             prop_assert_eq!(lifecycle.closes_idle_connections_from().is_some(), closes_connections);
         }
