--- a/crates/router/tests/characterization.rs
+++ b/crates/router/tests/characterization.rs
@@ -1,8 +1,9 @@
-//! Guards every command of the core against a change that was not meant to be one: seeded worlds are played, and a
-//! digest over the core's commands, put in neutral words, has to stay what it was. Only `adapter.rs` names the core's
-//! types, so that a change of names is followed there alone.
+//! Characterization test of the router core: seeded random worlds are played, and a digest over the
+//! core's commands in a neutral notation must equal the recorded one, so that no change alters
+//! commands by mistake. Only `adapter.rs` names the core's types, so a renamed type is followed
+//! there alone.
 //!
-//! A change that is meant to alter commands records the digests and counts anew, in the same commit.
+//! A change that is meant to alter commands records the digests and counts anew in the same commit.
 
 #[path = "characterization/adapter.rs"]
 mod adapter;
@@ -14,11 +15,13 @@
 use std::collections::BTreeMap;
 use world::{ClassUse, Deployment, Record, World};
 
-const SEQUENCES: u64 = 1_000;
-const EVENTS: usize = 220;
-/// What every deployment has to reach at least this often, so that no digest is empty of it.
-const REACHED: u32 = 50;
-const KINDS_REACHED: [&str; 22] = [
+const SEQUENCE_COUNT: u64 = 1_000;
+const EVENTS_PER_SEQUENCE: usize = 220;
+/// Minimum number of effects of each required kind in a deployment, so that every digest covers
+/// them.
+const MIN_COUNT_PER_KIND: u32 = 50;
+/// Kinds of effects that every deployment must produce.
+const REQUIRED_KINDS: [&str; 22] = [
     "send",
     "send again",
     "cancel",
@@ -43,8 +46,8 @@
     "handed over",
 ];
 
-/// Hits are not told, probes are allowed.
-const UNTOLD: Deployment = Deployment {
+/// Endpoints report no cache status. Probes are allowed.
+const WITHOUT_CACHE_STATUS: Deployment = Deployment {
     settings: "az=0
 groupSize=4
 familyInfo.countByZone=2,2
@@ -140,14 +143,14 @@
 classes.2.effect=fragile
 ",
     classes: &[
-        ClassUse { name: "page", budget_ms: 900, has_key: false, once: false, writes: false },
-        ClassUse { name: "film", budget_ms: 2_500, has_key: false, once: false, writes: false },
-        ClassUse { name: "order", budget_ms: 2_000, has_key: false, once: true, writes: true },
+        ClassUse { name: "page", budget_ms: 900, has_key: false, non_idempotent: false, is_write: false },
+        ClassUse { name: "film", budget_ms: 2_500, has_key: false, non_idempotent: false, is_write: false },
+        ClassUse { name: "order", budget_ms: 2_000, has_key: false, non_idempotent: true, is_write: true },
     ],
 };
 
-/// Keyed classes, hits are told.
-const KEYED: Deployment = Deployment {
+/// Two classes have idempotency keys. Endpoints report hits, but not why a fill failed.
+const WITH_IDEMPOTENCY_KEYS: Deployment = Deployment {
     settings: "az=0
 groupSize=6
 familyInfo.countByZone=3,3
@@ -259,16 +262,16 @@
 classes.3.effect=fragile
 ",
     classes: &[
-        ClassUse { name: "parcel", budget_ms: 1_800, has_key: true, once: false, writes: true },
-        ClassUse { name: "note", budget_ms: 1_500, has_key: true, once: false, writes: true },
-        ClassUse { name: "price", budget_ms: 900, has_key: false, once: false, writes: false },
-        ClassUse { name: "booking", budget_ms: 1_400, has_key: false, once: true, writes: true },
+        ClassUse { name: "parcel", budget_ms: 1_800, has_key: true, non_idempotent: false, is_write: true },
+        ClassUse { name: "note", budget_ms: 1_500, has_key: true, non_idempotent: false, is_write: true },
+        ClassUse { name: "price", budget_ms: 900, has_key: false, non_idempotent: false, is_write: false },
+        ClassUse { name: "booking", budget_ms: 1_400, has_key: false, non_idempotent: true, is_write: true },
     ],
 };
 
-/// Everything is told, copies age. The core has one attempt of a request out at a time, so second copies are not
-/// allowed here.
-const TOLD: Deployment = Deployment {
+/// Endpoints report the full cache status, and copies become stale. Hedged requests are not
+/// allowed, because the core has one attempt of a request in flight at a time.
+const WITH_FULL_CACHE_STATUS: Deployment = Deployment {
     settings: "az=0
 groupSize=3
 familyInfo.countByZone=2,1
@@ -374,30 +377,35 @@
 classes.2.effect=fragile
 ",
     classes: &[
-        ClassUse { name: "page", budget_ms: 1_000, has_key: false, once: false, writes: false },
-        ClassUse { name: "film", budget_ms: 2_200, has_key: false, once: false, writes: false },
-        ClassUse { name: "order", budget_ms: 1_600, has_key: false, once: true, writes: true },
+        ClassUse { name: "page", budget_ms: 1_000, has_key: false, non_idempotent: false, is_write: false },
+        ClassUse { name: "film", budget_ms: 2_200, has_key: false, non_idempotent: false, is_write: false },
+        ClassUse { name: "order", budget_ms: 1_600, has_key: false, non_idempotent: true, is_write: true },
     ],
 };
 
-/// Plays all sequences of a deployment and compares with what was recorded.
+/// Plays all sequences of a deployment and compares the digest and the counts with the recorded
+/// ones.
 fn check(deployment: &Deployment, digest: u64, counts: &[(&'static str, u32)]) {
     let mut record = Record::default();
-    for sequence in 0..SEQUENCES {
-        World::new(deployment, &mut record, 0x0c04_0000 + sequence).play(EVENTS);
+    for sequence in 0..SEQUENCE_COUNT {
+        World::new(deployment, &mut record, 0x0c04_0000 + sequence).play(EVENTS_PER_SEQUENCE);
     }
-    for kind in KINDS_REACHED {
-        let reached = record.counts.get(kind).copied().unwrap_or(0);
-        assert!(reached >= REACHED, "{kind}: {reached} of {:?}", record.counts);
+    for kind in REQUIRED_KINDS {
+        let count = record.counts.get(kind).copied().unwrap_or(0);
+        assert!(
+            count >= MIN_COUNT_PER_KIND,
+            "effect {kind:?} occurred only {count} times: {:?}",
+            record.counts
+        );
     }
     let recorded: BTreeMap<&str, u32> = counts.iter().copied().collect();
     assert_eq!((format!("{:016x}", record.digest), record.counts), (format!("{digest:016x}"), recorded));
 }
 
 #[test]
-fn commands_where_hits_are_not_told() {
+fn commands_without_cache_status_are_unchanged() {
     check(
-        &UNTOLD,
+        &WITHOUT_CACHE_STATUS,
         0x3705_472f_a3b2_e0b5,
         &[
             ("cancel", 12_161),
@@ -428,9 +436,9 @@
 }
 
 #[test]
-fn commands_with_keyed_classes() {
+fn commands_with_idempotency_keys_are_unchanged() {
     check(
-        &KEYED,
+        &WITH_IDEMPOTENCY_KEYS,
         0x206e_945b_62f7_a861,
         &[
             ("cancel", 13_451),
@@ -460,9 +468,9 @@
 }
 
 #[test]
-fn commands_where_everything_is_told() {
+fn commands_with_full_cache_status_are_unchanged() {
     check(
-        &TOLD,
+        &WITH_FULL_CACHE_STATUS,
         0xd3e9_8757_6e33_7473,
         &[
             ("cancel", 13_215),
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -1,5 +1,5 @@
-//! The one file of this test that names the core's types: it turns a neutral stimulus into the core's input, and the
-//! core's commands into neutral lines. A change of names is followed here and nowhere else in the test.
+//! The only file of this test that names the core's types. It converts a neutral stimulus to the
+//! core's input, and the core's commands to neutral lines of text.
 
 use super::neutral::*;
 use hollymux_decision::time::whole_micros;
@@ -19,16 +19,16 @@
 const ZONES: [&str; 2] = ["zone-0", "zone-1"];
 const KINDS: [&str; 3] = ["cache", "parent", "origin"];
 
-/// A core, and what its driver has to remember for it.
+/// The router core under test, and the state that its driver keeps.
 pub struct Core {
     router: Router,
     pool: BufferPool,
     follows: bool,
     seed: u64,
-    /// The settings in force.
+    /// The settings in force, as text.
     settings: String,
     classes: Vec<String>,
-    /// What is due at each handle of an [`Reaction::Wake`].
+    /// The timers that were set, indexed by the handle in [`Reaction::Wake`].
     wakes: Vec<Wake>,
     names: BTreeMap<EndpointId, String>,
 }
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Tells the core one thing; gives what it wants done.
+    /// Applies a stimulus at a time in microseconds and returns the core's effects.
     pub fn step(&mut self, now: u64, stimulus: Stimulus) -> Vec<Effect> {
         let now = Timestamp::from_micros(now);
         let mut commands = Vec::new();
         let mut effects = Vec::new();
         match stimulus {
-            Stimulus::Lookup { class, object, part, group, id } => {
-                effects.push(self.lookup(now, class, (object, part, group, id), &mut commands));
+            Stimulus::Lookup { class, object, chunk, group, id } => {
+                effects.push(self.lookup(now, class, (object, chunk, group, id), &mut commands));
             }
             Stimulus::Settings(text) => effects.push(self.reconfigure(text)),
             Stimulus::HandOver { last } => effects.extend(self.hand_over(now, last)),
@@ -69,132 +69,134 @@
         effects
     }
 
-    /// What the core has counted, when all is over.
+    /// The core's counters at the end of a sequence.
     pub fn summary(&self) -> String {
-        let counted = &self.router.counters;
+        let counters = &self.router.counters;
         format!(
             "counted taken={} served={} refused={} failed={} lookups={} attempts={} broken={} idle={}",
-            counted.received,
-            counted.served,
-            counted.rejected,
-            counted.failed,
-            counted.lookups,
-            counted.attempts,
-            counted.invariant_violations,
+            counters.received,
+            counters.served,
+            counters.rejected,
+            counters.failed,
+            counters.lookups,
+            counters.attempts,
+            counters.invariant_violations,
             self.router.is_idle()
         )
     }
 
     fn input(&mut self, stimulus: Stimulus) -> Input {
         match stimulus {
-            Stimulus::Ask(client, asked) => Input::Request(core_client(client), self.client_request(asked)),
-            Stimulus::StopWaiting(client) => Input::Cancel(core_client(client)),
-            Stimulus::Leave { connection } => Input::ClientClosed(connection),
-            Stimulus::Answer { attempt, answer, note } => {
-                Input::Responded(attempt_id(attempt), self.response(answer), note.map(core_note))
+            Stimulus::Request(client, request) => {
+                Input::Request(client_handle(client), self.client_request(request))
             }
-            Stimulus::Lost { attempt, how } => Input::Failed(attempt_id(attempt), lost(how)),
-            Stimulus::Probed { uid, well } => Input::Probed(endpoint_id(&uid), well),
-            Stimulus::Found { request, found } => Input::LookedUp(request, core_found(found)),
+            Stimulus::Cancel(client) => Input::Cancel(client_handle(client)),
+            Stimulus::CloseConnection { connection } => Input::ClientClosed(connection),
+            Stimulus::Response { attempt, response, fill_status } => {
+                Input::Responded(attempt_id(attempt), self.response(response), fill_status.map(cache_status))
+            }
+            Stimulus::Failure { attempt, loss } => Input::Failed(attempt_id(attempt), attempt_failure(loss)),
+            Stimulus::Probed { uid, healthy } => Input::Probed(endpoint_id(&uid), healthy),
+            Stimulus::LookedUp { request, outcome } => Input::LookedUp(request, lookup_result(outcome)),
             Stimulus::Wake { handle } => Input::Wake(self.wakes[handle]),
-            Stimulus::Hosts { all, lines } => Input::Feed(self.endpoint_update(all, lines)),
+            Stimulus::EndpointList { is_full_list, entries } => {
+                Input::Feed(self.endpoint_update(is_full_list, entries))
+            }
             Stimulus::Purge { object, group, at } => {
                 Input::Feed(FeedEvent::Purge { object, group, at: Timestamp::from_micros(at) })
             }
-            Stimulus::End => Input::Shutdown,
+            Stimulus::Shutdown => Input::Shutdown,
             Stimulus::Lookup { .. } | Stimulus::Settings(_) | Stimulus::HandOver { .. } => {
-                unreachable!("these are calls, not inputs")
+                unreachable!("lookups, settings and handovers are calls of the router, not inputs")
             }
         }
     }
 
     fn chain(&self, length: usize) -> BufferChain {
         let mut chain = self.pool.chain();
-        chain.extend(&vec![b'x'; length]).expect("buffers enough");
+        chain.extend(&vec![b'x'; length]).expect("buffer pool exhausted");
         chain
     }
 
-    fn client_request(&self, asked: Asked) -> ClientRequest {
-        let word = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
+    fn client_request(&self, request: RequestSpec) -> ClientRequest {
+        let number = |value: u64| ReceivedNumber { text: format!("{value:016x}").into_bytes(), value };
         ClientRequest {
-            request_id: word(asked.id),
-            class: asked.class.into(),
-            object: word(asked.object),
-            chunk: asked.part,
-            group: asked.group,
-            budget_ms: asked.budget_ms,
-            if_none_match: asked.holds_copy.then(|| b"held".to_vec()),
-            idempotency_key: asked.has_key.then(|| b"key".to_vec()),
-            body: self.chain(asked.body),
+            request_id: number(request.id),
+            class: request.class.into(),
+            object: number(request.object),
+            chunk: request.chunk,
+            group: request.group,
+            budget_ms: request.budget_ms,
+            if_none_match: request.holds_copy.then(|| b"held".to_vec()),
+            idempotency_key: request.has_key.then(|| b"key".to_vec()),
+            body: self.chain(request.body),
         }
     }
 
-    fn response(&self, answer: Answer) -> AttemptResponse {
-        match answer {
-            Answer::Bytes { tagged, length } => {
-                AttemptResponse::Data(tagged.then(|| b"tag".to_vec()), self.chain(length))
+    fn response(&self, response: EndpointResponse) -> AttemptResponse {
+        match response {
+            EndpointResponse::Bytes { has_digest, length } => {
+                AttemptResponse::Data(has_digest.then(|| b"tag".to_vec()), self.chain(length))
             }
-            Answer::Unchanged => AttemptResponse::NotModified(b"held".to_vec()),
-            Answer::Absent => AttemptResponse::Absent,
-            Answer::Full => AttemptResponse::AtCapacity,
-            Answer::Failed => AttemptResponse::Failed,
-            Answer::Moot => AttemptResponse::AlreadyCancelled,
+            EndpointResponse::NotModified => AttemptResponse::NotModified(b"held".to_vec()),
+            EndpointResponse::Absent => AttemptResponse::Absent,
+            EndpointResponse::AtCapacity => AttemptResponse::AtCapacity,
+            EndpointResponse::Failed => AttemptResponse::Failed,
+            EndpointResponse::AlreadyCancelled => AttemptResponse::AlreadyCancelled,
         }
     }
 
-    fn endpoint_update(&mut self, all: bool, lines: Vec<HostLine>) -> FeedEvent {
-        for line in &lines {
-            self.names.insert(endpoint_id(&line.uid), line.uid.clone());
-        }
-        FeedEvent::Endpoints {
-            is_full_list: all,
-            endpoints: lines.into_iter().map(listed_endpoint).collect(),
+    fn endpoint_update(&mut self, is_full_list: bool, entries: Vec<EndpointSpec>) -> FeedEvent {
+        for entry in &entries {
+            self.names.insert(endpoint_id(&entry.uid), entry.uid.clone());
         }
+        FeedEvent::Endpoints { is_full_list, endpoints: entries.into_iter().map(listed_endpoint).collect() }
     }
 
     fn lookup(
         &mut self,
         now: Timestamp,
         class: &str,
-        (object, part, group, id): (u64, u32, u32, Option<u64>),
+        (object, chunk, group, id): (u64, u32, u32, Option<u64>),
         commands: &mut Vec<Command>,
     ) -> Effect {
-        let class = self.router.classes().named(class.as_bytes()).expect("a class in use");
-        let wanted = RequestedObject { class, object, chunk: part, group, request_id: id };
-        match self.router.lookup(now, wanted, commands) {
-            LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_words(&target)),
+        let class = self.router.classes().named(class.as_bytes()).expect("lookup for an unknown class");
+        let requested = RequestedObject { class, object, chunk, group, request_id: id };
+        match self.router.lookup(now, requested, commands) {
+            LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_text(&target)),
             LookupResult::Rejected => Effect::new("lookup refused", String::new()),
             LookupResult::Failed => Effect::new("lookup failed", String::new()),
         }
     }
 
     fn reconfigure(&mut self, text: &str) -> Effect {
-        let taken = self.router.reconfigure(&parse(text), &self.classes).is_ok();
-        if taken {
+        let accepted = self.router.reconfigure(&parse(text), &self.classes).is_ok();
+        if accepted {
             self.settings = text.to_string();
         }
-        Effect::new("settings", format!("taken={taken}"))
+        Effect::new("settings", format!("taken={accepted}"))
     }
 
-    /// Another core goes on in this one's place; `last` is asked of this one after it was handed over.
-    fn hand_over(&mut self, now: Timestamp, last: Option<(Caller, Asked)>) -> Vec<Effect> {
-        let mut legacy = self.router.handover_state();
-        legacy.zones = ZONES.map(str::to_string).to_vec();
-        legacy.kinds = KINDS.map(str::to_string).to_vec();
+    /// Replaces the core by a successor that restores its state. The request `last` is sent to the
+    /// old core after its state was taken.
+    fn hand_over(&mut self, now: Timestamp, last: Option<(ClientId, RequestSpec)>) -> Vec<Effect> {
+        let mut state = self.router.handover_state();
+        state.zones = ZONES.map(str::to_string).to_vec();
+        state.kinds = KINDS.map(str::to_string).to_vec();
         let mut commands = Vec::new();
-        if let Some((client, asked)) = last {
-            let input = Input::Request(core_client(client), self.client_request(asked));
+        if let Some((client, request)) = last {
+            let input = Input::Request(client_handle(client), self.client_request(request));
             self.router.handle(now, input, &mut commands);
         }
         let later = self.router.take_new_pending_writes();
         self.router.handle(now, Input::Shutdown, &mut commands);
         let mut successor = router(parse(&self.settings), &self.classes, self.seed ^ 1, self.follows);
-        let told = legacy.full_list_event(&legacy.zones, &legacy.kinds);
-        successor.handle(now, Input::Feed(told), &mut commands);
-        successor.restore(now, &legacy);
+        let full_list = state.full_list_event(&state.zones, &state.kinds);
+        successor.handle(now, Input::Feed(full_list), &mut commands);
+        successor.restore(now, &state);
         successor.restore_pending_writes(now, &later);
         self.router = successor;
-        let mut effects = vec![Effect::new("handed over", legacy_words(&legacy, &later))];
+        let mut effects = vec![Effect::new("handed over", state_text(&state, &later))];
         effects.extend(commands.into_iter().filter_map(|command| self.effect(command)));
         effects
     }
@@ -203,7 +205,7 @@
         self.names.get(&endpoint).map_or("unknown", |name| name)
     }
 
-    fn target_words(&self, target: &Target) -> String {
+    fn target_text(&self, target: &Target) -> String {
         let fill = &target.fill;
         format!(
             "host={}/{} address={} source={}/{} keep={} max_age={} join={} renew={} shallow={}",
@@ -220,17 +222,17 @@
         )
     }
 
-    /// A command in neutral words; none for a log line, whose wording is no decision.
+    /// Converts a command to an effect. `None` for a log line, whose wording is not characterized.
     fn effect(&mut self, command: Command) -> Option<Effect> {
         let effect = match command {
             Command::SendAttempt(sent) => self.sent_effect(&sent),
-            Command::CancelAttempt { attempt, may_retry: again } => {
-                Effect::new("cancel", format!("{} again={again}", attempt_words(attempt)))
+            Command::CancelAttempt { attempt, may_retry } => {
+                Effect::new("cancel", format!("{} again={may_retry}", attempt_text(attempt)))
             }
             Command::Reply(client, reply) => reply_effect(client, &reply),
             Command::Wake(at, wake) => self.wake_effect(at, wake),
-            Command::Lookup(request, wanted) => {
-                Effect::new("look up", format!("request={request} {}", wanted_words(&wanted)))
+            Command::Lookup(request, requested) => {
+                Effect::new("look up", format!("request={request} {}", requested_text(&requested)))
                     .reacting(Reaction::LookUp { request })
             }
             Command::Probe(endpoint, address) => {
@@ -250,8 +252,8 @@
     fn sent_effect(&self, sent: &AttemptRequest) -> Effect {
         let line = format!(
             "{} {} timeout={} class={} id={} client={}/{} by={}",
-            attempt_words(sent.attempt),
-            self.target_words(&sent.target),
+            attempt_text(sent.attempt),
+            self.target_text(&sent.target),
             whole_micros(sent.timeout),
             sent.class,
             sent.request.request_id.value,
@@ -261,7 +263,7 @@
         );
         let kind = if sent.attempt.number > 0 { "send again" } else { "send" };
         let reaction =
-            Reaction::Sent { attempt: attempt_neutral(sent.attempt), uid: sent.target.uid.to_string() };
+            Reaction::Sent { attempt: attempt_key(sent.attempt), uid: sent.target.uid.to_string() };
         Effect::new(kind, line).reacting(reaction)
     }
 
@@ -270,7 +272,7 @@
         let what = match wake {
             Wake::Decision(RoutingMode::Decide, token) => format!("module token={token}"),
             Wake::Decision(RoutingMode::FollowHint, token) => format!("follower token={token}"),
-            Wake::Attempt(attempt) => attempt_words(attempt),
+            Wake::Attempt(attempt) => attempt_text(attempt),
         };
         self.wakes.push(wake);
         let handle = self.wakes.len() - 1;
@@ -278,8 +280,8 @@
     }
 }
 
-/// Endpoints that a whole list leaves out are dropped in the order of a hash table: that order means nothing, so each
-/// run of drops is sorted.
+/// Sorts each run of closed connections. Endpoints that a full list leaves out are closed in the
+/// order of a hash table, which is arbitrary.
 fn sort_drops(effects: &mut [Effect]) {
     for run in effects.chunk_by_mut(|a, b| a.kind == "drop" && b.kind == "drop") {
         run.sort_by(|a, b| a.line.cmp(&b.line));
@@ -289,53 +291,53 @@
 fn parse(text: &str) -> Settings {
     let pair = |line: &str| line.split_once('=').map(|(key, value)| (key.to_string(), value.to_string()));
     let pairs = text.lines().filter_map(pair).collect();
-    parse_settings(&SettingsMap::new(pairs)).expect("settings that can be read")
+    parse_settings(&SettingsMap::new(pairs)).expect("test settings can't be parsed")
 }
 
 fn router(settings: Settings, classes: &[String], seed: u64, follows: bool) -> Router {
-    let setup = RouterOptions {
+    let options = RouterOptions {
         settings,
         classes: classes.to_vec(),
         seed,
         memory_mb: MEMORY_MB,
         flow_bytes_per_s: FLOW_BYTES_PER_S,
     };
-    Router::new(setup, follows).expect("settings that can be worked under")
+    Router::new(options, follows).expect("test settings are invalid")
 }
 
-fn core_client(client: Caller) -> ClientHandle {
+fn client_handle(client: ClientId) -> ClientHandle {
     ClientHandle { conn: client.connection, tag: client.tag }
 }
 
-fn attempt_id(attempt: AttemptName) -> AttemptId {
+fn attempt_id(attempt: AttemptKey) -> AttemptId {
     AttemptId { request: attempt.request, number: attempt.number }
 }
 
-fn attempt_neutral(attempt: AttemptId) -> AttemptName {
-    AttemptName { request: attempt.request, number: attempt.number }
+fn attempt_key(attempt: AttemptId) -> AttemptKey {
+    AttemptKey { request: attempt.request, number: attempt.number }
 }
 
-fn core_note(note: FillNote) -> CacheStatus {
-    match note {
-        FillNote::Hit => CacheStatus::Hit,
-        FillNote::Filled => CacheStatus::Filled,
-        FillNote::FilledByOrigin => CacheStatus::FilledByOrigin,
-        FillNote::Joined => CacheStatus::Joined,
-        FillNote::Stale => CacheStatus::Stale,
-        FillNote::SourceRefused => CacheStatus::SourceRefused,
-        FillNote::SourceUnreachable => CacheStatus::SourceUnreachable,
-        FillNote::SourceLacks => CacheStatus::SourceLacks,
-        FillNote::NoFillPlace => CacheStatus::NoFillPlace,
-        FillNote::OriginFailed => CacheStatus::OriginFailed,
+fn cache_status(fill_status: FillStatus) -> CacheStatus {
+    match fill_status {
+        FillStatus::Hit => CacheStatus::Hit,
+        FillStatus::Filled => CacheStatus::Filled,
+        FillStatus::FilledByOrigin => CacheStatus::FilledByOrigin,
+        FillStatus::Joined => CacheStatus::Joined,
+        FillStatus::Stale => CacheStatus::Stale,
+        FillStatus::SourceRefused => CacheStatus::SourceRefused,
+        FillStatus::SourceUnreachable => CacheStatus::SourceUnreachable,
+        FillStatus::SourceLacks => CacheStatus::SourceLacks,
+        FillStatus::NoFillPlace => CacheStatus::NoFillPlace,
+        FillStatus::OriginFailed => CacheStatus::OriginFailed,
     }
 }
 
-fn lost(how: Loss) -> AttemptFailure {
-    match how {
-        Loss::Refused => AttemptFailure::ConnectionRefused,
-        Loss::Unreached => AttemptFailure::ConnectTimeout,
-        Loss::Unsent => AttemptFailure::NotSent,
-        Loss::Broken => AttemptFailure::ConnectionLost,
+fn attempt_failure(loss: AttemptLoss) -> AttemptFailure {
+    match loss {
+        AttemptLoss::ConnectionRefused => AttemptFailure::ConnectionRefused,
+        AttemptLoss::ConnectTimeout => AttemptFailure::ConnectTimeout,
+        AttemptLoss::NotSent => AttemptFailure::NotSent,
+        AttemptLoss::ConnectionLost => AttemptFailure::ConnectionLost,
     }
 }
 
@@ -343,55 +345,55 @@
     ([127, 0, 0, 1], port).into()
 }
 
-fn core_found(found: LookupAnswer) -> LookupResult<RoutingHint> {
-    match found {
-        LookupAnswer::Host { uid, port, source, keep } => {
-            let fill = FillHint { source, retention: keep, coalesce: true, ..FillHint::default() };
+fn lookup_result(outcome: LookupOutcome) -> LookupResult<RoutingHint> {
+    match outcome {
+        LookupOutcome::Endpoint { uid, port, source, retention } => {
+            let fill = FillHint { source, retention, coalesce: true, ..FillHint::default() };
             LookupResult::Endpoint(RoutingHint { uid, addr: address(port), fill })
         }
-        LookupAnswer::Refused => LookupResult::Rejected,
-        LookupAnswer::Failed => LookupResult::Failed,
+        LookupOutcome::Rejected => LookupResult::Rejected,
+        LookupOutcome::Failed => LookupResult::Failed,
     }
 }
 
-fn listed_endpoint(line: HostLine) -> ListedEndpoint {
-    let state = match line.state {
-        Standing::Ready => EndpointState::Ready,
-        Standing::Draining => EndpointState::Draining,
-        Standing::Gone => EndpointState::Gone,
+fn listed_endpoint(spec: EndpointSpec) -> ListedEndpoint {
+    let state = match spec.state {
+        ListedState::Ready => EndpointState::Ready,
+        ListedState::Draining => EndpointState::Draining,
+        ListedState::Gone => EndpointState::Gone,
     };
     let entry = EndpointEntry {
-        id: endpoint_id(&line.uid),
-        cell: line.cell,
-        zone: line.zone,
-        kind: line.kind,
-        weight: line.weight,
+        id: endpoint_id(&spec.uid),
+        cell: spec.cell,
+        zone: spec.zone,
+        kind: spec.kind,
+        weight: spec.weight,
         state,
-        started: Timestamp::from_micros(line.started),
+        started: Timestamp::from_micros(spec.started),
         in_place_of: None,
     };
-    ListedEndpoint { entry, uid: line.uid, addr: line.port.map(address) }
+    ListedEndpoint { entry, uid: spec.uid, addr: spec.port.map(address) }
 }
 
 fn optional<T: std::fmt::Display>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_string(), |value| value.to_string())
 }
 
-fn micros(span: Option<Duration>) -> String {
-    optional(span.map(whole_micros))
+fn micros(duration: Option<Duration>) -> String {
+    optional(duration.map(whole_micros))
 }
 
-fn attempt_words(attempt: AttemptId) -> String {
+fn attempt_text(attempt: AttemptId) -> String {
     format!("request={} attempt={}", attempt.request, attempt.number)
 }
 
-fn wanted_words(wanted: &RequestedObject) -> String {
-    let id = optional(wanted.request_id);
-    let RequestedObject { class, object, chunk: part, group, .. } = wanted;
-    format!("class={class} object={object} part={part} group={group} id={id}")
+fn requested_text(requested: &RequestedObject) -> String {
+    let id = optional(requested.request_id);
+    let RequestedObject { class, object, chunk, group, .. } = requested;
+    format!("class={class} object={object} part={chunk} group={group} id={id}")
 }
 
-fn status_word(status: AttemptStatus) -> &'static str {
+fn status_text(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Ok => "ok",
         AttemptStatus::Miss => "miss",
@@ -407,28 +409,28 @@
 }
 
 fn reply_effect(client: ClientHandle, reply: &Reply) -> Effect {
-    let tag_words = |tag: &[u8]| String::from_utf8_lossy(tag).into_owned();
+    let digest_text = |digest: &[u8]| String::from_utf8_lossy(digest).into_owned();
     let (kind, what) = match reply {
-        Reply::Served(tag, body) => {
-            let tag = optional(tag.as_deref().map(tag_words));
-            ("reply served", format!("copy={tag} bytes={}", body.len()))
+        Reply::Served(digest, body) => {
+            let digest = optional(digest.as_deref().map(digest_text));
+            ("reply served", format!("copy={digest} bytes={}", body.len()))
         }
-        Reply::NotModified(tag) => ("reply unchanged", format!("copy={}", tag_words(tag))),
-        Reply::Rejected(stay_away) => ("reply refused", format!("advice={stay_away}")),
+        Reply::NotModified(digest) => ("reply unchanged", format!("copy={}", digest_text(digest))),
+        Reply::Rejected(retry_after_ms) => ("reply refused", format!("advice={retry_after_ms}")),
         Reply::Failed => ("reply failed", String::new()),
     };
-    let caller = Caller { connection: client.conn, tag: client.tag };
+    let client_id = ClientId { connection: client.conn, tag: client.tag };
     Effect::new(kind, format!("client={}/{} {what}", client.conn, client.tag))
-        .reacting(Reaction::Replied(caller))
+        .reacting(Reaction::Replied(client_id))
 }
 
 fn attempt_ended_effect(ended: &AttemptSummary) -> Effect {
     let line = format!(
         "{} host={} source={} status={} took={}",
-        attempt_words(ended.attempt),
+        attempt_text(ended.attempt),
         ended.endpoint,
         ended.source.as_deref().unwrap_or("-"),
-        status_word(ended.status),
+        status_text(ended.status),
         whole_micros(ended.duration)
     );
     Effect::new("tried", line)
@@ -449,13 +451,13 @@
         ResultReason::InvalidRequest => "unusable",
         ResultReason::MayHaveRun => "may-have-run",
         ResultReason::NoEndpoint => "no-host",
-        ResultReason::Attempt(status) => status_word(status),
+        ResultReason::Attempt(status) => status_text(status),
         ResultReason::Overloaded => "crowded",
     };
     let line = format!(
         "request={} {} arrived={} budget={} took={} why={why} bytes={} attempts={} host={} source={}",
         ended.request,
-        wanted_words(&ended.requested),
+        requested_text(&ended.requested),
         ended.arrived.as_micros(),
         whole_micros(ended.budget),
         whole_micros(ended.duration),
@@ -467,29 +469,29 @@
     Effect::new(kind, line)
 }
 
-fn legacy_words(legacy: &handover_state::HandoverState, later: &[handover_state::PendingWrite]) -> String {
-    let member = |line: &handover_state::EndpointRecord| {
-        let address = optional(line.addr);
-        let place = format!("{}/{}/{}", line.zone, line.kind, line.cell);
+fn state_text(state: &handover_state::HandoverState, later: &[handover_state::PendingWrite]) -> String {
+    let endpoint = |record: &handover_state::EndpointRecord| {
+        let address = optional(record.addr);
+        let location = format!("{}/{}/{}", record.zone, record.kind, record.cell);
         format!(
-            "{} {address} {place} {} {} {}",
-            line.uid,
-            line.weight,
-            line.draining,
-            line.started.as_micros()
+            "{} {address} {location} {} {} {}",
+            record.uid,
+            record.weight,
+            record.draining,
+            record.started.as_micros()
         )
     };
-    let once = |filing: &handover_state::PendingWrite| {
-        format!("{} {} {}", filing.request_id, filing.arrived.as_micros(), optional(filing.endpoint))
+    let pending_write = |write: &handover_state::PendingWrite| {
+        format!("{} {} {}", write.request_id, write.arrived.as_micros(), optional(write.endpoint))
     };
-    let members: Vec<String> = legacy.endpoints.iter().map(member).collect();
-    let known: Vec<String> = legacy.pending_writes.iter().map(once).collect();
-    let later: Vec<String> = later.iter().map(once).collect();
-    let classes = legacy.classes.join(",");
+    let endpoints: Vec<String> = state.endpoints.iter().map(endpoint).collect();
+    let pending_writes: Vec<String> = state.pending_writes.iter().map(pending_write).collect();
+    let later: Vec<String> = later.iter().map(pending_write).collect();
+    let classes = state.classes.join(",");
     format!(
         "classes={classes} hosts={} once={} later={}",
-        members.join(";"),
-        known.join(";"),
+        endpoints.join(";"),
+        pending_writes.join(";"),
         later.join(";")
     )
 }
--- a/crates/router/tests/characterization/neutral.rs
+++ b/crates/router/tests/characterization/neutral.rs
@@ -1,25 +1,25 @@
-//! What the core is told and what it does, in types of the test's own.
+//! The inputs and effects of the core in types of the test itself.
 
-/// Who is owed an answer.
+/// Identifies a client that waits for a reply.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Caller {
+pub struct ClientId {
     pub connection: u64,
     pub tag: u64,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptName {
+pub struct AttemptKey {
     pub request: u32,
     pub number: u16,
 }
 
-/// What a client asks for.
-pub struct Asked {
+/// A request as a client sends it. `body` is the size of its body in bytes.
+pub struct RequestSpec {
     pub id: u64,
     pub class: &'static str,
     pub object: u64,
-    pub part: u32,
+    pub chunk: u32,
     pub group: u32,
     pub budget_ms: u64,
     pub holds_copy: bool,
@@ -27,20 +27,20 @@
     pub body: usize,
 }
 
-/// What a host answers.
+/// The response of an endpoint to an attempt.
 #[derive(Clone, Copy)]
-pub enum Answer {
-    Bytes { tagged: bool, length: usize },
-    Unchanged,
+pub enum EndpointResponse {
+    Bytes { has_digest: bool, length: usize },
+    NotModified,
     Absent,
-    Full,
+    AtCapacity,
     Failed,
-    Moot,
+    AlreadyCancelled,
 }
 
-/// What an answer tells of its fill.
+/// The cache status that an endpoint reports with its response.
 #[derive(Clone, Copy)]
-pub enum FillNote {
+pub enum FillStatus {
     Hit,
     Filled,
     FilledByOrigin,
@@ -53,72 +53,73 @@
     OriginFailed,
 }
 
-/// How an attempt ended with no answer.
+/// Why an attempt ended without a response.
 #[derive(Clone, Copy)]
-pub enum Loss {
-    Refused,
-    Unreached,
-    Unsent,
-    Broken,
+pub enum AttemptLoss {
+    ConnectionRefused,
+    ConnectTimeout,
+    NotSent,
+    ConnectionLost,
 }
 
-/// Whether a host takes work.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
 }
 
-/// A line of the list of hosts; without a port it is a shorter record.
+/// An entry of the endpoint list. An entry without a port states no address.
 #[derive(Clone)]
-pub struct HostLine {
+pub struct EndpointSpec {
     pub uid: String,
     pub cell: u16,
     pub zone: u16,
     pub kind: u16,
     pub weight: f64,
-    pub state: Standing,
+    pub state: ListedState,
     pub started: u64,
     pub port: Option<u16>,
 }
 
-/// What a lookup at another router came to.
-pub enum LookupAnswer {
-    Host { uid: String, port: u16, source: Option<String>, keep: u8 },
-    Refused,
+/// The result of a lookup at another router.
+pub enum LookupOutcome {
+    Endpoint { uid: String, port: u16, source: Option<String>, retention: u8 },
+    Rejected,
     Failed,
 }
 
-/// What the core is told, or asked directly.
+/// An event for the core, or a direct call of it. Times are in microseconds.
 pub enum Stimulus {
-    Ask(Caller, Asked),
-    StopWaiting(Caller),
-    Leave { connection: u64 },
-    Answer { attempt: AttemptName, answer: Answer, note: Option<FillNote> },
-    Lost { attempt: AttemptName, how: Loss },
-    Probed { uid: String, well: Option<bool> },
-    Found { request: u32, found: LookupAnswer },
+    Request(ClientId, RequestSpec),
+    Cancel(ClientId),
+    CloseConnection { connection: u64 },
+    Response { attempt: AttemptKey, response: EndpointResponse, fill_status: Option<FillStatus> },
+    Failure { attempt: AttemptKey, loss: AttemptLoss },
+    Probed { uid: String, healthy: Option<bool> },
+    LookedUp { request: u32, outcome: LookupOutcome },
     Wake { handle: usize },
-    Hosts { all: bool, lines: Vec<HostLine> },
+    EndpointList { is_full_list: bool, entries: Vec<EndpointSpec> },
     Purge { object: Option<u64>, group: u32, at: u64 },
-    Lookup { class: &'static str, object: u64, part: u32, group: u32, id: Option<u64> },
+    Lookup { class: &'static str, object: u64, chunk: u32, group: u32, id: Option<u64> },
     Settings(&'static str),
-    HandOver { last: Option<(Caller, Asked)> },
-    End,
+    HandOver { last: Option<(ClientId, RequestSpec)> },
+    Shutdown,
 }
 
-/// What the world does about an effect.
+/// What the world does in response to an effect.
 pub enum Reaction {
-    Sent { attempt: AttemptName, uid: String },
-    Replied(Caller),
+    Sent { attempt: AttemptKey, uid: String },
+    Replied(ClientId),
     Wake { at: u64, handle: usize },
     LookUp { request: u32 },
     Probe { uid: String },
     Nothing,
 }
 
-/// One thing that the core did: what kind of thing, all its fields, and what follows from it.
+/// A command or a call result of the core: its kind, its fields in a line of text, and the world's
+/// reaction to it.
 pub struct Effect {
     pub kind: &'static str,
     pub line: String,
--- a/crates/router/tests/characterization/world.rs
+++ b/crates/router/tests/characterization/world.rs
@@ -1,39 +1,41 @@
-//! A small closed world around one core: clients, hosts, purges, lookups, changes of the list of hosts and of the
-//! settings, and a successor, all drawn from one seed.
+//! A small simulated world around one router core. Clients, endpoints, purges, lookups, handovers,
+//! and changes of the endpoint list and the settings are all drawn from one seed.
 
 use super::adapter::Core;
 use super::neutral::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: u64 = 1_000;
-const START: u64 = 1_000_000 * MS;
+const MICROS_PER_MS: u64 = 1_000;
+const START_US: u64 = 1_000_000 * MICROS_PER_MS;
 const OBJECTS: u64 = 12;
-/// The longest time between two arrivals, in milliseconds: in most worlds, and in crowded ones.
-const USUAL_GAP: u64 = 70;
-const CROWDED_GAP: u64 = 8;
+/// Maximum time between two arrivals in most worlds.
+const USUAL_MAX_GAP_MS: u64 = 70;
+/// Maximum time between two arrivals in crowded worlds.
+const CROWDED_MAX_GAP_MS: u64 = 8;
 const GROUPS: u64 = 3;
 const CONNECTIONS: u64 = 4;
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
 const FIRST_PORT: u16 = 5_000;
 
-/// A class of requests as the clients of a world use it.
+/// How the clients of a world use a request class.
 pub struct ClassUse {
     pub name: &'static str,
     pub budget_ms: u64,
     pub has_key: bool,
-    pub once: bool,
-    pub writes: bool,
+    pub non_idempotent: bool,
+    pub is_write: bool,
 }
 
-/// Settings, those that follow them in service, and what the clients have to know of them.
+/// The settings of a world, the settings that may replace them at run time, and what the clients
+/// know of the classes.
 pub struct Deployment {
     pub settings: &'static str,
     pub settings_later: &'static str,
     pub classes: &'static [ClassUse],
 }
 
-/// An FNV-1a digest of 64 bits over all lines, and how often each kind of effect occurred.
+/// A 64-bit FNV-1a digest over all lines, and the number of effects of each kind.
 pub struct Record {
     pub digest: u64,
     pub counts: BTreeMap<&'static str, u32>,
@@ -57,7 +59,7 @@
     }
 }
 
-/// SplitMix64.
+/// The SplitMix64 random number generator.
 struct Random(u64);
 
 impl Random {
@@ -85,46 +87,46 @@
     Slow,
     Failing,
     Dead,
-    Full,
+    AtCapacity,
 }
 
-struct Host {
-    line: HostLine,
+struct TestEndpoint {
+    listed: EndpointSpec,
     health: Health,
     generation: u32,
 }
 
-enum Due {
+enum ScheduledEvent {
     Arrival,
     Change,
     Purge,
-    Tell(Stimulus),
+    Apply(Stimulus),
 }
 
-/// One sequence of events.
+/// A world that plays one sequence of events. Times are in microseconds.
 pub struct World<'a> {
     core: Core,
     deployment: &'a Deployment,
     record: &'a mut Record,
     random: Random,
     now: u64,
-    hosts: Vec<Host>,
-    owed: BTreeSet<Caller>,
+    endpoints: Vec<TestEndpoint>,
+    waiting: BTreeSet<ClientId>,
     past_ids: Vec<u64>,
-    due: BTreeMap<(u64, u64), Due>,
+    scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     serial: u64,
     burst: u64,
-    /// The longest time between two arrivals, in milliseconds.
-    longest_gap: u64,
-    /// Until then most attempts fail at once, wherever they go.
-    storm_until: u64,
+    /// Maximum time between two arrivals, in milliseconds.
+    max_gap_ms: u64,
+    /// Until this time most attempts fail at once, at any endpoint.
+    error_burst_until: u64,
 }
 
 impl<'a> World<'a> {
     pub fn new(deployment: &'a Deployment, record: &'a mut Record, seed: u64) -> World<'a> {
         let mut random = Random(seed);
         let names: Vec<&str> = deployment.classes.iter().map(|class| class.name).collect();
-        let longest_gap = if random.percent(20) { CROWDED_GAP } else { USUAL_GAP };
+        let max_gap_ms = if random.percent(20) { CROWDED_MAX_GAP_MS } else { USUAL_MAX_GAP_MS };
         let follows = random.percent(15);
         let core = Core::new(deployment.settings, &names, seed, follows);
         World {
@@ -132,53 +134,55 @@
             deployment,
             record,
             random,
-            now: START,
-            hosts: hosts(),
-            owed: BTreeSet::new(),
+            now: START_US,
+            endpoints: endpoints(),
+            waiting: BTreeSet::new(),
             past_ids: Vec::new(),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             serial: 0,
             burst: 0,
-            longest_gap,
-            storm_until: 0,
+            max_gap_ms,
+            error_burst_until: 0,
         }
     }
 
-    /// Plays so many events, then ends the core.
+    /// Plays this many events, then shuts the core down.
     pub fn play(mut self, events: usize) {
-        self.tell_all_hosts();
-        self.schedule(MS, Due::Arrival);
-        self.schedule(60 * MS, Due::Change);
-        self.schedule(150 * MS, Due::Purge);
+        self.send_full_list();
+        self.schedule(MICROS_PER_MS, ScheduledEvent::Arrival);
+        self.schedule(60 * MICROS_PER_MS, ScheduledEvent::Change);
+        self.schedule(150 * MICROS_PER_MS, ScheduledEvent::Purge);
         for _ in 0..events {
-            let Some(((at, _), due)) = self.due.pop_first() else { break };
+            let Some(((at, _), event)) = self.scheduled.pop_first() else { break };
             self.now = self.now.max(at);
-            match due {
-                Due::Arrival => self.arrive(),
-                Due::Change => self.change(),
-                Due::Purge => self.purge(),
-                Due::Tell(stimulus) => self.tell(stimulus),
+            match event {
+                ScheduledEvent::Arrival => self.send_request(),
+                ScheduledEvent::Change => self.apply_change(),
+                ScheduledEvent::Purge => self.send_purge(),
+                ScheduledEvent::Apply(stimulus) => self.apply(stimulus),
             }
         }
-        self.tell(Stimulus::End);
-        assert!(self.owed.is_empty(), "clients without an answer at the end");
+        self.apply(Stimulus::Shutdown);
+        assert!(self.waiting.is_empty(), "{} clients without a reply after the shutdown", self.waiting.len());
         let summary = self.core.summary();
         self.record.add(&summary);
     }
 
-    fn schedule(&mut self, after: u64, due: Due) {
-        self.schedule_at(self.now + after, due);
+    fn schedule(&mut self, delay: u64, event: ScheduledEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn schedule_at(&mut self, at: u64, due: Due) {
+    fn schedule_at(&mut self, at: u64, event: ScheduledEvent) {
         self.serial += 1;
-        self.due.insert((at, self.serial), due);
+        self.scheduled.insert((at, self.serial), event);
     }
 
-    fn tell(&mut self, stimulus: Stimulus) {
+    fn apply(&mut self, stimulus: Stimulus) {
         match &stimulus {
-            Stimulus::StopWaiting(caller) => self.owed.retain(|owed| owed != caller),
-            Stimulus::Leave { connection } => self.owed.retain(|owed| owed.connection != *connection),
+            Stimulus::Cancel(client) => self.waiting.retain(|waiting| waiting != client),
+            Stimulus::CloseConnection { connection } => {
+                self.waiting.retain(|waiting| waiting.connection != *connection)
+            }
             _ => {}
         }
         for effect in self.core.step(self.now, stimulus) {
@@ -191,33 +195,35 @@
     fn react(&mut self, reaction: Reaction) {
         match reaction {
             Reaction::Sent { attempt, uid } => self.serve(attempt, &uid),
-            Reaction::Replied(caller) => {
-                self.owed.remove(&caller);
+            Reaction::Replied(client) => {
+                self.waiting.remove(&client);
+            }
+            Reaction::Wake { at, handle } => {
+                self.schedule_at(at, ScheduledEvent::Apply(Stimulus::Wake { handle }))
             }
-            Reaction::Wake { at, handle } => self.schedule_at(at, Due::Tell(Stimulus::Wake { handle })),
             Reaction::LookUp { request } => self.answer_lookup(request),
             Reaction::Probe { uid } => self.answer_probe(uid),
-            // What a cancelled attempt brings is on its way already; it is heard late.
+            // The response to a cancelled attempt is already scheduled and arrives late.
             Reaction::Nothing => {}
         }
     }
 
-    fn arrive(&mut self) {
-        let (caller, asked) = self.draw_request();
+    fn send_request(&mut self) {
+        let (client, request) = self.draw_request();
         if self.random.percent(15) {
-            self.look_up(&asked);
+            self.look_up(&request);
         }
-        self.owed.insert(caller);
-        let leaves_after = self.random.below(asked.budget_ms.min(2_000)) * MS;
+        self.waiting.insert(client);
+        let leaves_after = self.random.below(request.budget_ms.min(2_000)) * MICROS_PER_MS;
         match self.random.below(100) {
-            0..6 => self.schedule(leaves_after, Due::Tell(Stimulus::StopWaiting(caller))),
+            0..6 => self.schedule(leaves_after, ScheduledEvent::Apply(Stimulus::Cancel(client))),
             6 | 7 => {
-                let leave = Stimulus::Leave { connection: caller.connection };
-                self.schedule(leaves_after, Due::Tell(leave));
+                let leave = Stimulus::CloseConnection { connection: client.connection };
+                self.schedule(leaves_after, ScheduledEvent::Apply(leave));
             }
             _ => {}
         }
-        self.tell(Stimulus::Ask(caller, asked));
+        self.apply(Stimulus::Request(client, request));
         self.schedule_arrival();
     }
 
@@ -226,84 +232,95 @@
             self.burst = self.random.between(6, 60);
         }
         self.burst = self.burst.saturating_sub(1);
-        let gap = if self.burst > 0 { 400 } else { self.random.between(1, self.longest_gap) * MS };
-        self.schedule(gap, Due::Arrival);
+        let gap = if self.burst > 0 { 400 } else { self.random.between(1, self.max_gap_ms) * MICROS_PER_MS };
+        self.schedule(gap, ScheduledEvent::Arrival);
     }
 
-    fn draw_request(&mut self) -> (Caller, Asked) {
+    fn draw_request(&mut self) -> (ClientId, RequestSpec) {
         self.serial += 1;
-        let caller = Caller { connection: self.random.below(CONNECTIONS), tag: self.serial };
-        let place = self.random.below(self.deployment.classes.len() as u64) as usize;
-        let class = &self.deployment.classes[place];
+        let client = ClientId { connection: self.random.below(CONNECTIONS), tag: self.serial };
+        let index = self.random.below(self.deployment.classes.len() as u64) as usize;
+        let class = &self.deployment.classes[index];
         let object = 1 + self.random.below(OBJECTS).min(self.random.below(OBJECTS));
         let chance = self.random.below(100);
         let id = match self.past_ids.last() {
-            // A client asks once more under an id that was used.
+            // A client reuses the id of an earlier request.
             Some(last) if chance < 5 => *last,
             _ => 1_000 + self.serial,
         };
         self.past_ids.push(id);
-        // Now and then a budget that is beyond what the class allows, or a class that there is not.
+        // Some requests have a budget longer than their class allows, or an unknown class.
         let budget_ms = match chance {
             97 => class.budget_ms * 5,
             _ => class.budget_ms / 2 + self.random.below(class.budget_ms / 2),
         };
         let name = if chance == 98 { "unheard-of" } else { class.name };
-        let asked = Asked {
+        let request = RequestSpec {
             id,
             class: name,
             object,
-            part: self.random.below(2) as u32,
+            chunk: self.random.below(2) as u32,
             group: (object % GROUPS) as u32,
             budget_ms,
-            holds_copy: !class.writes && self.random.percent(15),
+            holds_copy: !class.is_write && self.random.percent(15),
             has_key: class.has_key,
-            body: if class.writes { 64 } else { 0 },
+            body: if class.is_write { 64 } else { 0 },
         };
-        (caller, asked)
+        (client, request)
     }
 
-    /// Somebody who will go there himself asks where to go.
-    fn look_up(&mut self, like: &Asked) {
-        let Some(class) = self.deployment.classes.iter().find(|class| class.name == like.class) else {
+    /// Looks up the endpoint of a request, as a caller that sends the request itself does.
+    fn look_up(&mut self, template: &RequestSpec) {
+        let Some(class) = self.deployment.classes.iter().find(|class| class.name == template.class) else {
             return;
         };
-        let again = self.random.percent(50);
-        let id = class.once.then_some(if again { like.id } else { like.id + 1_000_000 });
-        let Asked { object, part, group, .. } = *like;
-        self.tell(Stimulus::Lookup { class: class.name, object, part, group, id });
-    }
-
-    /// A host does what its health allows; the core may have given the attempt up by then.
-    fn serve(&mut self, attempt: AttemptName, uid: &str) {
-        let host = self.hosts.iter().find(|host| host.line.uid == uid);
-        let (health, kind) = host.map_or((Health::Dead, 0), |host| (host.health, host.line.kind));
+        let repeats_id = self.random.percent(50);
+        let id =
+            class.non_idempotent.then_some(if repeats_id { template.id } else { template.id + 1_000_000 });
+        let RequestSpec { object, chunk, group, .. } = *template;
+        self.apply(Stimulus::Lookup { class: class.name, object, chunk, group, id });
+    }
+
+    /// Schedules what an endpoint does with an attempt, by its health. The core may have given the
+    /// attempt up by then.
+    fn serve(&mut self, attempt: AttemptKey, uid: &str) {
+        let endpoint = self.endpoints.iter().find(|endpoint| endpoint.listed.uid == uid);
+        let (health, kind) =
+            endpoint.map_or((Health::Dead, 0), |endpoint| (endpoint.health, endpoint.listed.kind));
         let chance = self.random.below(100);
-        let after = self.service_time(kind, health);
-        let storm = self.now < self.storm_until;
-        let (after, stimulus) = match (health, chance) {
-            // Errors tell against a host, misses don't.
-            (_, 30..55) if storm => (3 * MS, self.answer(attempt, Answer::Failed)),
-            (_, 55..) if storm => (3 * MS, self.answer(attempt, Answer::Absent)),
-            (Health::Dead, 0..40) => (MS, self.lost(attempt, Loss::Refused)),
-            (Health::Dead, 40..70) => (200 * MS, self.lost(attempt, Loss::Unreached)),
+        let delay = self.service_time(kind, health);
+        let in_error_burst = self.now < self.error_burst_until;
+        let (delay, stimulus) = match (health, chance) {
+            // Errors count against an endpoint, misses don't.
+            (_, 30..55) if in_error_burst => {
+                (3 * MICROS_PER_MS, self.response(attempt, EndpointResponse::Failed))
+            }
+            (_, 55..) if in_error_burst => {
+                (3 * MICROS_PER_MS, self.response(attempt, EndpointResponse::Absent))
+            }
+            (Health::Dead, 0..40) => (MICROS_PER_MS, self.failure(attempt, AttemptLoss::ConnectionRefused)),
+            (Health::Dead, 40..70) => {
+                (200 * MICROS_PER_MS, self.failure(attempt, AttemptLoss::ConnectTimeout))
+            }
             (Health::Dead, _) => return,
-            (Health::Full, 0..70) => (2 * MS, self.refusal(attempt)),
-            (Health::Failing, 0..40) => (after, self.answer(attempt, Answer::Failed)),
-            (Health::Failing, 40..65) | (_, 0..3) => (after, self.lost(attempt, Loss::Broken)),
-            (_, 3) => (MS, self.lost(attempt, Loss::Unsent)),
-            (_, 4) => (MS, self.answer(attempt, Answer::Moot)),
-            (_, 5..8) => (after, self.answer(attempt, Answer::Failed)),
-            (_, 8..16) if kind == 0 => (after, self.miss(attempt)),
-            (_, 16..22) if kind == 0 => (after, self.refusal(attempt)),
+            (Health::AtCapacity, 0..70) => (2 * MICROS_PER_MS, self.refusal(attempt)),
+            (Health::Failing, 0..40) => (delay, self.response(attempt, EndpointResponse::Failed)),
+            (Health::Failing, 40..65) | (_, 0..3) => {
+                (delay, self.failure(attempt, AttemptLoss::ConnectionLost))
+            }
+            (_, 3) => (MICROS_PER_MS, self.failure(attempt, AttemptLoss::NotSent)),
+            (_, 4) => (MICROS_PER_MS, self.response(attempt, EndpointResponse::AlreadyCancelled)),
+            (_, 5..8) => (delay, self.response(attempt, EndpointResponse::Failed)),
+            (_, 8..16) if kind == 0 => (delay, self.miss(attempt)),
+            (_, 16..22) if kind == 0 => (delay, self.refusal(attempt)),
             (_, 22..25) => return,
-            _ => (after, self.success(attempt)),
+            _ => (delay, self.success(attempt)),
         };
         if self.random.percent(3) {
             let second = self.success(attempt);
-            self.schedule(after + 5 * MS, Due::Tell(second));
+            self.schedule(delay + 5 * MICROS_PER_MS, ScheduledEvent::Apply(second));
         }
-        self.schedule(after, Due::Tell(stimulus));
+        self.schedule(delay, ScheduledEvent::Apply(stimulus));
     }
 
     fn service_time(&mut self, kind: u16, health: Health) -> u64 {
@@ -312,189 +329,196 @@
             PARENT => self.random.between(15, 60),
             _ => self.random.between(4, 40),
         };
-        base * MS * if health == Health::Slow { 12 } else { 1 }
+        base * MICROS_PER_MS * if health == Health::Slow { 12 } else { 1 }
     }
 
-    fn lost(&self, attempt: AttemptName, how: Loss) -> Stimulus {
-        Stimulus::Lost { attempt, how }
+    fn failure(&self, attempt: AttemptKey, loss: AttemptLoss) -> Stimulus {
+        Stimulus::Failure { attempt, loss }
     }
 
-    fn answer(&self, attempt: AttemptName, answer: Answer) -> Stimulus {
-        Stimulus::Answer { attempt, answer, note: None }
+    fn response(&self, attempt: AttemptKey, response: EndpointResponse) -> Stimulus {
+        Stimulus::Response { attempt, response, fill_status: None }
     }
 
-    fn miss(&mut self, attempt: AttemptName) -> Stimulus {
-        let notes = [None, Some(FillNote::Joined), Some(FillNote::SourceLacks)];
-        let note = notes[self.random.below(notes.len() as u64) as usize];
-        Stimulus::Answer { attempt, answer: Answer::Absent, note }
+    fn miss(&mut self, attempt: AttemptKey) -> Stimulus {
+        let fill_statuses = [None, Some(FillStatus::Joined), Some(FillStatus::SourceLacks)];
+        let fill_status = fill_statuses[self.random.below(fill_statuses.len() as u64) as usize];
+        Stimulus::Response { attempt, response: EndpointResponse::Absent, fill_status }
     }
 
-    fn refusal(&mut self, attempt: AttemptName) -> Stimulus {
-        let notes = [
+    fn refusal(&mut self, attempt: AttemptKey) -> Stimulus {
+        let fill_statuses = [
             None,
-            Some(FillNote::SourceRefused),
-            Some(FillNote::SourceUnreachable),
-            Some(FillNote::NoFillPlace),
-            Some(FillNote::OriginFailed),
+            Some(FillStatus::SourceRefused),
+            Some(FillStatus::SourceUnreachable),
+            Some(FillStatus::NoFillPlace),
+            Some(FillStatus::OriginFailed),
         ];
-        let note = notes[self.random.below(notes.len() as u64) as usize];
-        Stimulus::Answer { attempt, answer: Answer::Full, note }
+        let fill_status = fill_statuses[self.random.below(fill_statuses.len() as u64) as usize];
+        Stimulus::Response { attempt, response: EndpointResponse::AtCapacity, fill_status }
     }
 
-    fn success(&mut self, attempt: AttemptName) -> Stimulus {
-        let notes = [
+    fn success(&mut self, attempt: AttemptKey) -> Stimulus {
+        let fill_statuses = [
             None,
-            Some(FillNote::Hit),
-            Some(FillNote::Hit),
-            Some(FillNote::Filled),
-            Some(FillNote::FilledByOrigin),
-            Some(FillNote::Joined),
-            Some(FillNote::Stale),
+            Some(FillStatus::Hit),
+            Some(FillStatus::Hit),
+            Some(FillStatus::Filled),
+            Some(FillStatus::FilledByOrigin),
+            Some(FillStatus::Joined),
+            Some(FillStatus::Stale),
         ];
-        let note = notes[self.random.below(notes.len() as u64) as usize];
+        let fill_status = fill_statuses[self.random.below(fill_statuses.len() as u64) as usize];
         let length = self.random.between(100, 20_000) as usize;
-        let answer = match self.random.below(10) {
-            0 => Answer::Unchanged,
-            1 | 2 => Answer::Bytes { tagged: false, length },
-            _ => Answer::Bytes { tagged: true, length },
+        let response = match self.random.below(10) {
+            0 => EndpointResponse::NotModified,
+            1 | 2 => EndpointResponse::Bytes { has_digest: false, length },
+            _ => EndpointResponse::Bytes { has_digest: true, length },
         };
-        Stimulus::Answer { attempt, answer, note }
+        Stimulus::Response { attempt, response, fill_status }
     }
 
     fn answer_lookup(&mut self, request: u32) {
-        let place = self.random.below(self.hosts.len() as u64) as usize;
-        let line = &self.hosts[place].line;
-        let (uid, port) = (line.uid.to_uppercase(), FIRST_PORT + place as u16);
-        let source = self.random.percent(60).then(|| self.hosts.last().map(|host| host.line.uid.clone()));
-        let found = match self.random.below(20) {
-            0 | 1 => LookupAnswer::Refused,
-            2 | 3 => LookupAnswer::Failed,
-            // An address that is another's.
-            4 => LookupAnswer::Host { uid, port: port + 1, source: None, keep: 0 },
-            _ => LookupAnswer::Host { uid, port, source: source.flatten(), keep: 2 },
+        let index = self.random.below(self.endpoints.len() as u64) as usize;
+        let listed = &self.endpoints[index].listed;
+        let (uid, port) = (listed.uid.to_uppercase(), FIRST_PORT + index as u16);
+        let source = self
+            .random
+            .percent(60)
+            .then(|| self.endpoints.last().map(|endpoint| endpoint.listed.uid.clone()));
+        let outcome = match self.random.below(20) {
+            0 | 1 => LookupOutcome::Rejected,
+            2 | 3 => LookupOutcome::Failed,
+            // The address of another endpoint.
+            4 => LookupOutcome::Endpoint { uid, port: port + 1, source: None, retention: 0 },
+            _ => LookupOutcome::Endpoint { uid, port, source: source.flatten(), retention: 2 },
         };
-        let after = self.random.between(1, 20) * MS;
-        self.schedule(after, Due::Tell(Stimulus::Found { request, found }));
+        let delay = self.random.between(1, 20) * MICROS_PER_MS;
+        self.schedule(delay, ScheduledEvent::Apply(Stimulus::LookedUp { request, outcome }));
     }
 
     fn answer_probe(&mut self, uid: String) {
-        let health = self.hosts.iter().find(|host| host.line.uid == uid).map(|host| host.health);
-        let well = match health {
+        let health =
+            self.endpoints.iter().find(|endpoint| endpoint.listed.uid == uid).map(|endpoint| endpoint.health);
+        let healthy = match health {
             Some(Health::Good | Health::Slow) => Some(true),
-            Some(Health::Failing | Health::Full) => Some(false),
+            Some(Health::Failing | Health::AtCapacity) => Some(false),
             Some(Health::Dead) | None => None,
         };
-        let after = self.random.between(2, 60) * MS;
-        self.schedule(after, Due::Tell(Stimulus::Probed { uid, well }));
+        let delay = self.random.between(2, 60) * MICROS_PER_MS;
+        self.schedule(delay, ScheduledEvent::Apply(Stimulus::Probed { uid, healthy }));
     }
 
-    fn purge(&mut self) {
+    fn send_purge(&mut self) {
         let object = 1 + self.random.below(OBJECTS);
         let group = (object % GROUPS) as u32;
         let object = (!self.random.percent(25)).then_some(object);
-        let at = self.now - self.random.below(80 * MS);
-        self.tell(Stimulus::Purge { object, group, at });
-        let after = self.random.between(80, 600) * MS;
-        self.schedule(after, Due::Purge);
+        let at = self.now - self.random.below(80 * MICROS_PER_MS);
+        self.apply(Stimulus::Purge { object, group, at });
+        let delay = self.random.between(80, 600) * MICROS_PER_MS;
+        self.schedule(delay, ScheduledEvent::Purge);
     }
 
-    /// One host's health or line changes, or the settings, or the process.
-    fn change(&mut self) {
-        let place = self.random.below(self.hosts.len() as u64) as usize;
+    /// Changes the health or the list entry of an endpoint, the settings, or the process.
+    fn apply_change(&mut self) {
+        let index = self.random.below(self.endpoints.len() as u64) as usize;
         match self.random.below(28) {
-            0..=4 => self.hosts[place].health = Health::Good,
-            5..=7 => self.hosts[place].health = Health::Slow,
-            8..=10 => self.hosts[place].health = Health::Failing,
-            11..=13 => self.hosts[place].health = Health::Dead,
-            14 => self.hosts[place].health = Health::Full,
-            15 => self.relist(place, Standing::Draining),
-            16 => self.relist(place, Standing::Gone),
-            17 | 18 => self.relist(place, Standing::Ready),
-            19 => self.restart(place),
-            20 => self.replace(place),
-            21 => self.tell_shorter(place),
-            22 | 23 => self.tell_all_hosts(),
+            0..=4 => self.endpoints[index].health = Health::Good,
+            5..=7 => self.endpoints[index].health = Health::Slow,
+            8..=10 => self.endpoints[index].health = Health::Failing,
+            11..=13 => self.endpoints[index].health = Health::Dead,
+            14 => self.endpoints[index].health = Health::AtCapacity,
+            15 => self.set_listed_state(index, ListedState::Draining),
+            16 => self.set_listed_state(index, ListedState::Gone),
+            17 | 18 => self.set_listed_state(index, ListedState::Ready),
+            19 => self.restart(index),
+            20 => self.replace(index),
+            21 => self.send_entry_without_address(index),
+            22 | 23 => self.send_full_list(),
             24 => self.change_settings(),
-            25 => self.storm_until = self.now + self.random.between(1_000, 4_000) * MS,
+            25 => self.error_burst_until = self.now + self.random.between(1_000, 4_000) * MICROS_PER_MS,
             _ => self.hand_over(),
         }
-        let after = self.random.between(20, 160) * MS;
-        self.schedule(after, Due::Change);
+        let delay = self.random.between(20, 160) * MICROS_PER_MS;
+        self.schedule(delay, ScheduledEvent::Change);
     }
 
-    fn relist(&mut self, place: usize, state: Standing) {
-        self.hosts[place].line.state = state;
-        self.tell_line(place);
+    fn set_listed_state(&mut self, index: usize, state: ListedState) {
+        self.endpoints[index].listed.state = state;
+        self.send_entry(index);
     }
 
-    fn restart(&mut self, place: usize) {
+    fn restart(&mut self, index: usize) {
         let now = self.now;
-        let host = &mut self.hosts[place];
-        host.health = Health::Good;
-        host.line.state = Standing::Ready;
-        host.line.started = now;
-        self.tell_line(place);
+        let endpoint = &mut self.endpoints[index];
+        endpoint.health = Health::Good;
+        endpoint.listed.state = ListedState::Ready;
+        endpoint.listed.started = now;
+        self.send_entry(index);
     }
 
-    /// Another host takes the address over; nobody tells that the earlier one has gone.
-    fn replace(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
-        host.generation += 1;
-        host.line.uid = format!("host-{place}-{}", host.generation);
-        self.restart(place);
+    /// Lets another endpoint take over an address; no update says that the earlier one is gone.
+    fn replace(&mut self, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.generation += 1;
+        endpoint.listed.uid = format!("host-{index}-{}", endpoint.generation);
+        self.restart(index);
     }
 
-    fn tell_line(&mut self, place: usize) {
-        let lines = vec![self.hosts[place].line.clone()];
-        self.tell(Stimulus::Hosts { all: false, lines });
+    fn send_entry(&mut self, index: usize) {
+        let entries = vec![self.endpoints[index].listed.clone()];
+        self.apply(Stimulus::EndpointList { is_full_list: false, entries });
     }
 
-    fn tell_shorter(&mut self, place: usize) {
-        let line = HostLine { port: None, ..self.hosts[place].line.clone() };
-        self.tell(Stimulus::Hosts { all: false, lines: vec![line] });
+    fn send_entry_without_address(&mut self, index: usize) {
+        let listed = EndpointSpec { port: None, ..self.endpoints[index].listed.clone() };
+        self.apply(Stimulus::EndpointList { is_full_list: false, entries: vec![listed] });
     }
 
-    /// The whole list; what has gone is not in it, and sometimes more is left out.
-    fn tell_all_hosts(&mut self) {
-        let left_out = self.random.below(3 * self.hosts.len() as u64) as usize;
-        let there = self.hosts.iter().enumerate().filter(|(place, host)| {
-            host.line.state != Standing::Gone && *place != left_out && *place + 1 != left_out
+    /// Sends the full endpoint list without the endpoints that are gone, and sometimes without one
+    /// or two more.
+    fn send_full_list(&mut self) {
+        let left_out = self.random.below(3 * self.endpoints.len() as u64) as usize;
+        let listed_endpoints = self.endpoints.iter().enumerate().filter(|(index, endpoint)| {
+            endpoint.listed.state != ListedState::Gone && *index != left_out && *index + 1 != left_out
         });
-        let lines = there.map(|(_, host)| host.line.clone()).collect();
-        self.tell(Stimulus::Hosts { all: true, lines });
+        let entries = listed_endpoints.map(|(_, endpoint)| endpoint.listed.clone()).collect();
+        self.apply(Stimulus::EndpointList { is_full_list: true, entries });
     }
 
     fn change_settings(&mut self) {
         let later = self.random.percent(50);
         let Deployment { settings, settings_later, .. } = self.deployment;
-        self.tell(Stimulus::Settings(if later { settings_later } else { settings }));
+        self.apply(Stimulus::Settings(if later { settings_later } else { settings }));
     }
 
-    /// Another core goes on in this one's place. What was under way ends with the earlier one.
+    /// Hands over to another core. Attempts and timers of the earlier core end with it.
     fn hand_over(&mut self) {
-        let kept = |due: &Due| matches!(due, Due::Arrival | Due::Change | Due::Purge);
-        self.due.retain(|_, due| kept(due));
-        let (caller, asked) = self.draw_request();
-        let last = self.random.percent(70).then_some((caller, asked));
-        self.tell(Stimulus::HandOver { last });
-        assert!(self.owed.is_empty(), "clients without an answer at the handing over");
+        let is_kept = |event: &ScheduledEvent| {
+            matches!(event, ScheduledEvent::Arrival | ScheduledEvent::Change | ScheduledEvent::Purge)
+        };
+        self.scheduled.retain(|_, event| is_kept(event));
+        let (client, request) = self.draw_request();
+        let last = self.random.percent(70).then_some((client, request));
+        self.apply(Stimulus::HandOver { last });
+        assert!(self.waiting.is_empty(), "{} clients without a reply after the handover", self.waiting.len());
     }
 }
 
-/// Three caches in each of two zones, a parent in each, and an origin.
-fn hosts() -> Vec<Host> {
-    let host = |place: usize| {
-        let line = HostLine {
-            uid: format!("host-{place}-0"),
-            cell: (place % 2) as u16,
-            zone: [0, 0, 0, 1, 1, 1, 0, 1, 0][place],
-            kind: [0, 0, 0, 0, 0, 0, PARENT, PARENT, ORIGIN][place],
-            weight: [3.0, 4.0, 6.0, 4.0, 4.0, 5.0, 12.0, 12.0, 20.0][place],
-            state: Standing::Ready,
+/// Three edge caches and a parent cache in each of two zones, and an origin.
+fn endpoints() -> Vec<TestEndpoint> {
+    let endpoint = |index: usize| {
+        let listed = EndpointSpec {
+            uid: format!("host-{index}-0"),
+            cell: (index % 2) as u16,
+            zone: [0, 0, 0, 1, 1, 1, 0, 1, 0][index],
+            kind: [0, 0, 0, 0, 0, 0, PARENT, PARENT, ORIGIN][index],
+            weight: [3.0, 4.0, 6.0, 4.0, 4.0, 5.0, 12.0, 12.0, 20.0][index],
+            state: ListedState::Ready,
             started: 0,
-            port: Some(FIRST_PORT + place as u16),
+            port: Some(FIRST_PORT + index as u16),
         };
-        Host { line, health: Health::Good, generation: 0 }
+        TestEndpoint { listed, health: Health::Good, generation: 0 }
     };
-    (0..9).map(host).collect()
+    (0..9).map(endpoint).collect()
 }
