--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -84,20 +84,20 @@
     /// Creates a router with an empty endpoint table. If `follow` is set, client requests are sent
     /// to the endpoints that lookups at another router name; otherwise the decision module of this
     /// router chooses. Returns an error if the settings are invalid.
-    pub fn new(setup: RouterOptions, follow: bool) -> Result<Router, SettingsError> {
+    pub fn new(options: RouterOptions, follow: bool) -> Result<Router, SettingsError> {
         let mut metrics = Metrics::default();
         let mut classes = Classes::default();
-        let named = named_classes(&setup.classes, &setup.settings);
+        let named = named_classes(&options.classes, &options.settings);
         let table = classes.replace(named, &[], &BTreeSet::new());
-        let settings = Settings { classes: table.classes, ..setup.settings };
+        let settings = Settings { classes: table.classes, ..options.settings };
         let metric_indexes = classes.names().map(|name| metrics.class_index(name)).collect();
         Ok(Router {
-            decision: DecisionModule::new(settings.clone(), setup.seed)?,
+            decision: DecisionModule::new(settings.clone(), options.seed)?,
             classes,
             hint_follower: follow.then(|| HintFollower::new(settings.clone())),
             settings,
-            flow_bytes_per_s: setup.flow_bytes_per_s,
-            pending_writes: PendingWrites::new(setup.memory_mb),
+            flow_bytes_per_s: options.flow_bytes_per_s,
+            pending_writes: PendingWrites::new(options.memory_mb),
             lookup_result: None,
             endpoints: EndpointTable::default(),
             open_requests: HashMap::new(),
