--- a/crates/server/src/endpoints/attempts.rs
+++ b/crates/server/src/endpoints/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes on connections to endpoints: sending, cancelling, and withdrawing what was
-//! not sent yet.
+//! Sending and cancelling attempts and probes on connections to endpoints, and withdrawing attempts
+//! that are still queued.
 
 use super::connection::EndpointConnection;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
@@ -10,37 +10,40 @@
 use hollymux_router::{AttemptFailure, AttemptId, AttemptRequest, ClientHandle, Input};
 use std::net::SocketAddr;
 
-/// A message that waits to be written.
+/// A message in a connection's queue.
 pub(super) struct OutgoingMessage {
+    /// The bytes that are not written yet.
     pub(super) bytes: BufferChain,
-    /// The attempt that it carries, if it does.
+    /// The attempt that the message carries; `None` for a probe or a cancel.
     pub(super) attempt: Option<QueuedAttempt>,
-    /// Part of it was written.
+    /// Whether part of the message has been written.
     pub(super) begun: bool,
     /// When the router decided to send it.
     pub(super) decided_at: Timestamp,
 }
 
 impl OutgoingMessage {
-    /// The attempt that it carries, if nothing of it was written yet.
+    /// The attempt that the message carries; `None` if part of it is already written or it carries
+    /// none.
     pub(super) fn unsent_attempt(&self) -> Option<QueuedAttempt> {
         self.attempt.filter(|_| !self.begun)
     }
 }
 
-/// The attempt that a message carries, with the conditions under which it may still be sent.
+/// An attempt whose message is queued, with the conditions under which it may still be sent.
 #[derive(Clone, Copy)]
 pub(super) struct QueuedAttempt {
     pub(super) id: AttemptId,
-    /// Nothing is sent for a client that has left.
+    /// The client that sent the request; the attempt is not sent once that client has left.
     client: ClientHandle,
-    /// Nothing is sent with a fill source that takes no more work.
+    /// The endpoint named as fill source, if any; the attempt is not sent once that endpoint takes
+    /// no more work.
     pub(super) source: Option<EndpointId>,
-    /// Nothing is sent after this.
+    /// Latest time at which the first byte may be written; `None` without such a limit.
     send_before: Option<Timestamp>,
 }
 
-/// What awaits a response.
+/// A request to an endpoint that has no response yet.
 pub(super) enum OutstandingRequest {
     Attempt(OutstandingAttempt),
     Probe,
@@ -52,20 +55,22 @@
     }
 }
 
-/// An attempt that awaits a response.
+/// An attempt without a response, and what is needed to check the response.
 pub(super) struct OutstandingAttempt {
     pub(super) id: AttemptId,
-    /// The index of its class.
+    /// The index of the request's class in the settings.
     pub(super) class: u16,
-    /// The tag of the copy that it revalidates.
+    /// The version tag of the copy that the client revalidates; `None` if it revalidates none.
     pub(super) revalidated_tag: Option<Vec<u8>>,
-    /// When it was given to the connection.
+    /// When the attempt was queued on its first connection.
     queued_at: Timestamp,
+    /// Whether the whole message has been written, so that the endpoint may have executed it.
     pub(super) fully_written: bool,
 }
 
 impl Server {
-    /// Sends an attempt; one that can't be sent fails at once.
+    /// Queues an attempt on a connection to its endpoint and writes it if possible. An attempt that
+    /// can't be queued fails with the next input.
     pub(crate) fn send_attempt(&mut self, request: AttemptRequest) {
         let attempt = request.attempt;
         if let Err(failure) = self.try_send_attempt(request) {
@@ -77,11 +82,11 @@
         let bytes = endpoint::encode_attempt(&self.buffers, &request).map_err(|_| AttemptFailure::NotSent)?;
         let wire_id = request.request.request_id.text.clone();
         let (endpoint, address) = (request.target.endpoint, request.target.addr);
-        let mut token = self.connection(endpoint, address, &wire_id)?;
-        // Its end may have arrived and not been read yet: an attempt written there might have been
-        // executed.
+        let mut token = self.select_connection(endpoint, address, &wire_id)?;
+        // The endpoint may have closed the connection without this being read yet. An attempt
+        // written there would count as possibly executed.
         while self.has_ended(token) {
-            token = self.connection(endpoint, address, &wire_id)?;
+            token = self.select_connection(endpoint, address, &wire_id)?;
         }
         let Some(ConnectionKind::Endpoint(connection)) = self.connections.get_mut(token) else {
             return Err(AttemptFailure::NotSent);
@@ -111,20 +116,21 @@
         Ok(())
     }
 
-    /// Asks an endpoint whether it is healthy.
+    /// Probes the health of an endpoint. A probe that can't be sent counts as a probe without a
+    /// response.
     pub(crate) fn probe(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self.try_probe(endpoint, address).is_none() {
             self.pending_inputs.push_back(Input::Probed(endpoint, None));
         }
     }
 
-    /// `None` if the probe can't be sent.
+    /// Queues a probe; returns `None` if there is no connection or no buffer for it.
     fn try_probe(&mut self, endpoint: EndpointId, address: SocketAddr) -> Option<()> {
         let wire_id = format!("p{:x}", self.now.as_micros()).into_bytes();
         let bytes = endpoint::encode_probe(&self.buffers, &wire_id).ok();
-        // The connection is opened even if there is no buffer for the probe: the next one finds it
-        // established.
-        let token = self.connection(endpoint, address, &wire_id).ok()?;
+        // The connection is dialed even if there is no buffer for the probe, so that the next probe
+        // finds it established.
+        let token = self.select_connection(endpoint, address, &wire_id).ok()?;
         let bytes = bytes?;
         let ConnectionKind::Endpoint(connection) = self.connections.get_mut(token)? else { return None };
         connection.outstanding.insert(wire_id, OutstandingRequest::Probe);
@@ -133,7 +139,8 @@
         Some(())
     }
 
-    /// Whether the first bytes of an attempt may be written now.
+    /// Whether writing of a queued attempt may begin: it has not been queued for too long, its send
+    /// limit has not passed and its client is still there.
     pub(super) fn may_begin(
         &mut self,
         attempt: &QueuedAttempt,
@@ -145,15 +152,16 @@
         if waited_too_long || too_late {
             return false;
         }
-        // Since it was decided its client may have left, which was not read yet. The first attempt
-        // of a request was decided just after its client's connection had been read.
+        // The client may have left since the decision, without this being read yet. The first
+        // attempt of a request is decided directly after its client's connection was read, so the
+        // check is not needed.
         let client_may_have_left = attempt.id.number > 0 || now > decided_at;
         !(client_may_have_left && self.client_has_left(attempt.client))
     }
 
-    /// Cancels an attempt. If a retry may follow (`may_retry`) its connection ends with it: what
-    /// has not reached the endpoint yet, because the network is interrupted, must not arrive while
-    /// the retry is under way.
+    /// Cancels an attempt. If a retry may follow (`may_retry`), its connection is closed as well:
+    /// bytes held up by a network interruption must not reach the endpoint while the retry is in
+    /// flight.
     pub(crate) fn cancel_attempt(&mut self, attempt: AttemptId, may_retry: bool) {
         let Some(token) = self.endpoints.attempts.remove(&attempt) else { return };
         let Some(mut connection) = self.connections.take_endpoint(token) else { return };
@@ -164,8 +172,8 @@
         }
     }
 
-    /// What is done with the connection of an attempt that is cancelled; `None` if nothing of it
-    /// was written.
+    /// Removes a cancelled attempt from its connection and returns what to do with the connection;
+    /// `None` if nothing of the attempt was written.
     fn cancel_on_connection(
         &mut self,
         connection: &mut EndpointConnection,
@@ -180,14 +188,15 @@
             return None;
         }
         let is_overdue = self.is_overdue(&cancelled);
-        // Part of it is written: the rest would have it executed for a client that may have left
-        // long before.
-        let is_half_written =
+        // A partly written request must not be completed: the endpoint would execute it, though the
+        // client may have left long before.
+        let is_partly_written =
             connection.queue.iter().any(|message| message.attempt.is_some_and(|queued| queued.id == attempt));
-        // An overdue response may never come, nor any other on its connection: what may be retried
-        // is retried elsewhere, what may not can only wait.
+        // After an overdue response, no other response may come on this connection either:
+        // idempotent requests on it are closed with it and retried elsewhere. A non-idempotent
+        // request can't be retried, so the connection stays open for it.
         let must_wait = connection.outstanding.values().any(|request| self.is_not_idempotent(request));
-        let ends_connection = (is_overdue || is_half_written || may_retry) && !must_wait;
+        let ends_connection = (is_overdue || is_partly_written || may_retry) && !must_wait;
         connection.draining |= is_overdue;
         connection.retire_id(wire_id.clone());
         match endpoint::encode_cancel(&self.buffers, &wire_id) {
@@ -199,6 +208,7 @@
         }
     }
 
+    /// Whether an attempt has been in flight for longer than the latency objective of its class.
     fn is_overdue(&self, attempt: &OutstandingAttempt) -> bool {
         let class = self.router.settings().classes.get(usize::from(attempt.class));
         class.is_some_and(|class| self.now > attempt.queued_at + class.latency_objective)
@@ -210,14 +220,14 @@
         class.is_some_and(|class| class.idempotency == Idempotency::NotIdempotent)
     }
 
-    /// Withdraws an attempt of which nothing was written.
+    /// Removes a queued attempt and fails it, unless part of it is already written.
     pub(super) fn withdraw_attempt(&mut self, connection: &mut EndpointConnection, attempt: AttemptId) {
         if connection.remove_queued(attempt) {
             self.fail_unsent_attempt(connection, attempt, AttemptFailure::NotSent);
         }
     }
 
-    /// Reports the failure of an attempt whose message was taken out of the queue.
+    /// Fails an attempt whose message was taken out of the queue.
     pub(super) fn fail_unsent_attempt(
         &mut self,
         connection: &mut EndpointConnection,
@@ -229,7 +239,8 @@
         self.pending_inputs.push_back(Input::Failed(attempt, failure));
     }
 
-    /// Moves an attempt and its message to another connection.
+    /// Moves an outstanding attempt and its message to another connection. Does nothing if that
+    /// connection is closed.
     pub(super) fn move_attempt(
         &mut self,
         from: &mut EndpointConnection,
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one connection to an endpoint, and what happens on it: connecting, reading, writing
-//! and its end.
+//! The state of one connection to an endpoint, and the handlers for connecting, reading, writing
+//! and closing it.
 
 use super::attempts::{OutgoingMessage, OutstandingAttempt, OutstandingRequest};
 use super::dialing::CONNECT_TIMEOUT;
@@ -21,16 +21,19 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Ids cancelled or answered lately on a connection. An id among them is not used there again: a
-/// late response to its first use could be taken for one to the second.
+/// Number of wire ids, most recently cancelled or answered, that a connection remembers. They are
+/// not reused on the connection: a late response to the first use could be taken for one to the
+/// second.
 const MAX_RETIRED_IDS: usize = 64;
-/// Idle connections are closed after this part of the endpoint's own idle timeout.
+/// An idle connection is closed after this fraction of the endpoint's own idle timeout.
 const IDLE_TIMEOUT_PART: f64 = 0.6;
 
-/// How far a connection has come.
+/// Whether a connection to an endpoint is established yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectState {
+    /// The connect was started at `since` and has not completed.
     Connecting { since: Timestamp },
+    /// The connect has completed; the connection can be written.
     Established,
 }
 
@@ -41,19 +44,24 @@
     pub(super) address: SocketAddr,
     pub(super) decoder: Decoder,
     pub(super) state: ConnectState,
+    /// Messages that are not fully written yet, in the order of writing.
     pub(super) queue: VecDeque<OutgoingMessage>,
-    /// What awaits a response, by the id in the protocol.
+    /// Requests that await a response, including those not written yet, by wire id.
     pub(super) outstanding: HashMap<Vec<u8>, OutstandingRequest>,
+    /// Wire ids that may not be reused on this connection, oldest first.
     pub(super) retired_ids: VecDeque<Vec<u8>>,
+    /// When the connection was dialed or established, last wrote a whole message or received a
+    /// response.
     pub(super) last_used: Timestamp,
-    /// Carries nothing new.
+    /// The connection accepts no further requests and is closed once it is unused.
     pub(super) draining: bool,
-    /// Connecting has failed in a way that tells of the endpoint.
+    /// The connect failed with an error that means that the endpoint is unreachable: see
+    /// [`is_refusal`].
     connect_refused: bool,
 }
 
 impl EndpointConnection {
-    /// A connection that is being established.
+    /// A connection whose connect was started at `now`.
     pub(super) fn connecting(
         socket: TcpStream,
         endpoint: EndpointId,
@@ -80,12 +88,12 @@
         self.state == ConnectState::Established
     }
 
-    /// Whether nothing waits to be written and nothing awaits a response.
+    /// Whether no message is queued and no request awaits a response.
     pub(super) fn is_unused(&self) -> bool {
         self.outstanding.is_empty() && self.queue.is_empty()
     }
 
-    /// Whether it has been connecting for longer than `limit`.
+    /// Whether the connection is not established and has been connecting for longer than `limit`.
     pub(super) fn connects_longer_than(&self, now: Timestamp, limit: Duration) -> bool {
         match self.state {
             ConnectState::Connecting { since } => now > since + limit,
@@ -93,12 +101,13 @@
         }
     }
 
-    /// Queues a message that carries no attempt.
+    /// Queues a message that carries no attempt: a probe or a cancel.
     pub(super) fn queue_control(&mut self, bytes: BufferChain, now: Timestamp) {
         self.queue.push_back(OutgoingMessage { bytes, attempt: None, begun: false, decided_at: now });
     }
 
-    /// Notes an id of which nothing more is expected.
+    /// Records a wire id that was answered or cancelled, so that it is not reused on this
+    /// connection.
     pub(super) fn retire_id(&mut self, id: Vec<u8>) {
         self.retired_ids.push_back(id);
         if self.retired_ids.len() > MAX_RETIRED_IDS {
@@ -106,14 +115,14 @@
         }
     }
 
-    /// The id in the protocol of an attempt that awaits a response.
+    /// The wire id of an attempt that is outstanding on this connection; `None` if it is not.
     pub(super) fn wire_id_of(&self, attempt: AttemptId) -> Option<Vec<u8>> {
         let found = self.outstanding.iter().find(|(_, request)| request.is_attempt(attempt));
         found.map(|(id, _)| id.clone())
     }
 
-    /// Removes the message of an attempt that was not begun to be written; returns whether there
-    /// was one.
+    /// Removes the queued message of an attempt, unless part of it is already written. Returns
+    /// whether one was removed.
     pub(super) fn remove_queued(&mut self, attempt: AttemptId) -> bool {
         let before = self.queue.len();
         self.queue.retain(|message| message.unsent_attempt().is_none_or(|queued| queued.id != attempt));
@@ -121,15 +130,15 @@
     }
 }
 
-/// Whether an error of a connect means that the endpoint can't be connected to; a reset, or a lack
-/// of descriptors here, tells nothing of it.
+/// Whether the error of a failed connect means that the endpoint can't be reached. Other errors,
+/// such as a reset or a lack of local descriptors, say nothing about the endpoint.
 pub(super) fn is_refusal(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, NetworkUnreachable, TimedOut};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | TimedOut)
 }
 
 impl Server {
-    /// A connection to an endpoint is readable or writable.
+    /// Handles epoll events of a connection to an endpoint.
     pub(crate) fn on_endpoint_connection(
         &mut self,
         token: ConnectionToken,
@@ -173,8 +182,8 @@
         self.write_queue(token, connection)
     }
 
-    /// Whether a connection without outstanding requests has ended, as far as this machine knows:
-    /// what has arrived on it is read.
+    /// Whether a connection without outstanding requests was closed by the endpoint. Bytes that
+    /// have already arrived are read and handled first.
     pub(super) fn has_ended(&mut self, token: ConnectionToken) -> bool {
         match self.connections.get(token) {
             Some(ConnectionKind::Endpoint(connection))
@@ -209,12 +218,13 @@
                     connection.retire_id(id);
                 }
                 (Some(request), _) => {
-                    // No response to this request, or one to a request that was not sent yet:
-                    // nothing on this connection can be believed any more.
+                    // The response does not fit the request, or the request was not fully written
+                    // yet: the connection can't be trusted any more.
                     connection.outstanding.insert(id, request);
                     return Err(RespError::Malformed);
                 }
-                // Cancelled before, answered before, or never sent.
+                // A response to a request that was cancelled or answered before, or that was never
+                // sent.
                 (None, _) => {}
             }
         }
@@ -227,7 +237,8 @@
         endpoint::response_allowed(response, attempt.revalidated_tag.as_deref(), is_write)
     }
 
-    /// Writes what is queued on a connection, if it is established.
+    /// Writes the queued messages of a connection; does nothing until the connection is
+    /// established.
     pub(super) fn write_queued(&mut self, token: ConnectionToken) {
         let Some(mut connection) = self.connections.take_endpoint(token) else { return };
         let action = if connection.is_established() {
@@ -243,7 +254,8 @@
         token: ConnectionToken,
         connection: &mut EndpointConnection,
     ) -> ConnectionAction {
-        // A leased quota may have expired while this process stood still: the clock is read again.
+        // A leased quota may have expired while this process was paused, so the clock is read
+        // again.
         let now = if self.uses_leased_quotas() { self.clock.now() } else { self.now };
         while let Some(message) = connection.queue.front() {
             if let Some(attempt) = message.unsent_attempt() {
@@ -268,7 +280,7 @@
         ConnectionAction::Keep
     }
 
-    /// The first message of the queue was written whole.
+    /// Called when the first message of the queue is fully written.
     fn on_message_written(&mut self, connection: &mut EndpointConnection) {
         let message = connection.queue.pop_front();
         connection.last_used = self.now;
@@ -282,7 +294,7 @@
         }
     }
 
-    /// A connection was closed: what awaited a response has failed.
+    /// Called when a connection was closed: its outstanding attempts and probes fail.
     pub(crate) fn endpoint_connection_closed(
         &mut self,
         token: ConnectionToken,
@@ -294,7 +306,7 @@
         }
         let mut outstanding: Vec<(Vec<u8>, OutstandingRequest)> =
             connection.outstanding.into_iter().collect();
-        // The order of a hash map differs from run to run.
+        // Inputs must come in the same order in every run; the order of a hash map varies.
         outstanding.sort_by(|left, right| left.0.cmp(&right.0));
         for (_, request) in outstanding {
             let input = match request {
@@ -308,7 +320,9 @@
         }
     }
 
-    /// The periodic check of a connection to an endpoint.
+    /// The periodic check of a connection: closes it if the endpoint has not accepted output for
+    /// [`WRITE_TIMEOUT`], or if it is unused and is idle for too long, draining, never established
+    /// or above the limit of descriptors.
     pub(crate) fn endpoint_housekeeping(&mut self, connection: &mut EndpointConnection) -> ConnectionAction {
         let endpoint_timeout = whole_micros(self.config.endpoint_idle_timeout) as f64;
         let idle_timeout = Duration::from_micros((endpoint_timeout * IDLE_TIMEOUT_PART) as u64);
@@ -328,7 +342,7 @@
     }
 }
 
-/// What becomes of an attempt whose connection was closed.
+/// The failure reported for an attempt whose connection was closed before its response.
 fn failure_on_close(attempt: &OutstandingAttempt, connect_refused: bool) -> AttemptFailure {
     if connect_refused {
         AttemptFailure::ConnectionRefused
--- a/crates/server/src/endpoints/dialing.rs
+++ b/crates/server/src/endpoints/dialing.rs
@@ -1,6 +1,7 @@
-//! Which connection carries an attempt, and connections from their dial until they are established.
-//! One may be established late, or never, at an endpoint that is well: what waits for it moves to
-//! another connection, and it is kept for what comes next.
+//! Selection of the connection that carries an attempt, and connections from the dial until they
+//! are established. Even a healthy endpoint may establish a connection late or never; messages
+//! queued on such a connection move to another one, and the late connection stays open for later
+//! messages.
 
 use super::attempts::{OutgoingMessage, OutstandingRequest};
 use super::connection::{is_refusal, EndpointConnection};
@@ -15,53 +16,64 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection is late once connecting has taken this many times what the fastest connect to its
-/// endpoint took, within the bounds below. The upper bound also holds where none has been
-/// established yet.
+/// A connection is late when it has been connecting for this multiple of the fastest connect to its
+/// endpoint, bounded by [`MIN_LATE_CONNECT`] and [`MAX_LATE_CONNECT`].
 const LATE_CONNECT_FACTOR: u32 = 4;
+/// Lower bound of the time after which a connection is late.
 const MIN_LATE_CONNECT: Duration = Duration::from_millis(20);
+/// Upper bound of the time after which a connection is late. It also applies while no connection to
+/// the endpoint has been established yet.
 const MAX_LATE_CONNECT: Duration = Duration::from_millis(100);
-/// With this many late connections to an endpoint a further one is dialed only when the newest is
-/// late as well: there it is the endpoint, or the network to it.
+/// With this many late connections to an endpoint, the endpoint or the network path to it is the
+/// likely cause; another one is then dialed only when every connecting one is late.
 const MAX_LATE_CONNECTIONS: usize = 3;
-/// A connection that is not established after this long never will be.
+/// A connect that lasts longer than this is considered failed. Housekeeping closes the connection
+/// once it carries no request.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Bytes that may wait to be written on one connection.
+/// A connection with more queued bytes than this is given no further attempt.
 const MAX_QUEUED_BYTES: usize = 1 << 20;
-/// A late connection is not looked at again sooner than this.
+/// Shortest interval between two checks of one late connection.
 const MIN_DIAL_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A connection that can carry one more attempt.
+/// A connection that can carry one more request.
 struct Candidate {
     token: ConnectionToken,
-    /// What awaits a response on it.
+    /// Number of requests on the connection that await a response.
     outstanding: usize,
 }
 
-/// Why no connection was dialed.
+/// Why [`Server::select_undelayed_connection`] found no connection and dialed none.
 enum DialError {
-    /// The limits allow none.
+    /// The endpoint's pool or the descriptors are used up, or enough of its connections are late
+    /// already.
     NotAllowed,
+    /// The socket could not be opened, or the connect failed at once.
     Failed(io::Error),
 }
 
-/// What becomes of a message on a connection that is late.
+/// What [`Server::reassign_late_message`] did with a message queued on a late connection.
 enum LateMessage {
+    /// The message stays on the late connection.
     Kept(OutgoingMessage),
+    /// The message was moved to this connection.
     Moved(ConnectionToken),
+    /// The message expired; its attempt or probe has failed.
     Dropped,
 }
 
 impl Server {
-    /// A connection that can carry one more request with this id in the protocol: one that can
-    /// carry it without delay, else the one with the least outstanding.
-    pub(super) fn connection(
+    /// Selects the connection for one more request with this wire id: one that carries it without
+    /// delay, or else the one with the fewest outstanding requests, established connections before
+    /// connecting ones. Returns `ConnectionRefused` if no connection can carry the request and a
+    /// dial fails because the endpoint is unreachable, `NotSent` if none can carry it for any other
+    /// reason.
+    pub(super) fn select_connection(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
         wire_id: &[u8],
     ) -> Result<ConnectionToken, AttemptFailure> {
-        let error = match self.prompt_connection(endpoint, address, wire_id) {
+        let error = match self.select_undelayed_connection(endpoint, address, wire_id) {
             Ok(token) => return Ok(token),
             Err(error) => error,
         };
@@ -79,9 +91,10 @@
         }
     }
 
-    /// One that can carry a request without delay: an idle one, else one that is connecting and not
-    /// late, else a new one.
-    fn prompt_connection(
+    /// Selects a connection that carries a request without delay: an established one without
+    /// outstanding requests, or else a connecting one that is not late and has none, or else a
+    /// newly dialed one.
+    fn select_undelayed_connection(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
@@ -113,7 +126,8 @@
         self.dial_endpoint(endpoint, address).map_err(DialError::Failed)
     }
 
-    /// The connections to an endpoint, but for one that is being handled.
+    /// The connections to an endpoint, except one that a handler has taken out of the connection
+    /// table.
     fn pooled(
         &self,
         endpoint: EndpointId,
@@ -125,8 +139,8 @@
         })
     }
 
-    /// Of the connections to an endpoint that can carry one more request, the one with the least
-    /// outstanding.
+    /// The connection with the fewest outstanding requests, among the suitable connections to an
+    /// endpoint that can carry one more request. `None` if there is none.
     fn least_loaded(
         &self,
         endpoint: EndpointId,
@@ -141,7 +155,7 @@
             .min_by_key(|candidate| candidate.outstanding)
     }
 
-    /// A connection to an endpoint is late when connecting takes longer than this.
+    /// How long a connection to this endpoint may take to be established before it is late.
     fn late_connect_after(&self, endpoint: EndpointId) -> Duration {
         let fastest = self.endpoints.pools.get(&endpoint).and_then(|pool| pool.fastest_connect);
         match fastest {
@@ -161,15 +175,16 @@
         Ok(token)
     }
 
-    /// A connection was established after this long.
+    /// Records how long a connect to an endpoint took; the shortest one determines when others are
+    /// late.
     pub(super) fn note_connect_time(&mut self, endpoint: EndpointId, took: Duration) {
         let pool = self.endpoints.pools.entry(endpoint).or_default();
         let fastest = pool.fastest_connect.map_or(took, |fastest| fastest.min(took));
         pool.fastest_connect = Some(fastest);
     }
 
-    /// A connection that is not established by now is late: what waits for it moves to another
-    /// connection, or has waited for long enough.
+    /// Called when a connection is late: its queued messages move to another connection, stay if
+    /// none can carry them without delay, or fail once they have waited for the maximum queue time.
     pub(crate) fn on_dial_late(&mut self, token: ConnectionToken) {
         match self.connections.get(token) {
             Some(ConnectionKind::Endpoint(connection))
@@ -187,10 +202,10 @@
             }
         }
         if let Some(first) = kept.front() {
-            let late_again = self.now + self.late_connect_after(connection.endpoint);
+            let next_check = self.now + self.late_connect_after(connection.endpoint);
             let expires = first.decided_at + self.max_queue_time();
             let earliest = self.now + MIN_DIAL_CHECK_INTERVAL;
-            self.timers.set(late_again.min(expires).max(earliest), Timer::DialLate(token));
+            self.timers.set(next_check.min(expires).max(earliest), Timer::DialLate(token));
         }
         connection.queue = kept;
         self.restore(token, ConnectionKind::Endpoint(connection), ConnectionAction::Keep);
@@ -209,7 +224,8 @@
             if !expired {
                 return LateMessage::Kept(message);
             }
-            // A probe: no other connection can carry it sooner, and nobody waits for it.
+            // Only a probe has no attempt here. No client waits for it, and no other connection
+            // could carry it sooner.
             self.fail_probes(connection);
             return LateMessage::Dropped;
         };
@@ -218,7 +234,7 @@
             return LateMessage::Dropped;
         }
         let Some(wire_id) = connection.wire_id_of(attempt.id) else { return LateMessage::Kept(message) };
-        match self.prompt_connection(connection.endpoint, connection.address, &wire_id) {
+        match self.select_undelayed_connection(connection.endpoint, connection.address, &wire_id) {
             Ok(other) => {
                 self.move_attempt(connection, other, wire_id, message);
                 LateMessage::Moved(other)
@@ -237,11 +253,12 @@
 }
 
 impl EndpointConnection {
-    /// Whether it can carry one more request with this id in the protocol.
+    /// Whether the connection can carry one more request with this wire id.
     fn can_carry(&self, wire_id: &[u8], max_outstanding: usize) -> bool {
         let id_is_used = self.outstanding.contains_key(wire_id)
             || self.retired_ids.iter().any(|retired| retired == wire_id);
-        // One that still receives a response that nobody waits for delays what comes behind it.
+        // The rest of a response to a cancelled request would delay any later response on this
+        // connection.
         let is_blocked = self.outstanding.is_empty() && self.decoder.is_mid_frame();
         let queued_bytes: usize = self.queue.iter().map(|message| message.bytes.len()).sum();
         !self.draining
--- a/crates/server/src/endpoints/mod.rs
+++ b/crates/server/src/endpoints/mod.rs
@@ -1,5 +1,6 @@
-//! Connections to endpoints: edge caches, parent caches and the origin. Which endpoint an attempt
-//! goes to is decided by the router; here it is given a connection, written, and its response read.
+//! Connections to endpoints (edge caches, parent caches and the origin): pooling and dialing them,
+//! writing attempts and probes, and reading the responses. The router decides which endpoint an
+//! attempt goes to; this module decides only which connection carries it.
 
 mod attempts;
 mod connection;
@@ -17,29 +18,32 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A message that was not begun to be written this long after it was decided is not sent; less
-/// where the grace times for drains and purges are shorter: what goes out after such a grace time
-/// must have been decided after the drain or purge was known.
+/// Longest time between the decision to send a message and its first written byte. An older message
+/// is not sent. [`Server::max_queue_time`] shortens the limit where a drain or purge grace time is
+/// shorter: a message sent after such a grace time must have been decided with the drain or purge
+/// known.
 pub(crate) const MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
-/// This much of a grace time is left for the way to the endpoint.
+/// Part of a drain or purge grace time that is reserved for transmission to the endpoint.
 const GRACE_TRANSIT_TIME: Duration = Duration::from_millis(50);
-/// Messages may wait this long however short a grace time is.
+/// Lower bound of [`Server::max_queue_time`], however short the grace times are.
 const MIN_QUEUE_TIME: Duration = Duration::from_millis(10);
-/// Connections to one endpoint.
+/// Maximum number of open connections to one endpoint, including those still connecting.
 const MAX_CONNECTIONS_PER_ENDPOINT: usize = 32;
 
-/// All connections to endpoints, and what is under way on them.
+/// The connection pools of all endpoints, and the attempts that are open on them.
 #[derive(Default)]
 pub(crate) struct EndpointConnections {
+    /// Pools by endpoint. An endpoint that has never been dialed has none.
     pools: HashMap<EndpointId, ConnectionPool>,
-    /// The connection that each open attempt is on.
+    /// The connection that carries each attempt without a response.
     attempts: HashMap<AttemptId, ConnectionToken>,
-    /// Connections in all pools, and those of endpoints that are gone.
+    /// Number of open connections to endpoints, including those of endpoints that have been
+    /// removed.
     pub(crate) connection_count: usize,
 }
 
 impl EndpointConnections {
-    /// The connections to an endpoint.
+    /// The tokens of all open connections to an endpoint; empty if it has no pool.
     fn tokens(&self, endpoint: EndpointId) -> &[ConnectionToken] {
         self.pools.get(&endpoint).map_or(&[], |pool| &pool.tokens)
     }
@@ -49,30 +53,33 @@
 #[derive(Default)]
 struct ConnectionPool {
     tokens: Vec<ConnectionToken>,
-    /// The least time that a connection took to be established.
+    /// Shortest time in which a connection to this endpoint was established; `None` before the
+    /// first.
     fastest_connect: Option<Duration>,
 }
 
 impl Server {
-    /// How long a message may wait until it begins to be written.
+    /// Longest time that a message may be queued before its first byte is written: see
+    /// [`MAX_QUEUE_TIME`].
     fn max_queue_time(&self) -> Duration {
         let settings = self.router.settings();
         let grace_times = [settings.drain_grace, settings.purge_slack];
-        let set = grace_times.into_iter().filter(|grace| !grace.is_zero());
-        set.map(|grace| grace.saturating_sub(GRACE_TRANSIT_TIME).max(MIN_QUEUE_TIME))
+        let configured = grace_times.into_iter().filter(|grace| !grace.is_zero());
+        configured
+            .map(|grace| grace.saturating_sub(GRACE_TRANSIT_TIME).max(MIN_QUEUE_TIME))
             .fold(MAX_QUEUE_TIME, Duration::min)
     }
 
-    /// The number of descriptors for connections to endpoints: at most half of all, and less than
-    /// two thirds without the reserved ones.
+    /// Maximum number of descriptors used for connections to endpoints: half of this process's
+    /// descriptors, or two thirds of them less [`RESERVED_DESCRIPTORS`] if that is fewer.
     pub(crate) fn max_endpoint_connections(&self) -> usize {
         let descriptors = self.max_descriptors();
         let two_thirds = descriptors - descriptors / 3;
         two_thirds.saturating_sub(RESERVED_DESCRIPTORS).min(descriptors / 2)
     }
 
-    /// Closes the connection that has been unused longest, because another endpoint needs its
-    /// descriptor; returns whether there was one.
+    /// Closes the established connection that has been unused longest, to free a descriptor for a
+    /// connection to another endpoint. Returns false if every connection is in use.
     fn evict_endpoint_connection(&mut self) -> bool {
         let victim = self.connections.lowest_ranked(|connection| match connection {
             ConnectionKind::Endpoint(endpoint) if endpoint.is_established() && endpoint.is_unused() => {
--- a/crates/server/src/endpoints/stopping.rs
+++ b/crates/server/src/endpoints/stopping.rs
@@ -1,4 +1,4 @@
-//! Endpoints that take no more work, or are gone.
+//! What happens to connections and queued attempts when an endpoint drains or is removed.
 
 use super::attempts::{OutgoingMessage, QueuedAttempt};
 use super::EndpointConnection;
@@ -8,7 +8,8 @@
 use hollymux_router::AttemptId;
 
 impl Server {
-    /// An endpoint takes no more work: nothing that waits is sent to it or names it as source.
+    /// Called when an endpoint drains: its connections accept no further requests, and queued
+    /// attempts that go to it or name it as fill source are withdrawn.
     pub(crate) fn stop_sending(&mut self, endpoint: EndpointId) {
         for token in self.endpoints.tokens(endpoint).to_vec() {
             if let Some(ConnectionKind::Endpoint(connection)) = self.connections.get_mut(token) {
@@ -18,7 +19,8 @@
         self.withdraw_attempts_of(endpoint);
     }
 
-    /// An endpoint is no longer there: its connections are closed as well.
+    /// Called when an endpoint is removed: closes its connections and withdraws the queued attempts
+    /// that name it as fill source.
     pub(crate) fn close_connections(&mut self, endpoint: EndpointId) {
         for token in self.endpoints.tokens(endpoint).to_vec() {
             self.close(token);
@@ -27,7 +29,7 @@
         self.withdraw_attempts_of(endpoint);
     }
 
-    /// Withdraws what waits for an endpoint or names it as source.
+    /// Withdraws the queued attempts that go to an endpoint or name it as fill source.
     fn withdraw_attempts_of(&mut self, endpoint: EndpointId) {
         for token in self.endpoint_tokens() {
             let Some(mut connection) = self.connections.take_endpoint(token) else {
@@ -48,7 +50,7 @@
 }
 
 impl EndpointConnection {
-    /// The attempts that wait for an endpoint, or name it as source, and were not begun.
+    /// The queued attempts, not partly written, that go to an endpoint or name it as fill source.
     fn unsent_attempts_of(&self, endpoint: EndpointId) -> Vec<AttemptId> {
         let concerns =
             |attempt: &QueuedAttempt| self.endpoint == endpoint || attempt.source == Some(endpoint);
--- a/crates/server/src/endpoints/tests.rs
+++ b/crates/server/src/endpoints/tests.rs
@@ -1,5 +1,6 @@
-//! States that can't be reached from outside over loopback sockets: an attempt of which the kernel
-//! has accepted a part, and one that is cancelled while the network is interrupted.
+//! Tests of states that can't be reached from outside over loopback sockets: an attempt that the
+//! kernel has accepted only in part, and an attempt that is cancelled during a network
+//! interruption.
 
 use super::connection::{ConnectState, EndpointConnection};
 use crate::config::operator_file::Operator;
@@ -18,7 +19,8 @@
 const FILE: &str = include_str!("../../../../examples/config.json");
 const ATTEMPT: AttemptId = AttemptId { request: 1, number: 0 };
 
-/// A server with a connection to an endpoint, and the endpoint's side of it.
+/// A server, its established connection to an endpoint, the endpoint's side of that connection, and
+/// the endpoint's address.
 fn connected() -> (Server, ConnectionToken, TcpStream, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = Config::read(FILE).unwrap();
@@ -26,9 +28,10 @@
     config.admin_listen = None;
     let mut server = Server::new(config, PathBuf::new(), Operator::default()).unwrap();
     let addr = listener.local_addr().unwrap();
-    let token = server.connection(EndpointId(77), addr, b"x").unwrap();
+    let token = server.select_connection(EndpointId(77), addr, b"x").unwrap();
     let (peer, _) = listener.accept().unwrap();
-    connection(&mut server, token).expect("a connection").state = ConnectState::Established;
+    connection(&mut server, token).expect("the dialed connection is closed").state =
+        ConnectState::Established;
     (server, token, peer, addr)
 }
 
@@ -75,35 +78,42 @@
     });
 }
 
-/// Guards against a request whose rest is written after it was cancelled: its client may have left
-/// long before the endpoint reads on. What never was complete was never executed.
+/// Guards against the rest of a partly written request being sent after its cancellation: the
+/// endpoint would execute it although its client may have left long before. An incomplete request
+/// is never executed.
 #[test]
-fn a_request_that_is_cancelled_half_written_never_becomes_complete() {
+fn a_request_cancelled_while_partly_written_is_never_completed() {
     let (mut server, token, mut peer, addr) = connected();
-    // A kernel that accepts little at a time.
-    let here = &connection(&mut server, token).unwrap().stream.socket;
-    sockopt::set_socket_send_buffer_size(here, 4_096).unwrap();
+    // A small send buffer makes the kernel accept only part of the request.
+    let socket = &connection(&mut server, token).unwrap().stream.socket;
+    sockopt::set_socket_send_buffer_size(socket, 4_096).unwrap();
     send(&mut server, addr, 4 << 20);
     assert!(
         connection(&mut server, token).unwrap().queue.front().is_some_and(|m| m.begun),
-        "all of it was taken"
+        "the kernel accepted the whole request, or none of it"
     );
     server.cancel_attempt(ATTEMPT, false);
-    assert!(connection(&mut server, token).is_none(), "the connection stays open");
+    assert!(
+        connection(&mut server, token).is_none(),
+        "the connection of a partly written, cancelled request is still open"
+    );
     let mut got = Vec::new();
     let _end = peer.read_to_end(&mut got);
-    assert!(got.len() < 4 << 20, "it is complete at the endpoint");
+    assert!(got.len() < 4 << 20, "the endpoint received the whole cancelled request");
 }
 
-/// Guards against two attempts executed at once: one that was cancelled in favour of a retry must
-/// not reach its endpoint later, when the network works again. One without a retry is cancelled by
-/// a message.
+/// Guards against two attempts being executed at the same time: an attempt cancelled in favour of a
+/// retry must not reach its endpoint later, when the network works again, so its connection is
+/// closed. An attempt cancelled without a retry is cancelled by a message.
 #[test]
-fn an_attempt_that_is_cancelled_for_a_retry_ends_with_its_connection() {
+fn cancelling_an_attempt_for_a_retry_closes_its_connection() {
     for may_retry in [true, false] {
         let (mut server, token, mut peer, addr) = connected();
         send(&mut server, addr, 10);
-        assert!(connection(&mut server, token).unwrap().queue.is_empty(), "it was not written whole");
+        assert!(
+            connection(&mut server, token).unwrap().queue.is_empty(),
+            "the request was not written completely"
+        );
         server.cancel_attempt(ATTEMPT, may_retry);
         assert_eq!(connection(&mut server, token).is_none(), may_retry);
         drop(server);
