--- a/crates/server/src/clients/accept.rs
+++ b/crates/server/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, and closing an idle connection where descriptors are scarce.
+//! Accepting client connections, and evicting idle ones when descriptors are scarce.
 
 use super::connection::{ClientConnection, ClientState};
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
@@ -9,13 +9,15 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections accepted in a row.
+/// Maximum number of connections accepted for one event of a listener.
 const MAX_ACCEPTS_PER_EVENT: usize = 16;
-/// A connection may be evicted only after it has been idle, or a message has been awaited, for this
-/// long. A request that crosses the close is sent again by the client on a new connection.
+/// Shortest time that a connection must have been idle, or waiting for the rest of a message,
+/// before it may be evicted. A request in transit during the close is sent again by the client on a
+/// new connection.
 const EVICTION_GRACE: Duration = Duration::from_millis(50);
 
-/// The order in which connections are evicted, each variant with since when.
+/// The order in which connections are evicted: by variant, then longest-standing first. Each
+/// variant holds the time since which the connection has been in that state.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     Closing(Timestamp),
@@ -24,7 +26,7 @@
 }
 
 impl Server {
-    /// Clients wait to be accepted.
+    /// Accepts clients that wait at the client listener.
     pub(crate) fn on_accept(
         &mut self,
         token: ConnectionToken,
@@ -34,7 +36,7 @@
             if !self.lifecycle.accepts(self.now) {
                 break;
             }
-            // A client without a free descriptor waits in the backlog.
+            // Without a free descriptor, the client stays in the listener's backlog.
             if self.client_count >= self.max_client_connections() && !self.evict_client() {
                 self.pause_listener(token, listener);
                 break;
@@ -46,8 +48,8 @@
         ConnectionAction::Keep
     }
 
-    /// Accepts the clients that have connected by now, before the listener is closed: the close
-    /// would reset their connections, and with them requests that are on their way.
+    /// Accepts the clients that have connected so far, before the listener is closed: closing it
+    /// would reset their connections and lose requests in transit.
     pub(crate) fn accept_last(&mut self) {
         let token = self.client_listener;
         let Some(ConnectionKind::Listener(mut listener)) = self.connections.take(token) else { return };
@@ -59,17 +61,20 @@
         self.restore(token, ConnectionKind::Listener(listener), ConnectionAction::Keep);
     }
 
+    /// Whether a descriptor is free for one more connection, whatever the split between clients and
+    /// endpoints.
     fn has_free_descriptor(&self) -> bool {
         let used = self.client_count + self.endpoints.connection_count + RESERVED_DESCRIPTORS;
         used < self.max_descriptors()
     }
 
-    /// Accepts one connection; returns whether there may be another one.
+    /// Accepts one connection. Returns false if none is waiting or accepting failed; after a
+    /// failure the listener is paused.
     fn accept(&mut self, token: ConnectionToken, listener: &mut TcpListener) -> bool {
         loop {
             match listener.accept() {
                 Ok((socket, _)) => {
-                    // One that can't be served is closed by being dropped.
+                    // A socket that can't be registered is dropped, which closes it.
                     if self.add_client(socket).is_ok() {
                         self.client_count += 1;
                     }
@@ -92,18 +97,19 @@
         self.insert(ConnectionKind::Client(connection))
     }
 
-    /// The number of descriptors for clients. The known clients hold a third of all at most; what
-    /// is above that is for those that only occupy descriptors.
+    /// Maximum number of descriptors for client connections: those left by the endpoints and the
+    /// reserved ones, and at least a third of all. Well-behaved clients need at most a third; the
+    /// rest is room for clients that only occupy descriptors.
     pub(crate) fn max_client_connections(&self) -> usize {
         let descriptors = self.max_descriptors();
         let left = descriptors - self.max_endpoint_connections();
         left.saturating_sub(RESERVED_DESCRIPTORS).max(descriptors / 3)
     }
 
-    /// Closes one connection to free its descriptor; returns whether there was one. A connection
-    /// that is closing anyway goes first, then the one whose message has been awaited longest, then
-    /// the one idle longest. One with unread bytes stays: they may be a request, and a close over
-    /// them resets the connection.
+    /// Closes one client connection to free its descriptor. Returns false if none may be evicted. A
+    /// connection that is already being closed goes first, then the one whose message has been
+    /// incomplete longest, then the one idle longest. A connection with unread bytes is kept: they
+    /// may be a request, and closing the socket with unread bytes resets the connection.
     pub(crate) fn evict_client(&mut self) -> bool {
         let latest = self.now.saturating_sub(EVICTION_GRACE);
         let victim = self.connections.lowest_ranked(|connection| match connection {
@@ -117,7 +123,8 @@
     }
 }
 
-/// How soon a connection is evicted; `None` if it may not be.
+/// The eviction rank of a connection; `None` if it may not be evicted. `latest` is the time since
+/// which a connection must have been idle or waiting for a message.
 fn eviction_rank(client: &ClientConnection, latest: Timestamp) -> Option<EvictionRank> {
     if !client.is_idle() {
         return None;
--- a/crates/server/src/clients/connection.rs
+++ b/crates/server/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection, and how it is closed.
+//! The state of one client connection, and how it is closed.
 
 use super::BUFFER_PRESSURE_THRESHOLD;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
@@ -14,49 +14,54 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A connection with nothing open is closed after this long; the clients close theirs after 4 s.
+/// A connection without open requests is closed after this time. It is longer than the 4 s after
+/// which clients close their idle connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// A connection may take this long until its first message is complete, and each further one once
-/// it has begun.
+/// Longest time from the accept until the first message is complete, and from the first byte to the
+/// last of each further message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection is released when nothing was on it for this long: a client that sends its next
-/// request as soon as it has a response would otherwise meet the close each time.
+/// A connection is released only after it has been idle for this long. Otherwise the close would
+/// regularly cross the next request of a client that sends it as soon as it has a response.
 const RELEASE_PAUSE: Duration = Duration::from_millis(4);
-/// A client whose connection was shut down has this long to read what is on its way and to close
-/// its side.
+/// Longest time that a client has to read the remaining responses and close its side, after the
+/// router has shut down its own side.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// While buffers are scarce the write timeout is divided by this: a client that doesn't read holds
-/// buffers that others need.
+/// Divisor of the write timeout while buffers are scarce: a client that doesn't read holds buffers
+/// that others need.
 const PRESSURE_TIMEOUT_DIVISOR: u32 = 8;
 
-/// What a connection waits for.
+/// What a client connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// Its first message is not complete.
+    /// The first message is not complete; the connection was accepted at `since`.
     AwaitingFirstMessage { since: Timestamp },
-    /// A further message has begun to arrive.
+    /// A further message has been incomplete since `since`.
     ReceivingMessage { since: Timestamp },
-    /// The last message was complete, and none has begun since.
+    /// The last message was complete, and no byte of another one has arrived.
     BetweenMessages,
-    /// It is shut down for writing once its output is written; what arrives is ignored.
+    /// The router has been closing the connection since `since`: it is shut down for writing once
+    /// its output is written, and whatever arrives is ignored.
     Closing { since: Timestamp },
 }
 
-/// A client's connection.
+/// A client connection with its open requests and its unwritten output.
 pub(crate) struct ClientConnection {
     pub(crate) stream: Stream,
     pub(super) decoder: Decoder,
+    /// Responses that are not written yet.
     pub(super) output: BufferChain,
-    /// Tags of open requests, and when each was received.
+    /// The time at which each open request was received, by the request's tag.
     pub(super) open_requests: BTreeMap<u64, Timestamp>,
+    /// The tags that the client has used on this connection; using one twice is an error.
     pub(super) tags: UsedTags,
-    /// When something was last received, or a response written.
+    /// When bytes were last received or a response was last queued; initially the time of the
+    /// accept.
     pub(super) last_used: Timestamp,
     pub(super) state: ClientState,
-    /// Requests that a well-behaved client would not have sent, since the last response.
+    /// Number of wasted requests since the last response: see [`super::MAX_WASTED_REQUESTS`].
     pub(super) wasted_requests: u32,
-    /// A request was rejected because the router drains: the client knows that it is to go
-    /// elsewhere.
+    /// Whether the router has rejected a request because it is draining, so that the client knows
+    /// that it must use another router.
     pub(super) rejected_while_draining: bool,
 }
 
@@ -75,7 +80,7 @@
         }
     }
 
-    /// Whether no request is open and no output waits.
+    /// Whether no request is open and no output is unwritten.
     pub(super) fn is_idle(&self) -> bool {
         self.open_requests.is_empty() && self.output.is_empty()
     }
@@ -84,7 +89,8 @@
         matches!(self.state, ClientState::Closing { .. })
     }
 
-    /// Since when its first message is awaited, if it is.
+    /// The time since which the first message has been incomplete; `None` once it is complete or
+    /// the connection is closing.
     fn first_message_awaited_since(&self) -> Option<Timestamp> {
         match self.state {
             ClientState::AwaitingFirstMessage { since } => Some(since),
@@ -92,7 +98,8 @@
         }
     }
 
-    /// Since when the rest of a message, or the first one, is awaited.
+    /// The time since which a message has been incomplete, the first one included; `None` between
+    /// messages and while the connection is closing.
     fn message_awaited_since(&self) -> Option<Timestamp> {
         match self.state {
             ClientState::AwaitingFirstMessage { since } | ClientState::ReceivingMessage { since } => {
@@ -102,19 +109,19 @@
         }
     }
 
-    /// A message has begun to arrive, or bytes wait to be read that may be one.
+    /// Whether part of a message has arrived, or the kernel holds unread bytes that may be one.
     fn may_be_receiving(&self) -> bool {
         self.has_unread_bytes() || self.decoder.is_mid_frame()
     }
 
-    /// Whether the kernel holds bytes that were not read yet.
+    /// Whether the kernel holds unread bytes for this connection.
     pub(super) fn has_unread_bytes(&self) -> bool {
         rustix::io::ioctl_fionread(&self.stream.socket).unwrap_or(0) > 0
     }
 
-    /// Closes its side once the output is written. A close with bytes unread would reset the
-    /// connection, and responses with it that a slow reader has not taken yet; so what arrives is
-    /// read to the end.
+    /// Shuts the connection down for writing once its output is written; until then it only marks
+    /// it as closing. Reads go on: closing the socket with unread bytes would reset the connection
+    /// and lose responses that a slow reader has not taken yet.
     pub(super) fn shutdown_write(&mut self, now: Timestamp) {
         if !self.is_closing() {
             self.state = ClientState::Closing { since: now };
@@ -127,7 +134,8 @@
 }
 
 impl Server {
-    /// Closes a connection on which nothing is open, if the lifecycle does not let it stay.
+    /// Closes a connection without open requests if the lifecycle does not let it stay open. Sets a
+    /// timer instead if the connection has not been idle for [`RELEASE_PAUSE`] yet.
     pub(super) fn release_if_idle(&mut self, token: ConnectionToken, connection: &mut ClientConnection) {
         if connection.is_closing() || !connection.is_idle() {
             return;
@@ -137,7 +145,7 @@
             return;
         }
         let pause_ends = connection.last_used + RELEASE_PAUSE;
-        // A client that goes on sending although it was rejected makes no pause.
+        // A client that keeps sending after a rejection never pauses, so the pause is not awaited.
         if !connection.rejected_while_draining && self.now < pause_ends {
             self.timers.set(pause_ends, Timer::ReleaseClient(token));
         } else if !connection.may_be_receiving() {
@@ -145,7 +153,7 @@
         }
     }
 
-    /// The pause after which a connection is released may be over.
+    /// Called when the pause before a connection's release may be over.
     pub(crate) fn on_release_timer(&mut self, token: ConnectionToken) {
         if let Some(mut connection) = self.connections.take_client(token) {
             self.release_if_idle(token, &mut connection);
@@ -153,8 +161,8 @@
         }
     }
 
-    /// Ends a connection whose client has broken the protocol: what is open on it is cancelled.
-    /// Responses that are on their way still reach the client.
+    /// Closes a connection whose client has violated the protocol or timed out: its open requests
+    /// are cancelled. Responses in transit still reach the client.
     pub(crate) fn begin_close(&mut self, token: ConnectionToken) {
         let Some(mut connection) = self.connections.take_client(token) else { return };
         connection.open_requests.clear();
@@ -163,14 +171,14 @@
         self.restore(token, ConnectionKind::Client(connection), ConnectionAction::Keep);
     }
 
-    /// Cancels all requests of a connection.
+    /// Cancels all open requests of a client connection.
     pub(crate) fn withdraw_all(&mut self, token: ConnectionToken) {
         let connection = token.as_u64();
         self.withdraw_pending_request(|client| client.conn == connection);
         self.pending_inputs.push_back(Input::ClientClosed(connection));
     }
 
-    /// Whether output waits for any client.
+    /// Whether any client connection has unwritten output.
     pub(crate) fn any_client_has_output(&self) -> bool {
         self.connections.iter().any(|(_, connection)| match connection {
             ConnectionKind::Client(client) => !client.output.is_empty(),
@@ -178,7 +186,8 @@
         })
     }
 
-    /// The periodic check of a client's connection.
+    /// The periodic check of a client connection: releases it if it is idle and the lifecycle
+    /// requires it, and closes it after a write, message, idle or close timeout.
     pub(crate) fn client_housekeeping(
         &mut self,
         token: ConnectionToken,
@@ -200,7 +209,8 @@
         let idle_timed_out = self.now > connection.last_used + IDLE_TIMEOUT;
         let awaited_since = connection.message_awaited_since();
         let message_timed_out = awaited_since.is_some_and(|since| self.now > since + MESSAGE_TIMEOUT);
-        // A client that has sent half a message may still wait for responses.
+        // A client that has sent part of a message may still be waiting for responses to earlier
+        // requests.
         let timed_out = connection.is_idle() && (idle_timed_out || message_timed_out);
         if timed_out && !connection.has_unread_bytes() {
             ConnectionAction::BeginClose
--- a/crates/server/src/clients/mod.rs
+++ b/crates/server/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Connections of clients: accepting them, reading requests, writing responses, and closing them in
-//! an orderly way.
+//! Client connections: accepting them, reading requests, writing responses, and closing a
+//! connection without losing responses that are still in transit.
 
 mod accept;
 mod connection;
@@ -8,10 +8,11 @@
 
 pub(crate) use connection::ClientConnection;
 
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection; further ones are rejected.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Wasted requests that end a connection: those cancelled at once or beyond the open ones, without
-/// a response between. Well-behaved clients cancel now and then as well.
+/// A connection is closed when it exceeds this number of wasted requests since its last response. A
+/// request is wasted if the client cancels it almost at once or sends it beyond the open-request
+/// limit. Well-behaved clients also cancel some requests early.
 const MAX_WASTED_REQUESTS: u32 = 48;
-/// New requests are rejected from this part of the buffers in use on.
+/// New requests are rejected while more than this fraction of the buffers is in use.
 const BUFFER_PRESSURE_THRESHOLD: f64 = 0.8;
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Reading clients' requests and handing them to the router.
+//! Reading the commands of clients and handing their requests to the router.
 
 use super::connection::{ClientConnection, ClientState};
 use super::{BUFFER_PRESSURE_THRESHOLD, MAX_OPEN_REQUESTS, MAX_WASTED_REQUESTS};
@@ -10,20 +10,20 @@
 use rustix::event::epoll::EventFlags;
 use std::time::Duration;
 
-/// A request that is cancelled sooner than this after it was received counts as wasted.
-const HASTY_CANCEL_TIME: Duration = Duration::from_millis(100);
-/// Reads of one client's connection in a row: all requests that it may have open and waste, of the
-/// largest size. What arrives behind a request may cancel it, so it is read before the request is
-/// handed on.
+/// A request that is cancelled within this time of its arrival counts as wasted.
+const EARLY_CANCEL_TIME: Duration = Duration::from_millis(100);
+/// Maximum number of reads of one client connection for one event: enough for all requests that may
+/// be open or wasted, at the largest size. A request is handed on only after everything behind it
+/// has been read, as that may contain its cancel.
 const MAX_CLIENT_READS_PER_EVENT: usize = (MAX_OPEN_REQUESTS + MAX_WASTED_REQUESTS as usize) * 3;
 
-/// Why a client's connection can't go on after a command.
+/// Why a client connection must be closed after a command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// Two responses with one tag could not be told apart.
+    /// Two responses with the same tag could not be told apart.
     #[error("the client used a tag twice")]
     TagUsedTwice,
-    #[error("no buffer for the response")]
+    #[error("no buffer is free for the response")]
     BuffersExhausted,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Server {
-    /// A client's connection is readable or writable.
+    /// Handles epoll events of a client connection.
     pub(crate) fn on_client(
         &mut self,
         token: ConnectionToken,
@@ -61,14 +61,14 @@
         )
     }
 
-    /// Whether a client has given up a request, as far as this machine knows: what the client has
-    /// sent is read.
+    /// Whether a client has cancelled a request or closed its connection. Bytes that have already
+    /// arrived are read and handled first.
     pub(crate) fn client_has_left(&mut self, client: ClientHandle) -> bool {
         let token = ConnectionToken::from_u64(client.conn);
         if !self.connections.is_open(token) {
             return true;
         }
-        // A connection that is being handled has just been read.
+        // A handler has taken the connection out, and has just read it.
         let Some(mut connection) = self.connections.take_client(token) else { return false };
         let action = self.on_client(token, &mut connection, EventFlags::IN);
         let has_left = !connection.open_requests.contains_key(&client.tag);
@@ -102,8 +102,8 @@
                 Err(CommandError::TagUsedTwice) => return ConnectionAction::BeginClose,
                 Err(CommandError::BuffersExhausted) => return ConnectionAction::Close,
             }
-            let wastes = connection.wasted_requests > MAX_WASTED_REQUESTS;
-            if wastes || self.has_too_much_output(connection) {
+            let too_many_wasted = connection.wasted_requests > MAX_WASTED_REQUESTS;
+            if too_many_wasted || self.has_too_much_output(connection) {
                 return ConnectionAction::Close;
             }
             let action = self.flush(token, &mut connection.stream, &mut connection.output);
@@ -113,14 +113,14 @@
         }
     }
 
-    /// All messages that are complete were handled.
+    /// Called when all complete messages of the received bytes are handled.
     fn on_input_used_up(&mut self, token: ConnectionToken, connection: &mut ClientConnection) {
         if connection.decoder.is_mid_frame() && connection.state == ClientState::BetweenMessages {
             connection.state = ClientState::ReceivingMessage { since: self.now };
         }
-        // Rejections are not written by way of the router's replies, after which a connection is
-        // released otherwise: a client that sends on and on would be released only if the
-        // housekeeping happened to meet a pause.
+        // Elsewhere, a connection is released after a reply of the router, but rejections are
+        // written without one. A client that keeps sending would then be released only if
+        // housekeeping happened to run in a pause.
         if connection.rejected_while_draining {
             self.release_if_idle(token, connection);
         }
@@ -185,15 +185,16 @@
 
     fn on_cancel(&mut self, token: ConnectionToken, connection: &mut ClientConnection, tag: u64) {
         let Some(received) = connection.open_requests.remove(&tag) else { return };
-        let is_hasty = self.now < received + HASTY_CANCEL_TIME;
-        connection.wasted_requests += u32::from(is_hasty);
+        let cancelled_early = self.now < received + EARLY_CANCEL_TIME;
+        connection.wasted_requests += u32::from(cancelled_early);
         let client = ClientHandle { conn: token.as_u64(), tag };
         if !self.withdraw_pending_request(|pending| pending == client) {
             self.pending_inputs.push_back(Input::Cancel(client));
         }
     }
 
-    /// A request gets no more time than this process has.
+    /// Limits the time budget of a request to the time that this process has left before it is
+    /// killed.
     fn limit_timeout(&self, mut request: ClientRequest) -> ClientRequest {
         if let Some(ends_by) = self.lifecycle.ends_by(self.longest_deadline()) {
             let left_millis = ends_by.saturating_duration_since(self.now).as_millis() as u64;
@@ -202,8 +203,8 @@
         request
     }
 
-    /// Takes back requests that were read but not given to the router yet, so that nothing is sent
-    /// for them; returns whether there was one.
+    /// Drops the wanted requests that were read but not given to the router yet, so that nothing is
+    /// sent for them. Returns whether there was one.
     pub(super) fn withdraw_pending_request(&mut self, is_wanted: impl Fn(ClientHandle) -> bool) -> bool {
         let before = self.pending_inputs.len();
         let keeps = |input: &Input| !matches!(input, Input::Request(client, _) if is_wanted(*client));
--- a/crates/server/src/clients/responses.rs
+++ b/crates/server/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Writing the router's replies to clients.
+//! Encoding the router's replies and writing them to clients.
 
 use super::connection::ClientConnection;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken};
@@ -7,16 +7,16 @@
 use hollymux_router::buffers::Exhausted;
 use hollymux_router::{ClientHandle, Input, Reply};
 
-/// The part of all buffers that the responses waiting on one connection may fill.
+/// Largest fraction of all buffers that the unwritten output of one connection may fill.
 const MAX_OUTPUT_SHARE: f64 = 0.25;
 
 impl Server {
-    /// Whether more waits to be written than one connection's share of the buffers.
+    /// Whether the unwritten output of a connection exceeds its share of the buffers.
     pub(super) fn has_too_much_output(&self, connection: &ClientConnection) -> bool {
         connection.output.len() as f64 > self.buffers.bytes() as f64 * MAX_OUTPUT_SHARE
     }
 
-    /// Appends a response to a connection's output.
+    /// Appends a response to a connection's output; fails if no buffer is free.
     pub(super) fn write_response(
         &mut self,
         connection: &mut ClientConnection,
@@ -27,7 +27,7 @@
         Ok(())
     }
 
-    /// Writes a final reply to its client, if the connection is still there.
+    /// Writes a final reply to its client. Drops it if the connection is closed.
     pub(crate) fn reply_to_client(&mut self, client: ClientHandle, reply: Reply) {
         let token = ConnectionToken::from_u64(client.conn);
         let Some(mut connection) = self.connections.take_client(token) else { return };
@@ -47,13 +47,13 @@
         self.restore(token, ConnectionKind::Client(connection), action);
     }
 
-    /// A reply to a request that is not open: either the client has cancelled it and the router is
-    /// about to learn of that, or it would be a second reply.
+    /// Counts an invariant violation for a reply to a request that is not open, unless the client's
+    /// cancel is still on its way to the router: without a cancel it would be a second reply.
     fn check_cancel_pending(&mut self, client: ClientHandle) {
         let is_cancel = |input: &Input| matches!(input, Input::Cancel(cancelled) if *cancelled == client);
         if !self.pending_inputs.iter().any(is_cancel) {
             self.router.counters.invariant_violations += 1;
-            debug_assert!(false, "a reply to a request that is not open");
+            debug_assert!(false, "the router replied to a request that is not open and was not cancelled");
         }
     }
 }
