--- a/crates/server/src/event_loop/connection_table.rs
+++ b/crates/server/src/event_loop/connection_table.rs
@@ -1,5 +1,5 @@
 //! The table that owns every descriptor registered with epoll. A token names a slot and its
-//! generation, so that an event of a descriptor that was closed meanwhile finds nothing.
+//! generation, so that a late event of a descriptor closed in the meantime finds no connection.
 
 use crate::admin::AdminConnection;
 use crate::clients::ClientConnection;
@@ -11,7 +11,7 @@
 use std::net::{TcpListener, UdpSocket};
 use std::os::unix::net::{UnixListener, UnixStream};
 
-/// Names a connection: the slot in the low half, the slot's generation in the high half.
+/// Identifies a connection: the slot in the low 32 bits, the slot's generation in the high 32 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ConnectionToken(u64);
 
@@ -20,12 +20,13 @@
         ConnectionToken(u64::from(generation) << 32 | u64::from(slot))
     }
 
-    /// The token that `as_u64` made this number from.
+    /// The inverse of [`ConnectionToken::as_u64`].
     pub(crate) fn from_u64(number: u64) -> ConnectionToken {
         ConnectionToken(number)
     }
 
-    /// The token as epoll's user data, and as the router's number of a client's connection.
+    /// The token as a number: the user data of epoll events, and the id by which the router knows a
+    /// client connection.
     pub(crate) fn as_u64(self) -> u64 {
         self.0
     }
@@ -39,32 +40,37 @@
     }
 }
 
-/// What a registered descriptor is for, with its state.
+/// A registered descriptor with its purpose and state.
 pub(crate) enum ConnectionKind {
-    /// Accepts clients.
+    /// The client listener.
     Listener(TcpListener),
-    /// Wakes the event loop for a signal of that number.
-    Signal {
-        pipe: UnixStream,
-        signal: i32,
-    },
+    /// A pipe that becomes readable when the process receives this signal.
+    Signal { pipe: UnixStream, signal: i32 },
+    /// A client connection.
     Client(ClientConnection),
+    /// A connection to an endpoint.
     Endpoint(EndpointConnection),
+    /// The connection to the endpoint feed.
     Feed(FeedConnection),
+    /// DNS queries over UDP.
     DnsUdp(UdpSocket),
+    /// The listener for DNS queries over TCP.
     DnsListener(TcpListener),
+    /// A connection with DNS queries over TCP.
     DnsTcp(DnsConnection),
-    /// Lookups of a router that follows another one's DNS answers.
+    /// The socket for the lookups of a router that routes by another router's DNS answers.
     Resolver(UdpSocket),
+    /// The listener of the admin endpoint.
     AdminListener(TcpListener),
+    /// A connection to the admin endpoint.
     Admin(AdminConnection),
-    /// Where a successor process connects.
+    /// The socket to which a successor process connects.
     Rendezvous(UnixListener),
-    /// The process that replaces this one.
+    /// The connection to the process that replaces this one.
     Successor(HandoverPeer),
-    /// The process that this one replaces.
+    /// The connection to the process that this one replaces.
     Predecessor(HandoverPeer),
-    /// Datagrams of other routers.
+    /// The socket for the datagrams of the cluster.
     Cluster(UdpSocket),
 }
 
@@ -90,17 +96,19 @@
     }
 }
 
-/// A place in the table.
+/// A slot of the connection table.
 struct ConnectionSlot {
+    /// The number of connections that the slot has held before, wrapping around.
     generation: u32,
-    /// Empty if the slot is free, or while a handler works on the connection.
+    /// The connection; `None` if the slot is free or reserved, or while a handler has taken it out.
     connection: Option<ConnectionKind>,
 }
 
-/// All connections by token.
+/// All registered connections by token.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     slots: Vec<ConnectionSlot>,
+    /// The indices of free slots; the one freed last is reused first.
     free: Vec<u32>,
 }
 
@@ -114,7 +122,7 @@
         ConnectionToken::new(self.slots[index as usize].generation, index)
     }
 
-    /// Gives back a reserved slot that was never filled.
+    /// Frees a reserved slot that was never filled.
     pub(crate) fn release(&mut self, token: ConnectionToken) {
         self.free.push(token.slot());
     }
@@ -124,30 +132,30 @@
         Some(slot).filter(|slot| slot.generation == token.generation())
     }
 
-    /// Whether the token's slot belongs to it, also while a handler has taken the connection out.
+    /// Whether the connection of a token is open, even while a handler has taken it out.
     pub(crate) fn is_open(&self, token: ConnectionToken) -> bool {
         let slot = self.slots.get(token.slot() as usize);
         slot.is_some_and(|slot| slot.generation == token.generation())
     }
 
-    /// The connection of a token, unless it was closed or is taken out.
+    /// The connection of a token; `None` if it is closed or taken out.
     pub(crate) fn get(&self, token: ConnectionToken) -> Option<&ConnectionKind> {
         let slot = self.slots.get(token.slot() as usize)?;
         slot.connection.as_ref().filter(|_| slot.generation == token.generation())
     }
 
-    /// As [`ConnectionTable::get`], to be changed.
+    /// Like [`ConnectionTable::get`], with mutable access.
     pub(crate) fn get_mut(&mut self, token: ConnectionToken) -> Option<&mut ConnectionKind> {
         self.slot_mut(token)?.connection.as_mut()
     }
 
-    /// Takes a connection out while a handler works on it; it goes back by
-    /// [`ConnectionTable::restore`].
+    /// Takes a connection out for its handler, which puts it back with
+    /// [`ConnectionTable::restore`]. `None` if it is closed or already taken out.
     pub(crate) fn take(&mut self, token: ConnectionToken) -> Option<ConnectionKind> {
         self.slot_mut(token)?.connection.take()
     }
 
-    /// As [`ConnectionTable::take`], for the token of a client's connection.
+    /// Like [`ConnectionTable::take`], for the token of a client connection.
     pub(crate) fn take_client(&mut self, token: ConnectionToken) -> Option<ClientConnection> {
         match self.take(token)? {
             ConnectionKind::Client(connection) => Some(connection),
@@ -155,7 +163,7 @@
         }
     }
 
-    /// As [`ConnectionTable::take`], for the token of a connection to an endpoint.
+    /// Like [`ConnectionTable::take`], for the token of a connection to an endpoint.
     pub(crate) fn take_endpoint(&mut self, token: ConnectionToken) -> Option<EndpointConnection> {
         match self.take(token)? {
             ConnectionKind::Endpoint(connection) => Some(connection),
@@ -163,14 +171,15 @@
         }
     }
 
-    /// Puts a connection into its slot. One whose slot was given away meanwhile is dropped.
+    /// Puts a connection into its slot. Drops the connection if its token is no longer valid.
     pub(crate) fn restore(&mut self, token: ConnectionToken, connection: ConnectionKind) {
         if let Some(slot) = self.slot_mut(token) {
             slot.connection = Some(connection);
         }
     }
 
-    /// Takes a connection out for good: its token is not valid any more.
+    /// Removes a connection for good and invalidates its token. `None` if it is closed or taken
+    /// out.
     pub(crate) fn remove(&mut self, token: ConnectionToken) -> Option<ConnectionKind> {
         let slot = self.slot_mut(token)?;
         let connection = slot.connection.take()?;
@@ -179,7 +188,7 @@
         Some(connection)
     }
 
-    /// All connections that are in their slots, by slot.
+    /// All connections that are not taken out, in the order of their slots.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionToken, &ConnectionKind)> + '_ {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let token = ConnectionToken::new(slot.generation, index as u32);
@@ -187,8 +196,8 @@
         })
     }
 
-    /// The connection with the lowest rank, of those that `rank_of` gives one; of equal ranks the
-    /// lowest token.
+    /// The connection with the lowest rank, among those for which `rank_of` returns one. Ties go to
+    /// the lowest token.
     pub(crate) fn lowest_ranked<R: Ord>(
         &self,
         rank_of: impl Fn(&ConnectionKind) -> Option<R>,
--- a/crates/server/src/event_loop/io.rs
+++ b/crates/server/src/event_loop/io.rs
@@ -1,4 +1,4 @@
-//! Registering connections with epoll, reading from them, writing to them and closing them.
+//! Registering connections with epoll, and reading, writing and closing them.
 
 use super::{ConnectionKind, ConnectionToken};
 use crate::sockets::Stream;
@@ -8,20 +8,24 @@
 use rustix::fd::AsFd;
 use std::io::{self, Read, Write};
 
-/// Reads of one connection in a row: none starves the others.
+/// Maximum number of reads of one connection for one event, so that no connection starves the
+/// others.
 pub(crate) const MAX_READS_PER_EVENT: usize = 16;
 
-/// What is done with a connection after its handler has run.
+/// What to do with a connection after its handler has run.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum ConnectionAction {
+    /// Leave it open.
     Keep,
+    /// Close it at once.
     Close,
-    /// A client's connection is shut down for writing, and read to its end.
+    /// Shut a client connection down for writing, and read it until the client closes its side.
     BeginClose,
 }
 
 impl Server {
-    /// Hands on what a connection has to read, up to `max_reads` buffers in a row.
+    /// Reads from a connection up to `max_reads` times and passes the bytes to `on_bytes`, until
+    /// nothing is left or the connection is to be closed.
     pub(crate) fn read_from<C, S: Read + Write>(
         &mut self,
         connection: &mut C,
@@ -46,11 +50,11 @@
         action
     }
 
-    /// Registers a connection with epoll and puts it into the table. One that can't be registered
-    /// is closed.
+    /// Registers a connection with epoll and adds it to the table; the connection is closed if that
+    /// fails.
     pub(crate) fn insert(&mut self, connection: ConnectionKind) -> io::Result<ConnectionToken> {
         let token = self.connections.reserve();
-        // These are not connected yet, which they report by becoming writable.
+        // These sockets are still connecting; they become writable when the connect ends.
         let is_connecting = matches!(connection, ConnectionKind::Endpoint(_) | ConnectionKind::Feed(_));
         let flags = if is_connecting { EventFlags::IN | EventFlags::OUT } else { EventFlags::IN };
         let data = epoll::EventData::new_u64(token.as_u64());
@@ -62,7 +66,8 @@
         Ok(token)
     }
 
-    /// Puts a connection back after its handler has run, and does what that wants done with it.
+    /// Puts a connection back after its handler has run, and applies the action that the handler
+    /// returned.
     pub(crate) fn restore(
         &mut self,
         token: ConnectionToken,
@@ -77,10 +82,11 @@
         }
     }
 
-    /// Closes a connection and informs the part of the server that it belongs to.
+    /// Closes a connection and notifies the module that owns it.
     pub(crate) fn close(&mut self, token: ConnectionToken) {
         let Some(connection) = self.connections.remove(token) else { return };
-        // Closing the descriptor removes it as well; it may be open in another process, though.
+        // Closing the descriptor would not remove it from epoll while another process has the same
+        // socket open.
         let _removed = epoll::delete(&self.epoll, connection.as_fd());
         match connection {
             ConnectionKind::Client(_) => {
@@ -99,7 +105,8 @@
         }
     }
 
-    /// Writes as much of `output` as the socket accepts; the rest waits until it is writable.
+    /// Writes as much of `output` as the socket accepts. Writing goes on when the socket is
+    /// writable again.
     pub(crate) fn flush(
         &mut self,
         token: ConnectionToken,
@@ -115,7 +122,7 @@
         }
     }
 
-    /// Has epoll report, or no longer report, that a socket is writable.
+    /// Sets whether epoll reports that a socket is writable.
     pub(crate) fn set_write_interest<S: AsFd>(
         &mut self,
         token: ConnectionToken,
@@ -131,8 +138,8 @@
         let _modified = epoll::modify(&self.epoll, &stream.socket, data, flags);
     }
 
-    /// Stops accepting for a moment where a connection can't be accepted: the event would come
-    /// again at once.
+    /// Pauses a listener for [`super::timers::ACCEPT_BACKOFF`] when a connection can't be accepted:
+    /// otherwise epoll would report the same event again at once.
     pub(crate) fn pause_listener(&mut self, token: ConnectionToken, listener: &std::net::TcpListener) {
         let data = epoll::EventData::new_u64(token.as_u64());
         if epoll::modify(&self.epoll, listener, data, EventFlags::empty()).is_ok() {
@@ -141,20 +148,20 @@
         }
     }
 
-    /// Accepts again at the listeners that were paused.
+    /// Resumes the paused listeners.
     pub(crate) fn resume_listeners(&mut self) {
         for token in std::mem::take(&mut self.paused_listeners) {
             self.update_listener_interest(token);
         }
     }
 
-    /// Has epoll report new clients while the lifecycle accepts them.
+    /// Sets whether epoll reports new clients, depending on the lifecycle.
     pub(crate) fn update_client_listener(&mut self) {
         self.update_listener_interest(self.client_listener);
     }
 
-    /// Has epoll report new connections of a listener; of the clients' one only while they are
-    /// accepted.
+    /// Sets whether epoll reports new connections of a listener: always for DNS, for clients only
+    /// while the lifecycle accepts them.
     fn update_listener_interest(&self, token: ConnectionToken) {
         let Some(connection) = self.connections.get(token) else { return };
         let accepts = match connection {
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for events and timers, hands each to its handler, and lets the router's
-//! commands be executed after each. It holds no protocol and no routing decision.
+//! The event loop: waits for epoll events and timers, calls the handler of each, and then executes
+//! the commands that the router has issued. It contains no protocol and no routing decision.
 
 mod connection_table;
 mod io;
@@ -15,13 +15,14 @@
 pub(crate) use timer_wheel::TimerWheel;
 pub(crate) use timers::{Timer, INITIAL_LIST_TIMEOUT};
 
-/// Events that one wait reports at most: every descriptor of a small router. The next wait reports
-/// the rest.
+/// Maximum number of events that one wait reports: every descriptor of a small router. Further
+/// events are reported by the next wait.
 const MAX_EVENTS_PER_WAIT: usize = 1_024;
 
-/// The order in which the events of one wait are handled. After a stall much has come at once:
-/// first that an endpoint takes no more work, then operators, who wait for a second at most, then
-/// that clients have left, and only then what causes work to be sent.
+/// The order in which the events of one wait are handled. After a stall, many events are ready at
+/// once. Endpoint states come first, so that nothing more is sent to a draining endpoint; then
+/// admin calls, whose callers wait for at most one second; then clients, who may have left; and
+/// only then events that cause attempts to be sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EventPriority {
     Feed,
@@ -32,7 +33,12 @@
 }
 
 impl Server {
-    /// Serves until SIGTERM and until what is open then is finished.
+    /// Serves until SIGTERM has been received and all open requests are finished, or the drain
+    /// timeout has passed.
+    ///
+    /// # Errors
+    ///
+    /// If waiting for events fails.
     pub fn run(&mut self) -> std::io::Result<()> {
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_WAIT);
         loop {
@@ -40,7 +46,7 @@
             let may_end = self.may_end();
             events.clear();
             self.wait_for_events(&mut events, self.wait_timeout(may_end))?;
-            // What has come while the process made ready to end may be a request.
+            // An event that arrived while the process prepared to exit may be a request.
             if may_end && (self.drain_timed_out || events.is_empty()) {
                 break;
             }
--- a/crates/server/src/event_loop/timer_wheel.rs
+++ b/crates/server/src/event_loop/timer_wheel.rs
@@ -1,27 +1,29 @@
-//! Timers in coarse ticks on a wheel.
+//! A timer wheel with coarse ticks.
 
 use hollymux_decision::Timestamp;
 use std::time::Duration;
 
-/// The length of a tick in microseconds.
+/// The length of a tick, in microseconds.
 const TICK_MICROS: u64 = 2_000;
-/// Slots of the wheel; a timer further ahead than one turn stays in its slot for further turns.
+/// Number of slots of the wheel. A timer further ahead than one turn stays in its slot for further
+/// turns.
 const SLOTS: u64 = 4_096;
 
+/// A timer in a slot, with the tick at which it expires.
 #[derive(Debug)]
 struct Entry<T> {
     tick: u64,
     timer: T,
 }
 
-/// Timers with their payload. None can be cancelled: the handler ignores a timer that is no longer
-/// needed.
+/// Timers with a payload each. A timer can't be cancelled: its handler ignores it if it is no
+/// longer needed.
 #[derive(Debug)]
 pub(crate) struct TimerWheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The first tick that was not processed yet.
+    /// The first tick that has not been processed yet.
     next_tick: u64,
-    /// Timers that are set.
+    /// Number of timers that are set and have not expired.
     armed: usize,
 }
 
@@ -35,18 +37,20 @@
         }
     }
 
-    /// Sets a timer; it expires at the end of the tick that `at` lies in.
+    /// Sets a timer. It expires at the end of the tick that contains `at`, or in the next
+    /// unprocessed tick if that is later.
     pub(crate) fn set(&mut self, at: Timestamp, timer: T) {
         let tick = at.as_micros().div_ceil(TICK_MICROS).max(self.next_tick);
         self.slots[slot_of(tick)].push(Entry { tick, timer });
         self.armed += 1;
     }
 
-    /// Takes all timers that have expired.
+    /// Removes and returns all timers that have expired by `now`, in no particular order within a
+    /// slot.
     pub(crate) fn expired(&mut self, now: Timestamp) -> Vec<T> {
         let mut expired = Vec::new();
         let last_tick = now.as_micros() / TICK_MICROS;
-        // After a long stall one whole turn visits every slot.
+        // After a stall of more than one turn, one turn is enough to visit every slot.
         let one_turn_back = last_tick.saturating_sub(SLOTS - 1).min(last_tick);
         self.next_tick = self.next_tick.max(one_turn_back);
         while self.next_tick <= last_tick {
@@ -65,11 +69,12 @@
         expired
     }
 
-    /// How long it takes until a timer may expire; `None` without timers.
+    /// The time until the next occupied slot is due; `None` without timers. The timers of that slot
+    /// may belong to a later turn.
     pub(crate) fn time_to_next(&self, now: Timestamp) -> Option<Duration> {
         let is_used = |ahead: &u64| !self.slots[slot_of(self.next_tick + ahead)].is_empty();
         let ahead = (0..SLOTS).find(is_used)?;
-        debug_assert!(self.armed > 0, "a timer that was not counted");
+        debug_assert!(self.armed > 0, "a slot holds a timer, but no timer is counted as set");
         let at = Timestamp::from_micros((self.next_tick + ahead) * TICK_MICROS);
         Some(at.saturating_duration_since(now))
     }
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -1,39 +1,43 @@
-//! What the server sets timers for, and what happens when one expires.
+//! The server's timers, and the dispatch of expired ones.
 
 use super::ConnectionToken;
 use crate::Server;
 use hollymux_router::{Input, Wake};
 use std::time::Duration;
 
-/// A listener at which a connection could not be accepted is tried again after this long.
+/// How long a listener is paused after a connection could not be accepted.
 pub(crate) const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// A process that starts waits no longer than this for the endpoint feed: a late list is no reason
-/// not to answer.
+/// Longest time that a starting process waits for the endpoint feed before it serves: a late list
+/// is no reason to leave clients without an answer.
 pub(crate) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A timer of the server.
+/// What a timer is for.
 pub(crate) enum Timer {
-    /// One that the router has set.
+    /// A timer that the router has set.
     Router(Wake),
-    /// A connection to an endpoint should be established by now.
+    /// Check whether a connection to an endpoint is late.
     DialLate(ConnectionToken),
-    /// The lookup with this id has no answer yet.
+    /// Send the lookup with this id again if it has no answer yet.
     DnsRetry(u16),
+    /// Connect to the endpoint feed again.
     FeedReconnect,
+    /// Run the periodic check of all connections.
     Housekeeping,
+    /// Accept again at the paused listeners.
     ResumeListeners,
-    /// Connections with nothing open are to be closed.
+    /// Close the connections without open requests, and the client listener after the linger time.
     Drain,
-    /// The endpoint feed was waited for long enough.
+    /// Serve without a list from the endpoint feed.
     InitialListTimeout,
-    /// A client's connection may be released.
+    /// Release a client connection if it is still idle.
     ReleaseClient(ConnectionToken),
-    /// The endpoint feed may have sent everything that it had.
+    /// Serve if the endpoint feed has sent nothing more for a while.
     FeedQuiet,
-    /// The predecessor's last message is overdue.
+    /// Serve although the predecessor's last message has not arrived.
     HandoverTimeout,
+    /// Call the cluster membership and the leased quotas.
     Cluster,
-    /// What is open is ended whatever it is.
+    /// End the requests that are still open at the drain timeout.
     DrainTimeout,
 }
 
--- a/crates/server/src/execute.rs
+++ b/crates/server/src/execute.rs
@@ -1,4 +1,4 @@
-//! Feeding the router and executing its commands.
+//! Passing inputs to the router, executing its commands, and logging and recording their outcomes.
 
 use crate::event_loop::Timer;
 use crate::Server;
@@ -7,7 +7,8 @@
 use tracing::{debug, info};
 
 impl Server {
-    /// Feeds the router until no input and no command is left.
+    /// Passes all pending inputs to the router and executes the commands that it returns, until no
+    /// input is left.
     pub(crate) fn execute_pending(&mut self) {
         while let Some(input) = self.pending_inputs.pop_front() {
             self.router.handle(self.now, input, &mut self.commands);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Hands an event of the endpoint feed to the router, and records it.
+    /// Records an event of the endpoint feed and queues it for the router.
     pub(crate) fn apply_feed_event(&mut self, event: FeedEvent) {
         if let Some(recorder) = &mut self.recorder {
             let now = self.now.as_micros();
@@ -57,7 +58,7 @@
         self.pending_inputs.push_back(Input::Feed(event));
     }
 
-    /// Records and logs a request that has ended.
+    /// Records and logs a finished request.
     fn on_request_ended(&mut self, ended: &RequestSummary) {
         if let Some(recorder) = &mut self.recorder {
             recorder.request(ended);
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,7 +1,6 @@
-//! The request router on its sockets: event loop, connections, timers, signals, configuration,
-//! admin endpoint and the handover between processes. This is the only package that touches
-//! sockets. What bytes mean is defined in `hollymux-protocol`; every routing decision is made by
-//! `hollymux-router`.
+//! The server of the request router: event loop, connections, timers, signals, configuration, admin
+//! endpoint and the handover between processes. Sockets are used only in this package. The wire
+//! formats are defined in `hollymux-protocol`; every routing decision is made in `hollymux-router`.
 
 mod admin;
 mod clients;
