--- a/crates/server/src/handover/call_predecessor.rs
+++ b/crates/server/src/handover/call_predecessor.rs
@@ -1,5 +1,6 @@
 //! The start of a handover in the new process: connecting to the process that serves the address,
-//! and receiving its listening socket and state. This blocks, as nothing is served yet.
+//! and receiving its listening socket and state. These calls block, as this process serves nothing
+//! yet.
 
 use crate::sockets::SOCKET_FLAGS;
 use hollymux_protocol::handover::{HandoverMessage, HandoverReader, MalformedMessage};
@@ -16,14 +17,14 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The predecessor answers within this, or the new process starts without inherited state. A
-/// process has 6 s until it must be ready: this, the wait for the endpoint feed and the last
-/// message are well within that.
+/// Longest wait for the predecessor's state; after it, the new process starts without inherited
+/// state. A process must be ready within 6 s, and this wait, the one for the endpoint feed and the
+/// one for the last message together are well below that.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Bytes that are received at once.
+/// Size of the receive buffer, in bytes.
 const RECEIVE_BUFFER: usize = 1 << 16;
 
-/// Why the process that serves the address handed nothing over.
+/// Why nothing was taken over from the process that serves the address.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HandoverError {
     #[error("can't {operation} the predecessor: {error}")]
@@ -36,13 +37,13 @@
     OtherUser { uid: u32 },
     #[error("the predecessor sent no state within {STATE_TIMEOUT:?}")]
     TimedOut,
-    #[error("the predecessor closed the connection")]
+    #[error("the predecessor closed the connection without sending its state")]
     Closed,
-    #[error("the predecessor does not hand over at present")]
-    Refused,
+    #[error("the predecessor declined the handover")]
+    Declined,
     #[error("malformed message from the predecessor: {0}")]
     Malformed(#[from] MalformedMessage),
-    #[error("message from the predecessor out of order")]
+    #[error("the predecessor sent a message that is not allowed before its state")]
     OutOfOrder,
     #[error("the predecessor sent no listening socket")]
     NoListener,
@@ -50,29 +51,29 @@
     OtherAddress,
 }
 
-/// Makes an error of an operation on the predecessor's socket.
+/// Returns a function that wraps an error of this operation on the predecessor's socket.
 fn io_error<E: Into<io::Error>>(operation: &'static str) -> impl FnOnce(E) -> HandoverError {
     move |error| HandoverError::Io { operation, error: error.into() }
 }
 
-/// What the predecessor handed over.
+/// The sockets and the state received from the predecessor.
 pub(crate) struct InheritedSockets {
-    /// The clients' listener.
+    /// The client listener.
     pub(super) listener: TcpListener,
-    /// `None` if the predecessor's version is another one.
+    /// The predecessor's state; `None` if the predecessor has another version.
     pub(super) state: Option<Box<HandoverState>>,
     /// The connection to the predecessor, non-blocking.
     pub(super) socket: UnixStream,
-    /// What was received on it beyond the state.
+    /// The reader for that connection, with the bytes received after the state.
     pub(super) reader: HandoverReader,
 }
 
-/// Connects to the process that serves `listen`, and receives what it hands over; `None` if there
-/// is no such process.
+/// Connects to the process that serves `listen`, and receives its listening socket and state.
+/// Returns `None` if no process serves that address.
 ///
 /// # Errors
 ///
-/// If there is one, and it hands nothing over.
+/// If a process serves the address, but its listening socket can't be taken over.
 pub(crate) fn call_predecessor(
     path: &Path,
     listen: SocketAddr,
@@ -89,25 +90,25 @@
     receive_state(socket, listen, deadline).map(Some)
 }
 
-/// A connection to the process that listens at the path; `None` if the process that made the socket
-/// is gone.
+/// Connects to the process that listens at this path. Returns `None` if the process that created
+/// the socket has exited.
 fn connect_rendezvous(path: &Path) -> Result<Option<UnixStream>, HandoverError> {
     let socket = socket_with(AddressFamily::UNIX, SocketType::STREAM, SOCKET_FLAGS, None)
         .map_err(io_error("open a socket for"))?;
-    let address = SocketAddrUnix::new(path).map_err(io_error("address"))?;
+    let address = SocketAddrUnix::new(path).map_err(io_error("build the socket address of"))?;
     match connect(&socket, &address) {
         Ok(()) => {}
         Err(rustix::io::Errno::CONNREFUSED | rustix::io::Errno::NOENT) => return Ok(None),
         Err(error) => return Err(io_error("connect to")(error)),
     }
-    let credentials = sockopt::socket_peercred(&socket).map_err(io_error("identify"))?;
+    let credentials = sockopt::socket_peercred(&socket).map_err(io_error("read the credentials of"))?;
     if credentials.uid != rustix::process::getuid() {
         return Err(HandoverError::OtherUser { uid: credentials.uid.as_raw() });
     }
     Ok(Some(UnixStream::from(socket)))
 }
 
-/// Receives until the state is complete.
+/// Receives until the state is complete, or `deadline` has passed.
 fn receive_state(
     socket: UnixStream,
     listen: SocketAddr,
@@ -136,14 +137,14 @@
                 socket.set_nonblocking(true).map_err(io_error("set up the connection to"))?;
                 return Ok(InheritedSockets { listener, state, socket, reader });
             }
-            Some(HandoverMessage::Declined) => return Err(HandoverError::Refused),
+            Some(HandoverMessage::Declined) => return Err(HandoverError::Declined),
             Some(_) => return Err(HandoverError::OutOfOrder),
             None => {}
         }
     }
 }
 
-/// Receives once, and keeps the first descriptor that comes along.
+/// Receives once, and stores the first descriptor that is received in `listener`.
 fn receive(
     socket: &UnixStream,
     buffer: &mut [u8],
@@ -164,6 +165,8 @@
     Ok(received.bytes)
 }
 
+/// Turns the received descriptor into a listener. Fails if none was received, or if it is bound to
+/// another address than `listen`.
 fn check_listener(descriptor: Option<OwnedFd>, listen: SocketAddr) -> Result<TcpListener, HandoverError> {
     let listener = TcpListener::from(descriptor.ok_or(HandoverError::NoListener)?);
     if listener.local_addr().ok() != Some(listen) {
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -1,9 +1,9 @@
-//! Replacement of this process by another one.
+//! Handover: the replacement of this process by a new one that serves the same address.
 //!
-//! A new process connects to the one that serves the address at a socket in `$TMPDIR`. It is given
-//! the listening socket itself, and the state that safety rules depend on. It catches up with the
-//! endpoint feed, sends `TakeOver`, and accepts clients once the old process has sent `Released`. Whatever
-//! fails on the way leaves the old process serving, or the new one starting without inherited
+//! A new process connects to the serving one through a Unix socket in `$TMPDIR`. It receives the
+//! listening socket itself and the state that safety rules depend on. It then catches up with the
+//! endpoint feed, sends `TakeOver`, and accepts clients once the old process has sent `Released`.
+//! If any step fails, the old process goes on serving, or the new one starts without inherited
 //! state.
 
 mod call_predecessor;
@@ -20,26 +20,28 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Processes that share the limits of descriptors and buffers during a handover.
+/// Number of processes that share the limits of descriptors and buffers during a handover.
 const PROCESSES_IN_HANDOVER: usize = 2;
 
-/// The state of a handover.
+/// The connections and the inherited state of a handover.
 #[derive(Default)]
 pub(crate) struct Handover {
-    /// The socket that a successor connects to.
+    /// The socket to which a successor connects; `None` if `$TMPDIR` is not set, or binding has
+    /// failed.
     pub(crate) rendezvous: Option<ConnectionToken>,
-    /// The process that replaces this one.
+    /// The connection to the process that replaces this one, while it is open.
     pub(crate) successor: Option<ConnectionToken>,
-    /// The process that this one replaces.
+    /// The connection to the process that this one replaces, while it is open.
     pub(crate) predecessor: Option<ConnectionToken>,
-    /// What the predecessor handed over, until this process serves.
+    /// The state received from the predecessor; taken when this process begins to serve.
     pub(crate) inherited_state: Option<Box<HandoverState>>,
-    /// The limits are shared with one of them.
+    /// Whether this process shares its limits of descriptors and buffers with a successor or
+    /// predecessor.
     pub(crate) limits_shared: bool,
 }
 
-/// The socket at which processes that serve the same address find each other; `None` if there is
-/// none.
+/// The path of the Unix socket for handovers between processes that serve the same address; `None`
+/// if `$TMPDIR` is not set or the port is assigned by the system.
 pub(crate) fn rendezvous_path(listen: SocketAddr) -> Option<PathBuf> {
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
     if listen.port() == 0 {
@@ -50,7 +52,8 @@
 }
 
 impl Server {
-    /// Applies the limits that hold while both processes run, or those of one process alone.
+    /// Applies the limits for one process, or for two while a successor or predecessor runs as
+    /// well.
     fn update_shared_limits(&mut self) {
         let shared = self.handover.successor.is_some() || self.handover.predecessor.is_some();
         self.handover.limits_shared = shared;
@@ -59,7 +62,7 @@
         self.buffers.limit(max_buffers(&self.config) / processes);
     }
 
-    /// The number of descriptors that this process may use.
+    /// Maximum number of descriptors that this process may use; half as many during a handover.
     pub(crate) fn max_descriptors(&self) -> usize {
         if self.handover.limits_shared {
             self.config.max_descriptors / PROCESSES_IN_HANDOVER
--- a/crates/server/src/handover/peer.rs
+++ b/crates/server/src/handover/peer.rs
@@ -1,4 +1,4 @@
-//! The connection between the two processes of a handover, from either side.
+//! The connection between the two processes of a handover; both sides use it.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, MAX_READS_PER_EVENT};
 use crate::sockets::Stream;
@@ -13,27 +13,32 @@
 use std::os::unix::net::UnixStream;
 use tracing::warn;
 
-/// Output that may wait for the other process: beyond this it can't be reading any more.
+/// Maximum size of the unwritten output, in bytes. If more is queued, the other process has stopped
+/// reading and the connection is closed.
 const MAX_PEER_OUTPUT: usize = 32 << 20;
 
-/// How far a handover has come on a connection.
+/// The progress of a handover, as seen by either process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HandoverProgress {
+    /// In the old process: `Hello` has not been received. In the new process: `TakeOver` has not
+    /// been sent.
     Connected,
-    /// The new process has introduced itself, and is sent the state.
+    /// The old process has received `Hello` and has queued its state. Not used in the new process.
     StateSent,
-    /// The new process has asked for the clients.
+    /// The new process has sent `TakeOver`, or the old one has received it.
     TakeOverSent,
 }
 
-/// The other process of a handover.
+/// The connection to the other process of a handover.
 pub(crate) struct HandoverPeer {
     pub(crate) stream: Stream<UnixStream>,
     pub(super) reader: HandoverReader,
+    /// Encoded messages that are not written yet.
     pub(super) output: Vec<u8>,
-    /// The listening socket is sent with the next byte.
+    /// Whether the listening socket is to be sent with the next byte.
     pub(super) sends_listener: bool,
     pub(super) progress: HandoverProgress,
+    /// When the connection was accepted, or taken over from the start of the handover.
     pub(super) connected_at: Timestamp,
 }
 
@@ -49,17 +54,18 @@
         }
     }
 
-    /// Queues a message.
+    /// Queues a message; it is written by [`Server::flush_peer`].
     pub(super) fn send(&mut self, message: &HandoverMessage) {
         self.output.extend(message.encode());
     }
 }
 
-/// A message is not allowed at this point of the handover.
+/// The error for a message that is not allowed at this point of the handover.
 pub(super) struct OutOfOrder;
 
 impl Server {
-    /// Reads from the other process, hands each message to `on_message`, and writes what waits.
+    /// Reads from the other process, passes each message to `on_message`, and writes the queued
+    /// output.
     pub(super) fn on_handover_peer(
         &mut self,
         token: ConnectionToken,
@@ -101,7 +107,8 @@
         }
     }
 
-    /// Writes what waits for the other process, as far as its socket accepts it.
+    /// Writes the queued output, as far as the socket accepts it. Closes the connection on an
+    /// error, or if more than [`MAX_PEER_OUTPUT`] stays unwritten.
     pub(super) fn flush_peer(&mut self, token: ConnectionToken, peer: &mut HandoverPeer) -> ConnectionAction {
         while !peer.output.is_empty() {
             let written = if peer.sends_listener {
@@ -128,7 +135,8 @@
         }
     }
 
-    /// Sends the listening socket with the first bytes of the output.
+    /// Sends the client listener's descriptor together with the first bytes of the output, and
+    /// returns the number of bytes sent. Fails if the listener is closed.
     fn send_listener(&self, peer: &HandoverPeer) -> io::Result<usize> {
         let Some(ConnectionKind::Listener(listener)) = self.connections.get(self.client_listener) else {
             return Err(io::ErrorKind::NotConnected.into());
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -1,5 +1,5 @@
-//! The old process of a handover: it waits for a successor at the rendezvous socket, and hands over
-//! to it.
+//! The old process's side of a handover: accepting a successor at the rendezvous socket, and
+//! handing the listening socket, the state and the clients over to it.
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::rendezvous_path;
@@ -15,12 +15,12 @@
 use std::time::Duration;
 use tracing::info;
 
-/// A successor that has not taken over after this long is considered lost.
+/// A successor that has not sent `TakeOver` within this time is considered failed and disconnected.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Server {
-    /// Opens the socket at which a successor finds this process. One that exists already is
-    /// replaced.
+    /// Opens the rendezvous socket, through which a successor connects to this process. An existing
+    /// socket file at that path is replaced.
     pub(super) fn open_rendezvous_socket(&mut self) {
         if self.handover.rendezvous.is_some() {
             return;
@@ -33,9 +33,10 @@
     }
 
     fn bind_rendezvous_socket(&mut self, path: &Path) -> io::Result<ConnectionToken> {
-        // Bound under another name and renamed: nobody finds a socket at which nobody listens.
+        // The socket is bound under a temporary name and then renamed, so that no process finds a
+        // socket without a listener.
         let temporary = path.with_extension(std::process::id().to_string());
-        // Left behind by a process with the same id, if it exists.
+        // A process with the same id may have left the temporary file behind.
         let _stale = std::fs::remove_file(&temporary);
         let listener = UnixListener::bind(&temporary)?;
         listener.set_nonblocking(true)?;
@@ -43,12 +44,13 @@
         self.insert(ConnectionKind::Rendezvous(listener))
     }
 
-    /// Processes have connected to the rendezvous socket. One at a time is served.
+    /// Accepts processes that have connected to the rendezvous socket. Only one successor is served
+    /// at a time; others are declined.
     pub(crate) fn on_rendezvous(&mut self, listener: &mut UnixListener) -> ConnectionAction {
         while let Ok((mut socket, _)) = listener.accept() {
             let is_set_up = socket.set_nonblocking(true).is_ok();
             if self.handover.successor.is_some() || !is_set_up || !self.lifecycle.accepts(self.now) {
-                // The caller starts without inherited state if this does not reach it, too.
+                // If this message is lost, the caller starts without inherited state as well.
                 let _refused = socket.write(&HandoverMessage::Declined.encode());
                 continue;
             }
@@ -58,7 +60,7 @@
         ConnectionAction::Keep
     }
 
-    /// The successor has sent something, or its socket is writable.
+    /// Handles epoll events of the connection to the successor.
     pub(crate) fn on_successor(
         &mut self,
         token: ConnectionToken,
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Queues the listening socket and the state for the successor.
     fn send_state(&mut self, peer: &mut HandoverPeer) {
         peer.progress = HandoverProgress::StateSent;
         self.update_shared_limits();
@@ -97,7 +100,8 @@
         info!("handing over to a successor process");
     }
 
-    /// The successor takes new clients from now on.
+    /// Leaves new clients to the successor: stops accepting, and sends the remaining pending writes
+    /// and the incarnation in the cluster, followed by `Released`.
     fn hand_over(&mut self, peer: &mut HandoverPeer) {
         peer.progress = HandoverProgress::TakeOverSent;
         self.apply_lifecycle_event(Event::Replaced);
@@ -109,7 +113,8 @@
         peer.send(&HandoverMessage::Released);
     }
 
-    /// Sends the successor the pending writes that are new since the last time.
+    /// Sends the successor the non-idempotent requests that this process has accepted since the
+    /// last message about them. Does nothing before `TakeOver`.
     pub(crate) fn send_new_pending_writes(&mut self) {
         let Some(token) = self.handover.successor else { return };
         match self.connections.get(token) {
@@ -127,13 +132,14 @@
         }
     }
 
-    /// The successor is gone: this process accepts clients again, unless it is ending.
+    /// Called when the connection to the successor is closed: this process accepts clients again,
+    /// unless it is stopping.
     pub(crate) fn successor_closed(&mut self) {
         self.handover.successor = None;
         self.router.stop_tracking_pending_writes();
         self.update_shared_limits();
         self.apply_lifecycle_event(Event::SuccessorGone);
-        // The successor has replaced the rendezvous socket by its own.
+        // The successor has replaced the socket file with its own, so a new one must be bound.
         if let Some(token) = self.handover.rendezvous.take() {
             self.close(token);
         }
@@ -142,7 +148,7 @@
         }
     }
 
-    /// The periodic check of the successor.
+    /// The periodic check of the connection to the successor: closes it if `TakeOver` is overdue.
     pub(crate) fn successor_housekeeping(&mut self, peer: &HandoverPeer) -> ConnectionAction {
         let is_waiting = peer.progress != HandoverProgress::TakeOverSent;
         if is_waiting && self.now > peer.connected_at + TAKE_OVER_TIMEOUT {
--- a/crates/server/src/handover/take_over.rs
+++ b/crates/server/src/handover/take_over.rs
@@ -1,5 +1,5 @@
-//! The new process of a handover, from the state that it was given to the first client that it
-//! serves. A process without a predecessor begins to serve here, too.
+//! The new process's side of a handover, from applying the inherited state until clients are
+//! served. A process without a predecessor also begins to serve here.
 
 use super::peer::{HandoverPeer, HandoverProgress, OutOfOrder};
 use super::InheritedSockets;
@@ -14,15 +14,17 @@
 use std::time::Duration;
 use tracing::info;
 
-/// The predecessor may take this long for its last message; after that both processes accept
-/// clients until it ends.
+/// Longest wait for the predecessor's `Released`. After it, both processes accept clients until the
+/// predecessor exits.
 const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The endpoint feed has sent everything that it had when nothing more has come for this long.
+/// The endpoint feed is considered to have sent its whole backlog when nothing new has arrived for
+/// this long.
 const FEED_QUIET_TIME: Duration = Duration::from_millis(100);
 
 impl Server {
-    /// Applies what the predecessor handed over: its endpoint list at once, the rest when the
-    /// endpoint feed has been heard. Returns the clients' listener.
+    /// Applies the state received from the predecessor: its endpoint list at once, the rest in
+    /// [`Server::begin_serving`], after the endpoint feed has caught up. Returns the client
+    /// listener.
     pub(crate) fn inherit(&mut self, inherited: InheritedSockets) -> io::Result<TcpListener> {
         let InheritedSockets { listener, state, socket, reader } = inherited;
         match &state {
@@ -45,7 +47,7 @@
         Ok(listener)
     }
 
-    /// The predecessor has sent something, or its socket is writable.
+    /// Handles epoll events of the connection to the predecessor.
     pub(crate) fn on_predecessor(
         &mut self,
         token: ConnectionToken,
@@ -73,7 +75,7 @@
         Ok(())
     }
 
-    /// The predecessor has ended.
+    /// Called when the connection to the predecessor is closed: this process serves alone.
     pub(crate) fn predecessor_closed(&mut self) {
         self.handover.predecessor = None;
         self.update_shared_limits();
@@ -81,9 +83,9 @@
         self.begin_serving();
     }
 
-    /// Everything that is needed to serve is there, or was waited for long enough (`timed_out`). A
-    /// process that replaces another one waits until the endpoint feed has sent everything that it
-    /// had, and then asks for the clients.
+    /// Begins to serve, unless there is a predecessor. With one, sends it `TakeOver` as soon as the
+    /// endpoint feed has sent nothing new for [`FEED_QUIET_TIME`], or at once if the wait for the
+    /// feed has timed out (`timed_out`).
     pub(crate) fn try_begin_serving(&mut self, timed_out: bool) {
         if self.lifecycle.phase() != Phase::Starting {
             return;
@@ -103,14 +105,15 @@
         self.restore(token, ConnectionKind::Predecessor(peer), action);
     }
 
-    /// The process serves from now on.
+    /// Restores the inherited state, if there is any, and starts to accept clients and successors.
+    /// Does nothing if this process serves already.
     pub(crate) fn begin_serving(&mut self) {
         if self.lifecycle.phase() != Phase::Starting {
             return;
         }
         if let Some(state) = self.handover.inherited_state.take() {
-            let drained = state.draining_event(&self.config.names.zones, &self.config.names.kinds);
-            self.apply_feed_event(drained);
+            let draining_event = state.draining_event(&self.config.names.zones, &self.config.names.kinds);
+            self.apply_feed_event(draining_event);
             self.execute_pending();
             self.router.restore(self.now, &state);
         }
