--- a/crates/server/src/cluster/change_log.rs
+++ b/crates/server/src/cluster/change_log.rs
@@ -1,11 +1,11 @@
-//! One log message for each change of the membership.
+//! Logs one message for each change of the membership.
 
 use super::MICROS_PER_MILLI;
 use hollymux_cluster::membership::{MemberRecord, MemberState, MembershipChange};
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
 
-/// Logs a change with its cause.
+/// Logs a change of the membership.
 pub(super) fn log_change(change: &MembershipChange) {
     match change {
         MembershipChange::Updated { address, previous, record } => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Logs what is new in a router's record.
+/// Logs the difference between a router's previous record, if there was one, and its new one.
 fn log_update(address: SocketAddr, previous: Option<&MemberRecord>, record: &MemberRecord) {
     let router = &record.name;
     let phase = record.phase.name();
--- a/crates/server/src/cluster/metrics.rs
+++ b/crates/server/src/cluster/metrics.rs
@@ -1,4 +1,5 @@
-//! The cluster's metrics. Their names are an interface: dashboards read them.
+//! The metrics of the cluster, as printed by the admin endpoint. Dashboards read them by name, so
+//! the names must not change.
 
 use crate::Server;
 use hollymux_cluster::membership::{MemberState, Membership};
@@ -6,11 +7,11 @@
 
 use super::ClusterMember;
 
-/// A metric's name after its prefix, and its value.
+/// The name of a metric without its prefix, and its value.
 type Metric = (&'static str, u64);
 
 impl Server {
-    /// The metrics of membership and quotas, a line each; nothing without a cluster.
+    /// The metrics of membership and quotas, one per line; empty without a cluster.
     pub(crate) fn cluster_metrics(&self) -> String {
         let Some(cluster) = &self.cluster else { return String::new() };
         let membership = metric_lines("svc.fleet_", &membership_metrics(cluster));
@@ -74,7 +75,8 @@
     ]
 }
 
-/// The sum of one part of all leases, in thousandths of a whole quota.
+/// The sum of one value over all leases, in thousandths of a whole quota. Each term is rounded
+/// down.
 fn sum_in_thousandths(leases: &[LeaseStatus], part_of: fn(&LeaseStatus) -> u32) -> u64 {
     let thousandths = |part: u32| u64::from(part) * 1_000 / u64::from(WHOLE_QUOTA);
     leases.iter().map(|lease| thousandths(part_of(lease))).sum()
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,6 +1,7 @@
-//! The router among other routers: one socket and one timer for membership and leased quotas, and
-//! the number of routers that limits are divided by. What the datagrams mean is defined in
-//! `hollymux-cluster`. Without the section `fleet` of the operator's file nothing of this exists.
+//! The router's membership in a cluster: one socket and one timer for the membership protocol and
+//! the leased quotas, and the number of routers that limits are divided by. The datagrams and
+//! protocols are defined in `hollymux-cluster`. Without the section `fleet` in the operator's file,
+//! all of this is off.
 
 mod change_log;
 mod metrics;
@@ -21,35 +22,42 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// Membership and quotas count time in microseconds.
+/// Microseconds per millisecond: `hollymux-cluster` counts time in microseconds.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What other routers know this one by. A successor process goes on under it.
+/// The identity by which other routers know this one. A successor process continues under it.
 pub(crate) struct ClusterIncarnation {
+    /// The generation: higher after every start of the process.
     pub(crate) generation: u64,
+    /// The incarnation within that generation.
     pub(crate) incarnation: u32,
 }
 
 /// This router as a member of a cluster.
 pub(crate) struct ClusterMember {
     section: ClusterSection,
+    /// The membership protocol.
     membership: Membership,
-    /// `None` while another process has the address, or while it can't be bound.
+    /// The cluster's UDP socket; `None` while another process owns the address or it can't be
+    /// bound.
     socket: Option<ConnectionToken>,
-    /// The time of the timer that is set; zero without one. Those set for later are ignored.
+    /// The time of the earliest cluster timer that is set; zero if none is. A timer that an earlier
+    /// one has superseded still expires, without effect.
     timer_at: Timestamp,
-    /// The number of routers that the decision module was given last.
+    /// The router counts that were last passed to the decision module.
     router_counts: RouterCounts,
-    /// Datagrams that the socket did not accept.
+    /// Number of datagrams that the socket did not accept.
     unsent_datagrams: u64,
-    /// The leased quotas, where the section asks for them.
+    /// The leased quotas; `None` if the section does not configure them, or before the socket is
+    /// bound.
     quotas: Option<QuotaManager>,
-    /// The own share of quotas was in use when that was logged last.
+    /// Whether the router's own share of the quotas was in use at the last check, to log only
+    /// changes.
     share_in_use: bool,
 }
 
 impl ClusterMember {
-    /// A member that knows no other one yet.
+    /// A member that has not joined and knows no other router yet.
     pub(crate) fn new(section: &ClusterSection, config: &Config, now: Timestamp) -> ClusterMember {
         let zone = config.names.zones.get(usize::from(config.settings.zone));
         let options = MembershipOptions {
@@ -74,19 +82,19 @@
         }
     }
 
-    /// Joins the cluster through a socket that was bound.
+    /// Joins the cluster through a bound socket.
     fn join(&mut self, socket: ConnectionToken, config: &Config, now: Timestamp) {
         self.socket = Some(socket);
         self.membership.join(now.as_micros());
         self.start_quotas(config, now);
     }
 
-    /// Starts with no lease of any quota.
+    /// Starts the quota protocol without any lease, if the section configures it.
     fn start_quotas(&mut self, config: &Config, now: Timestamp) {
         let Some(section) = &self.section.quotas else { return };
         let settings = &config.settings;
         let own_zone_count = settings.router_count_by_zone.get(usize::from(settings.zone));
-        // An attempt may be written this long after it was decided.
+        // An attempt may be written up to `MAX_QUEUE_TIME` after it was decided.
         let usage_window = settings.overload_window + MAX_QUEUE_TIME;
         let options = QuotaOptions {
             cluster_name: self.section.name.clone(),
@@ -108,7 +116,7 @@
         self.update_quota_peers(now);
     }
 
-    /// Gives the quotas the routers that may be active.
+    /// Passes the possibly active routers to the quota protocol.
     fn update_quota_peers(&mut self, now: Timestamp) {
         if let Some(quotas) = &mut self.quotas {
             quotas.update_peers(now.as_micros(), &ActivePeers::from_membership(&self.membership));
@@ -127,13 +135,14 @@
     }
 }
 
-/// Differs between processes that have one address one after another: in the time or in the id.
+/// An id that differs between successive processes at the same address, by their start time or
+/// process id. It is never zero.
 fn instance_id(now: Timestamp) -> u64 {
     now.as_micros().rotate_left(20) ^ u64::from(std::process::id()) | 1
 }
 
 impl Server {
-    /// The cluster, while this process has the socket.
+    /// The cluster member, while this process owns the cluster socket; `None` otherwise.
     fn joined_cluster(&mut self) -> Option<&mut ClusterMember> {
         self.cluster.as_deref_mut().filter(|cluster| cluster.socket.is_some())
     }
@@ -143,7 +152,7 @@
         self.cluster.as_ref().is_some_and(|cluster| cluster.quotas.is_some())
     }
 
-    /// Gives the router its shares of warm-up budgets.
+    /// Passes the leased shares of warm-up budgets to the router.
     fn apply_quotas(&mut self, cluster: &mut ClusterMember) {
         let Some(quotas) = &cluster.quotas else { return };
         let status = quotas.own_share_status();
@@ -162,7 +171,7 @@
         self.router.lease(own_shares, allocation.endpoints);
     }
 
-    /// Gives the router the number of routers that limits are divided by, if it has changed.
+    /// Passes the number of possibly active routers to the router, if it has changed.
     fn apply_router_counts(&mut self, cluster: &mut ClusterMember) {
         let counts = cluster.membership.quota_divisors(self.router.settings());
         if counts == cluster.router_counts {
@@ -173,7 +182,7 @@
         self.router.count_routers(counts.all, counts.own_zone);
     }
 
-    /// Announces the phase of the lifecycle to other routers.
+    /// Announces this router's lifecycle phase to the other routers.
     pub(crate) fn announce_phase(&mut self) {
         let phase = match self.lifecycle.phase() {
             Phase::Starting => return,
@@ -184,7 +193,7 @@
         };
         let now = self.now;
         let Some(cluster) = self.joined_cluster() else { return };
-        // The membership becomes ready by itself when it has joined.
+        // The membership changes from joining to ready by itself once it has joined.
         let is_joining = cluster.membership.own_record().phase == RouterPhase::Joining;
         if is_joining && phase == RouterPhase::Ready {
             return;
@@ -193,7 +202,7 @@
         self.after_cluster_event(None);
     }
 
-    /// Announces that this router ends.
+    /// Announces to the other routers that this router leaves, and stops using leases.
     pub(crate) fn leave_cluster(&mut self) {
         let now = self.now;
         let Some(cluster) = self.joined_cluster() else { return };
@@ -204,8 +213,9 @@
         self.after_cluster_event(None);
     }
 
-    /// Closes the socket for a successor process, which goes on under the incarnation; `None` if
-    /// there is nothing to hand over.
+    /// Stops the leased quotas, closes the cluster socket so that a successor process can bind it,
+    /// and returns the incarnation under which the successor continues. `None` if this process does
+    /// not own the socket.
     pub(crate) fn release_cluster_socket(&mut self) -> Option<ClusterIncarnation> {
         let cluster = self.cluster.as_mut()?;
         let socket = cluster.socket.take()?;
@@ -220,7 +230,8 @@
         Some(incarnation)
     }
 
-    /// Goes on under the incarnation of the predecessor: other routers notice no change.
+    /// Continues under the incarnation of the predecessor, so that other routers notice no change,
+    /// and opens the cluster socket.
     pub(crate) fn take_over_cluster_socket(&mut self, previous: &ClusterIncarnation) {
         if let Some(cluster) = &mut self.cluster {
             let now = self.now.as_micros();
--- a/crates/server/src/cluster/socket.rs
+++ b/crates/server/src/cluster/socket.rs
@@ -1,4 +1,5 @@
-//! The socket and the timer of the cluster.
+//! The socket and the timer of the cluster: receiving, sending and calling the protocols when they
+//! are due.
 
 use super::ClusterMember;
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
@@ -11,18 +12,20 @@
 use std::net::{SocketAddr, UdpSocket};
 use tracing::{debug, info};
 
-/// Datagrams that are received, and sent, for one event: clients come before the rest.
+/// Maximum number of datagrams received, and sent, for one event, so that clients are not delayed.
 const MAX_DATAGRAMS_PER_EVENT: usize = 64;
-/// One byte more than is ever accepted shows that a datagram is too long.
+/// Size of the receive buffer, in bytes. It exceeds the longest accepted datagram by one, so that a
+/// longer one is recognised.
 const RECEIVE_BUFFER: usize = MAX_DATAGRAM_LEN + 1;
 
 impl ClusterMember {
-    /// The next datagram to send; membership comes before quotas.
+    /// The next datagram to send; those of the membership protocol go first. `None` if none is
+    /// queued.
     fn poll_transmit(&mut self) -> Option<Transmit> {
         self.membership.poll_transmit().or_else(|| self.quotas.as_mut()?.poll_transmit())
     }
 
-    /// Sends datagrams; returns whether more of them may wait.
+    /// Sends up to [`MAX_DATAGRAMS_PER_EVENT`] datagrams. Returns whether more may be queued.
     fn transmit(&mut self, socket: &UdpSocket) -> bool {
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Some(transmit) = self.poll_transmit() else { return false };
@@ -33,7 +36,7 @@
         true
     }
 
-    /// Logs what has changed in the membership; returns whether anything has.
+    /// Logs the changes of the membership since the last call. Returns whether there were any.
     fn log_changes(&mut self) -> bool {
         let mut has_changed = false;
         while let Some(change) = self.membership.poll_change() {
@@ -43,7 +46,7 @@
         has_changed
     }
 
-    /// When the membership or the quotas want to be called.
+    /// The earliest time at which the membership or quota protocol must be called.
     fn next_timeout(&self) -> Timestamp {
         let quotas = self.quotas.as_ref().map_or(u64::MAX, QuotaManager::next_timeout);
         Timestamp::from_micros(quotas.min(self.membership.next_timeout()))
@@ -51,9 +54,9 @@
 }
 
 impl Server {
-    /// Opens the socket, if there is a section for it and no other process has it. The housekeeping
-    /// tries again if it can't be bound yet: that is no reason not to serve, and until then limits
-    /// are divided by the configured number of routers.
+    /// Opens the cluster socket and joins the cluster, if the cluster is configured and the socket
+    /// is not open. If the address can't be bound yet, housekeeping tries again: the router serves
+    /// without it, and until then limits are divided by the configured number of routers.
     pub(crate) fn open_cluster_socket(&mut self) {
         let Some(cluster) = self.cluster.as_ref().filter(|cluster| cluster.socket.is_none()) else { return };
         let address = cluster.section.listen;
@@ -77,12 +80,13 @@
         Ok(token)
     }
 
-    /// Datagrams of other routers have arrived.
+    /// Receives datagrams from other routers and passes them to the membership or quota protocol.
     pub(crate) fn on_cluster_datagrams(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
         let Some(mut cluster) = self.cluster.take() else { return ConnectionAction::Close };
         let now = self.now.as_micros();
         let mut buffer = [0; RECEIVE_BUFFER];
-        // No attempt is sent while these are received, so that the demand stays the same.
+        // No attempt is sent while datagrams are received, so the demand has to be computed only
+        // once.
         let mut demands = None;
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             match socket.recv(&mut buffer) {
@@ -94,7 +98,8 @@
                 }
                 Ok(length) => cluster.membership.handle_datagram(now, &buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // A datagram that could not be delivered is reported here; that ends nothing.
+                // The error reports that an earlier datagram could not be delivered; the socket
+                // stays usable.
                 Err(_) => {}
             }
         }
@@ -103,7 +108,8 @@
         ConnectionAction::Keep
     }
 
-    /// The timer of the cluster has expired, or the socket was just opened.
+    /// Calls the protocols that are due. Called when the cluster timer has expired or the socket
+    /// was opened.
     pub(crate) fn on_cluster_timer(&mut self) {
         let now = self.now.as_micros();
         let Some(cluster) = self.cluster.as_mut().filter(|cluster| cluster.socket.is_some()) else { return };
@@ -120,11 +126,11 @@
         self.after_cluster_event(None);
     }
 
-    /// Sends what waits, applies what has changed and sets the next timer. The socket is given where
-    /// its handler has taken it out of the connection table.
+    /// Sends queued datagrams, applies changes of membership and quotas, and sets the next timer.
+    /// The caller passes the socket if it has taken it out of the connection table.
     pub(super) fn after_cluster_event(&mut self, socket: Option<&UdpSocket>) {
         let Some(mut cluster) = self.cluster.take() else { return };
-        let more_waits = match socket.or_else(|| self.cluster_socket(&cluster)) {
+        let more_queued = match socket.or_else(|| self.cluster_socket(&cluster)) {
             Some(socket) => cluster.transmit(socket),
             None => false,
         };
@@ -133,7 +139,7 @@
         }
         self.apply_quotas(&mut cluster);
         self.apply_router_counts(&mut cluster);
-        let wanted = if more_waits { self.now } else { cluster.next_timeout() };
+        let wanted = if more_queued { self.now } else { cluster.next_timeout() };
         if cluster.timer_at == Timestamp::ZERO || wanted < cluster.timer_at {
             cluster.timer_at = wanted.max(self.now + MICROSECOND);
             self.timers.set(cluster.timer_at, Timer::Cluster);
--- a/crates/server/src/cluster/status.rs
+++ b/crates/server/src/cluster/status.rs
@@ -1,4 +1,5 @@
-//! Membership and quotas as JSON for the admin endpoint. The keys are an interface.
+//! The state of membership and quotas as JSON for the admin endpoint. Operators' tools read the
+//! keys, so they must not change.
 
 use crate::Server;
 use hollymux_cluster::membership::{MemberRecord, MemberStatus};
@@ -13,13 +14,13 @@
     micros as f64 / MICROS_PER_SECOND
 }
 
-/// A part of a quota, as a fraction of the whole.
+/// Converts a share of a quota to a fraction of the whole quota, 0 to 1.
 fn fraction(part: u32) -> f64 {
     f64::from(part) / f64::from(WHOLE_QUOTA)
 }
 
 impl Server {
-    /// The membership; `None` without a cluster.
+    /// This router's view of the cluster; `None` without a cluster.
     pub(crate) fn cluster_status(&self) -> Option<Value> {
         let cluster = self.cluster.as_ref()?;
         let membership = &cluster.membership;
@@ -48,7 +49,7 @@
         }))
     }
 
-    /// The leased quotas; `None` where they are not leased.
+    /// The state of the leased quotas; `None` if quotas are not leased.
     pub(crate) fn quota_status(&self) -> Option<Value> {
         let quotas = self.cluster.as_ref()?.quotas.as_ref()?;
         let own_share = quotas.own_share_status();
@@ -94,7 +95,8 @@
     }
 }
 
-/// The guarantees that follow from the lease timings and the number of routers.
+/// The bounds that the lease timings and the number of routers guarantee, such as the time until
+/// the shares of a failed router are free again.
 fn bounds_json(timings: &LeaseTimings, routers: u32) -> Value {
     json!({
         "lease_s": seconds(timings.lease_duration),
