--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: operators' HTTP calls at the second address of the configuration.
+//! The admin endpoint: HTTP calls by operators, at an address of its own.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, MAX_READS_PER_EVENT};
 use crate::sockets::Stream;
@@ -17,9 +17,10 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-/// Connections at a time; a new one replaces the oldest.
+/// Maximum number of open connections; a further one replaces the oldest.
 pub(crate) const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// A connection is closed after this long: time for the call, and for reading the answer.
+/// A connection is closed this long after it was accepted: enough for the call, and for reading the
+/// response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 const OK: u16 = 200;
@@ -27,18 +28,20 @@
 const CONFLICT: u16 = 409;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// A connection at the admin endpoint. It takes one call.
+/// A connection to the admin endpoint. It carries one call.
 pub(crate) struct AdminConnection {
     pub(crate) stream: Stream,
     reader: AdminRequestReader,
+    /// The part of the response that is not written yet.
     output: BufferChain,
     accepted_at: Timestamp,
+    /// Whether the response was queued. Bytes received after it are ignored.
     answered: bool,
 }
 
 impl Server {
-    /// Listens at the operators' address, if one is configured. The housekeeping tries again if it
-    /// can't be bound yet: that is no reason not to serve.
+    /// Opens the admin listener, if one is configured and it is not open. If the address can't be
+    /// bound yet, housekeeping tries again; the router serves without it until then.
     pub(crate) fn open_admin_listener(&mut self) {
         if self.admin_listener.is_some() {
             return;
@@ -67,18 +70,18 @@
         }
     }
 
-    /// Operators have connected.
+    /// Accepts connections to the admin endpoint.
     pub(crate) fn on_admin_accept(&mut self, listener: &mut TcpListener) -> ConnectionAction {
         for _ in 0..MAX_READS_PER_EVENT {
             let Ok((socket, _)) = listener.accept() else { break };
             self.evict_admin_connection();
-            // One that can't be served is closed by being dropped.
+            // A socket that can't be registered is dropped, which closes it.
             let _added = self.add_admin_connection(socket);
         }
         ConnectionAction::Keep
     }
 
-    /// Closes the oldest connection if there are as many as may be.
+    /// Closes the oldest connection if [`MAX_ADMIN_CONNECTIONS`] are open.
     fn evict_admin_connection(&mut self) {
         let is_admin = |connection: &ConnectionKind| matches!(connection, ConnectionKind::Admin(_));
         let count = self.connections.iter().filter(|(_, connection)| is_admin(connection)).count();
@@ -106,7 +109,7 @@
         }))
     }
 
-    /// A connection is readable or writable.
+    /// Handles epoll events of an admin connection.
     pub(crate) fn on_admin_connection(
         &mut self,
         token: ConnectionToken,
@@ -156,9 +159,11 @@
                 (status, self.phase_line())
             }
             AdminOperation::Metrics => (OK, self.metrics_text() + &self.cluster_metrics()),
-            AdminOperation::ClusterStatus => return answer_section(self.cluster_status(), "fleet", request),
+            AdminOperation::ClusterStatus => {
+                return section_response(self.cluster_status(), "fleet", request)
+            }
             AdminOperation::LimitStatus => {
-                return answer_section(self.quota_status(), "fleet.limits", request)
+                return section_response(self.quota_status(), "fleet.limits", request)
             }
             AdminOperation::Standby => (self.change_phase(Event::Standby), self.phase_line()),
             AdminOperation::Active => (self.change_phase(Event::Active), self.phase_line()),
@@ -166,7 +171,7 @@
         encode_text_response(status, None, &body, request.head_only)
     }
 
-    /// Applies an operator's event; the status of the answer.
+    /// Applies a lifecycle event and returns the HTTP status: 409 if the event is not possible.
     fn change_phase(&mut self, event: Event) -> u16 {
         if self.apply_lifecycle_event(event) {
             OK
@@ -192,14 +197,14 @@
         let action = self.flush(token, &mut connection.stream, &mut connection.output);
         let is_done = connection.answered && connection.output.is_empty();
         if action == ConnectionAction::Keep && is_done {
-            // What arrives is read to the end: a close with bytes unread would reset the
-            // connection, and the answer with it.
+            // Reads go on until the caller closes its side: closing the socket with unread bytes
+            // would reset the connection and lose the response.
             let _shutdown = rustix::net::shutdown(&connection.stream.socket, Shutdown::Write);
         }
         action
     }
 
-    /// The periodic check of a connection.
+    /// The periodic check of an admin connection.
     pub(crate) fn admin_housekeeping(&mut self, connection: &AdminConnection) -> ConnectionAction {
         if self.now > connection.accepted_at + CALL_TIMEOUT {
             ConnectionAction::Close
@@ -209,7 +214,7 @@
     }
 }
 
-/// The name of a phase in answers.
+/// The name of a phase in admin responses.
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Starting => "starting",
@@ -220,8 +225,8 @@
     }
 }
 
-/// The status of a section of the operator's file; 404 if the section is off.
-fn answer_section(status: Option<serde_json::Value>, section: &str, request: AdminRequest) -> Vec<u8> {
+/// The response with the state of a section of the operator's file, or 404 if the section is off.
+fn section_response(status: Option<serde_json::Value>, section: &str, request: AdminRequest) -> Vec<u8> {
     match status {
         Some(status) => encode_json_response(&status.to_string(), request.head_only),
         None => {
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -1,4 +1,4 @@
-//! Answering queries over UDP and TCP.
+//! The DNS front: answering queries over UDP and TCP.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, MAX_READS_PER_EVENT};
 use crate::sockets::Stream;
@@ -14,30 +14,33 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Ports that are tried where any will do.
+/// Maximum number of ports that are tried if the system assigns the port.
 const MAX_BIND_ATTEMPTS: u32 = 32;
-/// A TCP connection without a query for this long is closed.
+/// A TCP connection is closed after this time without a query.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Bytes of answers that may wait on a TCP connection; a client that doesn't read them is
-/// disconnected.
+/// Maximum size of the unwritten answers on a TCP connection, in bytes. A client that doesn't read
+/// them is disconnected.
 const MAX_OUTPUT_BYTES: usize = 256 * 1024;
 
-/// A DNS client's TCP connection.
+/// A TCP connection with DNS queries.
 pub(crate) struct DnsConnection {
     pub(crate) stream: Stream,
+    /// Splits the received bytes into messages.
     framer: MessageFramer,
+    /// Answers that are not written yet.
     output: BufferChain,
+    /// When the connection was accepted, or the last query was received.
     last_used: Timestamp,
 }
 
-/// The sockets that queries arrive at, both on one port.
+/// The sockets on which queries arrive, both bound to the same port.
 struct DnsSockets {
     udp: UdpSocket,
     tcp: TcpListener,
 }
 
-/// Binds one port for UDP and TCP. With port 0 the one that UDP is given may be in use for TCP:
-/// then another is tried.
+/// Binds the same port for UDP and TCP. With port 0, the port assigned for UDP may already be in
+/// use for TCP; another one is tried then.
 fn bind_udp_and_tcp(listen: SocketAddr) -> io::Result<DnsSockets> {
     let mut attempts_left = if listen.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
     loop {
@@ -52,7 +55,8 @@
 }
 
 impl Server {
-    /// Opens the sockets that the section `dns` of the operator's file asks for.
+    /// Opens the sockets that the section `dns` of the operator's file configures: for answering
+    /// queries, for following another router's answers, or both.
     pub(crate) fn open_dns(&mut self) -> io::Result<()> {
         let Some(section) = self.operator.dns.clone() else { return Ok(()) };
         if let Some(listen) = section.listen {
@@ -69,20 +73,21 @@
         Ok(())
     }
 
-    /// Queries have arrived over UDP.
+    /// Answers the queries that have arrived over UDP.
     pub(crate) fn on_dns_udp(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
         let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..MAX_READS_PER_EVENT {
             let Ok((length, client)) = socket.recv_from(&mut buffer) else { break };
             if let Some(answer) = self.answer_query(&buffer[..length], Transport::Udp) {
-                // What the socket doesn't accept now is lost, as any datagram may be.
+                // An answer that the socket does not accept is lost, as any datagram may be; the
+                // client repeats its query.
                 let _sent = socket.send_to(&answer, client);
             }
         }
         ConnectionAction::Keep
     }
 
-    /// Clients have connected over TCP.
+    /// Accepts clients that have connected over TCP.
     pub(crate) fn on_dns_accept(
         &mut self,
         token: ConnectionToken,
@@ -102,7 +107,7 @@
                     break;
                 }
             };
-            // One that can't be served is closed by being dropped.
+            // A socket that can't be registered is dropped, which closes it.
             if self.add_dns_connection(socket).is_ok() {
                 self.client_count += 1;
             }
@@ -121,7 +126,7 @@
         }))
     }
 
-    /// A TCP connection is readable or writable.
+    /// Handles epoll events of a TCP connection.
     pub(crate) fn on_dns_connection(
         &mut self,
         token: ConnectionToken,
@@ -155,7 +160,8 @@
         self.flush(token, &mut connection.stream, &mut connection.output)
     }
 
-    /// The periodic check of a TCP connection.
+    /// The periodic check of a TCP connection: closes it if it is idle for too long, or if it has
+    /// no output and the lifecycle does not keep idle connections.
     pub(crate) fn dns_housekeeping(&mut self, connection: &mut DnsConnection) -> ConnectionAction {
         let is_released =
             !self.lifecycle.keeps_idle_connection(self.now, None) && connection.output.is_empty();
@@ -166,13 +172,14 @@
         }
     }
 
-    /// The answer to a query; `None` if it gets none.
+    /// The encoded answer to a query; `None` if the bytes are not a query that can be answered.
     fn answer_query(&mut self, bytes: &[u8], transport: Transport) -> Option<Vec<u8>> {
         let query = dns::parse_query(bytes)?;
         let answer = query.error.map_or_else(|| self.route_query(&query), Response::from_rcode);
         Some(dns::encode_response(&query, &answer, transport))
     }
 
+    /// Answers a query by the kind of its name.
     fn route_query(&mut self, query: &Query) -> Response {
         let zone = &self.dns_zone;
         match dns_routing::classify_name(&query.name, zone, self.router.classes()) {
@@ -191,6 +198,7 @@
         }
     }
 
+    /// Looks up the endpoint for the requested object and returns it as the answer.
     fn route_object(&mut self, query: &Query, wanted: RequestedObject) -> Response {
         let found = self.router.lookup(self.now, wanted, &mut self.commands);
         for command in std::mem::take(&mut self.commands) {
--- a/crates/server/src/dns/lookups.rs
+++ b/crates/server/src/dns/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups of a router that follows another one's answers.
+//! The lookups of a router that follows another router's DNS answers instead of deciding itself.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer, MAX_READS_PER_EVENT};
 use crate::Server;
@@ -12,38 +12,41 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// A query without an answer is sent again after this long.
+/// A query is sent again after this time without an answer.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
-/// Times that a query is sent in all.
+/// Maximum number of times that a query is sent.
 const MAX_SENDS_PER_QUERY: u32 = 3;
-/// Queries that may await an answer.
+/// Maximum number of queries without an answer; further lookups fail.
 const MAX_PENDING_LOOKUPS: usize = 4_096;
-/// Makes the ids of queries independent of the router's random numbers, which have the same seed
-/// ("dnsq").
+/// Combined with the router's seed, so that query ids are independent of the router's other random
+/// numbers. The bytes are ASCII "dnsq".
 const SEED_SALT: u64 = 0x646e_7371;
 
-/// A query that awaits an answer.
+/// A query without an answer.
 struct PendingLookup {
     request: RequestId,
     name: Name,
+    /// Number of times that the query was sent.
     sent: u32,
 }
 
-/// The lookups under way.
+/// The state of all lookups in progress.
 pub(crate) struct Resolver {
     rng: rand_pcg::Pcg64Mcg,
+    /// The UDP socket connected to the followed server; `None` if no server is followed.
     socket: Option<ConnectionToken>,
-    /// By the id of the query.
+    /// Queries without an answer, by query id.
     pending: HashMap<u16, PendingLookup>,
 }
 
 impl Resolver {
-    /// A resolver without a socket.
+    /// A resolver without a socket; `seed` is the router's seed.
     pub(crate) fn new(seed: u64) -> Resolver {
         let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT);
         Resolver { rng, socket: None, pending: HashMap::new() }
     }
 
+    /// A random query id that no pending query has.
     fn unused_id(&mut self) -> u16 {
         let mut id = self.rng.next_u64() as u16;
         while self.pending.contains_key(&id) {
@@ -54,7 +57,7 @@
 }
 
 impl Server {
-    /// Opens the socket for queries to the server that is followed.
+    /// Opens the socket for queries to the followed server.
     pub(super) fn open_resolver(&mut self, server: SocketAddr) -> io::Result<()> {
         let any_address: IpAddr = if server.is_ipv4() { [0, 0, 0, 0].into() } else { [0u16; 8].into() };
         let socket = UdpSocket::bind((any_address, 0))?;
@@ -64,12 +67,15 @@
         Ok(())
     }
 
-    /// Asks the followed server where a request is to go.
+    /// Looks up at the followed server where a request is to go. The lookup fails at once if too
+    /// many are pending or the request can't be expressed as a name.
     pub(crate) fn start_lookup(&mut self, request: RequestId, wanted: &RequestedObject) {
         let idempotency = self.router.classes().idempotency(wanted.class);
-        let names_request = idempotency == Idempotency::NotIdempotent;
-        let wanted =
-            RequestedObject { request_id: wanted.request_id.filter(|_| names_request), ..wanted.clone() };
+        let includes_request_id = idempotency == Idempotency::NotIdempotent;
+        let wanted = RequestedObject {
+            request_id: wanted.request_id.filter(|_| includes_request_id),
+            ..wanted.clone()
+        };
         let name = dns_routing::encode_name(&wanted, &self.dns_zone, self.router.classes());
         let Some(name) = name.filter(|_| self.resolver.pending.len() < MAX_PENDING_LOOKUPS) else {
             return self.pending_inputs.push_back(Input::LookedUp(request, LookupResult::Failed));
@@ -79,7 +85,8 @@
         self.send_lookup(id);
     }
 
-    /// Sends a query, again if it was sent before; after the last time the lookup has failed.
+    /// Sends a pending query, for the first time or again. Fails the lookup if the query was
+    /// already sent the maximum number of times. Does nothing if the query was answered.
     pub(crate) fn send_lookup(&mut self, id: u16) {
         let Some(lookup) = self.resolver.pending.get_mut(&id) else { return };
         if lookup.sent >= MAX_SENDS_PER_QUERY {
@@ -91,19 +98,20 @@
         let query = dns::encode_srv_query(id, &lookup.name);
         let socket = self.resolver.socket.and_then(|token| self.connections.get(token));
         if let Some(ConnectionKind::Resolver(socket)) = socket {
-            // What can't be sent now is sent again later.
+            // A query that can't be sent now is sent again after the timeout.
             let _sent = socket.send(&query);
         }
         self.timers.set(self.now + QUERY_TIMEOUT, Timer::DnsRetry(id));
     }
 
-    /// Answers have arrived.
+    /// Handles the answers that have arrived from the followed server.
     pub(crate) fn on_resolver(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
         let mut buffer = [0; dns::MAX_QUERY_BYTES];
         for _ in 0..MAX_READS_PER_EVENT {
             match socket.recv(&mut buffer) {
                 Ok(length) => self.on_lookup_answer(&buffer[..length]),
-                // A datagram that was refused is reported here; the query is sent again.
+                // The error reports that the server refused an earlier query; that query is sent
+                // again.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
@@ -111,6 +119,7 @@
         ConnectionAction::Keep
     }
 
+    /// Completes the lookup that an answer belongs to. Ignores answers that match no pending query.
     fn on_lookup_answer(&mut self, bytes: &[u8]) {
         let Some(id) = bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id)) else { return };
         let Some(lookup) = self.resolver.pending.get(&id) else { return };
--- a/crates/server/src/dns/mod.rs
+++ b/crates/server/src/dns/mod.rs
@@ -1,5 +1,5 @@
 //! DNS-based request routing: the sockets that answer queries, and the lookups of a router that
-//! follows another one's answers. What queries and answers mean is defined in `hollymux-protocol`.
+//! follows another router's DNS answers. The names and records are defined in `hollymux-protocol`.
 
 mod front;
 mod lookups;
--- a/crates/server/src/feed.rs
+++ b/crates/server/src/feed.rs
@@ -1,5 +1,5 @@
-//! The connection to the endpoint feed: a watch that is opened again, from the last event known,
-//! whenever it ends.
+//! The connection to the endpoint feed: a watch that is resumed after the last applied event
+//! whenever its connection ends.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer, MAX_READS_PER_EVENT};
 use crate::sockets::{dial, Stream};
@@ -14,28 +14,33 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A heartbeat arrives every second; a connection that is silent for this long is dead. Each
-/// connection adds a random part of `SILENCE_JITTER`, so that a feed that fails is not called by
-/// all routers at the same moment.
+/// A feed connection that is silent for this long is considered dead; the feed sends a heartbeat
+/// every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Upper bound of the random time that each connection adds to [`SILENCE_TIMEOUT`], so that not all
+/// routers reconnect to a failed feed at the same moment.
 const SILENCE_JITTER: Duration = Duration::from_millis(600);
-/// The first delay before the feed is called again. It doubles up to the longest one; a random half
-/// to all of it is waited.
+/// First delay before the feed is connected again. The delay doubles after each failure; the time
+/// actually waited is between half of it and all of it, at random.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Upper bound of the delay before the feed is connected again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What is known of the endpoint feed.
+/// The state of the endpoint feed across its connections.
 pub(crate) struct EndpointFeed {
-    /// The number of the last event that was applied.
+    /// The number of the last applied event; the next connection asks for the events after it.
     last_event: u64,
+    /// The open connection; `None` while the feed is to be connected again.
     connection: Option<ConnectionToken>,
+    /// The delay before the last reconnect; zero after a successful read.
     retry_delay: Duration,
-    /// When events last came; zero before the first bytes.
+    /// When the last event arrived, or the first bytes if there was none; zero before the first
+    /// bytes.
     pub(crate) last_update: Timestamp,
 }
 
 impl EndpointFeed {
-    /// A feed of which events up to this number are known.
+    /// A feed without a connection, whose events up to `last_event` are known.
     pub(crate) fn new(last_event: u64) -> EndpointFeed {
         EndpointFeed {
             last_event,
@@ -46,18 +51,21 @@
     }
 }
 
-/// A connection to the endpoint feed.
+/// A connection to the endpoint feed, established or not.
 pub(crate) struct FeedConnection {
     pub(crate) stream: Stream,
     reader: EndpointFeedReader,
+    /// The part of the request that is not written yet.
     output: BufferChain,
+    /// When bytes were last received; initially when the connection was dialed.
     last_received: Timestamp,
-    /// The silence after which this connection is dead.
+    /// The time without received bytes after which the connection is dead, jitter included.
     silence_timeout: Duration,
 }
 
 impl Server {
-    /// Calls the feed for what comes after the last event known, unless a connection is open.
+    /// Connects to the feed and requests the events after the last applied one, unless a connection
+    /// is open.
     pub(crate) fn open_feed(&mut self) {
         if self.feed.connection.is_some() {
             return;
@@ -83,8 +91,7 @@
         }))
     }
 
-    /// Closes the connection that is open, if there is one, and calls the feed at once whatever the
-    /// delay was.
+    /// Closes the open connection, if there is one, and connects again without a delay.
     pub(crate) fn reconnect_feed(&mut self) {
         if let Some(token) = self.feed.connection {
             self.close(token);
@@ -93,7 +100,7 @@
         self.open_feed();
     }
 
-    /// The connection has ended, or could not be opened: it is opened again after a delay.
+    /// Called when the connection has ended or could not be opened: sets a timer to connect again.
     pub(crate) fn feed_closed(&mut self) {
         self.feed.connection = None;
         self.feed.retry_delay = (self.feed.retry_delay * 2).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
@@ -102,7 +109,7 @@
         self.timers.set(self.now + delay, Timer::FeedReconnect);
     }
 
-    /// The connection is readable or writable.
+    /// Handles epoll events of the feed connection.
     pub(crate) fn on_feed(&mut self, feed: &mut FeedConnection, flags: EventFlags) -> ConnectionAction {
         if flags.contains(EventFlags::OUT) {
             if let Some(token) = self.feed.connection {
@@ -140,7 +147,7 @@
 
     fn on_watch_event(&mut self, text: &[u8]) {
         match self.config.names.parse_event(text) {
-            // Sent again on a new connection.
+            // The feed has sent this event again on a new connection.
             Ok(message) if message.number <= self.feed.last_event => {}
             Ok(message) => {
                 self.feed.last_event = message.number;
@@ -152,7 +159,7 @@
         }
     }
 
-    /// The periodic check of the connection.
+    /// The periodic check of the feed connection: closes it if it is silent for too long.
     pub(crate) fn feed_housekeeping(&mut self, feed: &mut FeedConnection) -> ConnectionAction {
         if self.now > feed.last_received + feed.silence_timeout {
             ConnectionAction::Close
