--- a/crates/server/src/housekeeping.rs
+++ b/crates/server/src/housekeeping.rs
@@ -1,31 +1,32 @@
-//! The periodic check of all connections: what is idle for too long, blocked or no longer wanted is
-//! closed.
+//! The periodic check of all connections: closes those that are idle for too long, blocked or no
+//! longer needed.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind, ConnectionToken, Timer};
 use crate::Server;
 use std::time::Duration;
 
-/// From one check of all connections to the next.
+/// Interval between two checks of all connections.
 pub(crate) const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// A connection whose peer accepts none of the waiting output for this long is closed.
+/// A connection is closed if its peer accepts none of the waiting output for this long.
 pub(crate) const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Server {
-    /// The periodic work: sockets that could not be opened yet, limits shared with another process,
-    /// and the check.
+    /// Does the periodic work: opens sockets that could not be bound before, enforces limits shared
+    /// during a handover, and checks all connections.
     pub(crate) fn on_housekeeping_timer(&mut self) {
         self.timers.set(self.now + HOUSEKEEPING_INTERVAL, Timer::Housekeeping);
         self.open_admin_listener();
         if self.handover.predecessor.is_none() && !self.lifecycle.handed_over() {
             self.open_cluster_socket();
         }
-        // Descriptors are counted for both processes of a handover together.
+        // The two processes of a handover share the descriptor limit, so connections above it are
+        // evicted.
         let shares_limits = self.handover.limits_shared;
         while shares_limits && self.client_count > self.max_client_connections() && self.evict_client() {}
         self.run_housekeeping();
     }
 
-    /// Checks all connections.
+    /// Checks all connections, and closes those whose check asks for it.
     pub(crate) fn run_housekeeping(&mut self) {
         let tokens: Vec<ConnectionToken> = self.connections.iter().map(|(token, _)| token).collect();
         for token in tokens {
--- a/crates/server/src/recording.rs
+++ b/crates/server/src/recording.rs
@@ -1,4 +1,4 @@
-//! Starting and restarting the recording of traffic.
+//! Starting and restarting the traffic recording.
 
 use crate::config::operator_file::Operator;
 use crate::config::Config;
@@ -8,7 +8,8 @@
 use std::io;
 use tracing::warn;
 
-/// Starts recording, if the operator's file has a section for it.
+/// Starts the recording. Returns `None` if the operator's file does not configure one, and an error
+/// if the directory can't be used or the writer thread can't be started.
 pub(crate) fn start_recorder(
     operator: &Operator,
     config: &Config,
@@ -24,7 +25,8 @@
 }
 
 impl Server {
-    /// Begins another file: a file has the classes in its head, which may have changed.
+    /// Restarts the recording with a new file after a reload: the file header contains the classes,
+    /// which may have changed. Stops recording if that fails.
     pub(crate) fn restart_recorder(&mut self) {
         if self.recorder.take().is_none() {
             return;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's state, and how it is built at the start.
+//! The server's state, and its construction at the start of the process.
 
 use crate::clock::Clock;
 use crate::cluster::ClusterMember;
@@ -28,60 +28,66 @@
 use std::path::PathBuf;
 use tracing::warn;
 
-/// Descriptors for everything that is neither a client's connection nor one to an endpoint:
-/// standard streams, epoll, signals, listeners, feed, and connections at the admin endpoint.
+/// Number of descriptors reserved for everything except connections of clients and to endpoints:
+/// standard streams, epoll, signals, listeners, the endpoint feed and admin connections.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 16 + admin::MAX_ADMIN_CONNECTIONS;
-/// Buffers take a third of the memory limit; the decision module and the sockets need the rest.
-const BUFFER_SHARE_OF_MEMORY: usize = 3;
-/// Makes the random numbers of the server differ from those of the router, which has the same seed
-/// ("feed").
+/// Divisor of the memory limit that gives the memory for buffers. The rest is for the decision
+/// module and the sockets.
+const BUFFER_MEMORY_DIVISOR: usize = 3;
+/// Combined with the router's seed, so that the server's random numbers differ from the router's.
+/// The bytes are ASCII "feed".
 const SEED_SALT: u64 = 0x6665_6564;
 
-/// One request router on its sockets.
+/// A request router with its sockets and its event loop.
 pub struct Server {
     pub(crate) epoll: OwnedFd,
     pub(crate) clock: Clock,
-    /// The time of the event that is being handled.
+    /// The time at which the handling of the current event began.
     pub(crate) now: Timestamp,
     pub(crate) config: Config,
-    /// The file that the configuration came from; SIGHUP has it read again.
+    /// The path of the configuration file, which is read again on SIGHUP.
     pub(crate) config_path: PathBuf,
+    /// The operator's file; all sections are absent without one.
     pub(crate) operator: Operator,
     pub(crate) router: Router,
     pub(crate) buffers: BufferPool,
     pub(crate) timers: TimerWheel<Timer>,
     pub(crate) connections: ConnectionTable,
-    /// What the router has not been given yet.
+    /// Inputs that have not been passed to the router yet.
     pub(crate) pending_inputs: VecDeque<Input>,
-    /// The router's commands while they are executed; kept for its allocation.
+    /// Buffer for the router's commands, kept to reuse its allocation.
     pub(crate) commands: Vec<Command>,
     pub(crate) client_listener: ConnectionToken,
-    /// Listeners that are not polled at present.
+    /// Listeners for which epoll currently reports no events.
     pub(crate) paused_listeners: Vec<ConnectionToken>,
-    /// Connections of clients, those of DNS clients over TCP included.
+    /// Number of client connections, including DNS clients over TCP.
     pub(crate) client_count: usize,
     pub(crate) endpoints: EndpointConnections,
+    /// The traffic recording; `None` if the operator's file does not configure one or restarting it
+    /// has failed.
     pub(crate) recorder: Option<Recorder>,
-    /// The zone of the DNS front; empty without one.
+    /// The zone for DNS-based routing; empty if that is off.
     pub(crate) dns_zone: Name,
     pub(crate) resolver: Resolver,
     pub(crate) feed: EndpointFeed,
     pub(crate) lifecycle: Lifecycle,
+    /// The listener of the admin endpoint; `None` if it is not configured or not bound yet.
     pub(crate) admin_listener: Option<ConnectionToken>,
     pub(crate) handover: Handover,
-    /// The view of other routers, where the operator's file has a section for it.
+    /// This router's membership in a cluster; `None` if the operator's file does not configure one.
     pub(crate) cluster: Option<Box<ClusterMember>>,
-    /// The time to drain is over: the process ends whatever is open.
+    /// Whether the drain timeout has passed: the process exits even if requests are open.
     pub(crate) drain_timed_out: bool,
-    /// For waits that routers must not have in step with each other.
+    /// Random numbers for jitter in reconnect and silence timeouts, so that routers don't act in
+    /// step.
     pub(crate) rng: rand_pcg::Pcg64Mcg,
-    /// What connections are read into.
+    /// Buffer for reads from connections.
     pub(crate) read_buffer: Vec<u8>,
 }
 
 impl Server {
-    /// Binds the listener, registers the signals and applies the endpoint events that the
-    /// configuration contains. If another process serves the same address, its listener and state
+    /// Creates a server: registers the signals, applies the endpoint events in the configuration,
+    /// and opens the sockets. If another process serves the same address, its listener and state
     /// are taken over.
     ///
     /// # Errors
@@ -110,7 +116,7 @@
         Ok(server)
     }
 
-    /// A server without any socket but epoll's.
+    /// A server that has opened no socket yet, apart from the epoll instance.
     fn unconnected(config: Config, config_path: PathBuf, operator: Operator) -> io::Result<Server> {
         let clock = Clock::start();
         let now = clock.now();
@@ -148,7 +154,8 @@
         })
     }
 
-    /// Takes the listener over from the process that serves the address, or opens one.
+    /// Takes the client listener over from the process that serves the address, or opens a new one.
+    /// A failed handover is logged; the process then starts without inherited state.
     fn open_client_listener(&mut self) -> io::Result<()> {
         let address = self.config.listen;
         let inherited = match handover::rendezvous_path(address) {
@@ -173,13 +180,14 @@
             let member = ClusterMember::new(section, &self.config, self.now);
             self.cluster = Some(Box::new(member));
         }
-        // A process that replaces another one is given the address by that one.
+        // The predecessor still owns the cluster's address; it releases the address during the
+        // handover.
         if self.handover.predecessor.is_none() {
             self.open_cluster_socket();
         }
     }
 
-    /// Where clients connect.
+    /// The address at which clients connect.
     ///
     /// # Errors
     ///
@@ -191,7 +199,7 @@
         }
     }
 
-    /// The counters of requests in one line.
+    /// The request counters since the start, in one line.
     pub fn summary(&self) -> String {
         let counters = self.router.counters;
         format!(
@@ -209,8 +217,8 @@
     }
 }
 
-/// The number of buffers that the memory limit allows.
+/// Maximum number of buffers under the memory limit.
 pub(crate) fn max_buffers(config: &Config) -> usize {
     let memory = (config.memory_mb as usize) * (1 << 20);
-    memory / BUFFER_SHARE_OF_MEMORY / BUFFER_BYTES
+    memory / BUFFER_MEMORY_DIVISOR / BUFFER_BYTES
 }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -1,5 +1,4 @@
-//! The server's side of the lifecycle: what follows from its events, and how the process drains and
-//! ends.
+//! The server's side of the lifecycle: the effects of lifecycle events, and draining at shutdown.
 
 use crate::event_loop::Timer;
 use crate::Server;
@@ -8,18 +7,18 @@
 use std::time::Duration;
 use tracing::info;
 
-/// What is open when the process drains has as long as the longest deadline of a class, and this.
+/// Added to the linger time and the longest deadline of a class to give the drain timeout.
 const DRAIN_MARGIN: Duration = Duration::from_millis(300);
 
 impl Server {
-    /// The longest deadline of a class.
+    /// The longest deadline of all classes; zero without classes.
     pub(crate) fn longest_deadline(&self) -> Duration {
         let classes = &self.router.settings().classes;
         classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Gives an event to the lifecycle and does what follows from it; returns false if the event is
-    /// not possible.
+    /// Applies an event to the lifecycle, announces a changed phase, and updates timers and the
+    /// client listener. Returns false if the event is not possible in the current phase.
     pub(crate) fn apply_lifecycle_event(&mut self, event: Event) -> bool {
         let before = self.lifecycle.phase();
         let accepted = self.lifecycle.apply(self.now, event);
@@ -35,7 +34,8 @@
         accepted
     }
 
-    /// SIGTERM: new requests are accepted for the linger time, then what is open is finished.
+    /// Starts the shutdown after SIGTERM: new requests are accepted for the linger time, then the
+    /// open ones are finished. Does nothing if the process is already stopping.
     pub(crate) fn begin_shutdown(&mut self) {
         if self.lifecycle.phase() == Phase::Stopping {
             return;
@@ -48,7 +48,7 @@
         info!("SIGTERM: draining open requests");
     }
 
-    /// Connections with nothing open are closed; after the linger time the listener is, too.
+    /// Closes connections without open requests, and after the linger time the client listener too.
     pub(crate) fn on_drain_timer(&mut self) {
         if self.lifecycle.has_lingered(self.now) {
             self.accept_last();
@@ -57,13 +57,14 @@
         self.run_housekeeping();
     }
 
-    /// The time to drain is over.
+    /// Called at the drain timeout: all open requests end, and the event loop exits.
     pub(crate) fn on_drain_timeout(&mut self) {
         self.drain_timed_out = true;
         self.pending_inputs.push_back(Input::Shutdown);
     }
 
-    /// Whether the process has nothing left to do.
+    /// Whether the process may exit: all requests are finished and their responses are written, and
+    /// clients have closed their connections or had time to, or the drain timeout has passed.
     pub(crate) fn may_end(&self) -> bool {
         if self.drain_timed_out {
             return true;
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals, which reach the event loop through a pipe: SIGHUP reloads the configuration, SIGTERM
-//! ends the process.
+//! Signal handling. Each signal reaches the event loop through a pipe: SIGHUP reloads the
+//! configuration, SIGTERM starts the shutdown.
 
 use crate::event_loop::{ConnectionAction, ConnectionKind};
 use crate::Server;
@@ -8,7 +8,7 @@
 use std::os::unix::net::UnixStream;
 
 impl Server {
-    /// Registers the signals that the server reacts to.
+    /// Registers a pipe for each signal that the server handles.
     pub(crate) fn register_signals(&mut self) -> io::Result<()> {
         for signal in [SIGTERM, SIGHUP] {
             let (pipe, sender) = UnixStream::pair()?;
@@ -19,10 +19,10 @@
         Ok(())
     }
 
-    /// A signal has come.
+    /// Handles a signal.
     pub(crate) fn on_signal(&mut self, pipe: &mut UnixStream, signal: i32) -> ConnectionAction {
         let mut bytes = [0; 16];
-        // How often it came does not matter.
+        // Several signals of one kind are handled as one.
         let _drained = pipe.read(&mut bytes);
         if signal == SIGHUP {
             self.reload_config();
--- a/crates/server/src/sockets.rs
+++ b/crates/server/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Streams with their write state, and how sockets are opened.
+//! Streams with their write state, and functions that open sockets.
 
 use hollymux_decision::Timestamp;
 use hollymux_router::buffers::BufferChain;
@@ -7,41 +7,44 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Clients that may wait in the kernel to be accepted; the connection attempts beyond it are
+/// Maximum number of connections that wait in the kernel to be accepted. A connect beyond it is
 /// repeated by the client's kernel after a second.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
-/// Flags of every socket: the event loop never blocks, and no child process inherits a socket.
+/// Flags of every socket: operations don't block the event loop, and child processes don't inherit
+/// it.
 pub(crate) const SOCKET_FLAGS: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
-/// A non-blocking stream and whether output waits for it.
+/// A non-blocking stream with the state needed for write timeouts.
 pub(crate) struct Stream<S = TcpStream> {
     pub(crate) socket: S,
-    /// Output waits until the socket is writable; epoll reports that.
+    /// Whether output, or the end of a connect, waits for the socket to become writable.
     pub(crate) waiting_to_write: bool,
-    /// When the socket last accepted bytes, or when output began to wait.
+    /// When the socket last accepted bytes, or when output began to wait for it.
     last_write: Timestamp,
 }
 
 impl<S> Stream<S> {
-    /// A stream without waiting output.
+    /// A connected stream without waiting output.
     pub(crate) fn new(socket: S, now: Timestamp) -> Stream<S> {
         Stream { socket, waiting_to_write: false, last_write: now }
     }
 
-    /// A stream that is not connected yet: it becomes writable when it is, or when that has failed.
+    /// A stream that is still connecting. It becomes writable when the connect has succeeded or
+    /// failed.
     pub(crate) fn connecting(socket: S, now: Timestamp) -> Stream<S> {
         Stream { socket, waiting_to_write: true, last_write: now }
     }
 
-    /// Whether output has waited for the peer for longer than `timeout`.
+    /// Whether the socket has accepted no output for longer than `timeout` although output waits.
     pub(crate) fn write_timed_out(&self, now: Timestamp, timeout: Duration) -> bool {
         self.waiting_to_write && now > self.last_write + timeout
     }
 }
 
 impl<S: Read + Write> Stream<S> {
-    /// Reads once. `None`: nothing to read now; `Some(0)`: the peer has closed its side.
+    /// Reads once. Returns `None` if there is nothing to read now, `Some(0)` if the peer has closed
+    /// its side.
     pub(crate) fn read(&mut self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         loop {
             match self.socket.read(buffer) {
@@ -53,7 +56,8 @@
         }
     }
 
-    /// Writes as much of a chain as the socket accepts; returns whether that was all.
+    /// Writes as much of a chain as the socket accepts, and removes it from the chain. Returns
+    /// whether the chain was written completely.
     pub(crate) fn write(&mut self, chain: &mut BufferChain, now: Timestamp) -> io::Result<bool> {
         if !self.waiting_to_write {
             self.last_write = now;
@@ -81,7 +85,7 @@
     }
 }
 
-/// Starts a TCP connection; it is established, or has failed, when the socket becomes writable.
+/// Starts a TCP connect. When the socket becomes writable, the connect has succeeded or failed.
 pub(crate) fn dial(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = socket_with(address_family(address), SocketType::STREAM, SOCKET_FLAGS, None)?;
     sockopt::set_tcp_nodelay(&socket, true)?;
@@ -91,12 +95,13 @@
     }
 }
 
-/// Listens at the clients' address without preventing another process from listening there as well:
-/// a successor that gets no answer from this process opens a listener of its own.
+/// Opens the client listener. It does not prevent another process from listening at the same
+/// address: a successor that gets no answer from this process opens a listener of its own.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket_with(address_family(address), SocketType::STREAM, SOCKET_FLAGS, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
-    // Without SO_REUSEPORT only the case of a successor without an answer fails.
+    // If SO_REUSEPORT can't be set, only a successor that gets no answer from this process can't
+    // listen.
     let _reuse = sockopt::set_socket_reuseport(&socket, true);
     rustix::net::bind(&socket, &address)?;
     rustix::net::listen(&socket, ACCEPT_BACKLOG)?;
