--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -89,7 +89,7 @@
         loop {
             let command = match connection.decoder.feed(&mut bytes) {
                 Ok(None) => {
-                    self.on_input_used_up(token, connection);
+                    self.on_input_consumed(token, connection);
                     return ConnectionAction::Keep;
                 }
                 Ok(Some(frame)) => client::parse_command(frame),
@@ -114,7 +114,7 @@
     }
 
     /// Called when all complete messages of the received bytes are handled.
-    fn on_input_used_up(&mut self, token: ConnectionToken, connection: &mut ClientConnection) {
+    fn on_input_consumed(&mut self, token: ConnectionToken, connection: &mut ClientConnection) {
         if connection.decoder.is_mid_frame() && connection.state == ClientState::BetweenMessages {
             connection.state = ClientState::ReceivingMessage { since: self.now };
         }
--- a/crates/server/src/cluster/socket.rs
+++ b/crates/server/src/cluster/socket.rs
@@ -16,7 +16,7 @@
 const MAX_DATAGRAMS_PER_EVENT: usize = 64;
 /// Size of the receive buffer, in bytes. It exceeds the longest accepted datagram by one, so that a
 /// longer one is recognised.
-const RECEIVE_BUFFER: usize = MAX_DATAGRAM_LEN + 1;
+const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_LEN + 1;
 
 impl ClusterMember {
     /// The next datagram to send; those of the membership protocol go first. `None` if none is
@@ -84,7 +84,7 @@
     pub(crate) fn on_cluster_datagrams(&mut self, socket: &mut UdpSocket) -> ConnectionAction {
         let Some(mut cluster) = self.cluster.take() else { return ConnectionAction::Close };
         let now = self.now.as_micros();
-        let mut buffer = [0; RECEIVE_BUFFER];
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         // No attempt is sent while datagrams are received, so the demand has to be computed only
         // once.
         let mut demands = None;
--- a/crates/server/src/config/cluster_section.rs
+++ b/crates/server/src/config/cluster_section.rs
@@ -18,8 +18,7 @@
 pub struct ClusterSection {
     /// The cluster's name. Datagrams of routers in other clusters are dropped.
     pub name: String,
-    /// The address for datagrams of other routers, over UDP. They are not authenticated: use a private
-    /// network.
+    /// The UDP address for datagrams of other routers. They are not authenticated: use a private network.
     pub listen: SocketAddr,
     /// The address to which other routers send. Default: `listen`.
     #[serde(default)]
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -29,7 +29,7 @@
         #[source]
         error: Box<ConfigError>,
     },
-    /// The file can't be read.
+    /// The file can't be opened or read, or is not UTF-8.
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
     /// The text is not JSON, or lacks a required key, or a value has the wrong type.
@@ -44,7 +44,7 @@
     /// One of the endpoint events in the section `known` can't be read.
     #[error("{}", one_line(.0))]
     Event(#[from] EventError),
-    /// The section `limits` is below the minimum of [`MIN_SOCKETS`] or [`MIN_MEMORY_MB`].
+    /// The section `limits` allows fewer descriptors or less memory than a router needs to serve.
     #[error("limits: at least {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are needed")]
     LimitsTooLow,
     /// The key `seed` is not a hexadecimal number of up to 64 bits; contains its text.
@@ -77,7 +77,7 @@
     pub name: String,
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Seed of all random numbers of the router.
+    /// Seed of the router's random numbers.
     pub seed: u64,
     /// Memory limit of the process, in MB.
     pub memory_mb: u64,
@@ -85,12 +85,12 @@
     pub max_descriptors: usize,
     /// Throughput of a single transfer, in bytes per second; 0 if it is not known.
     pub flow_bytes_per_s: f64,
-    /// The address of the endpoint feed.
+    /// The address to which the router connects for the endpoint feed.
     pub feed: SocketAddr,
     /// The address of the admin endpoint; `None` if the router has none.
     pub admin_listen: Option<SocketAddr>,
-    /// The endpoint events that the file contains, after the number of the last of them. The
-    /// endpoint feed is asked for the events after that number.
+    /// The number of the last endpoint event in the file, and the events themselves. The endpoint
+    /// feed is asked for the events after that number.
     pub known: (u64, Vec<FeedEvent>),
     /// The settings of the decision module, from the section `settings`.
     pub settings: Settings,
--- a/crates/server/src/config/reload_check.rs
+++ b/crates/server/src/config/reload_check.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// The first reason why it may not.
+    /// If `new` may not replace it; the error is the first reason found.
     pub fn check_replacement(&self, new: &Config) -> Result<(), ConfigError> {
         Ok(check_replacement(&self.file, &new.file)?)
     }
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// The first reason why it may not.
+/// If it may not; the error is the first reason found.
 pub fn check_replacement(old: &Value, new: &Value) -> Result<(), ReplacementError> {
     if let Some(key) = first_missing_key("", old, new) {
         return Err(ReplacementError::MissingKey(key));
--- a/crates/server/src/endpoints/attempts.rs
+++ b/crates/server/src/endpoints/attempts.rs
@@ -18,7 +18,7 @@
     pub(super) attempt: Option<QueuedAttempt>,
     /// Whether part of the message has been written.
     pub(super) begun: bool,
-    /// When the router decided to send it.
+    /// When the router issued the command to send the message.
     pub(super) decided_at: Timestamp,
 }
 
@@ -193,8 +193,8 @@
         let is_partly_written =
             connection.queue.iter().any(|message| message.attempt.is_some_and(|queued| queued.id == attempt));
         // After an overdue response, no other response may come on this connection either:
-        // idempotent requests on it are closed with it and retried elsewhere. A non-idempotent
-        // request can't be retried, so the connection stays open for it.
+        // idempotent requests on it fail with the connection and are retried elsewhere. A
+        // non-idempotent request can't be retried, so the connection stays open for it.
         let must_wait = connection.outstanding.values().any(|request| self.is_not_idempotent(request));
         let ends_connection = (is_overdue || is_partly_written || may_retry) && !must_wait;
         connection.draining |= is_overdue;
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -26,7 +26,7 @@
 /// second.
 const MAX_RETIRED_IDS: usize = 64;
 /// An idle connection is closed after this fraction of the endpoint's own idle timeout.
-const IDLE_TIMEOUT_PART: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// Whether a connection to an endpoint is established yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     Established,
 }
 
-/// A connection to an endpoint.
+/// One connection to an endpoint, with the messages to write and the requests without a response.
 pub(crate) struct EndpointConnection {
     pub(crate) stream: Stream,
     pub(super) endpoint: EndpointId,
@@ -46,7 +46,8 @@
     pub(super) state: ConnectState,
     /// Messages that are not fully written yet, in the order of writing.
     pub(super) queue: VecDeque<OutgoingMessage>,
-    /// Requests that await a response, including those not written yet, by wire id.
+    /// Requests that await a response, including those not written yet, by wire id: the id that the
+    /// endpoint repeats in its response.
     pub(super) outstanding: HashMap<Vec<u8>, OutstandingRequest>,
     /// Wire ids that may not be reused on this connection, oldest first.
     pub(super) retired_ids: VecDeque<Vec<u8>>,
@@ -325,7 +326,7 @@
     /// or above the limit of descriptors.
     pub(crate) fn endpoint_housekeeping(&mut self, connection: &mut EndpointConnection) -> ConnectionAction {
         let endpoint_timeout = whole_micros(self.config.endpoint_idle_timeout) as f64;
-        let idle_timeout = Duration::from_micros((endpoint_timeout * IDLE_TIMEOUT_PART) as u64);
+        let idle_timeout = Duration::from_micros((endpoint_timeout * IDLE_TIMEOUT_FRACTION) as u64);
         let write_timed_out =
             connection.is_established() && connection.stream.write_timed_out(self.now, WRITE_TIMEOUT);
         let over_limit =
--- a/crates/server/src/endpoints/dialing.rs
+++ b/crates/server/src/endpoints/dialing.rs
@@ -44,8 +44,8 @@
 
 /// Why [`Server::select_undelayed_connection`] found no connection and dialed none.
 enum DialError {
-    /// The endpoint's pool or the descriptors are used up, or enough of its connections are late
-    /// already.
+    /// The endpoint's pool is full, no descriptor is free, or too many connects to the endpoint are
+    /// late.
     NotAllowed,
     /// The socket could not be opened, or the connect failed at once.
     Failed(io::Error),
--- a/crates/server/src/endpoints/mod.rs
+++ b/crates/server/src/endpoints/mod.rs
@@ -33,7 +33,7 @@
 /// The connection pools of all endpoints, and the attempts that are open on them.
 #[derive(Default)]
 pub(crate) struct EndpointConnections {
-    /// Pools by endpoint. An endpoint that has never been dialed has none.
+    /// Pools by endpoint. An endpoint has none before its first dial and after its removal.
     pools: HashMap<EndpointId, ConnectionPool>,
     /// The connection that carries each attempt without a response.
     attempts: HashMap<AttemptId, ConnectionToken>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The connections to one endpoint.
+/// The open connections to one endpoint, including those still connecting.
 #[derive(Default)]
 struct ConnectionPool {
     tokens: Vec<ConnectionToken>,
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -27,13 +27,14 @@
     ResumeListeners,
     /// Close the connections without open requests, and the client listener after the linger time.
     Drain,
-    /// Serve without a list from the endpoint feed.
+    /// Begin to serve, or ask the predecessor for the clients, without waiting longer for the
+    /// endpoint feed.
     InitialListTimeout,
     /// Release a client connection if it is still idle.
     ReleaseClient(ConnectionToken),
-    /// Serve if the endpoint feed has sent nothing more for a while.
+    /// Ask the predecessor for the clients, if the endpoint feed has sent nothing new for a while.
     FeedQuiet,
-    /// Serve although the predecessor's last message has not arrived.
+    /// Begin to serve although the predecessor has not sent `Released`.
     HandoverTimeout,
     /// Call the cluster membership and the leased quotas.
     Cluster,
--- a/crates/server/src/handover/call_predecessor.rs
+++ b/crates/server/src/handover/call_predecessor.rs
@@ -22,7 +22,7 @@
 /// one for the last message together are well below that.
 const STATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Size of the receive buffer, in bytes.
-const RECEIVE_BUFFER: usize = 1 << 16;
+const RECEIVE_BUFFER_BYTES: usize = 1 << 16;
 
 /// Why nothing was taken over from the process that serves the address.
 #[derive(Debug, thiserror::Error)]
@@ -116,7 +116,7 @@
 ) -> Result<InheritedSockets, HandoverError> {
     let mut reader = HandoverReader::default();
     let mut listener = None;
-    let mut buffer = vec![0; RECEIVE_BUFFER];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -26,8 +26,8 @@
 /// The connections and the inherited state of a handover.
 #[derive(Default)]
 pub(crate) struct Handover {
-    /// The socket to which a successor connects; `None` if `$TMPDIR` is not set, or binding has
-    /// failed.
+    /// The socket to which a successor connects; `None` if [`rendezvous_path`] has no path, or
+    /// binding has failed.
     pub(crate) rendezvous: Option<ConnectionToken>,
     /// The connection to the process that replaces this one, while it is open.
     pub(crate) successor: Option<ConnectionToken>,
--- a/crates/server/src/handover/peer.rs
+++ b/crates/server/src/handover/peer.rs
@@ -15,7 +15,7 @@
 
 /// Maximum size of the unwritten output, in bytes. If more is queued, the other process has stopped
 /// reading and the connection is closed.
-const MAX_PEER_OUTPUT: usize = 32 << 20;
+const MAX_PEER_OUTPUT_BYTES: usize = 32 << 20;
 
 /// The progress of a handover, as seen by either process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
     }
 
     /// Writes the queued output, as far as the socket accepts it. Closes the connection on an
-    /// error, or if more than [`MAX_PEER_OUTPUT`] stays unwritten.
+    /// error, or if more than [`MAX_PEER_OUTPUT_BYTES`] stays unwritten.
     pub(super) fn flush_peer(&mut self, token: ConnectionToken, peer: &mut HandoverPeer) -> ConnectionAction {
         while !peer.output.is_empty() {
             let written = if peer.sends_listener {
@@ -128,7 +128,7 @@
             }
         }
         self.set_write_interest(token, &mut peer.stream, !peer.output.is_empty());
-        if peer.output.len() > MAX_PEER_OUTPUT {
+        if peer.output.len() > MAX_PEER_OUTPUT_BYTES {
             ConnectionAction::Close
         } else {
             ConnectionAction::Keep
