--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,14 +1,13 @@
-//! Codecs of every protocol the router speaks, as state machines that take bytes and know no
-//! socket.
+//! Sans-I/O codecs for every protocol that the router speaks.
 //!
-//! Each module turns received bytes into types of the router package, or such types into bytes to
-//! send. None of them holds a connection, a clock or a retry: that is the server package's part.
-//! All input is untrusted, so every decoder has a bound on what it keeps.
+//! Each module decodes received bytes into types of the router package, or encodes such types into
+//! bytes to send. Connections, timeouts and retries belong to the server package. All input is
+//! untrusted, so every decoder limits how many bytes it buffers.
 //!
-//! - [`client`] and [`endpoint`]: the platform's protocol on RESP ([`resp`]).
-//! - [`endpoint_feed`] and [`feed_events`]: the watch of the endpoint list.
+//! - [`client`] and [`endpoint`]: the platform's RESP-like protocol, framed by [`resp`].
+//! - [`endpoint_feed`] and [`feed_events`]: the transport and the events of the endpoint feed.
 //! - [`dns`] and [`dns_routing`]: DNS messages, and request routing by DNS names.
-//! - [`admin`]: the admin endpoint's HTTP.
+//! - [`admin`]: HTTP requests and responses of the admin endpoint.
 //! - [`handover`]: messages between a process and its successor.
 
 pub mod admin;
@@ -21,8 +20,8 @@
 pub mod handover;
 pub mod resp;
 
-/// Longest version tag of a cached copy, and longest idempotency key, in bytes: the platform's
-/// limit for both.
+/// Longest version tag of a cached copy and longest idempotency key, in bytes. The platform sets
+/// the same limit for both.
 pub(crate) const MAX_TAG_BYTES: usize = 64;
-/// Groups of objects are numbered below this.
+/// Number of object groups. A group number is at least 0 and less than this.
 pub(crate) const GROUP_COUNT: u32 = 256;
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -1,27 +1,32 @@
-//! RESP arrays of bulk strings, the framing that clients and endpoints share: an incremental
-//! decoder with bounds, and functions that append to an encoded message.
+//! The framing that client and endpoint connections share: RESP arrays of bulk strings.
 //!
-//! No command is known here; [`crate::client`] and [`crate::endpoint`] interpret the words.
+//! A frame is `*COUNT\r\n` followed by `COUNT` words, each encoded as `$LENGTH\r\nBYTES\r\n`. The
+//! last word may be a body, which is stored in buffers of the pool. [`Decoder`] decodes frames
+//! incrementally and limits the length of each word; the `push_*` functions append encoded parts to
+//! a vector. The meaning of the words belongs to [`crate::client`] and [`crate::endpoint`].
 
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 
-/// Longest word other than the body, in bytes.
+/// Maximum length of a word other than the body, in bytes.
 const MAX_WORD_BYTES: usize = 1024;
-/// Most digits of a length line. Nine can't overflow a `usize`, and the bounds are far below.
+/// Maximum number of digits in a length line. Nine digits cannot overflow a `usize`, and the limits
+/// on word and body length need fewer.
 const MAX_LENGTH_DIGITS: usize = 9;
-/// Bytes of a length line besides its digits: the marker and the line end.
+/// Number of bytes in a length line besides its digits: the marker (`*` or `$`) and `\r\n`.
 const LENGTH_LINE_OVERHEAD: usize = 3;
 
-/// Why a connection's bytes can't be read any further.
+/// Error of the framing or of the message format, after which nothing more can be read from the
+/// connection.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RespError {
-    /// The bytes are not an array of bulk strings, or not a message of this protocol.
+    /// The bytes are not a RESP array of bulk strings, or the array is not a message of the
+    /// protocol.
     #[error("malformed RESP message")]
     Malformed,
-    /// A length exceeds its bound; nothing was allocated for it.
+    /// A word count or word length exceeds its limit. Nothing was allocated for the word or array.
     #[error("length in RESP message exceeds the bound")]
     TooLong,
-    /// The buffer pool has no buffer left for the body.
+    /// The buffer pool has no buffer left for the body of a frame.
     #[error("buffer pool is exhausted")]
     Exhausted,
 }
@@ -32,44 +37,55 @@
     }
 }
 
-/// One array of bulk strings.
+/// A decoded array of bulk strings.
 #[derive(Debug)]
 pub struct Frame {
-    /// All words before the body.
+    /// Words before the body; never empty.
     pub words: Vec<Vec<u8>>,
-    /// The word in the body's position; empty if the array has none.
+    /// Body of the frame; empty if the array is too short to have one.
     pub body: BufferChain,
 }
 
-/// What the next byte belongs to.
+/// State of the decoder: the part of the frame that the next byte belongs to.
 #[derive(Debug)]
 enum Step {
     ArrayLength,
     WordLength,
-    WordBytes { remaining: usize },
+    WordBytes {
+        /// Number of bytes of the word that have not been received yet.
+        remaining: usize,
+    },
+    /// The `\r` after the bytes of a word.
     CarriageReturn,
+    /// The `\n` after the bytes of a word.
     LineFeed,
 }
 
-/// Decodes arrays that arrive in pieces of any size.
+/// Incremental decoder for arrays of bulk strings.
 ///
-/// Words before the body are small and are kept in vectors; the body goes to the buffer pool.
+/// Words before the body are stored in vectors, since their length is limited to 1 KiB. The body is
+/// stored in buffers of the pool.
 #[derive(Debug)]
 pub struct Decoder {
     pool: BufferPool,
+    /// Index of the body in an array, which is also the index of the last word allowed.
     body_index: usize,
     max_body_bytes: usize,
     step: Step,
-    /// The length line read so far.
+    /// Bytes received so far of an incomplete length line.
     line: Vec<u8>,
+    /// Number of words of the current array that are not complete yet.
     remaining_words: usize,
+    /// Index of the current word in the current array.
     word_index: usize,
+    /// Words received so far, the current one included, without the body.
     words: Vec<Vec<u8>>,
     body: Option<BufferChain>,
 }
 
 impl Decoder {
-    /// A decoder for arrays whose word at `body_index`, and the last one possible, is the body.
+    /// Creates a decoder for arrays of up to `body_index + 1` words. The word at `body_index` is
+    /// the body: it may have up to `max_body_bytes` bytes and is stored in buffers of `pool`.
     pub fn new(pool: &BufferPool, body_index: usize, max_body_bytes: usize) -> Decoder {
         Decoder {
             pool: pool.clone(),
@@ -84,15 +100,17 @@
         }
     }
 
-    /// Whether part of an array has been read.
+    /// Returns true if the decoder has consumed a part of an array that is not complete yet.
     pub fn is_mid_frame(&self) -> bool {
         !matches!(self.step, Step::ArrayLength) || !self.line.is_empty()
     }
 
-    /// Takes bytes off the front of `input` until an array is complete or the input is used up.
+    /// Consumes bytes from the front of `input` until an array is complete or `input` is empty.
+    /// Returns `None` if no array is complete yet. Bytes after a complete array remain in `input`.
     ///
     /// # Errors
-    /// The bytes can't be read; the decoder is of no further use then.
+    /// Returns an error if the bytes are not an array of bulk strings, if a length exceeds its
+    /// limit, or if the buffer pool is exhausted. The decoder must not be used after an error.
     pub fn feed(&mut self, input: &mut &[u8]) -> Result<Option<Frame>, RespError> {
         while let Some(&next_byte) = input.first() {
             match self.step {
@@ -123,7 +141,8 @@
         Ok(None)
     }
 
-    /// Reads a line of `marker` and a decimal number; none until the line is complete.
+    /// Reads a length line, which consists of `marker`, a decimal number and `\r\n`. Returns `None`
+    /// if the line is not complete yet.
     fn read_length(&mut self, input: &mut &[u8], marker: u8) -> Result<Option<usize>, RespError> {
         while let Some((&byte, rest)) = input.split_first() {
             *input = rest;
@@ -179,7 +198,7 @@
         Ok(())
     }
 
-    /// Goes on to the next word; the frame if this was the last one.
+    /// Ends the current word. Returns the frame if that word was the last one of the array.
     fn end_word(&mut self) -> Option<Frame> {
         self.remaining_words -= 1;
         self.word_index += 1;
@@ -192,11 +211,13 @@
         Some(Frame { words: std::mem::take(&mut self.words), body })
     }
 
+    /// Returns true if the current word is the body.
     fn at_body(&self) -> bool {
         self.word_index == self.body_index
     }
 }
 
+/// Returns the state inside a word of which `remaining` bytes have not been received yet.
 fn step_after_bytes(remaining: usize) -> Step {
     if remaining == 0 {
         Step::CarriageReturn
@@ -205,7 +226,8 @@
     }
 }
 
-/// Parses a number of decimal digits alone: no sign, no spaces, at least one digit.
+/// Parses an unsigned decimal number. Returns `None` if the text is empty, contains anything other
+/// than ASCII digits (such as a sign or a space), or if the number exceeds 64 bits.
 pub fn parse_decimal(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
@@ -213,7 +235,7 @@
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// Parses a number of exactly 16 hexadecimal digits.
+/// Parses a hexadecimal number. Returns `None` unless the text consists of exactly 16 digits.
 pub fn parse_hex_u64(digits: &[u8]) -> Option<u64> {
     if digits.len() != 16 || !digits.iter().all(u8::is_ascii_hexdigit) {
         return None;
@@ -221,24 +243,24 @@
     u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
 
-/// Appends the head of an array of `word_count` words.
+/// Appends the header of an array, which `word_count` bulk strings must follow.
 pub fn push_array_header(out: &mut Vec<u8>, word_count: usize) {
     out.extend_from_slice(format!("*{word_count}\r\n").as_bytes());
 }
 
-/// Appends a bulk string.
+/// Appends a complete bulk string: the length line, the bytes of `word` and `\r\n`.
 pub fn push_bulk_string(out: &mut Vec<u8>, word: &[u8]) {
     push_bulk_length(out, word.len());
     out.extend_from_slice(word);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends the length line of a bulk string; its bytes and a line end have to follow.
+/// Appends the length line of a bulk string, which `length` bytes and `\r\n` must follow.
 pub fn push_bulk_length(out: &mut Vec<u8>, length: usize) {
     out.extend_from_slice(format!("${length}\r\n").as_bytes());
 }
 
-/// An array of bulk strings as a chain from the pool.
+/// Encodes an array of bulk strings into buffers of the pool.
 pub(crate) fn encode_words(pool: &BufferPool, words: &[&[u8]]) -> Result<BufferChain, Exhausted> {
     let mut bytes = Vec::new();
     push_array_header(&mut bytes, words.len());
@@ -250,12 +272,14 @@
     Ok(chain)
 }
 
-/// The value of the first field of that name in a list `name=value,name=value`.
+/// Returns the value of the first field with this name in a list `name=value,name=value`. Returns
+/// `None` if the list has no such field.
 pub fn find_field<'a>(list: &'a [u8], name: &str) -> Option<&'a [u8]> {
     list.split(|byte| *byte == b',').find_map(|field| field.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
 }
 
-/// Builds a list `name=value,name=value`.
+/// A list of fields, encoded as `name=value,name=value`. Names and values must not contain a comma,
+/// since there is no escaping.
 #[derive(Debug, Default)]
 pub(crate) struct FieldList {
     bytes: Vec<u8>,
