--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,4 +1,13 @@
-//! The client side of the platform's protocol: commands in, replies out.
+//! Codec for client connections of the platform's protocol: decodes commands and encodes replies.
+//!
+//! A command is a RESP array of bulk strings:
+//!
+//! - `DO TAG CLASS FIELDS [BODY]` sends a request. `FIELDS` is a list `name=value,name=value`.
+//! - `UNDO TAG` cancels a request.
+//! - `PING TAG` asks whether this router accepts requests; an additional word is ignored.
+//!
+//! `TAG` is a positive decimal number that the client chooses. The reply to a request is the array
+//! `TAG STATUS FIELDS BODY`, and the response to a ping is `TAG STATUS`.
 
 use crate::resp::{
     encode_words, find_field, parse_decimal, parse_hex_u64, push_array_header, push_bulk_length,
@@ -8,62 +17,66 @@
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{ClientRequest, ReceivedNumber, Reply};
 
-/// Largest body of a request, in bytes: the platform's limit.
+/// Largest body of a request, in bytes. The platform sets this limit.
 pub const MAX_REQUEST_BODY_BYTES: usize = 48_000;
-/// Position of the body in `DO TAG CLASS FIELDS BODY`.
+/// Index of the body in the array `DO TAG CLASS FIELDS BODY`.
 const BODY_INDEX: usize = 4;
-/// Longest time a client may ask to wait, in milliseconds. More is an invalid field; the limit of
-/// the request's class is the router's to apply.
+/// Largest accepted `budget` field, in milliseconds. A request with a larger one is invalid. The
+/// router package applies the lower limit of the request's class.
 const MAX_TIMEOUT_MILLIS: u64 = 3_600_000;
-/// Most ranges kept in [`UsedTags`]; a client that counts upwards needs one.
+/// Maximum number of ranges in [`UsedTags`]. A client that numbers its requests consecutively needs
+/// only one.
 const MAX_TAG_RANGES: usize = 256;
 
-/// A command of a client.
+/// A command received from a client.
 #[derive(Debug)]
 pub enum ClientCommand {
-    /// `DO`: a request. Its reply carries the same tag.
+    /// `DO`: a request.
     Request {
-        /// Chosen by the client; unique on its connection.
+        /// Tag chosen by the client, which the reply repeats. A client must not use a tag twice on
+        /// one connection; [`UsedTags`] detects that.
         tag: u64,
-        /// The request, or the error if its fields can't be used.
+        /// The request, or an error if its fields are missing or out of range.
         request: Result<ClientRequest, InvalidRequest>,
     },
-    /// `UNDO`: the client no longer waits for the request of that tag.
+    /// `UNDO`: the client cancels the request with this tag.
     Cancel {
-        /// The tag of the request.
+        /// Tag of the request to cancel.
         tag: u64,
     },
-    /// `PING`: asks whether this router accepts requests.
+    /// `PING`: the client asks whether this router accepts requests.
     Ping {
-        /// The response carries the same tag.
+        /// Tag chosen by the client, which the response repeats.
         tag: u64,
     },
 }
 
-/// A request whose fields are missing or out of range; it is answered as failed.
+/// Error for a request whose fields are missing or out of range. The client gets a reply that the
+/// request failed.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("request with invalid fields")]
 pub struct InvalidRequest {
-    /// The name of the request's class as the client sent it.
+    /// Name of the request's class as the client sent it; the class may not exist.
     pub class: Vec<u8>,
 }
 
-/// Consecutive tags, both ends included.
+/// An inclusive range of tags.
 #[derive(Clone, Copy, Debug)]
 struct TagRange {
     first: u64,
     last: u64,
 }
 
-/// The tags that a connection has used: disjoint ranges in ascending order, none adjacent.
+/// The set of tags that a client has used on its connection. The tags are stored as disjoint,
+/// non-adjacent ranges in ascending order.
 #[derive(Debug, Default)]
 pub struct UsedTags {
     ranges: Vec<TagRange>,
 }
 
 impl UsedTags {
-    /// Marks a tag as used. False if it was used before, or if the connection skipped so many tags
-    /// that no further range can be kept.
+    /// Adds a tag to the set. Returns false if the client has used the tag before, or if the tag
+    /// would need a further range and the maximum of 256 ranges is reached.
     pub fn insert(&mut self, tag: u64) -> bool {
         let next = self.ranges.partition_point(|range| range.last < tag);
         if self.ranges.get(next).is_some_and(|range| range.first <= tag) {
@@ -82,16 +95,17 @@
     }
 }
 
-/// The decoder for a client's connection.
+/// Returns a RESP decoder for a client connection, whose bodies are stored in buffers of `pool`.
 pub fn decoder(pool: &BufferPool) -> Decoder {
     Decoder::new(pool, BODY_INDEX, MAX_REQUEST_BODY_BYTES)
 }
 
-/// Parses a command.
+/// Parses a command from a frame.
 ///
 /// # Errors
-/// The frame is no command. A request with unusable fields is no such error: its tag is known, so
-/// it can be answered, and the connection stays usable.
+/// Returns [`RespError::Malformed`] if the command is unknown, its number of words is wrong, or its
+/// tag is not a positive decimal number. A request with invalid fields is not an error of this
+/// function, since its tag is known: the request can be answered and the connection stays usable.
 pub fn parse_command(frame: Frame) -> Result<ClientCommand, RespError> {
     let tag_word = frame.words.get(1).ok_or(RespError::Malformed)?;
     let tag = parse_decimal(tag_word).filter(|tag| *tag > 0).ok_or(RespError::Malformed)?;
@@ -107,6 +121,8 @@
     }
 }
 
+/// Parses the class, fields and body of a `DO` command. Returns `None` if a mandatory field (`rid`,
+/// `obj`, `budget`, `piece` or `lot`) is missing, or if any field is malformed or out of range.
 fn parse_request(mut frame: Frame) -> Option<ClientRequest> {
     let fields = frame.words.get(3).cloned().unwrap_or_default();
     let number = |name| find_field(&fields, name).and_then(parse_decimal);
@@ -129,8 +145,10 @@
     })
 }
 
-/// A field that is sent on to endpoints unchanged, so it must consist of what they can read. The
-/// inner option is none if the field is absent or empty, the outer one if it is invalid.
+/// Parses an optional field that is forwarded to endpoints unchanged. It must consist of 1 to
+/// [`MAX_TAG_BYTES`] ASCII letters and digits, since endpoints accept nothing else.
+///
+/// Returns `Some(None)` if the field is absent or empty, and `None` if it is invalid.
 fn parse_optional_tag(fields: &[u8], name: &str) -> Option<Option<Vec<u8>>> {
     let value = find_field(fields, name).unwrap_or_default();
     if value.is_empty() {
@@ -140,7 +158,7 @@
     valid.then(|| Some(value.to_vec()))
 }
 
-/// A reply in the protocol's words.
+/// The parts of a reply that follow its tag.
 struct EncodedReply {
     status: &'static [u8],
     fields: FieldList,
@@ -174,10 +192,10 @@
     }
 }
 
-/// Encodes the reply to the request of that tag. The body's buffers are moved, not copied.
+/// Encodes the reply to the request with this tag. The buffers of the body are moved, not copied.
 ///
 /// # Errors
-/// The pool has no buffer for the head.
+/// Returns [`Exhausted`] if the pool has no buffer left for the bytes around the body.
 pub fn encode_reply(pool: &BufferPool, tag: u64, reply: Reply) -> Result<BufferChain, Exhausted> {
     let reply = EncodedReply::from(reply);
     let mut head = Vec::with_capacity(96);
@@ -195,10 +213,10 @@
     Ok(chain)
 }
 
-/// Encodes the response to a ping: whether this router accepts requests.
+/// Encodes the response to a ping with this tag. `ready` says whether this router accepts requests.
 ///
 /// # Errors
-/// The pool has no buffer for it.
+/// Returns [`Exhausted`] if the pool has no buffer left for the response.
 pub fn encode_ping_response(pool: &BufferPool, tag: u64, ready: bool) -> Result<BufferChain, Exhausted> {
     let status: &[u8] = if ready { b"fit" } else { b"unfit" };
     encode_words(pool, &[tag.to_string().as_bytes(), status])
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -1,4 +1,9 @@
-//! The endpoint side of the platform's protocol: attempts out, responses in.
+//! Codec for endpoint connections of the platform's protocol: encodes attempts, cancellations and
+//! health probes, and decodes responses.
+//!
+//! The router sends RESP arrays of bulk strings: `ASK ID FIELDS BODY` for an attempt, `QUIT ID` to
+//! cancel one, and `NOOP ID` for a health probe. An endpoint responds with
+//! `ID STATUS [FIELDS [BODY]]`. `FIELDS` is a list `name=value,name=value`.
 
 use crate::resp::{
     encode_words, find_field, push_array_header, push_bulk_length, push_bulk_string, Decoder, FieldList,
@@ -9,31 +14,33 @@
 use hollymux_router::buffers::{BufferChain, BufferPool, Exhausted};
 use hollymux_router::{AttemptRequest, AttemptResponse, Target};
 
-/// Largest object of a response, in bytes: the platform's limit.
+/// Largest body of a response, in bytes. The platform sets this limit.
 pub const MAX_OBJECT_BYTES: usize = 240_000;
-/// Position of the body in `ID STATUS FIELDS BODY`.
+/// Index of the body in the array `ID STATUS FIELDS BODY`.
 const BODY_INDEX: usize = 3;
 
-/// The decoder for a connection to an endpoint.
+/// Returns a RESP decoder for an endpoint connection, whose bodies are stored in buffers of `pool`.
 pub fn decoder(pool: &BufferPool) -> Decoder {
     Decoder::new(pool, BODY_INDEX, MAX_OBJECT_BYTES)
 }
 
-/// A response to an attempt or a probe.
+/// A response to an attempt or a health probe.
 #[derive(Debug)]
 pub struct EndpointResponse {
-    /// The id under which the attempt or probe was sent.
+    /// Id of the attempt or probe that the endpoint responds to, as the router sent it.
     pub id: Vec<u8>,
-    /// The result.
+    /// Status of the response, with the version tag and the body where the status has them.
     pub response: AttemptResponse,
-    /// How the endpoint's cache produced it, where the response says so in words known here.
+    /// Cache status from the `remark` field; `None` if the field is absent or its value is unknown.
     pub cache_status: Option<CacheStatus>,
 }
 
-/// Parses a response. Whether it fits what was sent is [`response_allowed`]'s to say.
+/// Parses a response from a frame. The caller checks with [`response_allowed`] whether the response
+/// is valid for the attempt.
 ///
 /// # Errors
-/// The frame is no response.
+/// Returns [`RespError::Malformed`] if the frame has fewer than two words, if the status is
+/// unknown, or if the status `unchanged` comes with a body or without a valid `digest` field.
 pub fn parse_response(mut frame: Frame) -> Result<EndpointResponse, RespError> {
     if frame.words.len() < 2 {
         return Err(RespError::Malformed);
@@ -58,7 +65,9 @@
     Ok(EndpointResponse { id, response, cache_status })
 }
 
-/// The copy's version tag; none if it is absent or not printable.
+/// Returns the version tag of the copy from the `digest` field. Returns `None` if the field is
+/// absent, is empty, is longer than [`MAX_TAG_BYTES`], or contains a byte other than a printable
+/// ASCII character without space.
 fn parse_digest(fields: &[u8]) -> Option<Vec<u8>> {
     let digest = find_field(fields, "digest")?;
     let valid = (1..=MAX_TAG_BYTES).contains(&digest.len()) && digest.iter().all(u8::is_ascii_graphic);
@@ -81,11 +90,12 @@
     }
 }
 
-/// Whether a response may answer an attempt.
+/// Returns whether a response is valid for an attempt.
 ///
-/// `held` is the version tag that the attempt offered for revalidation. Bytes of a copy must come
-/// with their tag, which the result of a write has not; only the copy that was offered can be
-/// unchanged; and no attempt is answered as a probe is.
+/// `held` is the version tag that the attempt sent for revalidation, if any. A response with data
+/// must carry the version tag of the copy, unless the request is a write, whose result has none.
+/// `unchanged` must carry the version tag that the attempt sent. The result of a health probe is
+/// never a valid response to an attempt.
 pub fn response_allowed(response: &AttemptResponse, held: Option<&[u8]>, is_write: bool) -> bool {
     match response {
         AttemptResponse::Data(digest, _) => is_write || digest.is_some(),
@@ -98,12 +108,12 @@
     }
 }
 
-/// A field of an attempt.
+/// A `name=value` field of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name on the wire.
+    /// Field name on the wire.
     pub name: &'static str,
-    /// Its value.
+    /// Field value as text.
     pub value: String,
 }
 
@@ -113,7 +123,12 @@
     }
 }
 
-/// The fields that tell an endpoint how to fill and keep its copy.
+/// Returns the fields that tell an endpoint how to fill a cache miss and how to retain the copy.
+///
+/// They are used in attempts and, as TXT records, in DNS responses. Fields without a value are
+/// omitted: `parent` (name of the fill source), `shelf` (retention priority, if above 0), `accept`
+/// (greatest age of a copy that may be served, in milliseconds) and `hints` (the flags `coalesce`,
+/// `shallow` for only-if-cached and `freshen` for stale-while-revalidate, joined by `+`).
 pub fn fill_hint_fields(target: &Target) -> Vec<Field> {
     let fill = &target.fill;
     let mut fields = Vec::new();
@@ -124,7 +139,7 @@
         fields.push(Field::new("shelf", fill.retention));
     }
     if let Some(max_age) = fill.max_age {
-        // At least 1 ms, so that a bound below it is not sent as 0.
+        // Rounded up to 1 ms, so that a maximum age below 1 ms is not sent as 0.
         fields.push(Field::new("accept", max_age.as_millis().max(1)));
     }
     let mut flags = Vec::new();
@@ -143,10 +158,10 @@
     fields
 }
 
-/// Encodes an attempt. The request's body is copied, since a retry may need it again.
+/// Encodes an attempt. The body of the request is copied, since a retry may need it again.
 ///
 /// # Errors
-/// The pool has no buffers for it.
+/// Returns [`Exhausted`] if the pool has too few buffers left for the attempt.
 pub fn encode_attempt(pool: &BufferPool, attempt: &AttemptRequest) -> Result<BufferChain, Exhausted> {
     let request = &attempt.request;
     let mut head = Vec::with_capacity(256);
@@ -166,6 +181,7 @@
 
 fn attempt_fields(attempt: &AttemptRequest) -> FieldList {
     let request = &attempt.request;
+    // Rounded up to 1 ms, so that a timeout below 1 ms is not sent as 0.
     let timeout_millis = attempt.timeout.as_millis().max(1);
     let mut fields = FieldList::default();
     fields.push("profile", &request.class);
@@ -184,18 +200,18 @@
     fields
 }
 
-/// Encodes the cancellation of the attempt that was sent under that id.
+/// Encodes the cancellation of the attempt that was sent with this id.
 ///
 /// # Errors
-/// The pool has no buffer for it.
+/// Returns [`Exhausted`] if the pool has no buffer left for the command.
 pub fn encode_cancel(pool: &BufferPool, id: &[u8]) -> Result<BufferChain, Exhausted> {
     encode_words(pool, &[b"QUIT", id])
 }
 
-/// Encodes a health probe.
+/// Encodes a health probe, whose response repeats this id.
 ///
 /// # Errors
-/// The pool has no buffer for it.
+/// Returns [`Exhausted`] if the pool has no buffer left for the command.
 pub fn encode_probe(pool: &BufferPool, id: &[u8]) -> Result<BufferChain, Exhausted> {
     encode_words(pool, &[b"NOOP", id])
 }
