--- a/crates/protocol/src/endpoint_feed.rs
+++ b/crates/protocol/src/endpoint_feed.rs
@@ -1,58 +1,62 @@
-//! The endpoint feed's transport: one long HTTP/1.1 response that carries server-sent events.
+//! Transport of the endpoint feed: an HTTP/1.1 response without end that carries server-sent
+//! events.
 //!
-//! The request that opens the watch is encoded here, and the response decoded in pieces of any
-//! size; what an event says is [`crate::feed_events`]'s to read.
+//! This module encodes the request that opens the watch and decodes the response incrementally,
+//! with or without chunked transfer coding. [`crate::feed_events`] parses the data of the events.
 
 use crate::resp::parse_decimal;
 
-/// Most bytes held of an unfinished line and event, and the largest chunk. The list of all
-/// endpoints comes in one event, so this bounds the list.
+/// Maximum number of buffered bytes of an incomplete line and its incomplete event, and maximum
+/// size of a chunk. The full endpoint list arrives as one event, so this also limits its size.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 
-/// Why the rest of a response can't be read.
+/// Error in the response of the endpoint feed. It is fatal for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FeedError {
-    /// A line or an event is longer than any that is read.
+    /// An incomplete line together with the data of its event exceeds 4 MiB.
     #[error("endpoint feed: line or event too long")]
     TooLong,
-    /// The response's status is not 200.
+    /// The status line is not that of an HTTP/1.x response with status 200.
     #[error("endpoint feed: response status is not 200")]
     UnexpectedStatus,
-    /// The server ended the response; a watch has no end of its own.
+    /// The server sent the last chunk, which ends the response. A watch is expected never to end.
     #[error("endpoint feed: response ended")]
     Ended,
-    /// A chunk's size is no hexadecimal number or exceeds the bound.
+    /// The size of a chunk is not a hexadecimal number or exceeds 4 MiB.
     #[error("endpoint feed: invalid chunk size")]
     InvalidChunkSize,
 }
 
-/// What the next byte belongs to.
+/// State of the decoder: the part of the response that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     StatusLine,
     HeaderLine,
-    /// The body without chunks, up to the end of the connection.
+    /// A body without chunked transfer coding, which extends to the end of the connection.
     UnchunkedBody,
     ChunkSize,
     ChunkData {
+        /// Number of bytes of the chunk that have not been received yet.
         remaining: usize,
     },
-    /// The line end behind a chunk's data.
+    /// The line end after the data of a chunk.
     ChunkEnd,
 }
 
-/// Reads one response of the feed.
+/// Incremental decoder for one response of the endpoint feed.
 #[derive(Debug)]
 pub struct EndpointFeedReader {
     step: Step,
+    /// Whether a header has declared chunked transfer coding.
     chunked: bool,
-    /// The unfinished line, of the head or of an event.
+    /// Bytes received so far of an incomplete line, of the HTTP framing or of an event.
     line: Vec<u8>,
-    /// The data of the unfinished event.
+    /// Data received so far of an incomplete event.
     data: Vec<u8>,
 }
 
-/// The request that opens the watch for events after that number.
+/// Encodes the request that opens a watch. The feed sends the events whose number is greater than
+/// `after`.
 pub fn encode_request(host: &str, after: u64) -> Vec<u8> {
     format!(
         "GET /v1/events HTTP/1.1\r\n\
@@ -72,11 +76,12 @@
 }
 
 impl EndpointFeedReader {
-    /// Takes bytes; the data of each complete event is appended to `events`, also when an error
-    /// follows it.
+    /// Decodes received bytes and appends the data of each completed event to `events`. Events that
+    /// are complete before an error are appended too.
     ///
     /// # Errors
-    /// The rest can't be read; the connection is of no further use.
+    /// Returns an error if the response is invalid, has ended, or exceeds a limit. The reader and
+    /// its connection must not be used after an error.
     pub fn feed(&mut self, bytes: &[u8], events: &mut Vec<Vec<u8>>) -> Result<(), FeedError> {
         let mut input = bytes;
         while let Some((&byte, after_byte)) = input.split_first() {
@@ -102,7 +107,8 @@
         Ok(())
     }
 
-    /// Appends a byte to the unfinished line; the line without its end if that byte ends it.
+    /// Appends a byte to the incomplete line. If the byte is a line feed, returns the complete line
+    /// without its line end.
     fn push(&mut self, byte: u8) -> Result<Option<Vec<u8>>, FeedError> {
         if byte == b'\n' {
             let mut line = std::mem::take(&mut self.line);
@@ -116,7 +122,8 @@
         Ok(None)
     }
 
-    /// Reads a line that is HTTP's, not an event's.
+    /// Processes a line of the HTTP framing: the status line, a header, the size of a chunk or the
+    /// line end after a chunk.
     fn read_framing_line(&mut self, line: &[u8]) -> Result<(), FeedError> {
         match self.step {
             Step::StatusLine => {
@@ -126,7 +133,7 @@
             Step::HeaderLine if line.is_empty() => {
                 self.step = if self.chunked { Step::ChunkSize } else { Step::UnchunkedBody };
             }
-            Step::HeaderLine => self.chunked |= declares_chunks(line),
+            Step::HeaderLine => self.chunked |= declares_chunked_coding(line),
             Step::ChunkSize => self.step = Step::ChunkData { remaining: parse_chunk_size(line)? },
             Step::ChunkEnd => self.step = Step::ChunkSize,
             Step::UnchunkedBody | Step::ChunkData { .. } => {}
@@ -134,8 +141,8 @@
         Ok(())
     }
 
-    /// Reads bytes of the event stream: `data:` lines are joined, an empty line ends an event, and
-    /// all other lines, such as the heartbeat's comments, are skipped.
+    /// Decodes bytes of the event stream. The `data:` lines of an event are joined with line feeds,
+    /// an empty line ends an event, and all other lines, such as heartbeat comments, are skipped.
     fn read_events(&mut self, bytes: &[u8], events: &mut Vec<Vec<u8>>) -> Result<(), FeedError> {
         for &byte in bytes {
             let Some(line) = self.push(byte)? else { continue };
@@ -154,6 +161,7 @@
     }
 }
 
+/// Returns the state inside a chunk of which `remaining` bytes have not been received yet.
 fn step_after_data(remaining: usize) -> Step {
     if remaining == 0 {
         Step::ChunkEnd
@@ -171,12 +179,13 @@
     }
 }
 
-fn declares_chunks(header_line: &[u8]) -> bool {
+fn declares_chunked_coding(header_line: &[u8]) -> bool {
     let line = header_line.to_ascii_lowercase();
     line.starts_with(b"transfer-encoding:") && line.ends_with(b"chunked")
 }
 
-/// The size of a chunk with data; the chunk of size 0 is the end of the response.
+/// Parses the size line of a chunk; chunk extensions are ignored. A size of 0 marks the end of the
+/// response and is reported as [`FeedError::Ended`].
 fn parse_chunk_size(line: &[u8]) -> Result<usize, FeedError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let digits = std::str::from_utf8(digits).map_err(|_| FeedError::InvalidChunkSize)?;
--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -1,56 +1,61 @@
-//! The endpoint feed's events, as JSON: changes of the endpoint list, and purges.
+//! Parser for the JSON events of the endpoint feed: changes of the endpoint list, and purges.
+//!
+//! An event is an object with the event number `n` and either `members`, which holds entries of the
+//! endpoint list, or `purge`. Events with neither are accepted and carry no information.
 
 use hollymux_decision::{EndpointEntry, EndpointState, Timestamp};
 use hollymux_router::{endpoint_id, FeedEvent, ListedEndpoint};
 use serde::Deserialize;
 
-/// Why an event can't be used. The feed stays usable: the events after it can be read.
+/// Error in one event. It is not fatal for the feed: later events can still be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// It is no JSON, or not of an event's form.
+    /// The event is not valid JSON, or a field is missing or has the wrong type.
     #[error("event: {0}")]
     Json(#[from] serde_json::Error),
-    /// An endpoint's state has a name that is not known.
-    #[error("event {number}: unknown state {state:?}")]
+    /// The `state` of an endpoint is not `ready`, `draining` or `gone`.
+    #[error("event {number}: unknown endpoint state {state:?}")]
     UnknownState {
-        /// The event's number.
+        /// Number of the invalid event.
         number: u64,
-        /// The name.
+        /// State as received.
         state: String,
     },
-    /// The key of a purged object is no hexadecimal number.
-    #[error("event {number}: purge key {key:?} is no hexadecimal number")]
+    /// The `key` of a purge, which identifies the object, is not a hexadecimal number of up to 64
+    /// bits.
+    #[error("event {number}: purge key {key:?} is not a 64-bit hexadecimal number")]
     InvalidPurgeKey {
-        /// The event's number.
+        /// Number of the invalid event.
         number: u64,
-        /// The key.
+        /// Key as received.
         key: String,
     },
-    /// A purge gives neither an object nor a group.
-    #[error("event {number}: purge of neither an object nor a group")]
+    /// A purge has neither a `key` nor a `group`.
+    #[error("event {number}: purge names neither an object nor a group")]
     EmptyPurge {
-        /// The event's number.
+        /// Number of the invalid event.
         number: u64,
     },
 }
 
-/// The names that stand on the wire for what the decision module knows by number.
+/// Mapping between the names used on the wire and the numbers used by the decision module. The
+/// number of a name is its index in the list.
 #[derive(Clone, Debug)]
 pub struct NameTables {
-    /// Request classes, by number.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Zones, by number.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of endpoint, by number.
+    /// Names of the endpoint kinds, such as edge cache, parent cache and origin.
     pub kinds: Vec<String>,
 }
 
-/// One message of the feed.
+/// A parsed message of the endpoint feed.
 #[derive(Debug)]
 pub struct FeedMessage {
-    /// Its number. The feed sends numbers in ascending order, but repeats some after a reconnect.
+    /// Event number. Numbers ascend, but the feed may repeat events after a reconnect.
     pub number: u64,
-    /// The event; none if it is of a kind that is not known here.
+    /// Content of the event; `None` if the event is of an unknown kind.
     pub event: Option<FeedEvent>,
 }
 
@@ -65,7 +70,7 @@
 
 #[derive(Deserialize)]
 struct WireEndpointList {
-    /// Whether endpoints that are not listed are gone.
+    /// Whether this is the full list, from which endpoints that are not listed have been removed.
     #[serde(default, rename = "all")]
     is_complete: bool,
     #[serde(rename = "targets")]
@@ -84,6 +89,7 @@
     #[serde(default, rename = "pod_group")]
     cell: u16,
     state: String,
+    /// Weight of the endpoint, comparable across endpoints; 0 if absent.
     #[serde(default, rename = "capacity_hint")]
     weight: f64,
     #[serde(default, rename = "boot_ms")]
@@ -99,18 +105,18 @@
 }
 
 impl NameTables {
-    /// Parses one event.
+    /// Parses an event from JSON text.
     ///
     /// # Errors
-    /// The event can't be used.
+    /// Returns an error if the text is not valid JSON or the event is invalid.
     pub fn parse_event(&self, json: &[u8]) -> Result<FeedMessage, EventError> {
         self.convert(serde_json::from_slice(json)?)
     }
 
-    /// Converts one event that has been parsed as JSON before.
+    /// Parses an event from a JSON value, such as one in the configuration file.
     ///
     /// # Errors
-    /// The event can't be used.
+    /// Returns an error if the event is invalid.
     pub fn parse_event_value(&self, event: serde_json::Value) -> Result<FeedMessage, EventError> {
         self.convert(serde_json::from_value(event)?)
     }
@@ -150,7 +156,7 @@
     }
 }
 
-/// The number of a name; all names that are not listed have the last one.
+/// Returns the number of a name. All names that are not in the list get the number [`u16::MAX`].
 fn number_of(names: &[String], name: &str) -> u16 {
     let index = names.iter().position(|listed| listed == name);
     index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX)
@@ -165,6 +171,7 @@
     }
 }
 
+/// Converts a purge. One without a key purges a whole group; one without a group uses group 0.
 fn purge_event(number: u64, purge: WirePurge) -> Result<FeedEvent, EventError> {
     if purge.key.is_none() && purge.group.is_none() {
         return Err(EventError::EmptyPurge { number });
