--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -1,28 +1,32 @@
-//! The admin endpoint's HTTP/1.1, one request a connection: bytes in, a request or the reason for
-//! its rejection out; and the responses' bytes. What an operation does is the server's part.
+//! HTTP/1.1 codec of the admin endpoint: decodes requests and encodes responses.
+//!
+//! A connection carries one request and is closed after the response. The server package executes
+//! the operations.
 
-/// Longest head of a request, in bytes.
+/// Maximum length of a request head (request line and headers), in bytes.
 pub const MAX_HEAD_BYTES: usize = 8_192;
-/// Most header lines of a request.
+/// Maximum number of header lines in a request.
 pub const MAX_HEADER_LINES: usize = 64;
-/// Longest body of a request, in bytes. No operation needs one; a short one is read and discarded,
-/// since closing with unread bytes would reset the connection before the response arrives.
+/// Maximum length of a request body, in bytes. No operation needs a body, but a short one is read
+/// and discarded: closing a connection with unread bytes would reset it before the response
+/// arrives.
 const MAX_BODY_BYTES: usize = 4_096;
 
-/// What an operator asks for.
+/// An operation of the admin endpoint, identified by the path of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminOperation {
-    /// Whether this process is ready to serve.
+    /// `/status`: returns the lifecycle phase, with status 200 if this process is ready and 503
+    /// otherwise.
     Status,
-    /// The metrics in the text exposition format.
+    /// `/status/metrics`: returns the metrics in text exposition format.
     Metrics,
-    /// The membership of the cluster as this router knows it.
+    /// `/status/fleet`: returns the cluster membership as this router knows it.
     ClusterStatus,
-    /// The leases of the cluster's limits.
+    /// `/status/fleet/limits`: returns the quotas of the cluster and their leases.
     LimitStatus,
-    /// Leave rotation.
+    /// `/standby`: takes this router out of rotation.
     Standby,
-    /// Return to rotation.
+    /// `/active`: puts this router back into rotation.
     Active,
 }
 
@@ -44,46 +48,46 @@
     }
 }
 
-/// A valid request.
+/// A valid request to the admin endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminRequest {
-    /// What is asked for.
+    /// Requested operation.
     pub operation: AdminOperation,
-    /// Whether only the head of the response is to be sent, as `HEAD` asks.
+    /// Whether the response must be sent without its body, because the method is `HEAD`.
     pub head_only: bool,
 }
 
-/// Why a request is rejected.
+/// Reason for rejecting a request. The message is sent as the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// It is no HTTP, or its length can't be known.
+    /// The bytes are not an HTTP request, or the `Content-Length` header is invalid or repeated.
     #[error("malformed request")]
     Malformed,
-    /// There is no operation at that path.
+    /// No operation has the requested path.
     #[error("unknown path")]
     UnknownPath,
-    /// The operation has other methods.
+    /// The operation does not support the method of the request.
     #[error("method not allowed, only {allow}")]
     MethodNotAllowed {
-        /// The methods that are allowed, as the `Allow` header has them.
+        /// Supported methods, as the value of the `Allow` header.
         allow: &'static str,
     },
-    /// The body has no declared length.
+    /// The request has a `Transfer-Encoding` header instead of a declared body length.
     #[error("body without a declared length")]
     LengthRequired,
-    /// The body is longer than any that is read.
+    /// The declared length of the body exceeds 4096 bytes.
     #[error("body too large")]
     BodyTooLarge,
-    /// The head is longer than any that is read.
+    /// The head exceeds [`MAX_HEAD_BYTES`] or has more than [`MAX_HEADER_LINES`] header lines.
     #[error("head too large")]
     HeadTooLarge,
-    /// Another major version of HTTP.
+    /// The HTTP version is neither 1.0 nor 1.1.
     #[error("unsupported HTTP version")]
     UnsupportedVersion,
 }
 
 impl AdminRequestError {
-    /// The status code of the response.
+    /// Returns the HTTP status code of the response.
     pub fn status(self) -> u16 {
         match self {
             AdminRequestError::Malformed => 400,
@@ -96,7 +100,8 @@
         }
     }
 
-    /// The value of the response's `Allow` header, where there is one.
+    /// Returns the value of the `Allow` header of the response. Returns `None` for errors other
+    /// than [`AdminRequestError::MethodNotAllowed`], whose responses have no such header.
     pub fn allow(self) -> Option<&'static str> {
         match self {
             AdminRequestError::MethodNotAllowed { allow } => Some(allow),
@@ -107,38 +112,42 @@
 
 type ParsedRequest = Result<AdminRequest, AdminRequestError>;
 
-/// The end of a head, and what it says.
+/// A complete request head.
 struct Head {
-    /// Its length in bytes.
+    /// Length of the head in bytes, including the empty line at its end.
     length: usize,
     request: ParsedRequest,
-    /// Bytes of the body to discard before the response.
+    /// Number of bytes of the body to read and discard before the response is sent.
     body_length: usize,
 }
 
-/// A request whose head is complete and whose body is not.
+/// A request whose head is complete but whose body is not.
 #[derive(Clone, Copy, Debug)]
 struct PendingBody {
     request: ParsedRequest,
+    /// Number of bytes of the body that have not been received yet.
     remaining: usize,
 }
 
-/// Reads one request in pieces of any size.
+/// Incremental decoder for the one request of a connection.
 #[derive(Debug, Default)]
 pub struct AdminRequestReader {
+    /// Bytes received up to the end of the head, with body bytes that arrived together with it.
     head: Vec<u8>,
+    /// The request, once its head is complete.
     pending_body: Option<PendingBody>,
 }
 
 impl AdminRequestReader {
-    /// Takes bytes; none if the request is not complete. Bytes after its end are ignored.
+    /// Decodes received bytes. Returns `None` if the request is not complete yet. Bytes after the
+    /// end of the request are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<ParsedRequest> {
         let mut body = bytes;
         if self.pending_body.is_none() {
-            let held = self.head.len();
-            // No more than the longest request is kept, however much arrives at once.
-            let taken = bytes.len().min(MAX_HEAD_BYTES + MAX_BODY_BYTES - held);
-            self.head.extend_from_slice(&bytes[..taken]);
+            let already_buffered = self.head.len();
+            // However many bytes arrive at once, no more than the longest request is buffered.
+            let accepted = bytes.len().min(MAX_HEAD_BYTES + MAX_BODY_BYTES - already_buffered);
+            self.head.extend_from_slice(&bytes[..accepted]);
             let head = match parse_head(&self.head) {
                 Ok(Some(head)) => head,
                 Ok(None) if self.head.len() > MAX_HEAD_BYTES => {
@@ -147,7 +156,7 @@
                 Ok(None) => return None,
                 Err(error) => return Some(Err(error)),
             };
-            let end_of_head = head.length.saturating_sub(held).min(bytes.len());
+            let end_of_head = head.length.saturating_sub(already_buffered).min(bytes.len());
             body = &bytes[end_of_head..];
             self.pending_body = Some(PendingBody { request: head.request, remaining: head.body_length });
         }
@@ -156,14 +165,18 @@
         (pending.remaining == 0).then_some(pending.request)
     }
 
-    /// Bytes of the head that are held.
+    /// Returns the number of buffered bytes, at most [`MAX_HEAD_BYTES`] while the head is
+    /// incomplete.
     pub fn buffered_bytes(&self) -> usize {
         self.head.len()
     }
 }
 
-/// Parses a head; none if it is not complete. An error means that the end of the request can't be
-/// known, so that nothing is left to wait for.
+/// Parses a request head. Returns `None` if it is not complete yet.
+///
+/// An error means that the end of the request cannot be determined, so it is reported without
+/// waiting for a body. Errors of the path or method are in [`Head::request`] instead, since the
+/// body must still be read.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, AdminRequestError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut request = httparse::Request::new(&mut lines);
@@ -181,13 +194,13 @@
     Ok(Some(Head { length, request, body_length }))
 }
 
-/// The length of the body that is to be read before the response.
+/// Returns the number of bytes of the body to read before the response is sent.
 fn body_length(headers: &[httparse::Header]) -> Result<usize, AdminRequestError> {
     let mut length = None;
     let mut expects_continue = false;
     for header in headers {
         if header.name.eq_ignore_ascii_case("content-length") {
-            // Declared twice, the end of the request can't be known.
+            // With two declared lengths, the end of the request would be ambiguous.
             if length.is_some() {
                 return Err(AdminRequestError::Malformed);
             }
@@ -202,8 +215,8 @@
             expects_continue = true;
         }
     }
-    // A client that waits for `100 Continue` sends no body before it, and gets the final response
-    // in its place.
+    // A client that expects `100 Continue` sends its body only after that interim response. It gets
+    // the final response instead, so there is no body to read.
     Ok(if expects_continue { 0 } else { length.unwrap_or(0) })
 }
 
@@ -226,7 +239,7 @@
     }
 }
 
-/// The path of a request target without its query. The target may be an absolute URL.
+/// Returns the path of a request target, without its query. The target may be an absolute URL.
 fn path_of(target: &str) -> &str {
     let path_and_query = match target.split_once("://") {
         Some((_, rest)) => rest.find('/').map_or("/", |start| &rest[start..]),
@@ -235,12 +248,14 @@
     path_and_query.split('?').next().unwrap_or(path_and_query)
 }
 
-/// A response with a text as its body; the connection ends after it.
+/// Encodes a response with a plain text body and the header `Connection: close`. With `head_only`,
+/// the body is omitted but its length is still declared.
 pub fn encode_text_response(status: u16, allow: Option<&str>, body: &str, head_only: bool) -> Vec<u8> {
     encode_response(status, allow, "text/plain; charset=utf-8", body, head_only)
 }
 
-/// A response of status 200 with JSON as its body; the connection ends after it.
+/// Encodes a response of status 200 with a JSON body and the header `Connection: close`. With
+/// `head_only`, the body is omitted but its length is still declared.
 pub fn encode_json_response(body: &str, head_only: bool) -> Vec<u8> {
     encode_response(200, None, "application/json", body, head_only)
 }
