--- a/crates/protocol/src/handover.rs
+++ b/crates/protocol/src/handover.rs
@@ -1,23 +1,27 @@
-//! Messages between a process and the one that replaces it: frames with a fixed header, so that
-//! processes of different versions can still hand over the listening socket.
+//! Codec for the messages between a predecessor process and the successor that replaces it.
 //!
-//! A frame is `hmx`, the version, the kind, the body's length as four bytes in network byte order,
-//! and the body in postcard's format. The order of the exchange, the sockets that travel along and
-//! the timeouts are the server package's part.
+//! A frame consists of a header of 9 bytes and a body in postcard format. The header is the magic
+//! `hmx`, the version (1 byte), the kind of message (1 byte) and the length of the body (4 bytes,
+//! big-endian). The header is the same in all versions, so that processes of different versions can
+//! still hand over the listening socket.
+//!
+//! The order of the messages, the transfer of sockets and the timeouts belong to the server
+//! package.
 
 use hollymux_router::handover_state::{HandoverState, PendingWrite};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The version of the bodies' format. A body of another version is not read, only its kind is.
+/// Version of the body format. Of a message with another version, only the kind is decoded and the
+/// body is ignored.
 pub const VERSION: u8 = 1;
 const MAGIC: [u8; 3] = *b"hmx";
-/// Length of a frame's header, in bytes.
+/// Length of the frame header, in bytes.
 const HEADER_BYTES: usize = 9;
-/// Longest body, in bytes: well above the state of the largest endpoint list.
+/// Maximum length of a body, in bytes. The state of the largest endpoint list is well below it.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The numbers that stand for the kinds of message.
+/// Values of the kind byte in the frame header.
 mod kind {
     pub(super) const HELLO: u8 = 1;
     pub(super) const STATE: u8 = 2;
@@ -28,42 +32,42 @@
     pub(super) const CLUSTER_INCARNATION: u8 = 7;
 }
 
-/// A message of a handover. The predecessor is the process that serves, the successor the one that
-/// replaces it.
+/// A handover message. The predecessor is the process that serves clients; the successor is the
+/// process that replaces it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverMessage {
-    /// The successor asks for a handover of the listener at this address of clients. Empty if the
-    /// message is of another version.
+    /// The successor requests the handover of the listener that accepts clients at this address.
+    /// The address is empty if the message has another version.
     Hello(String),
-    /// The predecessor's state; none if the message is of another version. The listening socket
-    /// travels along with it.
+    /// The predecessor sends its state, together with the listening socket. `None` if the message
+    /// has another version.
     State(Option<Box<HandoverState>>),
     /// The successor is ready to accept connections.
     TakeOver,
-    /// The predecessor accepts no more connections.
+    /// The predecessor no longer accepts connections.
     Released,
-    /// Non-idempotent requests that the predecessor took since its last message of this kind or
-    /// since its state. None of them if the message is of another version.
+    /// The predecessor sends the pending writes that were added since its state or its last message
+    /// of this kind. The list is empty if the message has another version.
     PendingWrites(Vec<PendingWrite>),
-    /// The predecessor can't hand over now.
+    /// The predecessor refuses the handover because it cannot hand over now.
     Declined,
-    /// The predecessor has left the cluster's gossip; the successor goes on under its identity.
-    /// Zeros if the message is of another version.
+    /// The predecessor has stopped gossiping, and the successor continues as the same member of the
+    /// cluster. Both numbers are 0 if the message has another version.
     ClusterIncarnation {
-        /// The number of the predecessor's start.
+        /// Generation of the predecessor.
         start: u64,
-        /// Its incarnation in that start.
+        /// Incarnation of the predecessor within that generation.
         incarnation: u32,
     },
 }
 
-/// The peer's bytes are no message; nothing further on that connection can be read.
+/// Error for bytes that are not a handover message. It is fatal for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed handover message")]
 pub struct MalformedMessage;
 
 impl HandoverMessage {
-    /// The frame of a message.
+    /// Encodes the message as a frame.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             HandoverMessage::Hello(address) => encode_frame(kind::HELLO, address),
@@ -78,6 +82,7 @@
         }
     }
 
+    /// Decodes a message from the fields of its frame. An unknown kind is an error in any version.
     fn decode(version: u8, kind: u8, body: &[u8]) -> Result<HandoverMessage, MalformedMessage> {
         match kind {
             kind::HELLO => Ok(HandoverMessage::Hello(decode_body(version, body)?)),
@@ -96,7 +101,8 @@
 }
 
 fn encode_frame<T: Serialize>(kind: u8, body: &T) -> Vec<u8> {
-    // Serializing to a vector fails for no type that is sent here; an empty body would be rejected.
+    // Serialization into a vector does not fail for the types of these messages. If it did, the
+    // receiver would reject the empty body.
     let body = postcard::to_allocvec(body).unwrap_or_default();
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -107,7 +113,7 @@
     frame
 }
 
-/// A body of this version, or the default for one of another.
+/// Decodes a body, or returns the default value if the message has another version.
 fn decode_body<T: DeserializeOwned + Default>(version: u8, body: &[u8]) -> Result<T, MalformedMessage> {
     if version != VERSION {
         return Ok(T::default());
@@ -115,22 +121,23 @@
     postcard::from_bytes(body).map_err(|_| MalformedMessage)
 }
 
-/// Takes messages out of a byte stream.
+/// Incremental decoder for the messages in a byte stream.
 #[derive(Debug, Default)]
 pub struct HandoverReader {
     buffer: Vec<u8>,
 }
 
 impl HandoverReader {
-    /// Takes bytes, in pieces of any size.
+    /// Appends received bytes to the buffer, which [`HandoverReader::next_message`] decodes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message; none until it is complete.
+    /// Decodes the next message. Returns `None` if it is not complete yet.
     ///
     /// # Errors
-    /// The bytes are no message.
+    /// Returns [`MalformedMessage`] if the magic is wrong, the length of the body exceeds 16 MiB,
+    /// the kind is unknown, or the body cannot be deserialized.
     pub fn next_message(&mut self) -> Result<Option<HandoverMessage>, MalformedMessage> {
         let magic_length = self.buffer.len().min(MAGIC.len());
         if self.buffer[..magic_length] != MAGIC[..magic_length] {
@@ -140,7 +147,7 @@
             return Ok(None);
         };
         let body_length = u32::from_be_bytes(length) as usize;
-        // Rejected before any of the body is kept.
+        // Checked before the body arrives, so that no oversized body is buffered.
         if body_length > MAX_BODY_BYTES {
             return Err(MalformedMessage);
         }
