--- a/crates/protocol/src/dns/framer.rs
+++ b/crates/protocol/src/dns/framer.rs
@@ -1,19 +1,20 @@
-//! Messages over TCP, each with a length of two bytes before it (RFC 1035, 4.2.2).
+//! Framing of DNS messages over TCP: a length of two bytes precedes each message (RFC 1035, 4.2.2).
 
 use super::MAX_QUERY_BYTES;
 
-/// Bytes of a message's length.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 2;
 
-/// Takes queries out of a byte stream.
+/// Incremental decoder that splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct MessageFramer {
+    /// Bytes of the message that is not complete yet, with its length prefix.
     buffer: Vec<u8>,
 }
 
 impl MessageFramer {
-    /// Takes bytes; complete messages are appended to `messages`. False if one is longer than any
-    /// query may be; the connection is of no further use then.
+    /// Appends the messages that the received bytes complete to `messages`. Returns false if the
+    /// length of a message exceeds [`MAX_QUERY_BYTES`]; the caller must then close the connection.
     pub fn feed(&mut self, bytes: &[u8], messages: &mut Vec<Vec<u8>>) -> bool {
         self.buffer.extend_from_slice(bytes);
         let mut rest = self.buffer.as_slice();
--- a/crates/protocol/src/dns/lookup.rs
+++ b/crates/protocol/src/dns/lookup.rs
@@ -1,12 +1,12 @@
-//! Queries that this program sends: for a name's SRV record and what belongs to it.
+//! Client side of DNS: queries for the SRV record of a name, and their responses.
 
 use super::message_reader::{MessageReader, RecordFields};
 use super::name::{push_name, Name};
 use super::{flag, push_fields, push_opt_record, record_class, record_type};
 use std::ops::Range;
 
-/// Encodes a query for the SRV record of a name. It offers EDNS0, as the routing answer's
-/// additional records hardly fit without.
+/// Encodes a query for the SRV record of a name. The query announces EDNS0, since the additional
+/// records of a routing response rarely fit into the 512 bytes that are allowed without it.
 pub fn encode_srv_query(id: u16, name: &Name) -> Vec<u8> {
     const FLAGS: u16 = 0;
     const COUNTS: [u16; 4] = [1, 0, 0, 1];
@@ -19,30 +19,30 @@
     out
 }
 
-/// The response to a query for an SRV record.
+/// A parsed response to a query for an SRV record.
 #[derive(Debug, PartialEq)]
 pub struct SrvResponse {
-    /// The response code without the upper bits of EDNS0, as in [`super::Rcode`]; a server may send
-    /// one that is not known there.
+    /// Response code from the header, without the upper bits of EDNS0. It may be a code that
+    /// [`super::Rcode`] lacks.
     pub rcode: u16,
-    /// What the SRV record names; none if there is no such record or the response was truncated.
+    /// Target of the SRV record. `None` if the response has no SRV record or is truncated.
     pub target: Option<SrvTarget>,
 }
 
-/// What an SRV record names, with the records that belong to it.
+/// Target of an SRV record, with the related records of the same response.
 #[derive(Debug, PartialEq)]
 pub struct SrvTarget {
-    /// The name of the target.
+    /// Domain name of the target.
     pub target: Name,
-    /// The port there.
+    /// Port of the service at the target.
     pub port: u16,
-    /// The target's IPv4 address, where a record with it came along.
+    /// IPv4 address of the target. `None` if the response has no A record for it.
     pub addr: Option<[u8; 4]>,
-    /// The texts of the queried name's TXT records.
+    /// Strings of the TXT records of the queried name.
     pub texts: Vec<String>,
 }
 
-/// The records of interest in a response.
+/// The records of a response that a lookup uses.
 #[derive(Default)]
 struct Records {
     service: Option<Service>,
@@ -50,20 +50,20 @@
     texts: Vec<String>,
 }
 
-/// The data of an SRV record.
+/// The data of an SRV record, without priority and weight.
 struct Service {
     port: u16,
     target: Name,
 }
 
-/// An A record.
+/// The owner and the data of an A record.
 struct Address {
     owner: Name,
     octets: [u8; 4],
 }
 
-/// Parses a response to the query of that id and name. None if it is no response to that query, or
-/// is malformed.
+/// Parses a response to the SRV query with this id and name. Returns `None` if the message is
+/// malformed, is not a response, or has another id or question.
 pub fn parse_srv_response(message: &[u8], id: u16, name: &Name) -> Option<SrvResponse> {
     let mut reader = MessageReader::new(message);
     let header = reader.header()?;
@@ -87,7 +87,9 @@
 }
 
 impl Records {
-    /// Reads a record if it is of interest; none if it is malformed. The first SRV record counts.
+    /// Adds a record: the first SRV record of the queried name, an A record of any name, or a TXT
+    /// record of the queried name. Other records are ignored. Returns `None` if the data of an SRV
+    /// or TXT record is malformed.
     fn read(&mut self, message: &[u8], name: &Name, record: RecordFields) -> Option<()> {
         match record.record_type {
             record_type::SRV if record.owner == *name && self.service.is_none() => {
@@ -106,6 +108,7 @@
         Some(())
     }
 
+    /// Returns the target of the SRV record, or `None` if there is no SRV record.
     fn into_target(self) -> Option<SrvTarget> {
         let Service { port, target } = self.service?;
         let address = self.addresses.iter().find(|address| address.owner == target);
@@ -123,6 +126,8 @@
     Some(Service { port, target })
 }
 
+/// Appends the strings of a TXT record to `texts`. Returns `None` if the data is malformed or a
+/// string is not UTF-8.
 fn read_texts(message: &[u8], data: &Range<usize>, texts: &mut Vec<String>) -> Option<()> {
     let mut reader = MessageReader::of_range(message, data);
     while let Some(length) = reader.u8() {
--- a/crates/protocol/src/dns/message_reader.rs
+++ b/crates/protocol/src/dns/message_reader.rs
@@ -1,29 +1,31 @@
-//! A cursor over a DNS message.
+//! Reader for the fields, names and records of a DNS message.
 
 use super::name::{Name, MAX_NAME_BYTES};
 use std::ops::Range;
 
-/// The fields of a record, with the range of the message that holds its data.
+/// The fields of a resource record.
 pub(super) struct RecordFields {
     pub(super) owner: Name,
     pub(super) record_type: u16,
-    /// The class field; in an OPT record the sender's UDP payload size.
+    /// Class field. In an OPT record, it holds the UDP payload size of the sender.
     pub(super) class: u16,
-    /// The time-to-live field; in an OPT record the extended response code, version and flags.
+    /// TTL field. In an OPT record, it holds the extended response code, the version and the flags.
     pub(super) ttl: u32,
+    /// Range of the message that holds the data of the record.
     pub(super) data: Range<usize>,
 }
 
-/// The header of a message (RFC 1035, 4.1.1).
+/// The header of a message (RFC 1035, 4.1.1), without separate counts for the record sections.
 pub(super) struct Header {
     pub(super) id: u16,
     pub(super) flags: u16,
     pub(super) question_count: u16,
-    /// Answer, authority and additional records together.
+    /// Total number of answer, authority and additional records.
     pub(super) record_count: usize,
 }
 
-/// Reads fields off a message; every method returns none past the end.
+/// Cursor over a message. The reading methods advance it and return `None` if the message ends
+/// before the field does.
 pub(super) struct MessageReader<'a> {
     message: &'a [u8],
     position: usize,
@@ -34,7 +36,8 @@
         MessageReader { message, position: 0 }
     }
 
-    /// A reader of part of a message, in which names may point to what stands before.
+    /// Creates a reader for a range of a message. Compression pointers in the range may refer to
+    /// earlier parts of the message.
     pub(super) fn of_range(message: &'a [u8], range: &Range<usize>) -> MessageReader<'a> {
         MessageReader { message: &message[..range.end], position: range.start }
     }
@@ -79,8 +82,11 @@
         Some(Header { id, flags, question_count, record_count })
     }
 
-    /// Reads a name, in lower case. Each compression pointer must lead further back than the one
-    /// before it, so that no name is endless.
+    /// Reads a name and converts it to lower case. Returns `None` if the name is malformed or too
+    /// long.
+    ///
+    /// Each compression pointer must refer to a position before the start of the name and before
+    /// the target of the previous pointer. This rules out loops of pointers.
     pub(super) fn name(&mut self) -> Option<Name> {
         let mut labels = Name::new();
         let mut length = 0;
@@ -106,7 +112,7 @@
                     lowest_position = target;
                     self.position = target;
                 }
-                // Label types that were never put to use.
+                // The label types with the high bits 01 and 10 are not in use (RFC 1035, 4.1.4).
                 64..=191 => return None,
             }
         }
@@ -114,6 +120,7 @@
         Some(labels)
     }
 
+    /// Reads a record. Its data is skipped and returned as a range.
     pub(super) fn record(&mut self) -> Option<RecordFields> {
         let owner = self.name()?;
         let record_type = self.u16()?;
--- a/crates/protocol/src/dns/mod.rs
+++ b/crates/protocol/src/dns/mod.rs
@@ -1,5 +1,8 @@
-//! DNS messages (RFC 1035; SRV by RFC 2782; EDNS0 by RFC 6891) as a server and as a client of
-//! routing answers. Which records a name has is [`crate::dns_routing`]'s to say.
+//! Codec for DNS messages: RFC 1035, with SRV records (RFC 2782) and EDNS0 (RFC 6891).
+//!
+//! As a server, it decodes queries of all types and encodes responses. As a client, it encodes
+//! queries for SRV records and decodes their responses. [`crate::dns_routing`] determines which
+//! records a name has.
 
 mod framer;
 mod lookup;
@@ -14,14 +17,14 @@
 pub use query::{parse_query, Query};
 pub use response::{encode_response, soa_data, srv_data, txt_data, Record, Response, Transport};
 
-/// Largest message over UDP that is sent or asked for, in bytes: it fits a single frame on common
-/// links, so it is not fragmented.
+/// Largest UDP message that is sent, and the UDP payload size that is announced with EDNS0, in
+/// bytes. A message of this size fits into one frame on common links, so it is not fragmented.
 pub const MAX_UDP_MESSAGE_BYTES: usize = 1232;
-/// Longest query, in bytes.
+/// Longest query that is accepted, in bytes. Buffers for received datagrams have this size, too.
 pub const MAX_QUERY_BYTES: usize = 4096;
-/// Largest message over UDP to a client without EDNS0, in bytes (RFC 1035, 4.2.1).
+/// Largest UDP message to a client without EDNS0, in bytes (RFC 1035, 4.2.1).
 const MAX_PLAIN_UDP_MESSAGE_BYTES: usize = 512;
-/// Length of a message's header, in bytes.
+/// Length of the message header, in bytes.
 const HEADER_BYTES: usize = 12;
 
 /// Record types and query types (RFC 1035, 3.2.2 and 3.2.3).
@@ -30,19 +33,19 @@
     pub const A: u16 = 1;
     /// Start of authority.
     pub const SOA: u16 = 6;
-    /// Text.
+    /// Text strings.
     pub const TXT: u16 = 16;
     /// IPv6 address.
     pub const AAAA: u16 = 28;
     /// Location of a service.
     pub const SRV: u16 = 33;
-    /// The pseudo-record of EDNS0.
+    /// Pseudo-record that carries EDNS0 options (RFC 6891).
     pub const OPT: u16 = 41;
-    /// Incremental zone transfer.
+    /// Query for an incremental zone transfer.
     pub const IXFR: u16 = 251;
-    /// Zone transfer.
+    /// Query for a full zone transfer.
     pub const AXFR: u16 = 252;
-    /// Query for all types.
+    /// Query for records of all types.
     pub const ANY: u16 = 255;
 }
 
@@ -50,14 +53,14 @@
 mod record_class {
     /// The Internet.
     pub(super) const IN: u16 = 1;
-    /// Query for all classes.
+    /// Query for records of all classes.
     pub(super) const ANY: u16 = 255;
 }
 
-/// Bits of the header's second word (RFC 1035, 4.1.1).
+/// Bits of the second 16-bit field of the header (RFC 1035, 4.1.1).
 mod flag {
     pub(super) const RESPONSE: u16 = 0x8000;
-    /// Four bits; 0 is a standard query.
+    /// Four bits, whose value is 0 for a standard query.
     pub(super) const OPCODE_MASK: u16 = 0x7800;
     pub(super) const AUTHORITATIVE: u16 = 0x0400;
     pub(super) const TRUNCATED: u16 = 0x0200;
@@ -65,22 +68,23 @@
     pub(super) const RCODE_MASK: u16 = 0x000f;
 }
 
-/// Response codes.
+/// Response codes (RFC 1035, 4.1.1; `BadVers` by RFC 6891).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rcode {
     /// No error.
     NoError = 0,
-    /// The query is malformed.
+    /// The server cannot parse the query.
     FormErr = 1,
-    /// No routing decision could be made.
+    /// The routing decision failed, or the chosen endpoint cannot be encoded as a domain name.
     ServFail = 2,
     /// The name does not exist.
     NxDomain = 3,
-    /// This kind of query is not implemented.
+    /// The operation code of the query is not supported.
     NotImp = 4,
-    /// Refused by policy: the name is outside the zone, or no endpoint may be named now.
+    /// The name is outside the zone, the class or type of the query is not served, or the router
+    /// rejects the request.
     Refused = 5,
-    /// An EDNS version that is not known. The upper bits of this code go into the OPT record.
+    /// The EDNS version is not supported. The upper bits of this code are sent in the OPT record.
     BadVers = 16,
 }
 
@@ -91,7 +95,8 @@
     }
 }
 
-/// Appends an OPT record of EDNS version 0 without options.
+/// Appends an OPT record of EDNS version 0 without options. `extended_rcode` holds the upper 8 bits
+/// of the response code.
 fn push_opt_record(out: &mut Vec<u8>, extended_rcode: u16) {
     const ROOT_NAME: u8 = 0;
     const NO_FLAGS: u16 = 0;
--- a/crates/protocol/src/dns/query.rs
+++ b/crates/protocol/src/dns/query.rs
@@ -1,31 +1,33 @@
-//! Queries as a server receives them.
+//! Server side of DNS: parser for queries.
 
 use super::message_reader::{Header, MessageReader, RecordFields};
 use super::name::{encoded_labels_length, Name};
 use super::{flag, record_class, record_type, Rcode, HEADER_BYTES};
 
-/// Bytes of a question besides its labels: the root label, the type and the class.
+/// Number of bytes in a question besides its labels: the root label (1), type (2) and class (2).
 const QUESTION_OVERHEAD: usize = 5;
 
-/// A query, with what its response has to repeat.
+/// A parsed query, with the parts that the response must repeat.
 #[derive(Debug)]
 pub struct Query {
     pub(super) id: u16,
     pub(super) recursion_desired: bool,
-    /// The question's bytes; empty if it could not be read.
+    /// Encoded question, which the response repeats. Empty if the question was not parsed.
     pub(super) question: Vec<u8>,
-    /// The UDP payload size that the client takes, if it speaks EDNS0.
+    /// Largest UDP message that the client accepts, in bytes. `None` if the query has no OPT
+    /// record.
     pub(super) edns_payload_size: Option<u16>,
-    /// The name that is asked for.
+    /// Queried name. Empty if the question was not parsed.
     pub name: Name,
-    /// The record type that is asked for.
+    /// Queried record type. 0 if the question was not parsed.
     pub record_type: u16,
-    /// The response code, if the query is to be answered with an error alone.
+    /// Response code if the query is invalid or not supported, so that the response must consist of
+    /// this code without records. `None` for a valid query.
     pub error: Option<Rcode>,
 }
 
-/// Parses a query. None if it must not be answered at all: it has no whole header, or is itself a
-/// response.
+/// Parses a query. Returns `None` if the message must not be answered, because its header is
+/// incomplete or it is itself a response. Other errors are reported in [`Query::error`].
 pub fn parse_query(message: &[u8]) -> Option<Query> {
     let mut reader = MessageReader::new(message);
     let header = reader.header()?;
@@ -53,14 +55,16 @@
     Some(query)
 }
 
-/// What a readable query is answered with.
+/// Result of checking a well-formed query.
 enum BodyCheck {
     Accepted,
+    /// The query is not supported and is answered with this code.
     Rejected(Rcode),
 }
 
 impl Query {
-    /// Reads what follows the header; none if it is malformed.
+    /// Reads the question and the records. Returns `None` if they are malformed, if there is not
+    /// exactly one question, or if bytes follow the last record.
     fn read_body(
         &mut self,
         message: &[u8],
@@ -92,14 +96,15 @@
         Some(BodyCheck::Accepted)
     }
 
-    /// Reads the question and returns its class.
+    /// Reads the question and returns its class. Returns `None` if the question is malformed or its
+    /// name is compressed.
     fn read_question(&mut self, message: &[u8], reader: &mut MessageReader) -> Option<u16> {
         let name = reader.name()?;
         let record_type = reader.u16()?;
         let class = reader.u16()?;
         let question = &message[HEADER_BYTES..reader.position()];
-        // The response repeats the question byte by byte, where a compression pointer could point
-        // at something else.
+        // A compressed name is rejected: the response repeats the bytes of the question, and there
+        // a compression pointer could refer to different data.
         if question.len() != encoded_labels_length(&name) + QUESTION_OVERHEAD {
             return None;
         }
@@ -109,7 +114,8 @@
         Some(class)
     }
 
-    /// Reads EDNS0's record and returns its version. It may stand once, and only at the root.
+    /// Reads an OPT record and returns its EDNS version. Returns `None` if it is not the first OPT
+    /// record of the query or its owner is not the root.
     fn read_opt_record(&mut self, record: &RecordFields) -> Option<u8> {
         let payload_size = record.class;
         if self.edns_payload_size.replace(payload_size).is_some() || !record.owner.is_empty() {
--- a/crates/protocol/src/dns/response.rs
+++ b/crates/protocol/src/dns/response.rs
@@ -1,54 +1,58 @@
-//! Responses as a server sends them. Routing answers hold for one request, so nothing in them may
-//! be cached: each record's time to live is 0.
+//! Server side of DNS: encoder for responses.
+//!
+//! A routing decision is valid for one request only, so responses must not be cached: the TTL of
+//! every record is 0.
 
 use super::name::{push_name, Name};
 use super::query::Query;
 use super::{flag, push_fields, push_opt_record, record_class, Rcode};
 use super::{HEADER_BYTES, MAX_PLAIN_UDP_MESSAGE_BYTES, MAX_UDP_MESSAGE_BYTES};
 
-/// Longest text of a TXT record, in bytes: its length is one byte.
+/// Longest string of a TXT record, in bytes. Its length is encoded in one byte.
 const MAX_TXT_BYTES: usize = 255;
-/// A compression pointer to the question's name, which is the first thing after the header.
+/// Compression pointer to the name in the question, which starts right after the header.
 const POINTER_TO_QUESTION: u16 = 0xc000 | HEADER_BYTES as u16;
 
-/// One record of a response.
+/// A resource record of a response. Its class is IN and its TTL is 0.
 #[derive(Debug)]
 pub struct Record {
-    /// The name it belongs to; none: the name in the question.
+    /// Name that the record belongs to. `None` stands for the name in the question.
     pub owner: Option<Name>,
-    /// Its type.
+    /// Record type, see [`super::record_type`].
     pub record_type: u16,
-    /// Its data.
+    /// Encoded data of the record (RDATA), which must not use compression.
     pub data: Vec<u8>,
 }
 
-/// What a response says.
+/// Content of a response, independent of the query's id and of the transport.
 #[derive(Debug)]
 pub struct Response {
-    /// The response code.
+    /// Response code, which may exceed the 4 bits of the header.
     pub rcode: Rcode,
-    /// Answer, authority and additional records.
+    /// Records of the answer, authority and additional sections, in this order. The OPT record of
+    /// EDNS0 is not included; [`encode_response`] adds it.
     pub sections: [Vec<Record>; 3],
 }
 
 impl Response {
-    /// A response without records.
+    /// Creates a response without records.
     pub fn from_rcode(rcode: Rcode) -> Response {
         Response { rcode, sections: Default::default() }
     }
 }
 
-/// How a message travels, which bounds its length.
+/// Transport of a response, which determines its maximum length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// One datagram.
+    /// One datagram. The maximum is the payload size that the client announced, limited to the
+    /// range from 512 to [`MAX_UDP_MESSAGE_BYTES`] bytes.
     Udp,
-    /// A stream, with a length of two bytes before each message.
+    /// A stream of messages with a length prefix of two bytes. The maximum is 65535 bytes.
     Tcp,
 }
 
-/// Encodes a response. Where it exceeds what the client takes, the additional records are left
-/// out, and if that is not enough all records, with the flag for a truncated response.
+/// Encodes the response to a query. If it exceeds the maximum length, the additional records are
+/// omitted. If it is still too long, all records are omitted and the truncation flag is set.
 pub fn encode_response(query: &Query, response: &Response, transport: Transport) -> Vec<u8> {
     let max_bytes = max_message_bytes(query, transport);
     let complete = encode_sections(query, response, 3, Truncation::No);
@@ -72,14 +76,14 @@
     }
 }
 
-/// Whether a response says that it was truncated.
+/// Whether the truncation flag of a response is set.
 #[derive(Clone, Copy, PartialEq)]
 enum Truncation {
     No,
     Yes,
 }
 
-/// Encodes a response with its first sections only.
+/// Encodes a response with the records of its first `section_count` sections only.
 fn encode_sections(
     query: &Query,
     response: &Response,
@@ -92,7 +96,7 @@
     for (count, section) in counts[1..].iter_mut().zip(sections) {
         *count = section.len() as u16;
     }
-    // The OPT record is an additional record.
+    // The OPT record belongs to the additional section.
     counts[3] += u16::from(query.edns_payload_size.is_some());
     let mut out = Vec::with_capacity(MAX_PLAIN_UDP_MESSAGE_BYTES);
     push_fields(&mut out, &[query.id, header_flags(query, response, truncation)]);
@@ -133,7 +137,7 @@
     out.extend(&record.data);
 }
 
-/// The data of an SRV record of priority and weight 0.
+/// Encodes the data of an SRV record with priority 0 and weight 0.
 pub fn srv_data(port: u16, target: &Name) -> Vec<u8> {
     const PRIORITY: u16 = 0;
     const WEIGHT: u16 = 0;
@@ -143,7 +147,7 @@
     data
 }
 
-/// The data of a TXT record. Texts over 255 bytes are left out.
+/// Encodes the data of a TXT record. Strings longer than 255 bytes are omitted.
 pub fn txt_data(texts: &[String]) -> Vec<u8> {
     let mut data = Vec::new();
     for text in texts.iter().filter(|text| text.len() <= MAX_TXT_BYTES) {
@@ -153,8 +157,10 @@
     data
 }
 
-/// The data of a zone's SOA record. No secondary server has the zone and nothing may be cached, so
-/// the timers are short and negative answers live for 0 s.
+/// Encodes the data of the SOA record of a zone.
+///
+/// The zone has no secondary servers, so the serial is constant and the timers are short. Negative
+/// responses must not be cached, so their TTL is 0.
 pub fn soa_data(zone: &Name) -> Vec<u8> {
     const SERIAL: u32 = 1;
     const REFRESH_SECONDS: u32 = 60;
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -1,10 +1,13 @@
-//! Request routing by DNS: which name stands for what, and which records answer it. The wire
-//! format is [`crate::dns`]'s, the decision the router's.
+//! Request routing by DNS: the mapping from domain names to requests and endpoints, and the records
+//! of the responses. [`crate::dns`] encodes and decodes messages; the router package chooses the
+//! endpoint for a request.
 //!
-//! A request's name below the zone is `[rRID.]gGROUP.pPART.OBJECT.CLASS.ZONE`, as in
-//! `g17.p3.7f3a9c21e0b4d655.docs-pages.route.example`. A class whose requests are not idempotent
-//! needs the `r` label with the request's id, the others have none. An endpoint's name is
-//! `UID.box.ZONE`.
+//! The name of a request is `[rRID.]gGROUP.pPART.OBJECT.CLASS.ZONE`, for example
+//! `g17.p3.7f3a9c21e0b4d655.docs-pages.route.example`. `GROUP` and `PART` (the number of the chunk)
+//! are decimal; `OBJECT` and `RID` (the request id) are 16 hexadecimal digits. The `r` label is
+//! mandatory for classes with non-idempotent requests and forbidden for all others.
+//!
+//! The name of an endpoint is `UID.box.ZONE`.
 
 use crate::dns::{
     self, is_valid_name, record_type, soa_data, srv_data, txt_data, Name, Rcode, Record, Response,
@@ -18,29 +21,29 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// The label below the zone that holds the endpoints' names.
+/// Label directly below the zone under which the names of endpoints are.
 const ENDPOINTS_LABEL: &[u8] = b"box";
-/// The highest retention priority of a copy.
+/// Highest retention priority of a cached copy.
 const MAX_RETENTION: u8 = 3;
 
-/// What a name stands for.
+/// The kind of a domain name.
 #[derive(Debug, PartialEq)]
 pub enum NameKind {
-    /// It is not in the zone.
+    /// A name outside the zone.
     OutsideZone,
-    /// It does not exist.
+    /// A name in the zone that does not exist.
     NotFound,
-    /// The zone itself.
+    /// The name of the zone itself.
     Apex,
-    /// It has no records, but there are names below it (RFC 8499).
+    /// A name without records below which other names exist (RFC 8499).
     EmptyNonTerminal,
-    /// An endpoint, by its uid in lower case.
+    /// The name of an endpoint, with its uid in lower case. The endpoint may be unknown.
     Endpoint(Vec<u8>),
-    /// A request.
+    /// The name of a request, with the requested object.
     Request(RequestedObject),
 }
 
-/// What a name stands for in a zone with these classes.
+/// Classifies a name for a router that serves `zone` and has the request classes `classes`.
 pub fn classify_name(name: &Name, zone: &Name, classes: &Classes) -> NameKind {
     let Some(labels) = name.strip_suffix(zone.as_slice()) else { return NameKind::OutsideZone };
     match labels {
@@ -52,8 +55,8 @@
     }
 }
 
-/// What the labels below the zone stand for if they are not an endpoint's; none if the name does
-/// not exist.
+/// Classifies the labels of a request name or of an ancestor of one; `labels` excludes the zone.
+/// Returns `None` if no such name exists.
 fn classify_request_name(labels: &[Vec<u8>], classes: &Classes) -> Option<NameKind> {
     let mut labels = labels.iter().rev();
     let class = classes.named_in_any_case(labels.next()?)?;
@@ -75,7 +78,8 @@
     Some(NameKind::Request(RequestedObject { class, object, chunk, group, request_id }))
 }
 
-/// A decimal number without leading zeros behind a letter.
+/// Parses a label that consists of the letter `prefix` and a decimal number without leading zeros.
+/// Returns `None` for any other label, and if the number exceeds 32 bits.
 fn parse_prefixed_number(label: &[u8], prefix: u8) -> Option<u32> {
     let digits = label.strip_prefix(&[prefix])?;
     if digits.starts_with(b"0") && digits != b"0" {
@@ -84,7 +88,8 @@
     u32::try_from(parse_decimal(digits)?).ok()
 }
 
-/// The name that stands for a request; none if it would be too long.
+/// Encodes the name of a request. Returns `None` if the name or one of its labels would be too
+/// long.
 pub fn encode_name(request: &RequestedObject, zone: &Name, classes: &Classes) -> Option<Name> {
     let mut name = Name::new();
     if let Some(request_id) = request.request_id {
@@ -98,18 +103,20 @@
     is_valid_name(&name).then_some(name)
 }
 
-/// Whether a request's name has records of that type. For others, such as the AAAA query that many
-/// clients send along with that for A, no decision is made and no load counted.
+/// Returns whether a query of this type for the name of a request needs a routing decision. For
+/// other types, such as the AAAA query that many clients send along with an A query, no endpoint is
+/// chosen and no load is counted.
 pub fn is_routable_type(query_type: u16) -> bool {
     matches!(query_type, record_type::A | record_type::SRV | record_type::ANY)
 }
 
-/// The response for a name that does not exist or has no record of the type.
+/// Returns a response for a name that does not exist (`NxDomain`) or has no records of the queried
+/// type (`NoError`). The SOA record of the zone is in the authority section.
 pub fn negative_response(rcode: Rcode, zone: &Name) -> Response {
     Response { rcode, sections: [Vec::new(), vec![soa_record(zone)], Vec::new()] }
 }
 
-/// The response for the zone's own name.
+/// Returns the response for the name of the zone, whose only record is the SOA record.
 pub fn apex_response(query_type: u16, zone: &Name) -> Response {
     match query_type {
         record_type::SOA | record_type::ANY => {
@@ -119,7 +126,7 @@
     }
 }
 
-/// The response for an endpoint's name.
+/// Returns the response for the name of an endpoint, whose only record is its A or AAAA record.
 pub fn endpoint_response(query_type: u16, zone: &Name, addr: SocketAddr) -> Response {
     let record = address_record(None, addr);
     if query_type == record.record_type || query_type == record_type::ANY {
@@ -129,8 +136,12 @@
     }
 }
 
-/// The response for a request's name: the endpoint that was chosen, and in a TXT record how the
-/// endpoint is to fill its copy. A query for addresses gets the address alone.
+/// Returns the response for the name of a request, with the chosen endpoint.
+///
+/// A query for SRV or ANY gets an SRV record, with the endpoint's address and a TXT record with the
+/// fill hints as additional records. A query for another type gets the endpoint's address record if
+/// it is of that type, and otherwise a response without answers. The response code is `ServFail` if
+/// the endpoint's uid does not fit into a domain name.
 pub fn route_response(query_type: u16, zone: &Name, target: &Target) -> Response {
     let mut endpoint_name: Name =
         vec![target.uid.to_ascii_lowercase().into_bytes(), ENDPOINTS_LABEL.to_vec()];
@@ -148,10 +159,10 @@
     let data = srv_data(target.addr.port(), &endpoint_name);
     let service = Record { owner: None, record_type: record_type::SRV, data };
     let mut additional = vec![address_record(Some(endpoint_name), target.addr)];
-    let texts: Vec<String> =
+    let hints: Vec<String> =
         fill_hint_fields(target).into_iter().map(|field| format!("{}={}", field.name, field.value)).collect();
-    if !texts.is_empty() {
-        additional.push(Record { owner: None, record_type: record_type::TXT, data: txt_data(&texts) });
+    if !hints.is_empty() {
+        additional.push(Record { owner: None, record_type: record_type::TXT, data: txt_data(&hints) });
     }
     positive_response(vec![service], additional)
 }
@@ -171,21 +182,22 @@
     Record { owner: Some(zone.clone()), record_type: record_type::SOA, data: soa_data(zone) }
 }
 
-/// Reads a routing answer of another router: the endpoint's uid and address, and the fill hints.
-/// None if it can't be used.
+/// Converts the SRV response of another router into the endpoint that it chose and the fill hints.
+/// Returns `None` if the endpoint's address or uid is missing, the uid is not UTF-8, or a fill hint
+/// is invalid.
 pub fn parse_routing_hint(service: dns::SrvTarget) -> Option<RoutingHint> {
     let uid = String::from_utf8(service.target.first()?.clone()).ok()?;
     let mut fill = FillHint::default();
     for (name, value) in service.texts.iter().filter_map(|text| text.split_once('=')) {
-        read_fill_field(&mut fill, name, value)?;
+        parse_fill_field(&mut fill, name, value)?;
     }
     let addr = SocketAddr::from((service.addr?, service.port));
     Some(RoutingHint { uid, addr, fill })
 }
 
-/// Reads a field as [`fill_hint_fields`] writes it; none if its value is invalid. Names that are
-/// not known are ignored.
-fn read_fill_field(fill: &mut FillHint, name: &str, value: &str) -> Option<()> {
+/// Parses a field of [`fill_hint_fields`] into `fill`. Fields with unknown names are ignored.
+/// Returns `None` if the value is invalid.
+fn parse_fill_field(fill: &mut FillHint, name: &str, value: &str) -> Option<()> {
     match name {
         "parent" => fill.source = Some(value.to_string()),
         "shelf" => fill.retention = value.parse().ok().filter(|priority| *priority <= MAX_RETENTION)?,
@@ -201,7 +213,8 @@
     Some(())
 }
 
-/// A duration in milliseconds; none if its microseconds exceed 64 bits, as the router counts those.
+/// Parses a duration in milliseconds. Returns `None` if the text is not a number, or if the
+/// duration in microseconds, which is the router's unit of time, exceeds 64 bits.
 fn parse_millis(text: &str) -> Option<Duration> {
     let millis = text.parse::<u64>().ok()?;
     millis.checked_mul(1_000).map(Duration::from_micros)
