--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,47 +1,52 @@
-//! Reads batches, hands their events to the instances that they are for, and writes the replies.
+//! Main loop of the adapter: reads batches, applies their inputs to the decision modules of the
+//! instances, and writes the replies.
 
 use crate::protocol::{frame_len, Batch, Decoder, Encoder, Input, ProtocolError, BATCH_HEADER_BYTES};
 use hollymux_decision::{Action, DecisionModule, Event, SettingsError};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-/// Why the adapter ends before its input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Reading from the simulator failed.
-    #[error("reading a frame: {0}")]
+    #[error("failed to read a frame: {0}")]
     Read(#[source] io::Error),
     /// Writing to the simulator failed.
-    #[error(transparent)]
-    Write(io::Error),
+    #[error("failed to write a reply: {0}")]
+    Write(#[source] io::Error),
     /// The input ends within a frame.
     #[error("frame: input ends at byte {offset}")]
     UnexpectedEnd {
-        /// Where in the frame.
+        /// Number of bytes of the frame that were read.
         offset: usize,
     },
-    /// A frame is malformed.
+    /// A frame or the settings of a new instance are malformed.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// An instance is started with impossible settings.
+    /// The decision module of a new instance rejects its settings.
     #[error("instance {instance}: {source}")]
     Settings {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// What is wrong with its settings.
+        /// Reason for which the settings are rejected.
         source: SettingsError,
     },
-    /// An event names an instance that is not running.
-    #[error("instance {instance}: {event} before its start")]
+    /// An event is addressed to an instance that does not exist.
+    #[error("instance {instance} does not exist: unexpected {event} event")]
     NotStarted {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// What kind of event.
+        /// Kind of the event.
         event: &'static str,
     },
 }
 
-/// Serves batches until the input ends. Nothing of a batch's reply is written if the batch fails.
+/// Processes batches until the input ends. If a batch is invalid, no part of its reply is written.
+///
+/// # Errors
+/// Returns an error if reading or writing fails, if the input ends within a frame, or if a batch is
+/// invalid.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut decoder = Decoder::default();
     let mut instances = Instances::default();
@@ -55,7 +60,8 @@
     Ok(())
 }
 
-/// Reads one frame; false at a clean end of the input.
+/// Reads one frame into `frame`. Returns false if the input ends before the first byte of the
+/// frame.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let mut header = [0; BATCH_HEADER_BYTES];
     if !read_full(input, &mut header, 0)? {
@@ -67,8 +73,8 @@
     read_full(input, &mut frame[header.len()..], header.len())
 }
 
-/// Fills the buffer, which begins at that offset of the frame; false at a clean end before the
-/// frame's first byte.
+/// Fills `buffer`, whose first byte is at `offset` in the frame. Returns false if the input ends
+/// before the first byte of the frame.
 fn read_full(input: &mut impl Read, buffer: &mut [u8], offset: usize) -> Result<bool, AdapterError> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -83,16 +89,18 @@
     Ok(true)
 }
 
-/// The decision modules that run, by instance.
+/// The decision modules of all instances.
 #[derive(Default)]
 struct Instances {
+    /// Decision modules by number of the instance.
     modules: BTreeMap<u16, DecisionModule>,
+    /// Actions of the current event; empty between events.
     actions: Vec<Action>,
     encoder: Encoder,
 }
 
 impl Instances {
-    /// Applies a batch in order and returns the reply frame.
+    /// Applies the inputs of a batch in order and returns the reply frame with all actions.
     fn apply(&mut self, batch: Batch) -> Result<Vec<u8>, AdapterError> {
         for input in batch.inputs {
             match input {
@@ -119,16 +127,16 @@
     }
 }
 
-/// The name of an event in messages of errors.
+/// Returns the kind of an event for use in error messages.
 fn event_name(event: &Event) -> &'static str {
     match event {
-        Event::EndpointList { .. } | Event::EndpointListFailed => "a host list",
-        Event::Request(_) => "a request",
-        Event::Started { .. } => "a started stream",
-        Event::AttemptOutcome(_) => "an outcome",
-        Event::Withdrawn { .. } => "a withdrawal",
-        Event::Timer { .. } => "a timer",
-        Event::Purged(_) => "a purge",
-        Event::Probed { .. } => "a probe's result",
+        Event::EndpointList { .. } | Event::EndpointListFailed => "endpoint list",
+        Event::Request(_) => "request",
+        Event::Started { .. } => "stream start",
+        Event::AttemptOutcome(_) => "attempt outcome",
+        Event::Withdrawn { .. } => "withdrawal",
+        Event::Timer { .. } => "timer",
+        Event::Purged(_) => "purge",
+        Event::Probed { .. } => "probe result",
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,6 @@
-//! The simulator adapter as a process: batches on standard input, replies on standard output.
+//! The simulator adapter as a process. It reads batches from standard input and writes replies to
+//! standard output. On an error, it prints a message to standard error and exits with a failure
+//! code.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/protocol/decoder.rs
+++ b/crates/simulator-adapter/src/protocol/decoder.rs
@@ -1,4 +1,4 @@
-//! Batches of events, from bytes.
+//! Decoder for batches of events.
 
 use super::record::Record;
 use super::{frame_len, ProtocolError, BATCH_HEADER_BYTES, EVENT_BYTES, HEADER_COUNT, HEADER_TIME};
@@ -9,55 +9,71 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Size of an entry of an endpoint list in the tail.
+/// Size of an entry of an endpoint list in the tail, in bytes.
 const ENTRY_BYTES: usize = 24;
-/// Numbered endpoint lists that a process may define.
+/// Number of endpoint lists that can be defined, with numbers from 0.
 const MAX_LISTS: usize = 16;
-/// Offset of the code in an event record, and of the instance in those that have one.
+/// Offset of the code in an event record.
 const CODE: usize = 0;
+/// Offset of the instance in event records that have one.
 const INSTANCE: usize = 1;
-/// Flags of a request.
+/// Bits in the flags of a request.
 const FLAG_REPEAT: u8 = 2;
 const FLAG_WRITE: u8 = 4;
 
-/// Codes of event records.
+/// Codes of event records, with the offsets of the fields in the record.
 mod code {
+    /// Copies were purged: time since the purge (u32) at 3, group (u16) at 7, object (u64) at 9.
+    /// The object is 0 if the whole group was purged.
     pub(super) const PURGED: u8 = 10;
+    /// A streamed response has started: request (u32) at 3, number of the attempt (u16) at 7.
     pub(super) const STARTED: u8 = 20;
+    /// A timer has expired: token (u64) at 3.
     pub(super) const TIMER: u8 = 30;
+    /// Defines a numbered endpoint list: number (u32) at 1, reference to the entries in the tail at
+    /// 5. The record has no instance.
     pub(super) const DEFINE_LIST: u8 = 40;
+    /// An instance receives an endpoint list: kind (u8) at 3, number of the list (u32) at 8. Kind 0
+    /// is a delta, 1 a full list, 2 a cached list; with 3, the request for the list has failed.
     pub(super) const ENDPOINT_LIST: u8 = 50;
+    /// A client has sent a request; [`super::request`] decodes the fields.
     pub(super) const REQUEST: u8 = 60;
+    /// Creates an instance: seed (u64) at 3, reference to the settings text in the tail at 11.
     pub(super) const CREATE: u8 = 70;
+    /// A client has cancelled a request: request (u32) at 3.
     pub(super) const WITHDRAWN: u8 = 80;
+    /// A text that is not used: reference to the text in the tail at 7.
     pub(super) const TEXT: u8 = 90;
+    /// An attempt has ended; [`super::outcome`] decodes the fields.
     pub(super) const OUTCOME: u8 = 100;
+    /// Removes an instance. No fields.
     pub(super) const POWER_OFF: u8 = 110;
+    /// A health probe has ended: endpoint (6 bytes) at 3, status (u8) at 9.
     pub(super) const PROBED: u8 = 120;
 }
 
-/// One input, with the instance it is for.
+/// An input of a batch for one instance.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// An instance starts; one of that number is replaced.
+    /// Creates an instance. An existing instance with the same number is replaced.
     Create {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// The seed of its random draws.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance's decision module.
         settings: Box<Settings>,
     },
-    /// An instance ends.
+    /// Removes an instance; without effect if the instance does not exist.
     PowerOff {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
     },
-    /// An event for an instance.
+    /// Delivers an event to an instance, which must exist.
     Event {
-        /// The instance.
+        /// Number of the instance.
         instance: u16,
-        /// The event.
+        /// Event for the instance's decision module.
         event: Event,
     },
 }
@@ -65,20 +81,24 @@
 /// A decoded batch.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// When all its inputs happen.
+    /// Virtual time of all inputs of the batch.
     pub now: Timestamp,
-    /// The inputs in order.
+    /// Inputs in the order in which they must be applied.
     pub inputs: Vec<Input>,
 }
 
-/// Decodes batches; holds the numbered endpoint lists of the process.
+/// Decoder for batches. It stores the numbered endpoint lists, which later batches may refer to.
 #[derive(Default)]
 pub struct Decoder {
+    /// Endpoint lists by number; `None` for numbers that have not been defined.
     lists: [Option<Vec<EndpointEntry>>; MAX_LISTS],
 }
 
 impl Decoder {
-    /// Decodes one whole batch frame.
+    /// Decodes a batch from a complete frame.
+    ///
+    /// # Errors
+    /// Returns an error if the frame or one of its records is malformed.
     pub fn batch(&mut self, frame: &[u8]) -> Result<Batch, ProtocolError> {
         let truncated = ProtocolError::Frame { reason: "truncated", offset: frame.len() };
         let Some(header) = frame.first_chunk::<BATCH_HEADER_BYTES>() else { return Err(truncated) };
@@ -87,7 +107,7 @@
             return Err(truncated);
         }
         if frame.len() > length {
-            let reason = "bytes past the announced length";
+            let reason = "bytes after the end of the frame";
             return Err(ProtocolError::Frame { reason, offset: length });
         }
         let header = Record::new(header, 0);
@@ -100,7 +120,7 @@
         Ok(Batch { now: Timestamp::from_micros(header.u64(HEADER_TIME)), inputs })
     }
 
-    /// Decodes a record; none if it is for no instance.
+    /// Decodes an event record. Returns `None` for records that are not addressed to an instance.
     fn input(&mut self, record: &Record, tail: &[u8]) -> Result<Option<Input>, ProtocolError> {
         let event = match record.u8(CODE) {
             code::CREATE => return create(record, tail).map(Some),
@@ -110,7 +130,7 @@
                 return Ok(None);
             }
             code::TEXT => {
-                // Texts of the simulator are checked and dropped.
+                // Only the reference to the text is validated; the text is ignored.
                 record.tail_slice(tail, 7, 1)?;
                 return Ok(None);
             }
@@ -127,7 +147,8 @@
         Ok(Some(Input::Event { instance: record.u16(INSTANCE), event }))
     }
 
-    /// Defines a numbered list, which later records of this and other batches refer to.
+    /// Defines or redefines a numbered endpoint list. Later records of this batch and of later
+    /// batches may refer to it.
     fn define_list(&mut self, record: &Record, tail: &[u8]) -> Result<(), ProtocolError> {
         let number = record.u32(1);
         let list = self.lists.get_mut(number as usize);
@@ -140,7 +161,8 @@
         Ok(())
     }
 
-    /// An instance receives a numbered list, or learns that the list is not to be had.
+    /// Decodes the delivery of a numbered endpoint list to an instance, or the failure of its
+    /// request for the list.
     fn endpoint_list(&self, record: &Record) -> Result<Event, ProtocolError> {
         let kind = match record.u8(3) {
             0 => ListKind::Delta,
@@ -164,6 +186,9 @@
     Ok(Input::Create { instance: record.u16(INSTANCE), seed: record.u64(3), settings })
 }
 
+/// Decodes a request: id (u32) at 3, size in KB (f32) at 7, part (f32) at 11, class (u16) at 15,
+/// object (u64) at 17, deadline (u64) at 29, group (f32) at 37, flags (u8) at 41. The size is
+/// unknown unless it is finite and above 0.
 fn request(record: &Record) -> Result<Event, ProtocolError> {
     let size_kb = record.f32(7);
     let flags = record.u8(41);
@@ -180,6 +205,9 @@
     }))
 }
 
+/// Decodes the end of an attempt: request (u32) at 3, endpoint (6 bytes) at 11, latency (u32) at
+/// 17, number of the attempt (u16) at 21, status (u8) at 23, whether the request is finished (u8)
+/// at 24, cache status (u8) at 25.
 fn outcome(record: &Record) -> Result<Event, ProtocolError> {
     Ok(Event::AttemptOutcome(AttemptOutcome {
         request: record.u32(3),
@@ -193,6 +221,7 @@
     }))
 }
 
+/// Decodes a cache status. Returns `None` for code 0, which stands for no status.
 fn cache_status(record: &Record, offset: usize) -> Result<Option<CacheStatus>, ProtocolError> {
     Ok(Some(match record.u8(offset) {
         0 => return Ok(None),
@@ -219,6 +248,8 @@
     })
 }
 
+/// Decodes an entry of an endpoint list: cell (u16) at 0, endpoint (6 bytes) at 2, weight (f32) at
+/// 8, state (u8) at 12, start time (u64) at 13, zone (u8) at 21, kind (u16) at 22.
 fn endpoint_entry(record: &Record) -> Result<EndpointEntry, ProtocolError> {
     Ok(EndpointEntry {
         cell: record.u16(0),
@@ -237,8 +268,11 @@
     })
 }
 
-/// Reads a settings text of `key=value` lines; unknown keys are skipped, absent ones keep their
-/// defaults.
+/// Parses a settings text, which consists of `key=value` lines. Empty lines and unknown keys are
+/// ignored. Settings without a line have their default values.
+///
+/// # Errors
+/// Returns [`ProtocolError::Setting`] if a line has no `=` or the value of a known key is invalid.
 pub fn parse_settings_text(text: &str) -> Result<Settings, ProtocolError> {
     let mut map = BTreeMap::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
--- a/crates/simulator-adapter/src/protocol/mod.rs
+++ b/crates/simulator-adapter/src/protocol/mod.rs
@@ -1,6 +1,12 @@
-//! The simulator's binary protocol, to and from the types of the decision module. A batch is a header,
-//! event records of equal size, and a tail that records refer to; a reply is a header, action records
-//! and a tail. All numbers are little-endian.
+//! Codec for the simulator's binary protocol: decodes batches of events and encodes replies with
+//! actions.
+//!
+//! - A batch consists of a header of 16 bytes, event records of 48 bytes each, and a tail.
+//! - A reply consists of a header of 8 bytes, action records of 32 bytes each, and a tail.
+//!
+//! The tail holds data of variable length, such as texts. A record refers to a part of it by an
+//! offset from the start of the tail and a length. All numbers are little-endian, and all times and
+//! durations are in microseconds.
 
 mod decoder;
 mod encoder;
@@ -12,50 +18,54 @@
 use hollymux_decision::SettingParseError;
 use record::Record;
 
-/// Size of a batch's header: time (8 bytes), length of the frame (4), number of records (4).
+/// Size of the batch header, in bytes: time (8), length of the whole frame (4) and number of
+/// records (4).
 pub const BATCH_HEADER_BYTES: usize = 16;
-/// Size of an event record.
+/// Size of an event record, in bytes.
 const EVENT_BYTES: usize = 48;
-/// Offsets in a batch's header.
+/// Offsets of the fields in the batch header, in bytes.
 const HEADER_TIME: usize = 0;
 const HEADER_LENGTH: usize = 8;
 const HEADER_COUNT: usize = 12;
 
-/// What is wrong with a frame or a settings text, and where.
+/// Error in a frame or in a settings text.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The frame as a whole is malformed.
+    /// The frame is truncated or too long, or a reference to its tail or a text in it is invalid.
     #[error("frame: {reason} at byte {offset}")]
     Frame {
-        /// What is wrong.
+        /// Description of the error.
         reason: &'static str,
-        /// Where in the frame.
+        /// Offset in the frame at which the error was found, in bytes.
         offset: usize,
     },
-    /// A record's code is none of those known.
+    /// The event code of a record is unknown.
     #[error("record {record}: unknown event code {code}")]
     UnknownEvent {
-        /// The record's index.
+        /// Index of the record in the batch, from 0.
         record: usize,
-        /// The code.
+        /// Event code as received.
         code: u8,
     },
-    /// A field's value is out of its range.
-    #[error("record {record}: {field} has no meaning for value {value}")]
+    /// The value of a field is out of range.
+    #[error("record {record}: invalid value {value} of field {field}")]
     InvalidField {
-        /// The record's index.
+        /// Index of the record in the batch, from 0.
         record: usize,
-        /// The field's name in the protocol.
+        /// Name of the field in the simulator's protocol.
         field: &'static str,
-        /// Its value.
+        /// Value as received; for a floating-point field, its bit pattern.
         value: u64,
     },
-    /// A setting of a new instance can't be read.
+    /// A line of a settings text is not of the form `key=value`, or its value is invalid.
     #[error(transparent)]
     Setting(#[from] SettingParseError),
 }
 
-/// The length of the whole frame that a batch header announces.
+/// Returns the length of the whole frame from its batch header.
+///
+/// # Errors
+/// Returns [`ProtocolError::Frame`] if the length is too small for the header and its records.
 pub fn frame_len(header: &[u8; BATCH_HEADER_BYTES]) -> Result<usize, ProtocolError> {
     let header = Record::new(header, 0);
     let length = header.u32(HEADER_LENGTH) as usize;
--- a/crates/simulator-adapter/src/protocol/record.rs
+++ b/crates/simulator-adapter/src/protocol/record.rs
@@ -1,14 +1,16 @@
-//! Fields of one record, by their byte offsets.
+//! Accessors for the fields of a record by byte offset.
 
 use super::{ProtocolError, BATCH_HEADER_BYTES, EVENT_BYTES};
 use hollymux_decision::{AttemptStatus, EndpointId};
 
-/// Bytes of an endpoint's identity in records.
+/// Size of an endpoint id in records, in bytes.
 pub(super) const ENDPOINT_ID_BYTES: usize = 6;
 
-/// One record, and its index in the batch. Offsets must lie within the record.
+/// A view of a record, or of another block of fields such as the batch header. The accessors panic
+/// if a field is not entirely within the block.
 pub(super) struct Record<'a> {
     bytes: &'a [u8],
+    /// Index of the record in the batch, for error messages.
     index: usize,
 }
 
@@ -47,7 +49,8 @@
         f64::from(f32::from_le_bytes(self.array(offset)))
     }
 
-    /// An f32 that stands for a whole number.
+    /// Reads a 32-bit floating-point number and truncates it to an integer. Returns an error that
+    /// names `field` if the number is not in the range of `u32`.
     pub(super) fn whole_f32(&self, offset: usize, field: &'static str) -> Result<u32, ProtocolError> {
         let value = self.f32(offset);
         if value.is_finite() && (0.0..=f64::from(u32::MAX)).contains(&value) {
@@ -57,12 +60,14 @@
         }
     }
 
+    /// Reads an endpoint id of 6 bytes.
     pub(super) fn endpoint(&self, offset: usize) -> EndpointId {
         let mut bytes = [0; 8];
         bytes[..ENDPOINT_ID_BYTES].copy_from_slice(&self.array::<ENDPOINT_ID_BYTES>(offset));
         EndpointId(u64::from_le_bytes(bytes))
     }
 
+    /// Reads the status of an attempt or a probe. Returns an error if the code is unknown.
     pub(super) fn status(&self, offset: usize) -> Result<AttemptStatus, ProtocolError> {
         Ok(match self.u8(offset) {
             0 => AttemptStatus::Ok,
@@ -78,8 +83,9 @@
         })
     }
 
-    /// The bytes of the tail that a reference at this offset names: an offset in the tail, and a
-    /// number of units of that size.
+    /// Returns the part of the tail that a reference at this offset of the record denotes. A
+    /// reference consists of an offset in the tail (4 bytes) and a number of units (4 bytes) of
+    /// `unit` bytes each.
     pub(super) fn tail_slice<'t>(
         &self,
         tail: &'t [u8],
@@ -93,12 +99,12 @@
         slice.ok_or_else(|| self.malformed("a tail reference reaches past the end", offset))
     }
 
-    /// A field whose value is out of its range.
+    /// Returns an error for a field of this record whose value is out of range.
     pub(super) fn invalid(&self, field: &'static str, value: u64) -> ProtocolError {
         ProtocolError::InvalidField { record: self.index, field, value }
     }
 
-    /// A malformed field of an event record.
+    /// Returns an error for malformed data at an offset of this event record.
     pub(super) fn malformed(&self, reason: &'static str, offset: usize) -> ProtocolError {
         let offset = BATCH_HEADER_BYTES + self.index * EVENT_BYTES + offset;
         ProtocolError::Frame { reason, offset }
