--- a/crates/simulator-adapter/tests/characterization.rs
+++ b/crates/simulator-adapter/tests/characterization.rs
@@ -1,8 +1,11 @@
-//! Guards every decision of the decision module against a change that was not meant to be one: seeded worlds are
-//! played through the adapter's process, and a digest over its replies has to stay what it was. It names nothing of
-//! the module's interface but the simulator's wire, so that types and packages can be renamed beside it.
+//! Characterization tests that guard against unintended changes of the decision module's decisions.
 //!
-//! A change that is meant to alter decisions records the digests and counts anew, in the same commit.
+//! Simulated worlds, each generated from a seed, are run against the adapter's process, and a
+//! digest over all replies must equal the recorded one. The tests use only the simulator's
+//! protocol, not the types of the decision module, so that types and packages can be renamed
+//! without changing the tests.
+//!
+//! A commit that changes decisions on purpose must also record the new digests and counts.
 
 #[path = "characterization/frames.rs"]
 mod frames;
@@ -12,11 +15,15 @@
 use frames::Adapter;
 use world::{ClassUse, Counts, Deployment, Notes, World};
 
+/// Number of worlds per deployment.
 const SEQUENCES: u16 = 1_000;
+/// Number of events in each world.
 const EVENTS: usize = 220;
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
 
-/// Hits are not told, probes are allowed, second copies are not.
+/// A deployment in which endpoints report no cache status. Health probes are allowed, hedged
+/// requests are not.
 const UNTOLD: Deployment = Deployment {
     settings: "az=0
 groupSize=4
@@ -74,7 +81,8 @@
     sizes_told: false,
 };
 
-/// Keyed classes, hits are told, the list of hosts is asked for.
+/// A deployment with classes that use idempotency keys. Endpoints report cache hits, and the router
+/// subscribes to the endpoint list. Hedged requests are not allowed.
 const KEYED: Deployment = Deployment {
     settings: "az=0
 groupSize=6
@@ -136,7 +144,8 @@
     sizes_told: false,
 };
 
-/// Second copies are allowed, everything is told, sizes too; copies age.
+/// A deployment in which hedged requests are allowed, endpoints report every cache status, requests
+/// carry the size of the chunk, and cached copies become stale.
 const TOLD: Deployment = Deployment {
     settings: "az=0
 groupSize=3
@@ -201,7 +210,7 @@
     sizes_told: true,
 };
 
-/// Plays all sequences of a deployment; gives the digest of the replies and what was counted.
+/// Runs all worlds of a deployment. Returns the digest of the replies and the counts.
 fn play(deployment: &Deployment) -> (u64, Counts) {
     let mut adapter = Adapter::start();
     let mut counts = Counts::default();
@@ -212,21 +221,23 @@
     (adapter.finish(), counts)
 }
 
-/// Compares with what was recorded, after it is sure that the sequences reach what every deployment allows.
+/// Runs all worlds of a deployment and compares the digest and the counts with the recorded ones.
+/// Before that, it checks that the worlds contain enough of each kind of event and action that
+/// every deployment allows; otherwise the digest would guard less than intended.
 fn check(deployment: &Deployment, recorded: (u64, Counts)) -> Counts {
     let (digest, counts) = play(deployment);
-    let common = [counts.attempts, counts.timers, counts.with_source];
-    assert!(common.iter().all(|count| *count >= 10_000), "{counts:?}");
-    let rarer = [counts.retries, counts.refusals, counts.failures, counts.purges_told];
-    assert!(rarer.iter().all(|count| *count >= 500), "{counts:?}");
-    let told = [counts.drains_told, counts.restarts_told, counts.bounded_age];
-    assert!(told.iter().all(|count| *count >= 200), "{counts:?}");
+    let frequent = [counts.attempts, counts.timers, counts.with_source];
+    assert!(frequent.iter().all(|count| *count >= 10_000), "{counts:?}");
+    let occasional = [counts.retries, counts.refusals, counts.failures, counts.purges_told];
+    assert!(occasional.iter().all(|count| *count >= 500), "{counts:?}");
+    let rare = [counts.drains_told, counts.restarts_told, counts.bounded_age];
+    assert!(rare.iter().all(|count| *count >= 200), "{counts:?}");
     assert_eq!((format!("{digest:016x}"), counts), (format!("{:016x}", recorded.0), recorded.1));
     counts
 }
 
 #[test]
-fn decisions_where_hits_are_not_told() {
+fn decisions_are_unchanged_where_no_cache_status_is_reported() {
     let counts = check(
         &UNTOLD,
         (
@@ -253,7 +264,7 @@
 }
 
 #[test]
-fn decisions_with_keyed_classes() {
+fn decisions_are_unchanged_with_idempotency_keys() {
     let counts = check(
         &KEYED,
         (
@@ -276,12 +287,12 @@
             },
         ),
     );
-    // Where hits are told, nothing has to be probed.
+    // No probes are needed where endpoints report cache hits.
     assert!(counts.subscriptions >= 1_000 && counts.cancels >= 500 && counts.probes + counts.hedges == 0);
 }
 
 #[test]
-fn decisions_with_second_copies_and_ages() {
+fn decisions_are_unchanged_with_hedged_requests_and_stale_copies() {
     let counts = check(
         &TOLD,
         (
--- a/crates/simulator-adapter/tests/characterization/frames.rs
+++ b/crates/simulator-adapter/tests/characterization/frames.rs
@@ -1,51 +1,64 @@
-//! Frames of the simulator's wire, written and read by their byte offsets.
+//! An independent implementation of the simulator's protocol: encodes batches and decodes replies
+//! by byte offset, and exchanges them with the adapter's process.
 
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// The adapter's executable: the one place that follows a rename of its package.
+/// Path of the adapter's executable. The variable contains the package name, so only this line
+/// changes if the package is renamed.
 const ADAPTER: &str = env!("CARGO_BIN_EXE_hollymux-simulator-adapter");
+/// Size of an event record, in bytes.
 const EVENT_BYTES: usize = 48;
+/// Size of an action record, in bytes.
 const ACTION_BYTES: usize = 32;
-/// The numbered list that every list of hosts is sent as.
+/// Number under which every endpoint list is defined.
 const LIST: u32 = 0;
 
-/// A host as it stands in a list of hosts.
+/// A host (endpoint) as an entry of the endpoint list.
 #[derive(Clone, Copy)]
 pub struct ListedHost {
+    /// Endpoint id, of which the protocol carries the lower 48 bits.
     pub id: u64,
     pub cell: u16,
     pub zone: u8,
     pub kind: u16,
     pub weight: f32,
+    /// Code of the state: 0 for gone, 1 for ready, 2 for draining.
     pub state: u8,
+    /// Time of the last start in microseconds; 0 if the host has not restarted.
     pub started: u64,
 }
 
-/// A request as the wire tells it.
+/// Fields of a request record.
 pub struct RequestFields {
     pub id: u32,
+    /// Size of the chunk in KB; 0 if unknown.
     pub size_kb: f32,
     pub part: f32,
     pub class: u16,
     pub object: u64,
+    /// Time at which the client stops waiting, in microseconds.
     pub deadline: u64,
     pub group: f32,
+    /// Bit 1 marks a repeat of an earlier request, bit 2 a write.
     pub flags: u8,
 }
 
-/// The end of an attempt as the wire tells it.
+/// Fields of an attempt outcome record.
 pub struct OutcomeFields {
     pub request: u32,
     pub host: u64,
+    /// Time since the attempt was sent, in microseconds.
     pub latency: u32,
     pub attempt: u16,
     pub status: u8,
+    /// Whether the request is finished, by this or an earlier outcome.
     pub ended: bool,
+    /// Code of the cache status; 0 for none.
     pub note: u8,
 }
 
-/// An action of a reply, as far as the world reacts to it.
+/// An action of a reply, with the fields that the simulated world uses.
 pub enum Action {
     Attempt(AttemptFields),
     Cancel { request: u32, attempt: u16 },
@@ -58,19 +71,25 @@
     Other,
 }
 
-/// An attempt that is to be sent.
+/// Fields of an action that sends an attempt.
 #[derive(Clone)]
 pub struct AttemptFields {
     pub request: u32,
     pub host: u64,
+    /// Timeout in microseconds.
     pub timeout: u32,
+    /// Fill source; equal to `host` if there is none.
     pub source: u64,
+    /// Retention priority of the copy; 0 if the copy is not retained.
     pub keep: u8,
+    /// Greatest age in microseconds of a copy that may be served; 0 for fresh copies only.
     pub max_age: u32,
+    /// Bit 0 stands for request coalescing, bit 1 for only-if-cached, bit 3 for
+    /// stale-while-revalidate.
     pub flags: u8,
 }
 
-/// The records and the tail of one batch.
+/// The records and the tail of a batch.
 #[derive(Default)]
 pub struct Batch {
     records: Vec<u8>,
@@ -82,8 +101,8 @@
         let mut record = [0; EVENT_BYTES];
         record[0] = code;
         record[1..3].copy_from_slice(&instance.to_le_bytes());
-        for (at, bytes) in fields {
-            record[*at..*at + bytes.len()].copy_from_slice(bytes);
+        for (offset, bytes) in fields {
+            record[*offset..*offset + bytes.len()].copy_from_slice(bytes);
         }
         self.records.extend(record);
     }
@@ -101,7 +120,8 @@
         self.record(110, instance, &[]);
     }
 
-    /// A list of hosts and the event that tells it; `how` is 0 for changes, 1 for all, 2 for a remembered list.
+    /// Adds the definition of an endpoint list and its delivery to the instance. `how` is 0 for a
+    /// delta, 1 for a full list and 2 for a cached list.
     pub fn hosts(&mut self, instance: u16, how: u8, hosts: &[ListedHost]) {
         let offset = self.tail.len() as u32;
         for host in hosts {
@@ -120,6 +140,7 @@
         self.record(50, instance, &[(3, &[how]), (8, &LIST.to_le_bytes())]);
     }
 
+    /// Adds the failure of a request for the endpoint list.
     pub fn hosts_failed(&mut self, instance: u16) {
         self.record(50, instance, &[(3, &[3])]);
     }
@@ -163,7 +184,8 @@
         self.record(30, instance, &[(3, &token.to_le_bytes())]);
     }
 
-    /// A purge; object 0 stands for the whole group.
+    /// Adds a purge that happened `since` microseconds ago. If `object` is 0, it purges the whole
+    /// group.
     pub fn purge(&mut self, instance: u16, since: u32, group: u16, object: u64) {
         let fields: [(usize, &[u8]); 3] =
             [(3, &since.to_le_bytes()), (7, &group.to_le_bytes()), (9, &object.to_le_bytes())];
@@ -185,7 +207,7 @@
     }
 }
 
-/// An FNV-1a digest of 64 bits over all actions.
+/// A 64-bit FNV-1a digest over the replies.
 pub struct Digest(pub u64);
 
 impl Default for Digest {
@@ -202,7 +224,7 @@
     }
 }
 
-/// The adapter as a process.
+/// A running process of the adapter.
 pub struct Adapter {
     child: Child,
     input: ChildStdin,
@@ -213,49 +235,56 @@
 impl Adapter {
     pub fn start() -> Adapter {
         let mut command = Command::new(ADAPTER);
-        let mut child =
-            command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("the adapter starts");
-        let input = child.stdin.take().expect("its input is a pipe");
-        let output = child.stdout.take().expect("its output is a pipe");
+        let mut child = command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()
+            .expect("failed to start the adapter");
+        let input = child.stdin.take().expect("standard input of the adapter is not a pipe");
+        let output = child.stdout.take().expect("standard output of the adapter is not a pipe");
         Adapter { child, input, output, digest: Digest::default() }
     }
 
-    /// Sends one batch and reads the actions of the reply.
+    /// Sends a batch with the time `now`, reads the reply and returns its actions.
     pub fn exchange(&mut self, now: u64, batch: &Batch) -> Vec<Action> {
-        self.input.write_all(&batch.frame(now)).expect("the adapter reads");
+        self.input.write_all(&batch.frame(now)).expect("failed to send a batch to the adapter");
         let mut header = [0; 8];
-        self.output.read_exact(&mut header).expect("the adapter replies");
+        self.output.read_exact(&mut header).expect("failed to read the header of a reply");
         let length = number(&header, 0, 4) as usize;
         let count = number(&header, 4, 4) as usize;
         let mut body = vec![0; length - header.len()];
-        self.output.read_exact(&mut body).expect("the reply is whole");
+        self.output.read_exact(&mut body).expect("failed to read the body of a reply");
         self.digest.add(&header[4..]);
         let records = body.chunks_exact(ACTION_BYTES).take(count);
         records.map(|record| self.read(record)).collect()
     }
 
-    /// The wording of log lines is no decision: of them only that there is one counts.
+    /// Adds an action record to the digest and decodes it. Of a log line, only the code and the
+    /// instance are added, since its wording is not a decision.
     fn read(&mut self, record: &[u8]) -> Action {
         let is_log = record[0] == 40;
         self.digest.add(if is_log { &record[..3] } else { record });
         action(record)
     }
 
-    /// Ends the adapter and gives the digest of all replies.
+    /// Closes the adapter's input, waits for its successful exit and returns the digest of all
+    /// replies.
     pub fn finish(self) -> u64 {
         let Adapter { mut child, input, output, digest } = self;
         drop((input, output));
-        assert!(child.wait().expect("the adapter ends").success());
+        assert!(child.wait().expect("failed to wait for the adapter").success());
         digest.0
     }
 }
 
-fn number(bytes: &[u8], at: usize, length: usize) -> u64 {
-    let mut wide = [0; 8];
-    wide[..length].copy_from_slice(&bytes[at..at + length]);
-    u64::from_le_bytes(wide)
+/// Reads a little-endian number of `length` bytes.
+fn number(bytes: &[u8], offset: usize, length: usize) -> u64 {
+    let mut padded = [0; 8];
+    padded[..length].copy_from_slice(&bytes[offset..offset + length]);
+    u64::from_le_bytes(padded)
 }
 
+/// Decodes an action record.
 fn action(record: &[u8]) -> Action {
     let request = number(record, 3, 4) as u32;
     match record[0] {
--- a/crates/simulator-adapter/tests/characterization/world.rs
+++ b/crates/simulator-adapter/tests/characterization/world.rs
@@ -1,21 +1,29 @@
-//! A small closed world around one instance of the decision module: clients, hosts, purges and the list of hosts,
-//! all drawn from one seed.
+//! A simulated world around one instance of the decision module. Requests, endpoint behaviour,
+//! purges and changes of the endpoint list are generated from one seed.
 
 use super::frames::{Action, Adapter, AttemptFields, Batch, ListedHost, OutcomeFields, RequestFields};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
+/// Time at which a world begins, in microseconds.
 const START: u64 = 1_000_000 * MS;
+/// Number of objects, which are numbered from 1.
 const OBJECTS: u64 = 12;
-/// The longest time between two arrivals, in milliseconds: in most worlds, and in crowded ones.
+/// Upper bound of the time between two requests in most worlds, in milliseconds.
 const USUAL_GAP: u64 = 70;
+/// Upper bound of the time between two requests in worlds with high load, in milliseconds.
 const CROWDED_GAP: u64 = 8;
+/// Number of object groups. An object belongs to the group of its number modulo this.
 const GROUPS: u64 = 3;
+/// Kind of the parent caches. Edge caches are of kind 0.
 const PARENT: u16 = 1;
+/// Kind of the origin.
 const ORIGIN: u16 = 2;
-/// The connection time-out of all settings.
+/// Connection timeout in microseconds, equal to `limits.dialTimeout` of all deployments.
 pub const CONNECT_TIMEOUT: u64 = 200 * MS;
 
+// Codes of the status of an attempt.
 const OK: u8 = 0;
 const MISS: u8 = 1;
 const MOOT: u8 = 249;
@@ -26,6 +34,7 @@
 const FULL: u8 = 254;
 const ERROR: u8 = 255;
 
+// Codes of the cache status of an attempt. Those above `NOTE_STALE` are causes of a failed fill.
 const NOTE_NONE: u8 = 0;
 const NOTE_HIT: u8 = 1;
 const NOTE_FILLED: u8 = 2;
@@ -38,57 +47,78 @@
 const NOTE_NO_FILL_PLACE: u8 = 9;
 const NOTE_ORIGIN_FAILED: u8 = 10;
 
+// Codes of the state of an endpoint list entry.
 const GONE: u8 = 0;
 const READY: u8 = 1;
 const DRAINING: u8 = 2;
 
+// Codes of the kind of an endpoint list: delta, full and cached.
 const LIST_CHANGES: u8 = 0;
 const LIST_ALL: u8 = 1;
 const LIST_REMEMBERED: u8 = 2;
 
-/// Which notes the outcomes of a deployment carry.
+/// Which cache statuses the attempt outcomes of a deployment report.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Notes {
+    /// No cache status at all.
     Nothing,
+    /// Hits, fills and stale copies, but no causes of failed fills.
     Hits,
+    /// Every cache status.
     All,
 }
 
-/// A class of requests as the clients of a world use it.
+/// How the clients of a world use a request class.
 pub struct ClassUse {
+    /// Upper bound of the time that a client waits, in microseconds. The lower bound is half of it.
     pub patience: u64,
+    /// Whether the requests are writes.
     pub writes: bool,
+    /// Whether responses are streamed.
     pub streams: bool,
 }
 
-/// Settings, and what the world has to know of them.
+/// The settings of the decision module, with the properties that the world must match.
 pub struct Deployment {
+    /// Settings text of the instance.
     pub settings: &'static str,
+    /// Request classes, in the order of the settings.
     pub classes: &'static [ClassUse],
+    /// Cache statuses that endpoints report.
     pub notes: Notes,
+    /// Whether requests carry the size of the chunk.
     pub sizes_told: bool,
 }
 
-/// How often the module was seen to do, and was told, what the digest has to hold.
+/// Numbers of actions of the module and of events sent to it. They show that the digest covers each
+/// kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub attempts: u32,
+    /// Attempts other than the first one of a request.
     pub retries: u32,
+    /// Attempts with a fill source.
     pub with_source: u32,
+    /// Attempts that were sent while another attempt of the request was in flight.
     pub hedges: u32,
+    /// Attempts that allow stale copies up to a greatest age.
     pub bounded_age: u32,
     pub cancels: u32,
     pub probes: u32,
     pub subscriptions: u32,
+    /// Rejected requests.
     pub refusals: u32,
+    /// Failed requests.
     pub failures: u32,
     pub timers: u32,
     pub purges_told: u32,
+    /// Endpoint list entries that report a draining host.
     pub drains_told: u32,
+    /// Endpoint list entries that report a restarted host.
     pub restarts_told: u32,
 }
 
-/// SplitMix64.
+/// The pseudorandom number generator SplitMix64.
 struct Random(u64);
 
 impl Random {
@@ -105,11 +135,13 @@
     fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.below(high - low)
     }
+    /// Returns true with a probability of `chance` percent.
     fn percent(&mut self, chance: u64) -> bool {
         self.below(100) < chance
     }
 }
 
+/// How a host responds to attempts and probes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Health {
     Good,
@@ -119,30 +151,41 @@
     Full,
 }
 
+/// An endpoint of the world.
 struct Host {
+    /// Entry in the endpoint list.
     listed: ListedHost,
     health: Health,
+    /// Number of attempts in flight at this host.
     outstanding: u64,
 }
 
+/// An attempt in flight.
 struct Attempt {
     fields: AttemptFields,
+    /// Time at which the attempt was sent, in microseconds.
     sent: u64,
 }
 
+/// A client's request. It remains in the world after it is closed, since attempts may still end.
 struct Open {
     class: usize,
     object: u64,
     part: u64,
+    /// Number of attempts sent so far.
     attempts: u16,
+    /// Whether the request was served, rejected, failed or cancelled.
     closed: bool,
+    /// Attempts in flight, by number.
     out: BTreeMap<u16, Attempt>,
 }
 
-/// How an attempt will end, if nothing comes in between.
+/// The end of an attempt that is neither cancelled nor cut off by a restart of its host.
 struct Ending {
+    /// Time from sending to the end, in microseconds.
     after: u64,
     status: u8,
+    /// Code of the cache status.
     note: u8,
 }
 
@@ -152,37 +195,61 @@
     }
 }
 
+/// A scheduled event of the world.
 #[derive(Clone, Copy)]
 enum Due {
+    /// A client sends a request.
     Arrival,
+    /// The health or the list entry of a host changes.
     Change,
     Purge,
+    /// A timer of the module expires.
     Timer(u64),
+    /// A health probe of a host ends.
     Probed(u64),
-    Started { request: u32, attempt: u16 },
-    Outcome { request: u32, attempt: u16, status: u8, note: u8 },
+    /// A streamed response starts.
+    Started {
+        request: u32,
+        attempt: u16,
+    },
+    /// An attempt ends.
+    Outcome {
+        request: u32,
+        attempt: u16,
+        status: u8,
+        note: u8,
+    },
+    /// A client cancels its request.
     Withdrawal(u32),
+    /// The module receives the full endpoint list, or the request for it fails.
     List,
 }
 
-/// One sequence of events.
+/// A simulated world with one instance of the decision module.
 pub struct World<'a> {
     adapter: &'a mut Adapter,
     deployment: &'a Deployment,
     counts: &'a mut Counts,
     random: Random,
     instance: u16,
+    /// Current time in microseconds.
     now: u64,
     hosts: Vec<Host>,
+    /// Cached copies as host, object and part.
     copies: BTreeSet<(u64, u64, u64)>,
+    /// All requests by id, including those that are closed.
     open: BTreeMap<u32, Open>,
+    /// Scheduled events by time and serial number.
     due: BTreeMap<(u64, u64), Due>,
+    /// Serial number of the event scheduled last, which orders events of the same time.
     serial: u64,
     next_request: u32,
+    /// Number of requests left in a burst, which arrive at short intervals.
     burst: u64,
-    /// The longest time between two arrivals, in milliseconds.
+    /// Upper bound of the time between two requests outside bursts, in milliseconds.
     longest_gap: u64,
-    /// Until then most attempts fail at once, wherever they go.
+    /// End of the current failure storm, in microseconds. Until then, most attempts fail quickly
+    /// whatever their host.
     storm_until: u64,
 }
 
@@ -216,6 +283,7 @@
         world
     }
 
+    /// Creates the instance, sends it the endpoint list and schedules the first events.
     fn begin(&mut self, seed: u64) {
         let mut batch = Batch::default();
         batch.create(self.instance, seed, self.deployment.settings);
@@ -228,7 +296,7 @@
         self.schedule(150 * MS, Due::Purge);
     }
 
-    /// Plays so many events, then ends the instance.
+    /// Processes up to `events` scheduled events, then removes the instance.
     pub fn play(mut self, events: usize) {
         for _ in 0..events {
             let Some(((at, _), due)) = self.due.pop_first() else { break };
@@ -245,12 +313,14 @@
         self.due.insert((self.now + after, self.serial), due);
     }
 
+    /// Sends a batch to the adapter and executes the actions of the reply.
     fn tell(&mut self, batch: &Batch) {
         for action in self.adapter.exchange(self.now, batch) {
             self.obey(action);
         }
     }
 
+    /// Processes a scheduled event.
     fn happen(&mut self, due: Due) {
         match due {
             Due::Arrival => self.arrive(),
@@ -269,6 +339,7 @@
         }
     }
 
+    /// Executes an action of the module.
     fn obey(&mut self, action: Action) {
         match action {
             Action::Attempt(fields) => self.send(fields),
@@ -309,12 +380,13 @@
         }
     }
 
+    /// Sends a new request and schedules the next one.
     fn arrive(&mut self) {
         let id = self.next_request;
         self.next_request += 1;
         let class = self.random.below(self.deployment.classes.len() as u64) as usize;
         let usage = &self.deployment.classes[class];
-        // Two draws, the smaller one taken: some objects are asked for more often than others.
+        // The smaller one of two draws, so that some objects are requested more often than others.
         let object = 1 + self.random.below(OBJECTS).min(self.random.below(OBJECTS));
         let part = self.random.below(2);
         let patience = usage.patience / 2 + self.random.below(usage.patience / 2);
@@ -351,9 +423,10 @@
         self.schedule(gap, Due::Arrival);
     }
 
+    /// Starts an attempt and schedules its end.
     fn send(&mut self, fields: AttemptFields) {
         let request = fields.request;
-        let open = self.open.get_mut(&request).expect("an attempt of a known request");
+        let open = self.open.get_mut(&request).expect("the module sent an attempt of an unknown request");
         self.counts.attempts += 1;
         self.counts.retries += u32::from(open.attempts > 0);
         self.counts.hedges += u32::from(!open.out.is_empty());
@@ -378,6 +451,7 @@
         self.hosts.iter_mut().find(|host| host.listed.id == id)
     }
 
+    /// Determines how an attempt ends, with its timeout and the reported cache statuses applied.
     fn ending(&mut self, fields: &AttemptFields, class: usize, object: u64, part: u64) -> Ending {
         let timeout = u64::from(fields.timeout);
         let ending = self.answer(fields, class, object, part);
@@ -392,6 +466,7 @@
         Ending { note, ..ending }
     }
 
+    /// Determines how the host responds to an attempt, before the timeout is applied.
     fn answer(&mut self, fields: &AttemptFields, class: usize, object: u64, part: u64) -> Ending {
         let Some(host) = self.host(fields.host) else { return Ending::new(MS, CONNECT_FAILED, NOTE_NONE) };
         let (health, kind, outstanding) = (host.health, host.listed.kind, host.outstanding);
@@ -399,7 +474,7 @@
         let chance = self.random.below(100);
         let after = self.service_time(kind, health, outstanding);
         if self.now < self.storm_until && chance >= 30 {
-            // Errors tell against a host, misses don't.
+            // Errors raise the error score of a host, misses do not.
             return Ending::new(3 * MS, if chance < 55 { ERROR } else { MISS }, NOTE_NONE);
         }
         if state == GONE || health == Health::Dead {
@@ -426,6 +501,8 @@
         self.fill(fields, object, part, after, chance)
     }
 
+    /// Draws the service time of a host in microseconds. It grows with the host's attempts in
+    /// flight.
     fn service_time(&mut self, kind: u16, health: Health, outstanding: u64) -> u64 {
         let base = match kind {
             ORIGIN => self.random.between(50, 180),
@@ -436,7 +513,8 @@
         base * MS * slow * (4 + outstanding) / 4
     }
 
-    /// A cache that has no copy fills from its source, if it was named one.
+    /// Determines how an attempt ends on a cache miss: with a miss if it has no fill source, and
+    /// otherwise depending on the state of the fill source.
     fn fill(&mut self, fields: &AttemptFields, object: u64, part: u64, after: u64, chance: u64) -> Ending {
         if fields.source == fields.host {
             let note = if chance < 30 { NOTE_JOINED } else { NOTE_NONE };
@@ -476,6 +554,7 @@
         Ending::new(after, OK, note)
     }
 
+    /// Reports that a streamed response has started, unless its attempt or request is over.
     fn started(&mut self, request: u32, attempt: u16) {
         let out = self.open.get(&request).filter(|open| !open.closed && open.out.contains_key(&attempt));
         if out.is_some() {
@@ -485,6 +564,7 @@
         }
     }
 
+    /// Reports the end of an attempt, unless it was reported before.
     fn outcome(&mut self, request: u32, attempt: u16, status: u8, note: u8) {
         let Some(open) = self.open.get_mut(&request) else { return };
         let Some(ended) = open.out.remove(&attempt) else { return };
@@ -506,6 +586,7 @@
         self.tell(&batch);
     }
 
+    /// Cancels a request on behalf of its client, unless it is closed.
     fn withdraw(&mut self, request: u32) {
         let Some(open) = self.open.get_mut(&request).filter(|open| !open.closed) else { return };
         open.closed = true;
@@ -514,6 +595,7 @@
         self.tell(&batch);
     }
 
+    /// Reports the result of a health probe.
     fn probed(&mut self, id: u64) {
         let status = match self.host(id).map(|host| host.health) {
             Some(Health::Good | Health::Slow) => OK,
@@ -526,6 +608,7 @@
         self.tell(&batch);
     }
 
+    /// Purges an object or a whole group, reports the purge and schedules the next one.
     fn purge(&mut self) {
         self.counts.purges_told += 1;
         let object = 1 + self.random.below(OBJECTS);
@@ -540,19 +623,21 @@
         self.schedule(after, Due::Purge);
     }
 
+    /// Sends the full endpoint list, or reports that the request for it failed.
     fn list(&mut self) {
         let mut batch = Batch::default();
         if self.random.percent(15) {
             batch.hosts_failed(self.instance);
         } else {
             let all = self.hosts.iter().map(|host| host.listed);
-            let there: Vec<ListedHost> = all.filter(|listed| listed.state != GONE).collect();
-            batch.hosts(self.instance, LIST_ALL, &there);
+            let present: Vec<ListedHost> = all.filter(|listed| listed.state != GONE).collect();
+            batch.hosts(self.instance, LIST_ALL, &present);
         }
         self.tell(&batch);
     }
 
-    /// One host's health or its line in the list changes.
+    /// Changes the health or the list entry of a random host, restarts it, begins a failure storm,
+    /// or sends the full endpoint list; then schedules the next change.
     fn change(&mut self) {
         let place = self.random.below(self.hosts.len() as u64) as usize;
         match self.random.below(30) {
@@ -572,13 +657,14 @@
         self.schedule(after, Due::Change);
     }
 
+    /// Changes the state of a host in the endpoint list and reports the new entry.
     fn relist(&mut self, place: usize, state: u8) {
         self.counts.drains_told += u32::from(state == DRAINING);
         self.hosts[place].listed.state = state;
         self.tell_line(place);
     }
 
-    /// A host starts anew: it is empty, and what it was asked for is lost.
+    /// Restarts a host. It loses its cached copies, and the connections of its attempts are reset.
     fn restart(&mut self, place: usize) {
         self.counts.restarts_told += 1;
         let now = self.now;
@@ -590,8 +676,8 @@
         self.copies.retain(|copy| copy.0 != id);
         let mut lost = Vec::new();
         for (request, open) in &self.open {
-            let here = open.out.iter().filter(|(_, attempt)| attempt.fields.host == id);
-            lost.extend(here.map(|(number, _)| (*request, *number)));
+            let at_host = open.out.iter().filter(|(_, attempt)| attempt.fields.host == id);
+            lost.extend(at_host.map(|(number, _)| (*request, *number)));
         }
         for (request, attempt) in lost {
             self.schedule(MS, Due::Outcome { request, attempt, status: RESET, note: NOTE_NONE });
@@ -599,6 +685,7 @@
         self.tell_line(place);
     }
 
+    /// Reports the list entry of a host as a change of the endpoint list.
     fn tell_line(&mut self, place: usize) {
         let mut batch = Batch::default();
         batch.hosts(self.instance, LIST_CHANGES, &[self.hosts[place].listed]);
@@ -606,7 +693,7 @@
     }
 }
 
-/// Three caches in each of two zones, a parent in each, and an origin.
+/// The hosts of a world: three edge caches and a parent cache in each of two zones, and an origin.
 fn hosts() -> Vec<Host> {
     let host = |place: u64| {
         let kind = [0, 0, 0, 0, 0, 0, PARENT, PARENT, ORIGIN][place as usize];
