--- a/crates/config-file/src/fault.rs
+++ b/crates/config-file/src/fault.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a document, as found and as reported.
+//! Faults of a document, before and after their positions are determined.
 
 use std::fmt;
 
-/// One thing that is wrong with a document.
+/// A fault of a document with its position in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Its line, from 1; 0 if no position in the text can be given.
+    /// Line in the text, counted from 1; 0 if the position is unknown.
     pub line: usize,
-    /// Its column, from 1; 0 if no position in the text can be given.
+    /// Column in the text, counted from 1; 0 if the position is unknown.
     pub column: usize,
-    /// The field, as in `dns.listen` or `routers[1].zone`; empty for the document itself.
+    /// Path of the field, such as `dns.listen` or `routers[1].zone`; empty for the whole document.
     pub field: String,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the fault.
+    pub message: String,
 }
 
 impl Fault {
@@ -29,33 +29,35 @@
         if !self.field.is_empty() {
             write!(formatter, "{}: ", self.field)?;
         }
-        formatter.write_str(&self.what)
+        formatter.write_str(&self.message)
     }
 }
 
-/// A fault that a check reports, before its position is known.
+/// A fault that a [`crate::Check`] has reported, without its position.
 #[derive(Debug)]
 pub(crate) struct CheckFault {
+    /// Path of the field; empty for the whole document.
     pub(crate) field: String,
-    pub(crate) what: String,
+    /// Description of the fault.
+    pub(crate) message: String,
 }
 
-/// Collects the faults that [`crate::Check::check`] reports.
+/// Collector for the faults that [`crate::Check::check`] reports.
 #[derive(Debug, Default)]
 pub struct Faults {
     reported: Vec<CheckFault>,
 }
 
 impl Faults {
-    /// Reports a fault of a field, which is written as in `routers[1].zone`.
-    pub fn say(&mut self, field: impl Into<String>, what: impl Into<String>) {
-        self.reported.push(CheckFault { field: field.into(), what: what.into() });
+    /// Reports a fault. `field` is the path of the field, such as `routers[1].zone`.
+    pub fn report(&mut self, field: impl Into<String>, message: impl Into<String>) {
+        self.reported.push(CheckFault { field: field.into(), message: message.into() });
     }
 
-    /// Reports a fault unless the condition holds.
-    pub fn unless(&mut self, holds: bool, field: impl Into<String>, what: &str) {
+    /// Reports a fault if `holds` is false.
+    pub fn unless(&mut self, holds: bool, field: impl Into<String>, message: &str) {
         if !holds {
-            self.say(field, what);
+            self.report(field, message);
         }
     }
 
--- a/crates/config-file/src/field_path.rs
+++ b/crates/config-file/src/field_path.rs
@@ -1,16 +1,18 @@
-//! Paths to values inside a document.
+//! Paths to values in a document: their textual form, removal of the value at a path, and the
+//! mapping of paths to the document before such removals.
 
 use serde_json::Value;
 use serde_path_to_error::{Path, Segment};
 
-/// One step from a value to one inside it.
+/// A component of a path: from an object to one of its members, or from an array to an element.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     Key(String),
     Index(usize),
 }
 
-/// The steps of a path as serde reports it. Steps that name no place in the text are left out.
+/// Converts a path that serde reports. Enum variants and unknown segments are omitted, since they
+/// do not correspond to a position in the text.
 pub(crate) fn steps_of(path: &Path) -> Vec<Step> {
     let step = |segment: &Segment| match segment {
         Segment::Seq { index } => Some(Step::Index(*index)),
@@ -20,7 +22,7 @@
     path.iter().filter_map(step).collect()
 }
 
-/// The steps of a field that is written as in `routers[1].zone`.
+/// Parses the textual form of a path, such as `routers[1].zone`.
 pub(crate) fn parse_field(field: &str) -> Vec<Step> {
     let mut steps = Vec::new();
     for part in field.split('.').filter(|part| !part.is_empty()) {
@@ -34,7 +36,7 @@
     steps
 }
 
-/// A field written as in `routers[1].zone`.
+/// Formats a path, for example as `routers[1].zone`.
 pub(crate) fn format_field(steps: &[Step]) -> String {
     let mut text = String::new();
     for step in steps {
@@ -51,7 +53,8 @@
     text
 }
 
-/// Removes the value at a path; false if there is none, or if it is the whole document.
+/// Removes the value at a path. Returns false if there is no such value or the path is empty, since
+/// the whole document cannot be removed.
 pub(crate) fn remove(value: &mut Value, path: &[Step]) -> bool {
     let Some((step, rest)) = path.split_first() else { return false };
     match (step, value) {
@@ -71,8 +74,9 @@
     }
 }
 
-/// Turns a path in a document from which values were removed into one in the original document.
-/// Removing an element moves those behind it forwards.
+/// Maps a path in a document from which values were removed to a path in the original document.
+/// Only indices change: the removal of an array element shifts the elements after it. `removed`
+/// holds the paths of the removed values in the original document.
 pub(crate) fn original_path(path: &[Step], removed: &[Vec<Step>]) -> Vec<Step> {
     let mut original: Vec<Step> = Vec::with_capacity(path.len());
     for step in path {
@@ -85,7 +89,8 @@
     original
 }
 
-/// The original index of an element of the array at the path `array`.
+/// Maps an index in an array from which elements were removed to the index in the original array.
+/// `array` is the path of the array in the original document.
 fn original_index(index: usize, array: &[Step], removed: &[Vec<Step>]) -> usize {
     let removed_index = |path: &Vec<Step>| match path.split_last() {
         Some((Step::Index(index), parent)) if parent == array => Some(*index),
--- a/crates/config-file/src/lib.rs
+++ b/crates/config-file/src/lib.rs
@@ -1,9 +1,11 @@
-//! Documents that an operator writes in JSON5: the operator's file, a cluster to plan, a simulated
-//! scenario. A document is read whole or not at all, and all faults in it are reported at once,
-//! each with its line, column and field.
+//! Parser for JSON5 documents that operators write, such as the operator's file, the description of
+//! a cluster for capacity planning, or a simulation scenario.
 //!
-//! What the fields mean is the business of the packages that declare the documents' types; they
-//! say by [`Check`] what the types can't.
+//! A document is accepted as a whole or rejected. All faults of a rejected document are reported
+//! together, each with its line, column and field.
+//!
+//! The packages that declare the types of the documents define the meaning of the fields. They
+//! implement [`Check`] to validate what the types cannot express.
 
 mod diagnosis;
 mod fault;
@@ -17,19 +19,20 @@
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 
-/// Most faults reported of one document. One with more is better written anew than mended.
+/// Maximum number of faults reported for one document. With more faults, rewriting the document is
+/// easier than correcting it.
 const MAX_FAULTS: usize = 50;
 
-/// What a document's types can't say: ranges, and fields that must fit each other.
+/// Validation of a document beyond its types, such as ranges of values and consistency of fields.
 pub trait Check {
-    /// Reports each fault.
+    /// Adds every fault of the document to `faults`.
     fn check(&self, faults: &mut Faults);
 }
 
-/// Reads a document.
+/// Parses and checks a document.
 ///
 /// # Errors
-/// All faults found, in the order of the text; at most fifty.
+/// Returns the faults of the document in the order of their positions, limited to the first 50.
 pub fn read<T: DeserializeOwned + Check>(text: &str) -> Result<T, Vec<Fault>> {
     let mut faults = match diagnosis::parse::<T>(text) {
         Ok(document) => {
@@ -46,29 +49,30 @@
     Err(faults)
 }
 
-/// Why a document can't be loaded from a file.
+/// Error when a document is loaded from a file.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The operating system's reason.
+        /// Error of the operating system, or of the conversion from UTF-8.
         source: std::io::Error,
     },
-    /// The document is faulty.
+    /// The document in the file has faults.
     #[error("{} has {} faults", path.display(), faults.len())]
     Faulty {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The faults, in the order of the text.
+        /// Faults of the document in the order of their positions, limited to the first 50.
         faults: Vec<Fault>,
     },
 }
 
 impl LoadError {
-    /// The error as lines to print, of the form `FILE:LINE:COLUMN: FIELD: FAULT`.
+    /// Formats the error as lines for an operator. There is one line per fault, of the form
+    /// `FILE:LINE:COLUMN: FIELD: FAULT`, or a single line if the file cannot be read.
     pub fn lines(&self) -> Vec<String> {
         match self {
             LoadError::Read { .. } => vec![self.to_string()],
@@ -88,25 +92,25 @@
     }
 }
 
-/// Reads a document from a file.
+/// Parses and checks the document in a file.
 ///
 /// # Errors
-/// The file can't be read, or holds a faulty document.
+/// Returns an error if the file cannot be read or its document has faults.
 pub fn load_document<T: DeserializeOwned + Check>(path: &Path) -> Result<T, LoadError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| LoadError::Read { path: path.to_path_buf(), source })?;
     read(&text).map_err(|faults| LoadError::Faulty { path: path.to_path_buf(), faults })
 }
 
-/// Reads a document from a file, as [`load_document`] does, for callers that print the error.
+/// Parses and checks the document in a file like [`load_document`], for callers that print errors.
 ///
 /// # Errors
-/// The [`LoadError::lines`].
+/// Returns the lines of [`LoadError::lines`].
 pub fn load<T: DeserializeOwned + Check>(path: &Path) -> Result<T, Vec<String>> {
     load_document(path).map_err(|error| error.lines())
 }
 
-/// The JSON Schema of a document, as text.
+/// Returns the JSON Schema of a document type as formatted JSON text.
 pub fn schema<T: JsonSchema>() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(T)).unwrap_or_default()
 }
