--- a/crates/protocol/tests/endpoint_feed.rs
+++ b/crates/protocol/tests/endpoint_feed.rs
@@ -1,22 +1,24 @@
-//! The endpoint feed's transport: events are read alike in any two pieces, and its end is an error.
+//! Tests of the endpoint feed's transport: the request, the decoding of events in pieces of any
+//! size, and errors.
 
 use hollymux_protocol::endpoint_feed::{encode_request, EndpointFeedReader, FeedError};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Reads pieces of one response; the events as texts.
+/// Decodes a response that arrives in these pieces. Returns the events before the first error, and
+/// that error if there is one.
 fn read(pieces: &[&str]) -> (Vec<String>, Result<(), FeedError>) {
     let mut reader = EndpointFeedReader::default();
     let mut events = Vec::new();
     let result = pieces.iter().try_for_each(|piece| reader.feed(piece.as_bytes(), &mut events));
-    let text = |event: Vec<u8>| String::from_utf8(event).expect("the events are texts");
-    (events.into_iter().map(text).collect(), result)
+    let to_text = |event: Vec<u8>| String::from_utf8(event).expect("event is not UTF-8");
+    (events.into_iter().map(to_text).collect(), result)
 }
 
 #[test]
-fn the_request_asks_for_events_after_the_last_one_known() {
-    let request = String::from_utf8(encode_request("127.0.0.1:80", 7)).expect("the request is text");
+fn the_request_contains_the_number_of_the_last_known_event() {
+    let request = String::from_utf8(encode_request("127.0.0.1:80", 7)).expect("request is not UTF-8");
     assert_eq!(
         request,
         "GET /v1/events HTTP/1.1\r\nHost: 127.0.0.1:80\r\nAccept: text/event-stream\r\n\
@@ -24,8 +26,9 @@
     );
 }
 
+/// Guards against results that depend on how a response is split into TCP segments or chunks.
 #[test]
-fn events_are_read_alike_in_any_two_pieces() {
+fn events_in_a_response_of_two_pieces_are_decoded_completely() {
     let events = ": heartbeat\n\ndata: one\n\nid: 2\ndata: two\ndata: lines\n\n";
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let responses = [
@@ -34,16 +37,16 @@
         format!("{CHUNKED_HEAD}{}{}", chunk(&events[..24]), chunk(&events[24..])),
     ];
     for response in responses {
-        for at in 0..=response.len() {
-            let (events, result) = read(&[&response[..at], &response[at..]]);
-            assert_eq!(result, Ok(()), "{response:?} at {at}");
-            assert_eq!(events, ["one", "two\nlines"], "{response:?} at {at}");
+        for split in 0..=response.len() {
+            let (events, result) = read(&[&response[..split], &response[split..]]);
+            assert_eq!(result, Ok(()), "{response:?} split at {split}");
+            assert_eq!(events, ["one", "two\nlines"], "{response:?} split at {split}");
         }
     }
 }
 
 #[test]
-fn a_response_that_is_no_feed_or_ends_is_an_error() {
+fn an_invalid_response_or_the_end_of_a_response_is_an_error() {
     let cases = [
         ("HTTP/1.1 503 Service Unavailable\r\n".to_string(), FeedError::UnexpectedStatus),
         ("RTSP/1.0 200 OK\r\n".to_string(), FeedError::UnexpectedStatus),
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn an_event_before_an_error_is_kept() {
+fn an_event_before_an_error_is_returned() {
     let response = format!("{CHUNKED_HEAD}b\r\ndata: one\n\n\r\n0\r\n");
     assert_eq!(read(&[&response]), (vec!["one".to_string()], Err(FeedError::Ended)));
 }
--- a/crates/protocol/tests/handover.rs
+++ b/crates/protocol/tests/handover.rs
@@ -1,13 +1,15 @@
-//! Handover messages: decoded alike in any pieces, across versions, and within bounds.
+//! Tests of the handover codec: decoding in pieces of any size, compatibility between versions, and
+//! limits.
 
 use hollymux_decision::Timestamp;
 use hollymux_protocol::handover::{HandoverMessage, HandoverReader, MalformedMessage, VERSION};
 use hollymux_router::handover_state::{EndpointRecord, HandoverState, PendingWrite};
 use proptest::prelude::*;
 
-/// The kind of a message with the state of the predecessor.
+/// Kind byte of a message with the state of the predecessor.
 const STATE_KIND: u8 = 2;
 
+/// Messages whose encodings the tests use; the second one is the state of the predecessor.
 fn all_messages() -> Vec<HandoverMessage> {
     let endpoint = EndpointRecord {
         uid: "s-a".into(),
@@ -42,37 +44,39 @@
     ]
 }
 
-/// A frame with a body of any bytes, whatever the kind.
+/// A frame of the current version with this body, which need not be valid for the kind.
 fn frame(kind: u8, body: &[u8]) -> Vec<u8> {
-    let length = u32::try_from(body.len()).expect("the body is short").to_be_bytes();
+    let length = u32::try_from(body.len()).expect("body too long").to_be_bytes();
     [b"hmx".as_slice(), &[VERSION, kind], &length, body].concat()
 }
 
 #[test]
-fn messages_are_decoded_alike_in_pieces_of_one_byte() {
+fn messages_in_pieces_of_one_byte_are_decoded_completely() {
     let bytes: Vec<u8> = all_messages().iter().flat_map(HandoverMessage::encode).collect();
     let mut reader = HandoverReader::default();
-    let mut read = Vec::new();
+    let mut decoded = Vec::new();
     for byte in bytes {
         reader.feed(&[byte]);
-        read.extend(reader.next_message().unwrap());
+        decoded.extend(reader.next_message().unwrap());
     }
-    assert_eq!(read, all_messages());
+    assert_eq!(decoded, all_messages());
 }
 
-/// Guards against a process of another version that is not understood at all, and against lengths
-/// that nobody could send.
+/// Guards against two failures: the kind of a message from a process of another version is not
+/// recognized, so that not even the listening socket can be handed over; and a frame with an
+/// oversized length makes the reader buffer without limit.
 #[test]
-fn other_versions_agree_on_the_socket_and_lengths_are_bounded() {
+fn kinds_of_another_version_are_recognized_and_oversized_lengths_rejected() {
     for message in all_messages() {
         let mut bytes = message.encode();
         bytes[3] = VERSION + 1;
         let mut reader = HandoverReader::default();
         reader.feed(&bytes);
-        let read = reader.next_message().unwrap().unwrap();
-        let same_kind = std::mem::discriminant(&read) == std::mem::discriminant(&message);
-        assert!(same_kind, "{message:?} is read as {read:?}");
-        assert_ne!(read, all_messages()[1]);
+        let decoded = reader.next_message().unwrap().unwrap();
+        let same_kind = std::mem::discriminant(&decoded) == std::mem::discriminant(&message);
+        assert!(same_kind, "{message:?} was decoded as {decoded:?}");
+        // The state of another version must not be decoded.
+        assert_ne!(decoded, all_messages()[1]);
     }
     let mut reader = HandoverReader::default();
     reader.feed(&[b'h', b'm', b'x', VERSION, STATE_KIND, 0xff, 0, 0, 0]);
@@ -82,9 +86,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against bytes that panic the reader: any, and any after a valid header.
+    /// Guards against input that causes a panic: arbitrary bytes, and arbitrary bodies after a
+    /// valid header.
     #[test]
-    fn any_bytes_are_read_without_panic(kind in 0u8..8, body in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_cause_no_panic(kind in 0u8..8, body in proptest::collection::vec(any::<u8>(), 0..300)) {
         for bytes in [frame(kind, &body), body] {
             let mut reader = HandoverReader::default();
             reader.feed(&bytes);
--- a/crates/protocol/tests/handover_bytes.rs
+++ b/crates/protocol/tests/handover_bytes.rs
@@ -1,12 +1,12 @@
-//! The bytes of the handed over state: a time is a plain number of microseconds, whatever its type
-//! in the program.
+//! Tests of the encoding of the state that is handed over: points in time and durations are encoded
+//! as plain numbers of microseconds, whatever types the program uses for them.
 
 use hollymux_decision::{DecisionSnapshot, EndpointSnapshot, Timestamp};
 use hollymux_router::handover_state::{EndpointRecord, PendingWrite};
 use serde::Serialize;
 use std::time::Duration;
 
-/// [`EndpointSnapshot`] with times as plain numbers.
+/// Same fields as [`EndpointSnapshot`], with points in time and durations in microseconds.
 #[derive(Serialize)]
 struct PlainEndpointSnapshot {
     id: u64,
@@ -22,7 +22,7 @@
     ledger: Vec<(u64, f64)>,
 }
 
-/// [`DecisionSnapshot`] with times as plain numbers.
+/// Same fields as [`DecisionSnapshot`], with points in time and durations in microseconds.
 #[derive(Serialize)]
 struct PlainDecisionSnapshot {
     hosts: Vec<PlainEndpointSnapshot>,
@@ -37,10 +37,12 @@
     lost: f64,
 }
 
+/// Encodes a value in the format of handover messages.
 fn bytes(value: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap()
 }
 
+/// The point in time `micros` microseconds after the origin of the clock.
 fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
@@ -73,7 +75,7 @@
     }
 }
 
-/// The same as [`snapshot`].
+/// Same values as [`snapshot`], with points in time and durations in microseconds.
 fn plain_snapshot() -> PlainDecisionSnapshot {
     let endpoint = PlainEndpointSnapshot {
         id: 3,
@@ -102,12 +104,13 @@
     }
 }
 
-/// Guards against a predecessor or successor of another build that reads other numbers than were meant.
+/// Guards against a change of the encoding, with which a predecessor and a successor of different
+/// builds would decode different times.
 #[test]
-fn times_are_handed_over_as_plain_microseconds() {
-    let written = bytes(&snapshot());
-    assert_eq!(written, bytes(&plain_snapshot()));
-    assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&written).unwrap(), snapshot());
+fn times_are_encoded_as_plain_microseconds() {
+    let encoded = bytes(&snapshot());
+    assert_eq!(encoded, bytes(&plain_snapshot()));
+    assert_eq!(postcard::from_bytes::<DecisionSnapshot>(&encoded).unwrap(), snapshot());
 
     let pending_write = PendingWrite { request_id: 1, arrived: at(300), endpoint: Some(2) };
     assert_eq!(bytes(&pending_write), bytes(&(1u64, 300u64, Some(2u64))));
