--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -134,7 +134,7 @@
 pub struct AdminRequestReader {
     /// Bytes received up to the end of the head, with body bytes that arrived together with it.
     head: Vec<u8>,
-    /// The request, once its head is complete.
+    /// Request whose body is not complete yet; `None` while the head is incomplete.
     pending_body: Option<PendingBody>,
 }
 
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -54,7 +54,7 @@
 /// Error for a request whose fields are missing or out of range. The client gets a reply that the
 /// request failed.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("request with invalid fields")]
+#[error("request has missing or invalid fields")]
 pub struct InvalidRequest {
     /// Name of the request's class as the client sent it; the class may not exist.
     pub class: Vec<u8>,
--- a/crates/protocol/src/dns/mod.rs
+++ b/crates/protocol/src/dns/mod.rs
@@ -51,7 +51,7 @@
 
 /// Record classes (RFC 1035, 3.2.4).
 mod record_class {
-    /// The Internet.
+    /// The Internet class, which is the class of all records served.
     pub(super) const IN: u16 = 1;
     /// Query for records of all classes.
     pub(super) const ANY: u16 = 255;
@@ -71,7 +71,7 @@
 /// Response codes (RFC 1035, 4.1.1; `BadVers` by RFC 6891).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rcode {
-    /// No error.
+    /// The name exists. The response has no answers if the name lacks records of the queried type.
     NoError = 0,
     /// The server cannot parse the query.
     FormErr = 1,
--- a/crates/protocol/src/endpoint_feed.rs
+++ b/crates/protocol/src/endpoint_feed.rs
@@ -20,7 +20,7 @@
     #[error("endpoint feed: response status is not 200")]
     UnexpectedStatus,
     /// The server sent the last chunk, which ends the response. A watch is expected never to end.
-    #[error("endpoint feed: response ended")]
+    #[error("endpoint feed: server ended the response")]
     Ended,
     /// The size of a chunk is not a hexadecimal number or exceeds 4 MiB.
     #[error("endpoint feed: invalid chunk size")]
--- a/crates/protocol/src/resp.rs
+++ b/crates/protocol/src/resp.rs
@@ -24,7 +24,7 @@
     #[error("malformed RESP message")]
     Malformed,
     /// A word count or word length exceeds its limit. Nothing was allocated for the word or array.
-    #[error("length in RESP message exceeds the bound")]
+    #[error("length in RESP message exceeds the limit")]
     TooLong,
     /// The buffer pool has no buffer left for the body of a frame.
     #[error("buffer pool is exhausted")]
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -89,13 +89,14 @@
     Ok(true)
 }
 
-/// The decision modules of all instances.
+/// All instances of the simulation, with the buffers for their actions and replies.
 #[derive(Default)]
 struct Instances {
     /// Decision modules by number of the instance.
     modules: BTreeMap<u16, DecisionModule>,
     /// Actions of the current event; empty between events.
     actions: Vec<Action>,
+    /// Encoder for the reply to the current batch.
     encoder: Encoder,
 }
 
