--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -1,48 +1,48 @@
-//! Counters and counts that membership and quotas have in common.
+//! Counter types shared by the membership and quota modules.
 
 use crate::envelope::DatagramError;
 
-/// Routers of the whole cluster, and those of the local router's zone.
+/// A number of routers in the whole cluster and in the local router's zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RouterCounts {
-    /// In all zones.
+    /// Number of routers in all zones.
     pub all: u32,
-    /// In the zone of the local router.
+    /// Number of routers in the local router's zone.
     pub own_zone: u32,
 }
 
-/// How many datagrams there were, and how large they were in all.
+/// Number of datagrams and their total payload size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCount {
-    /// Number of datagrams.
+    /// Number of datagrams counted so far.
     pub datagrams: u64,
-    /// Their payload in bytes.
+    /// Total size of their UDP payloads in bytes.
     pub bytes: u64,
 }
 
 impl DatagramCount {
-    /// Counts one datagram of `len` bytes.
+    /// Counts one datagram with a payload of `len` bytes.
     pub(crate) fn add(&mut self, len: usize) {
         self.datagrams += 1;
         self.bytes += len as u64;
     }
 }
 
-/// Datagrams that were dropped unread, by cause.
+/// Number of received datagrams that were rejected without any other effect, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedDatagrams {
-    /// See [`DatagramError::UnsupportedFormat`].
+    /// Datagrams rejected with [`DatagramError::UnsupportedFormat`].
     pub unsupported_format: u64,
-    /// See [`DatagramError::ChecksumMismatch`].
+    /// Datagrams rejected with [`DatagramError::ChecksumMismatch`].
     pub checksum_mismatch: u64,
-    /// See [`DatagramError::InvalidFields`].
+    /// Datagrams rejected with [`DatagramError::InvalidFields`].
     pub invalid_fields: u64,
-    /// See [`DatagramError::OtherCluster`].
+    /// Datagrams rejected with [`DatagramError::OtherCluster`].
     pub other_cluster: u64,
 }
 
 impl RejectedDatagrams {
-    /// Counts one datagram that was rejected for that cause.
+    /// Counts one datagram rejected for `cause`.
     pub(crate) fn count(&mut self, cause: DatagramError) {
         let counter = match cause {
             DatagramError::UnsupportedFormat => &mut self.unsupported_format,
@@ -53,13 +53,13 @@
         *counter += 1;
     }
 
-    /// The counters in the order in which operators are shown them: format, checksum, fields, other
-    /// cluster.
+    /// The counters in the order in which the admin endpoint lists them: unsupported format,
+    /// checksum mismatch, invalid fields, other cluster.
     pub fn by_cause(&self) -> [u64; 4] {
         [self.unsupported_format, self.checksum_mismatch, self.invalid_fields, self.other_cluster]
     }
 
-    /// Datagrams rejected for any cause.
+    /// Number of datagrams rejected for any cause.
     pub fn total(&self) -> u64 {
         self.by_cause().iter().sum()
     }
--- a/crates/cluster/src/envelope.rs
+++ b/crates/cluster/src/envelope.rs
@@ -1,39 +1,40 @@
-//! The envelope of every datagram between routers: a leading byte for kind and version, a trailing
-//! checksum.
+//! Common envelope of all datagrams between routers: one leading byte that identifies kind and
+//! version of the datagram, then the contents, then a checksum.
 //!
-//! Datagrams are not authenticated: the checksum detects damage, not forgery.
+//! Datagrams are not authenticated: the checksum detects corruption, not forgery.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest datagram in bytes: it fits a packet on any network in use, tunnels included.
+/// Maximum length of a datagram in bytes, envelope included. It avoids IP fragmentation on any
+/// network in use, tunnels included.
 pub const MAX_DATAGRAM_LEN: usize = 1_400;
-/// Length of the checksum in bytes.
+/// Length of the trailing checksum in bytes.
 pub const CHECKSUM_LEN: usize = 4;
-/// Length of the byte that tells kind and version.
+/// Length in bytes of the leading field for kind and version.
 const VERSION_LEN: usize = 1;
-/// Hash seed of cluster names; part of the wire format.
+/// Seed of [`cluster_hash`]; part of the wire format.
 const CLUSTER_HASH_SEED: u64 = 3;
-/// Hash seed of checksums; part of the wire format.
+/// Seed of the datagram checksum; part of the wire format.
 const CHECKSUM_SEED: u64 = 5;
 
-/// Why a datagram was rejected.
+/// The reason why a received datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// Too long, too short, or of another kind or version.
+    /// The datagram is too long, too short, or of an unexpected kind or version.
     #[error("datagram of unsupported length or version")]
     UnsupportedFormat,
-    /// The checksum does not match.
-    #[error("datagram with a wrong checksum")]
+    /// The trailing checksum does not match the preceding bytes.
+    #[error("datagram checksum mismatch")]
     ChecksumMismatch,
-    /// The contents can't be decoded or exceed their bounds.
-    #[error("datagram with invalid fields")]
+    /// The contents can't be decoded, or a decoded field is out of bounds.
+    #[error("datagram contents can't be decoded or are out of bounds")]
     InvalidFields,
-    /// The sender belongs to another cluster.
-    #[error("datagram of another cluster")]
+    /// The cluster hash in the datagram is not that of the local router's cluster.
+    #[error("datagram from another cluster")]
     OtherCluster,
 }
 
-/// The hash by which datagrams name their cluster.
+/// The hash of a cluster's name, which every datagram carries to identify the sender's cluster.
 pub fn cluster_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), CLUSTER_HASH_SEED)
 }
@@ -42,7 +43,8 @@
     (xxh3_64_with_seed(bytes, CHECKSUM_SEED) as u32).to_le_bytes()
 }
 
-/// Builds a datagram of this version around the contents that `write_contents` appends.
+/// Builds a datagram: the leading `version` byte, the contents that `write_contents` appends, and
+/// the checksum. Does not check the datagram's length.
 pub fn seal(version: u8, write_contents: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut bytes = vec![version];
     write_contents(&mut bytes);
@@ -51,10 +53,12 @@
     bytes
 }
 
-/// The contents of a datagram of this version.
+/// Checks the envelope of a received datagram and returns its contents, without the leading byte
+/// and the checksum.
 ///
 /// # Errors
-/// [`DatagramError::UnsupportedFormat`] and [`DatagramError::ChecksumMismatch`].
+/// [`DatagramError::UnsupportedFormat`] if the length is out of bounds or the leading byte is not
+/// `version`; [`DatagramError::ChecksumMismatch`] if the checksum is wrong.
 pub fn open(version: u8, bytes: &[u8]) -> Result<&[u8], DatagramError> {
     let length_allowed = (VERSION_LEN + CHECKSUM_LEN..=MAX_DATAGRAM_LEN).contains(&bytes.len());
     if !length_allowed || bytes[0] != version {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,10 +1,11 @@
-//! What routers of one cluster know of each other and share: SWIM membership and leased quotas.
+//! Cluster state machines of a router: SWIM membership ([`membership`]) and quotas that routers
+//! lease to each other ([`quota`]).
 //!
-//! The package does no I/O, reads no clock and draws random numbers only from the seed that it is
-//! given. Datagrams, points in time and events of the local router go in; datagrams, timeouts and
-//! changes come out. Equal inputs give equal outputs, so that the same code runs in the event loop,
-//! in virtual time and under a model checker. `docs/cluster.md` and `docs/quota-leases.md` have the
-//! design and its guarantees.
+//! The package performs no I/O, reads no clock and draws random numbers only from a seed passed by
+//! the caller. The caller passes in received datagrams, the current time and events of the local
+//! router, and polls for datagrams to send, the next timeout and reported changes. Equal inputs
+//! give equal outputs, so the same code runs in the event loop, in virtual time and under a model
+//! checker. `docs/cluster.md` and `docs/quota-leases.md` describe the design and its guarantees.
 
 mod counters;
 #[doc(hidden)]
@@ -17,9 +18,10 @@
 pub use envelope::{DatagramError, MAX_DATAGRAM_LEN};
 pub use transmit::Transmit;
 
-/// Microseconds: a point in time on the monotonic clock of the caller, or a span of time.
+/// Either an instant, in microseconds on the caller's monotonic clock, or a duration in
+/// microseconds. Each value of this type is documented as one or the other.
 pub type Time = u64;
-/// A millisecond as a [`Time`].
+/// The duration of one millisecond as a [`Time`].
 pub const MS: Time = 1_000;
-/// A second as a [`Time`].
+/// The duration of one second as a [`Time`].
 pub const SEC: Time = 1_000_000;
--- a/crates/cluster/src/transmit.rs
+++ b/crates/cluster/src/transmit.rs
@@ -1,53 +1,55 @@
-//! Datagrams on their way out, and the bounded queue that holds them until the caller sends them.
+//! Outgoing datagrams and the bounded queue that holds them until the caller polls and sends them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A datagram to be sent.
+/// A datagram that the caller has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// The router that it is for.
+    /// The advertised address of the receiving router.
     pub destination: SocketAddr,
-    /// What to send.
+    /// The UDP payload: a complete datagram with its envelope.
     pub payload: Vec<u8>,
 }
 
-/// Datagrams that wait to be sent. What does not fit is dropped, as the network might have done.
+/// A bounded FIFO queue of outgoing datagrams. The sender of a datagram drops it if the queue is
+/// full, which has the same effect as loss in the network.
 #[derive(Clone, Debug)]
 pub(crate) struct TransmitQueue {
-    waiting: VecDeque<Transmit>,
+    datagrams: VecDeque<Transmit>,
     capacity: usize,
 }
 
 impl TransmitQueue {
-    /// An empty queue for at most `capacity` datagrams.
+    /// Creates an empty queue that holds up to `capacity` datagrams.
     pub(crate) fn new(capacity: usize) -> TransmitQueue {
-        TransmitQueue { waiting: VecDeque::new(), capacity }
+        TransmitQueue { datagrams: VecDeque::new(), capacity }
     }
 
-    /// Whether the next datagram would be dropped.
+    /// Whether the queue has reached its capacity, so that [`TransmitQueue::push`] must not be
+    /// called.
     pub(crate) fn is_full(&self) -> bool {
-        self.waiting.len() >= self.capacity
+        self.datagrams.len() >= self.capacity
     }
 
-    /// Appends a datagram; the caller has checked that there is room.
+    /// Appends a datagram. The caller must have checked [`TransmitQueue::is_full`].
     pub(crate) fn push(&mut self, destination: SocketAddr, payload: Vec<u8>) {
-        debug_assert!(!self.is_full(), "a datagram beyond the queue's capacity");
-        self.waiting.push_back(Transmit { destination, payload });
+        debug_assert!(!self.is_full(), "datagram pushed to a full transmit queue");
+        self.datagrams.push_back(Transmit { destination, payload });
     }
 
-    /// Takes the oldest datagram.
+    /// Removes and returns the oldest datagram, or `None` if the queue is empty.
     pub(crate) fn pop(&mut self) -> Option<Transmit> {
-        self.waiting.pop_front()
+        self.datagrams.pop_front()
     }
 
-    /// Drops all that waits.
+    /// Drops all queued datagrams.
     pub(crate) fn clear(&mut self) {
-        self.waiting.clear();
+        self.datagrams.clear();
     }
 
-    /// Bytes allocated for payloads that wait.
+    /// Heap memory in bytes allocated for the payloads of queued datagrams.
     pub(crate) fn payload_bytes(&self) -> usize {
-        self.waiting.iter().map(|transmit| transmit.payload.capacity()).sum()
+        self.datagrams.iter().map(|transmit| transmit.payload.capacity()).sum()
     }
 }
