--- a/crates/cluster/src/membership/options.rs
+++ b/crates/cluster/src/membership/options.rs
@@ -1,23 +1,26 @@
-//! What membership is configured with.
+//! Configuration of the membership protocol.
 
 use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
 
-/// Intervals and timeouts that trade speed of detection for datagrams. `docs/cluster.md` gives the
-/// reason of each.
+/// Intervals and timeouts of the protocol, all of them durations. Shorter ones detect failures
+/// sooner and cost more datagrams. `docs/cluster.md` gives the reason of each default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipTimings {
-    /// From one probe to the next.
+    /// Interval between probes of a healthy router; longer while its local health is degraded.
     pub probe_interval: Time,
-    /// Without an acknowledgement within this, other routers are asked to probe the target.
+    /// Time to wait for an acknowledgement of a direct probe before indirect probes are requested;
+    /// longer while the local health is degraded.
     pub ack_timeout: Time,
-    /// From one round of gossip to the next, while there are updates to disseminate.
+    /// Interval between gossip rounds while there are updates to disseminate.
     pub gossip_interval: Time,
-    /// How long a suspicion lasts that enough routers confirm, before the suspect counts as failed.
+    /// Suspicion timeout once enough other routers have confirmed the suspicion; then the suspect
+    /// is declared failed.
     pub min_suspicion: Time,
-    /// How long a suspicion lasts that no other router confirms.
+    /// Suspicion timeout while no other router has confirmed the suspicion.
     pub max_suspicion: Time,
-    /// The shortest interval between attempts to reach failed routers and seeds.
+    /// Minimum interval between attempts to reach failed members and unknown seeds. Each interval
+    /// is varied at random by up to half.
     pub reconnect_interval: Time,
 }
 
@@ -34,24 +37,27 @@
     }
 }
 
-/// The local router's identity and whom it contacts first.
+/// The local router's identity, its seeds and its protocol timings.
 #[derive(Clone, Debug)]
 pub struct MembershipOptions {
-    /// The cluster's name: datagrams of other clusters are dropped.
+    /// The cluster's name. Datagrams from routers with another cluster name are rejected.
     pub cluster_name: String,
-    /// The router's name for people; its address identifies it.
+    /// The router's name as shown to operators, at most [`super::MAX_NAME_LEN`] bytes. The address
+    /// identifies the router, not its name.
     pub router_name: String,
-    /// The router's zone.
+    /// The name of the router's zone, at most [`super::MAX_NAME_LEN`] bytes.
     pub zone: String,
-    /// The address that other routers send to.
+    /// The advertised address, to which other routers send datagrams; it identifies the router.
     pub address: SocketAddr,
-    /// Routers to contact at the start, and again while they are unknown.
+    /// Addresses of routers to contact at the start, and repeatedly while they are not in the
+    /// member table. The router's own address in the list is ignored.
     pub seeds: Vec<SocketAddr>,
-    /// The generation of this start. A greater one is taken if other routers know one of this
-    /// address.
+    /// Generation of this start, normally greater than that of every earlier start at the address.
+    /// If another router knows a greater generation of the address, the local router switches to
+    /// one that is greater still.
     pub generation: u64,
-    /// Intervals and timeouts.
+    /// Intervals and timeouts of the protocol.
     pub timings: MembershipTimings,
-    /// Seed of the random choices.
+    /// Seed of the random choices: probe order, gossip targets, nonces and jitter.
     pub random_seed: u64,
 }
--- a/crates/cluster/src/membership/record.rs
+++ b/crates/cluster/src/membership/record.rs
@@ -1,53 +1,58 @@
-//! What routers say of a router, and which of two such records holds.
+//! The record that routers keep and disseminate for each member, and the order of two records of
+//! the same member.
 //!
-//! Records are totally ordered and the greater one holds: a join of a semilattice, so that order,
-//! repetition and loss of datagrams do not matter.
+//! Records are totally ordered and the greater one supersedes the lesser one (the join of a
+//! semilattice), so the outcome does not depend on order, duplication or loss of datagrams.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest name of a router or a zone, in bytes.
+/// Maximum length in bytes of a router's name and of a zone's name.
 pub const MAX_NAME_LEN: usize = 32;
-/// No generation is greater: the next start must be able to take a greater one.
+/// Maximum generation accepted in a record. It is far below `u64::MAX` so that a router can always
+/// choose a greater generation than one it has received.
 const MAX_GENERATION: u64 = 1 << 60;
-/// At this incarnation a router takes the next generation instead.
+/// Maximum incarnation accepted in a record. A router whose incarnation reaches it switches to the
+/// next generation and starts again at incarnation 0.
 pub(super) const MAX_INCARNATION: u32 = 1 << 30;
-/// An encoded record with its address is never longer, as names are bounded.
+/// Upper bound in bytes of a postcard-encoded address and record; holds because names are bounded.
 const MAX_ENCODED_LEN: usize = 192;
-/// Hash seed of records; part of the wire format.
+/// Seed of [`MemberRecord::digest`]; part of the wire format.
 const RECORD_HASH_SEED: u64 = 0;
 
-/// Whether a router is held to be running; within an incarnation the later state holds.
+/// Liveness state of a router. Between records of the same generation and incarnation, the state
+/// that is listed later supersedes the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers some router.
+    /// The router is considered running: no current suspicion is known.
     Alive,
-    /// It answered a probe neither directly nor through other routers.
+    /// The router acknowledged a probe neither directly nor through other routers.
     Suspect,
-    /// It did not refute a suspicion in time: stopped, cut off or slow.
+    /// The router did not refute a suspicion in time: it may be stopped, partitioned or slow.
     Failed,
-    /// It announced that it stops.
+    /// The router announced that it leaves the cluster.
     Left,
 }
 
-/// What a running router is doing, as it says itself.
+/// Lifecycle phase of a running router, as announced by that router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RouterPhase {
-    /// It has not received an answer from the cluster yet.
+    /// The router has not yet received an acknowledgement from another router.
     Joining,
-    /// It serves.
+    /// The router serves clients.
     Ready,
-    /// It serves no new clients.
+    /// The router is in standby: its clients are being moved to other routers, or have left.
     Standby,
-    /// Another process has its clients' address.
+    /// Another process has the listening socket; the router serves its remaining connections.
     Replaced,
-    /// It finishes what is in progress and stops.
+    /// The router completes its open requests and then exits.
     Stopping,
 }
 
 impl MemberState {
-    /// The name that operators see in logs, metrics and the admin endpoint.
+    /// The state's name in logs, metrics and the admin endpoint; it differs from the variant's name
+    /// for [`MemberState::Failed`].
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -57,14 +62,14 @@
         }
     }
 
-    /// Whether the router is taken to answer: alive or merely suspected.
+    /// Whether the router counts as reachable: it is alive or suspected.
     pub fn is_reachable(self) -> bool {
         self <= MemberState::Suspect
     }
 }
 
 impl RouterPhase {
-    /// The name that operators see in logs, metrics and the admin endpoint.
+    /// The phase's name in logs and the admin endpoint.
     pub fn name(self) -> &'static str {
         match self {
             RouterPhase::Joining => "joining",
@@ -76,26 +81,31 @@
     }
 }
 
-/// What is said of the router at an address. The fields stand in the order in which two records are
-/// compared.
+/// Everything that is known of the router at one address, except the address itself. The field
+/// order is part of the wire format and defines the order of records: the greater record supersedes
+/// the lesser one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The number of its start: the next start at the address has a greater one.
+    /// Identifies one start of the router: a later start at the same address has a greater
+    /// generation.
     pub generation: u64,
-    /// Raised by the router itself to replace what is said of it, within a generation.
+    /// Version of the record within a generation. Only the router itself raises it, to publish a
+    /// change or to refute a suspicion.
     pub incarnation: u32,
-    /// Whether it is held to be running.
+    /// Liveness state of the router.
     pub state: MemberState,
-    /// What it is doing.
+    /// Lifecycle phase that the router announced.
     pub phase: RouterPhase,
-    /// Its name for people.
+    /// The router's configured name, shown to operators: 1 to [`MAX_NAME_LEN`] bytes. It does not
+    /// identify the router.
     pub name: String,
-    /// Its zone.
+    /// The name of the router's zone: up to [`MAX_NAME_LEN`] bytes, empty if no zone is configured.
     pub zone: String,
 }
 
 impl MemberRecord {
-    /// Whether all fields are within their bounds.
+    /// Whether generation, incarnation and both names are within their bounds. Datagrams with other
+    /// records are rejected.
     pub fn is_valid(&self) -> bool {
         self.generation <= MAX_GENERATION
             && self.incarnation <= MAX_INCARNATION
@@ -104,12 +114,12 @@
             && self.zone.len() <= MAX_NAME_LEN
     }
 
-    /// The same record in another state.
+    /// Returns a copy of the record with another state.
     pub(super) fn with_state(&self, state: MemberState) -> MemberRecord {
         MemberRecord { state, ..self.clone() }
     }
 
-    /// The same record with a suspicion taken back: a suspicion is not a fact yet.
+    /// Returns a copy of the record in which `Suspect` is replaced by `Alive`.
     pub(super) fn without_suspicion(&self) -> MemberRecord {
         match self.state {
             MemberState::Suspect => self.with_state(MemberState::Alive),
@@ -117,8 +127,8 @@
         }
     }
 
-    /// A hash of the record at this address. A suspect counts as alive: views that differ in
-    /// suspicions alone have converged.
+    /// Returns the hash of the record together with its address. The hash treats `Suspect` as
+    /// `Alive`, so views that differ only in suspicions have equal digests and count as converged.
     pub(super) fn digest(&self, address: SocketAddr) -> u64 {
         let state = if self.state == MemberState::Suspect { MemberState::Alive } else { self.state };
         let fields = (address, self.generation, self.incarnation, state, self.phase, &self.name, &self.zone);
