--- a/crates/cluster/src/membership/message.rs
+++ b/crates/cluster/src/membership/message.rs
@@ -1,7 +1,8 @@
-//! Membership datagrams: a header, then gossip updates, in the envelope of all datagrams.
+//! Encoding of membership datagrams: a header followed by any number of gossip updates, inside the
+//! common envelope ([`crate::envelope`]).
 //!
-//! The order and the types of fields are the wire format (postcard). A datagram that can't be
-//! decoded as a whole is rejected as a whole.
+//! Fields are encoded with postcard, so their order and types are the wire format. A datagram of
+//! which any part can't be decoded is rejected as a whole.
 
 use super::digest::BUCKETS;
 use super::record::MemberRecord;
@@ -10,99 +11,105 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Kind and version of membership datagrams.
+/// Leading byte of membership datagrams, which identifies their kind and version.
 const VERSION: u8 = 1;
-/// Hash seed of suspector identifiers; part of the wire format.
+/// Seed of [`suspector_id`]; part of the wire format.
 const SUSPECTOR_HASH_SEED: u64 = 4;
-/// The suspector of an update that is no suspicion.
+/// Value of [`GossipUpdate::suspector`] in an update that names no suspector.
 pub const NO_SUSPECTOR: u32 = 0;
 
-/// What a datagram asks for or answers.
+/// The request or response that a datagram carries. The order of variants and fields is the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks for an acknowledgement with the same nonce.
+    /// Probe: requests an [`MessageBody::Ack`] with the same nonce.
     Ping {
-        /// Unpredictable number of the probe.
+        /// Random number that identifies the probe and can't be predicted by other hosts.
         nonce: u64,
     },
-    /// Answers a ping, directly or for another router.
+    /// Acknowledges a ping, or an indirect ping whose target has acknowledged the relayed ping.
     Ack {
-        /// The nonce of the ping.
+        /// The nonce of the acknowledged ping or indirect ping.
         nonce: u64,
     },
-    /// Asks for a ping of another router, and an acknowledgement if that router answers.
+    /// Indirect probe: requests the receiver to ping `target`, and to reply with an
+    /// [`MessageBody::Ack`] if the target acknowledges or with a [`MessageBody::Nack`] if it does
+    /// not acknowledge in time.
     IndirectPing {
-        /// The nonce of the acknowledgement.
+        /// The nonce that the reply must carry.
         nonce: u64,
-        /// The router to ping.
+        /// The address of the router to ping.
         target: SocketAddr,
     },
-    /// The target of an indirect ping has not answered in time.
+    /// Reports that the target of an indirect ping has not acknowledged in time.
     Nack {
         /// The nonce of the indirect ping.
         nonce: u64,
     },
-    /// Carries gossip updates only.
+    /// Requests nothing; the datagram only carries gossip updates.
     Gossip,
-    /// Asks for the records of those buckets in which the receiver's digests differ.
+    /// Anti-entropy: requests the records of all buckets whose digest differs at the receiver.
     Compare {
-        /// The sender's digests by bucket.
+        /// The sender's digest of each bucket.
         digests: [u64; BUCKETS],
-        /// Whether this answers a comparison: the receiver does not answer with another one.
+        /// Whether this message replies to another `Compare`. The receiver of a reply sends records
+        /// but no `Compare` of its own.
         is_reply: bool,
     },
 }
 
-/// What every membership datagram begins with.
+/// The header of every membership datagram. The order of fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageHeader {
-    /// The hash of the cluster's name.
+    /// The hash of the cluster's name; a receiver in another cluster rejects the datagram.
     pub cluster: u64,
-    /// The address of the sender that others send to.
+    /// The sender's advertised address, to which replies are sent.
     pub sender: SocketAddr,
-    /// The sender's record.
+    /// The sender's record of itself.
     pub record: MemberRecord,
-    /// The digest of the sender's view.
+    /// The digest of the sender's whole view.
     pub view_digest: u64,
-    /// What it asks for or answers.
+    /// The request or response that the datagram carries.
     pub body: MessageBody,
 }
 
-/// What the sender says of a router.
+/// The sender's record of one router. The order of fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// The router.
+    /// The address of the router.
     pub member: SocketAddr,
-    /// Its record.
+    /// The router's record.
     pub record: MemberRecord,
-    /// The identifier of a router that suspects it; [`NO_SUSPECTOR`] if the record is no suspicion.
+    /// The identifier ([`suspector_id`]) of a router that suspects `member`; [`NO_SUSPECTOR`] if
+    /// the record's state is not `Suspect`.
     pub suspector: u32,
 }
 
-/// A datagram that was received and decoded.
+/// A decoded datagram whose records are within their bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it begins with.
+    /// The datagram's header.
     pub header: MessageHeader,
-    /// What follows.
+    /// The gossip updates that follow the header, in the sender's order.
     pub updates: Vec<GossipUpdate>,
 }
 
-/// A datagram to be sent.
+/// The result of [`encode`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedMessage {
-    /// Its bytes.
+    /// The complete datagram, at most [`MAX_DATAGRAM_LEN`] bytes.
     pub payload: Vec<u8>,
-    /// How many of the updates it contains.
+    /// Number of updates, from the first one on, that the datagram contains.
     pub update_count: usize,
 }
 
-/// The identifier of a router in suspicions.
+/// The identifier of a router as a suspector: a hash of its address, short to save space in
+/// datagrams. Routers without room in the member table are counted by the same identifier.
 pub fn suspector_id(address: SocketAddr) -> u32 {
     xxh3_64_with_seed(address.to_string().as_bytes(), SUSPECTOR_HASH_SEED) as u32
 }
 
-/// Encodes a header and, in their order, as many updates as fit.
+/// Encodes a header and as many of the updates as fit into one datagram, starting with the first.
 pub fn encode<'a>(header: &MessageHeader, updates: impl Iterator<Item = &'a GossipUpdate>) -> EncodedMessage {
     let mut update_count = 0;
     let payload = envelope::seal(VERSION, |bytes| {
@@ -119,10 +126,12 @@
     EncodedMessage { payload, update_count }
 }
 
-/// Decodes a datagram of the cluster with this hash.
+/// Decodes a received datagram. `cluster` is the hash of the local router's cluster.
 ///
 /// # Errors
-/// Every cause of [`DatagramError`].
+/// [`DatagramError::UnsupportedFormat`] or [`DatagramError::ChecksumMismatch`] if the envelope is
+/// invalid, [`DatagramError::OtherCluster`] if the header has another cluster hash, and
+/// [`DatagramError::InvalidFields`] if a field can't be decoded or a record is out of bounds.
 pub fn decode(bytes: &[u8], cluster: u64) -> Result<Message, DatagramError> {
     let contents = envelope::open(VERSION, bytes)?;
     let (header, mut rest) =
