--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: routers whose digests differ exchange the records of the buckets that differ,
-//! which repairs what dissemination has missed.
+//! Anti-entropy: two routers whose digests differ exchange the records of the differing buckets.
+//! This repairs differences that remain after dissemination, for example because gossip was lost.
 
 use super::digest::{BucketDigests, ViewDigests};
 use super::message::{self, GossipUpdate, MessageBody, NO_SUSPECTOR};
@@ -7,61 +7,69 @@
 use crate::{Time, MS, SEC};
 use std::net::SocketAddr;
 
-/// Comparisons started or answered in a second: junk and replayed datagrams must not have a router
-/// send whole views.
+/// Maximum number of comparisons per second that are started because of a differing digest or
+/// answered. Without the limit, forged or replayed datagrams could make a router send its whole
+/// view again and again.
 const MAX_COMPARISONS_PER_SECOND: u32 = 12;
-/// The shortest time between comparisons that the local router starts because a digest differs.
+/// Minimum interval between comparisons that the local router starts because a digest differs.
 const REPAIR_INTERVAL: Time = 400 * MS;
-/// While updates are disseminated digests differ anyway, and comparisons start more rarely.
+/// Minimum interval between such comparisons while updates are being disseminated: digests differ
+/// during dissemination in any case.
 const REPAIR_INTERVAL_DURING_GOSSIP: Time = 4 * REPAIR_INTERVAL;
 
-/// Limits how often views are compared.
+/// Rate limits for comparisons of views.
 #[derive(Clone, Debug)]
 pub(super) struct AntiEntropy {
-    /// The second in which comparisons are counted, and how many there were in it.
-    second_began: Time,
-    comparisons_in_second: u32,
-    last_repair: Time,
+    /// Instant on the local clock at which the current one-second counting window started.
+    window_started_at: Time,
+    /// Number of comparisons counted in the current window, including those over the limit.
+    comparisons_in_window: u32,
+    /// Instant on the local clock of the last comparison started because a digest differed; at
+    /// first, when the router started.
+    last_repair_at: Time,
 }
 
 impl AntiEntropy {
     pub(super) fn new(now: Time) -> AntiEntropy {
-        AntiEntropy { second_began: now, comparisons_in_second: 0, last_repair: now }
+        AntiEntropy { window_started_at: now, comparisons_in_window: 0, last_repair_at: now }
     }
 
-    /// Counts a comparison; whether it is within the rate limit.
+    /// Counts a comparison and returns whether it is within the rate limit.
     fn try_acquire(&mut self, now: Time) -> bool {
-        if now >= self.second_began + SEC {
-            self.second_began = now;
-            self.comparisons_in_second = 0;
+        if now >= self.window_started_at + SEC {
+            self.window_started_at = now;
+            self.comparisons_in_window = 0;
         }
-        self.comparisons_in_second += 1;
-        self.comparisons_in_second <= MAX_COMPARISONS_PER_SECOND
+        self.comparisons_in_window += 1;
+        self.comparisons_in_window <= MAX_COMPARISONS_PER_SECOND
     }
 }
 
 impl Membership {
-    /// Sends the local digests to a router, which answers with what differs.
+    /// Sends the local bucket digests to a router, which responds with its records of the buckets
+    /// that differ.
     pub(super) fn compare_with(&mut self, address: SocketAddr, is_reply: bool) {
         let digests = *self.table.digests().buckets();
         self.send(address, MessageBody::Compare { digests, is_reply });
     }
 
-    /// Starts a comparison with a router whose digest differs. Digests differ for a moment after
-    /// every change: only what stays different is repaired.
+    /// Starts a comparison with a router whose digest differs, subject to the rate limits. Digests
+    /// differ for a short time after every change, so not every difference starts a comparison.
     pub(super) fn repair_with(&mut self, address: SocketAddr) {
         let interval = if self.gossip.is_empty() { REPAIR_INTERVAL } else { REPAIR_INTERVAL_DURING_GOSSIP };
-        if self.now < self.anti_entropy.last_repair + interval || !self.anti_entropy.try_acquire(self.now) {
+        if self.now < self.anti_entropy.last_repair_at + interval || !self.anti_entropy.try_acquire(self.now)
+        {
             return;
         }
-        self.anti_entropy.last_repair = self.now;
+        self.anti_entropy.last_repair_at = self.now;
         self.compare_with(address, false);
     }
 
-    /// Answers a comparison with the records that differ, and asks for the sender's once.
-    pub(super) fn on_compare(&mut self, sender: SocketAddr, theirs: &BucketDigests, is_reply: bool) {
-        let own = *self.table.digests().buckets();
-        if own == *theirs || !self.anti_entropy.try_acquire(self.now) {
+    /// Responds to a comparison with the local records of all buckets that differ. If the
+    /// comparison is not a reply itself, also requests the sender's records of these buckets.
+    pub(super) fn on_compare(&mut self, sender: SocketAddr, remote: &BucketDigests, is_reply: bool) {
+        let local = *self.table.digests().buckets();
+        if local == *remote || !self.anti_entropy.try_acquire(self.now) {
             return;
         }
         if !is_reply {
@@ -69,9 +77,10 @@
         }
         let differs = |address: SocketAddr| {
             let bucket = ViewDigests::bucket_of(address);
-            own[bucket] != theirs[bucket]
+            local[bucket] != remote[bucket]
         };
-        // Suspicions travel as gossip, with the routers that have them.
+        // Suspicions are disseminated only as gossip, which names the routers that suspect; here a
+        // suspect is sent as alive.
         let updates: Vec<GossipUpdate> = self
             .table
             .iter()
@@ -85,7 +94,7 @@
         self.send_records(sender, &updates);
     }
 
-    /// Sends all of these updates in as many datagrams as that takes.
+    /// Sends all of the updates, in as many datagrams as required.
     fn send_records(&mut self, destination: SocketAddr, updates: &[GossipUpdate]) {
         let header = self.header(MessageBody::Gossip);
         let mut remaining = updates;
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: gossip updates ride on every datagram until each has been sent often enough to
-//! reach nearly all.
+//! Dissemination: gossip updates are piggybacked on every datagram until each update has been sent
+//! often enough to reach nearly all routers.
 
 use super::message::{self, GossipUpdate, MessageBody, MessageHeader, NO_SUSPECTOR};
 use super::record::MemberState;
@@ -9,21 +9,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Routers that updates are sent to in one round of gossip.
+/// Number of routers that receive updates in one gossip round.
 const GOSSIP_FANOUT: usize = 3;
-/// An update is sent this many times the base-2 logarithm of the cluster's size.
+/// Number of transmissions of each update per bit of the cluster's size. An update is sent this
+/// many times the bit length of the number of known routers, which is their base-2 logarithm
+/// rounded down, plus one.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
-/// No update is shorter than this in bytes, which bounds how many can fit a datagram.
+/// Assumed minimum length of an encoded update in bytes, which bounds how many updates are
+/// considered for one datagram.
 const MIN_UPDATE_LEN: usize = 32;
-/// Rounds of gossip in which a router announces that it leaves.
+/// Number of gossip rounds, sent at once, in which a router announces that it leaves.
 const LEAVE_ROUNDS: usize = 2;
 
-/// The routers whose records are still to be disseminated.
+/// The routers whose records are still being disseminated, and the time of the next gossip round.
 #[derive(Clone, Debug)]
 pub(super) struct GossipQueue {
-    /// How often each was sent.
+    /// Number of times that each queued router's record has been sent since it was queued, by the
+    /// router's address.
     transmissions: BTreeMap<SocketAddr, u32>,
-    /// When the next round of gossip is due.
+    /// Instant on the local clock at which the next gossip round is due.
     pub(super) next_round: Time,
 }
 
@@ -40,7 +44,8 @@
         self.transmissions.len()
     }
 
-    /// Has a router's record disseminated from the beginning.
+    /// Queues a router's record for dissemination; if it is queued already, its number of
+    /// transmissions restarts at 0.
     pub(super) fn enqueue(&mut self, member: SocketAddr) {
         self.transmissions.insert(member, 0);
     }
@@ -49,7 +54,8 @@
         self.transmissions.remove(&member);
     }
 
-    /// Counts one transmission; after `max` of them there is nothing more to disseminate.
+    /// Counts one transmission of a router's record and removes the record from the queue after
+    /// `max` transmissions.
     fn record_transmission(&mut self, member: SocketAddr, max: u32) {
         let Some(count) = self.transmissions.get_mut(&member) else { return };
         *count += 1;
@@ -58,7 +64,7 @@
         }
     }
 
-    /// Routers in the order in which their records are sent: the least sent first.
+    /// The queued routers, ordered by ascending number of transmissions.
     fn least_sent_first(&self) -> Vec<SocketAddr> {
         let mut queued: Vec<(u32, SocketAddr)> =
             self.transmissions.iter().map(|(member, count)| (*count, *member)).collect();
@@ -68,7 +74,7 @@
 }
 
 impl Membership {
-    /// Sends a message with as many gossip updates as fit.
+    /// Sends a message with as many queued gossip updates as fit into the datagram.
     pub(super) fn send(&mut self, destination: SocketAddr, body: MessageBody) {
         let updates = self.select_updates(destination);
         let encoded = message::encode(&self.header(body), updates.iter());
@@ -79,7 +85,7 @@
         self.enqueue_datagram(destination, encoded.payload);
     }
 
-    /// The header of a message that is sent now.
+    /// The header of a message sent now, with the local router's current record and view digest.
     pub(super) fn header(&self, body: MessageBody) -> MessageHeader {
         MessageHeader {
             cluster: self.cluster,
@@ -90,8 +96,13 @@
         }
     }
 
+    /// Queues an encoded datagram for sending; drops and counts it if the transmit queue is full.
     pub(super) fn enqueue_datagram(&mut self, destination: SocketAddr, payload: Vec<u8>) {
-        debug_assert!(payload.len() <= MAX_DATAGRAM_LEN, "a datagram of {} bytes", payload.len());
+        debug_assert!(
+            payload.len() <= MAX_DATAGRAM_LEN,
+            "membership datagram of {} bytes exceeds {MAX_DATAGRAM_LEN}",
+            payload.len()
+        );
         if self.outgoing.is_full() {
             self.counters.dropped += 1;
             return;
@@ -100,35 +111,37 @@
         self.outgoing.push(destination, payload);
     }
 
+    /// Number of transmissions after which an update is no longer disseminated.
     fn max_transmissions(&self) -> u32 {
         let routers = self.table.len() + 1;
-        let log2_rounded_up = usize::BITS - routers.leading_zeros();
-        RETRANSMIT_MULTIPLIER * log2_rounded_up
+        let bit_length = usize::BITS - routers.leading_zeros();
+        RETRANSMIT_MULTIPLIER * bit_length
     }
 
-    /// The updates for a receiver. If it is suspected or failed itself, that comes first, so that
-    /// it can refute at once.
+    /// The candidate updates for a message to `receiver`, in order of preference. If the receiver
+    /// itself is suspected or failed, its own record comes first, so that it can refute at once.
     fn select_updates(&self, receiver: SocketAddr) -> Vec<GossipUpdate> {
-        let receiver_is_accused = self
+        let is_receiver_accused = self
             .table
             .get(receiver)
             .is_some_and(|member| matches!(member.record.state, MemberState::Suspect | MemberState::Failed));
         let mut updates = Vec::new();
-        if receiver_is_accused {
+        if is_receiver_accused {
             updates.extend(self.updates_about(receiver));
         }
         let queued = self
             .gossip
             .least_sent_first()
             .into_iter()
-            .filter(|member| *member != receiver || !receiver_is_accused)
+            .filter(|member| *member != receiver || !is_receiver_accused)
             .take(MAX_DATAGRAM_LEN / MIN_UPDATE_LEN);
         updates.extend(queued.flat_map(|member| self.updates_about(member)));
         updates
     }
 
-    /// What there is to say of a router: for a suspect, one update for each router that suspects
-    /// it.
+    /// The updates that disseminate a router's record: one update per suspecting router for a
+    /// suspect, otherwise a single one. Empty if the router is not in the member table or if no
+    /// suspecting router is known.
     fn updates_about(&self, address: SocketAddr) -> Vec<GossipUpdate> {
         if address == self.options.address {
             let record = self.record.clone();
@@ -142,7 +155,8 @@
         }
     }
 
-    /// One round of gossip: sends updates to a few routers, if there are any.
+    /// Runs one gossip round: sends the queued updates to [`GOSSIP_FANOUT`] random reachable
+    /// routers. Sends nothing if no update is queued.
     pub(super) fn gossip_round(&mut self) {
         self.gossip.next_round = self.now + self.options.timings.gossip_interval;
         if self.gossip.is_empty() {
@@ -155,7 +169,7 @@
         }
     }
 
-    /// Sends the own record, which says that the router leaves, to a few routers, which pass it on.
+    /// Sends the own record, whose state is `Left`, to a few random routers, which disseminate it.
     pub(super) fn announce_leave(&mut self) {
         for _ in 0..LEAVE_ROUNDS {
             self.gossip.enqueue(self.options.address);
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -1,6 +1,6 @@
-//! The failure detector: direct probes, indirect probes through other routers, suspicions that
-//! expire (SWIM), and the local health that slows a router's own probes down when it misses
-//! acknowledgements itself (Lifeguard).
+//! SWIM failure detector: direct probes, indirect probes through other routers, and suspicions that
+//! expire. Lifeguard's local health score slows down the probes of a router that misses
+//! acknowledgements, as the fault may be its own.
 
 use super::message::{self, MessageBody};
 use super::record::{MemberRecord, MemberState, RouterPhase};
@@ -9,45 +9,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The greatest local health score: intervals and timeouts are at most this many times longer, plus
-/// one.
+/// Maximum local health score. Probe interval and acknowledgement timeout are multiplied by the
+/// score plus one, so by at most 5.
 pub(super) const MAX_LOCAL_HEALTH: u32 = 4;
-/// Routers that are asked for an indirect probe.
+/// Number of routers that are requested to probe a target indirectly.
 const INDIRECT_PROBES: usize = 3;
-/// Indirect probes in progress for other routers at most.
+/// Maximum number of indirect probes in progress on behalf of other routers; further requests are
+/// ignored.
 const MAX_RELAYED_PROBES: usize = 64;
-/// How long an indirect probe for another router may take.
+/// Time after which an indirect probe on behalf of another router is abandoned.
 const RELAYED_PROBE_TIMEOUT: Time = 2 * SEC;
 
-/// How far a probe has come.
+/// Stage of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeStage {
-    /// Only the target has been asked.
+    /// Only a direct ping has been sent to the target.
     Direct,
-    /// Other routers have been asked to probe it.
+    /// Indirect pings have been sent to other routers as well.
     Indirect {
-        /// Routers that were asked.
-        asked: u32,
-        /// Of these, those that have reported nothing, not even that the target does not answer.
-        silent: u32,
+        /// Number of routers to which an indirect ping was sent.
+        requested: u32,
+        /// Number of these routers that have not sent a nack.
+        without_nack: u32,
     },
 }
 
-/// The probe in progress.
+/// The local router's own probe in progress.
 #[derive(Clone, Debug)]
 struct Probe {
     nonce: u64,
     target: SocketAddr,
+    /// Instant on the local clock at which the direct ping was sent.
     sent_at: Time,
     stage: ProbeStage,
+    /// Whether a direct or indirect acknowledgement has been received.
     acknowledged: bool,
 }
 
-/// An indirect probe for another router.
+/// An indirect probe in progress on behalf of another router.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     requester: SocketAddr,
+    /// The nonce that an ack or nack to the requester must carry.
     requester_nonce: u64,
+    /// Instant on the local clock at which the probe is abandoned.
     expires_at: Time,
     nack_sent: bool,
 }
@@ -55,17 +60,21 @@
 /// The state of the failure detector.
 #[derive(Clone, Debug)]
 pub(super) struct FailureDetector {
+    /// The current probe; `None` if there was no target, or after it was cancelled.
     probe: Option<Probe>,
-    /// By the nonce of the local router's own ping.
+    /// Probes on behalf of other routers, by the nonce of the ping that the local router sent.
     relayed: BTreeMap<u64, RelayedProbe>,
-    /// Whom to probe next, from the end; shuffled anew when all were probed.
+    /// Addresses still to be probed in this pass; the last one is probed next. Refilled in random
+    /// order when it is empty.
     probe_order: Vec<SocketAddr>,
-    /// Lifeguard's local health score: failed probes less acknowledged ones; 0 is healthy.
+    /// Lifeguard's local health score from 0 (healthy) to [`MAX_LOCAL_HEALTH`]: raised by failed
+    /// probes, refutations and pauses, lowered by directly acknowledged probes.
     pub(super) local_health: u32,
+    /// Instant on the local clock at which the next probe is due.
     pub(super) next_probe: Time,
-    /// Whether any router has ever answered.
+    /// Whether any router has ever sent an acknowledgement.
     pub(super) ack_received: bool,
-    /// Probes in a row that no router answered.
+    /// Number of consecutive probes that failed; reset by any acknowledgement.
     pub(super) consecutive_failures: u32,
 }
 
@@ -82,28 +91,28 @@
         }
     }
 
-    /// Gives the probe in progress up without blaming its target.
+    /// Cancels the current probe without suspecting its target.
     pub(super) fn cancel_probe(&mut self) {
         self.probe = None;
     }
 
-    /// Gives all probes up, those for other routers too.
+    /// Cancels the current probe and all probes on behalf of other routers.
     pub(super) fn cancel_all(&mut self) {
         self.cancel_probe();
         self.relayed.clear();
     }
 
-    /// Raises the local health score, which slows probes down.
+    /// Raises the local health score by up to `by`, which slows down probes.
     pub(super) fn degrade_health(&mut self, by: u32) {
         self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
     }
 
-    /// Adds a router to the probe order.
+    /// Inserts a router at `position`, at most [`FailureDetector::order_len`], of the probe order.
     pub(super) fn insert_into_order(&mut self, position: usize, address: SocketAddr) {
         self.probe_order.insert(position, address);
     }
 
-    /// Removes a router from the probe order.
+    /// Removes a router from the probe order, if it is in it.
     pub(super) fn remove_from_order(&mut self, address: SocketAddr) {
         self.probe_order.retain(|ordered| *ordered != address);
     }
@@ -116,26 +125,28 @@
         self.probe_order.capacity()
     }
 
+    /// The current probe, if it has this nonce.
     fn probe_with_nonce(&mut self, nonce: u64) -> Option<&mut Probe> {
         self.probe.as_mut().filter(|probe| probe.nonce == nonce)
     }
 }
 
 impl Membership {
-    /// How long an acknowledgement may take before other routers are asked.
+    /// Time to wait for an acknowledgement before indirect probes are requested, by the current
+    /// local health.
     fn ack_timeout(&self) -> Time {
         self.options.timings.ack_timeout * Time::from(self.detector.local_health + 1)
     }
 
-    /// When other routers are to be asked to probe the target; none if it has answered or they were
-    /// asked.
+    /// Instant on the local clock at which indirect probes of the current target are due. `None` if
+    /// there is no current probe, it has been acknowledged, or they have been requested already.
     pub(super) fn indirect_probe_due(&self) -> Option<Time> {
         let probe = self.detector.probe.as_ref()?;
-        let waits = probe.stage == ProbeStage::Direct && !probe.acknowledged;
-        waits.then(|| probe.sent_at + self.ack_timeout())
+        let awaits_ack = probe.stage == ProbeStage::Direct && !probe.acknowledged;
+        awaits_ack.then(|| probe.sent_at + self.ack_timeout())
     }
 
-    /// Ends the last probe and starts the next one.
+    /// Ends the current probe, which has failed if it is not acknowledged, and starts the next one.
     pub(super) fn probe_next(&mut self) {
         if let Some(probe) = self.detector.probe.take().filter(|probe| !probe.acknowledged) {
             self.on_probe_failed(&probe);
@@ -155,13 +166,14 @@
         self.send(target, MessageBody::Ping { nonce });
     }
 
-    /// Unpredictable, so that an old or a forged acknowledgement does not match.
+    /// A random nonce for a ping. It is not predictable, so that an old or a forged acknowledgement
+    /// does not match.
     fn random_nonce(&mut self) -> u64 {
         self.random_below(u64::MAX)
     }
 
-    /// The next reachable router in the probe order; when all were probed the order is shuffled
-    /// anew.
+    /// Removes and returns the next reachable router of the probe order, which is refilled with all
+    /// reachable routers in random order when it is exhausted. `None` if no router is reachable.
     fn next_probe_target(&mut self) -> Option<SocketAddr> {
         if let Some(target) = self.pop_reachable_target() {
             return Some(target);
@@ -170,6 +182,8 @@
         self.pop_reachable_target()
     }
 
+    /// Removes routers from the probe order up to the next one that is reachable, and returns that
+    /// one; `None` if there is none.
     fn pop_reachable_target(&mut self) -> Option<SocketAddr> {
         while let Some(next) = self.detector.probe_order.pop() {
             if self.table.is_reachable(next) {
@@ -179,7 +193,7 @@
         None
     }
 
-    /// Starts indirect probes of a target that has not answered in time.
+    /// Requests indirect probes of the current target if its acknowledgement is overdue.
     pub(super) fn send_indirect_probes(&mut self) {
         if self.indirect_probe_due().is_none_or(|due| self.now < due) {
             return;
@@ -188,21 +202,22 @@
         let (nonce, target) = (probe.nonce, probe.target);
         let helpers = self.sample_reachable(INDIRECT_PROBES, &[target]);
         if let Some(probe) = &mut self.detector.probe {
-            let asked = helpers.len() as u32;
-            probe.stage = ProbeStage::Indirect { asked, silent: asked };
+            let requested = helpers.len() as u32;
+            probe.stage = ProbeStage::Indirect { requested, without_nack: requested };
         }
         for helper in helpers {
             self.send(helper, MessageBody::IndirectPing { nonce, target });
         }
     }
 
-    /// Tells those for whom the local router probes that their target has not answered in time.
+    /// Sends a nack to the requester of each relayed probe whose target has not acknowledged within
+    /// the acknowledgement timeout.
     pub(super) fn send_nacks(&mut self) {
         let now = self.now;
         let ack_timeout = self.ack_timeout();
         let mut nacks = Vec::new();
         for relayed in self.detector.relayed.values_mut() {
-            // What is left of the probe's time when the target's acknowledgement is overdue.
+            // The probe was sent `RELAYED_PROBE_TIMEOUT` before `expires_at`.
             if !relayed.nack_sent && now + RELAYED_PROBE_TIMEOUT >= relayed.expires_at + ack_timeout {
                 relayed.nack_sent = true;
                 nacks.push((relayed.requester, relayed.requester_nonce));
@@ -213,12 +228,13 @@
         }
     }
 
-    /// The target answered neither directly nor through others. Helpers that did not even report
-    /// that point at the local router's own links, so its local health degrades.
+    /// Handles a probe that was acknowledged neither directly nor indirectly: suspects its target
+    /// unless the local router is isolated. Indirect probes for which neither ack nor nack arrived
+    /// suggest that the local router's own links are at fault, so its local health degrades.
     fn on_probe_failed(&mut self, probe: &Probe) {
         self.counters.probes_failed += 1;
         let health_penalty = match probe.stage {
-            ProbeStage::Indirect { asked, silent } if asked > 0 => silent.min(1),
+            ProbeStage::Indirect { requested, without_nack } if requested > 0 => without_nack.min(1),
             _ => 1,
         };
         self.detector.degrade_health(health_penalty);
@@ -239,7 +255,7 @@
         self.apply_record(probe.target, record.with_state(MemberState::Suspect), Some(suspector));
     }
 
-    /// Suspects that have not refuted their suspicion in time have failed.
+    /// Declares all suspects failed whose suspicion timeout has expired.
     pub(super) fn expire_suspicions(&mut self) {
         let expired: Vec<(SocketAddr, MemberRecord)> = self
             .table
@@ -255,7 +271,7 @@
         }
     }
 
-    /// Acts on what a message asks for or answers.
+    /// Handles the body of a received message.
     pub(super) fn on_body(&mut self, sender: SocketAddr, body: MessageBody) {
         match body {
             MessageBody::Ping { nonce } => self.send(sender, MessageBody::Ack { nonce }),
@@ -267,6 +283,8 @@
         }
     }
 
+    /// Pings `target` on behalf of `requester`. Ignored if the target is unknown or the local
+    /// router itself, or if too many relayed probes are in progress.
     fn on_indirect_ping(&mut self, requester: SocketAddr, requester_nonce: u64, target: SocketAddr) {
         let has_room = self.detector.relayed.len() < MAX_RELAYED_PROBES;
         if !self.table.contains(target) || !has_room || target == self.options.address {
@@ -279,10 +297,11 @@
         self.send(target, MessageBody::Ping { nonce });
     }
 
-    /// An acknowledgement of a probe of the local router, or of one that it made for another.
+    /// Handles an acknowledgement of a relayed probe, which is passed on to its requester, or of
+    /// the local router's own probe. Ignored if its nonce belongs to neither.
     fn on_ack(&mut self, sender: SocketAddr, nonce: u64) {
         if let Some(relayed) = self.detector.relayed.remove(&nonce) {
-            self.on_answer(sender);
+            self.on_ack_from(sender);
             self.send(relayed.requester, MessageBody::Ack { nonce: relayed.requester_nonce });
             return;
         }
@@ -294,18 +313,20 @@
         if probe.stage == ProbeStage::Direct {
             self.detector.local_health = self.detector.local_health.saturating_sub(1);
         }
-        self.on_answer(sender);
+        self.on_ack_from(sender);
     }
 
+    /// Counts a nack for the current probe; ignored if its nonce is not that of the probe.
     fn on_nack(&mut self, nonce: u64) {
         let Some(probe) = self.detector.probe_with_nonce(nonce) else { return };
-        if let ProbeStage::Indirect { silent, .. } = &mut probe.stage {
-            *silent = silent.saturating_sub(1);
+        if let ProbeStage::Indirect { without_nack, .. } = &mut probe.stage {
+            *without_nack = without_nack.saturating_sub(1);
         }
     }
 
-    /// A router answers, so the local one is part of the cluster.
-    fn on_answer(&mut self, sender: SocketAddr) {
+    /// Records that a router has sent a valid acknowledgement. The first one ends the local
+    /// router's joining phase.
+    fn on_ack_from(&mut self, sender: SocketAddr) {
         self.detector.ack_received = true;
         self.detector.consecutive_failures = 0;
         if let Some(member) = self.table.get_mut(sender) {
--- a/crates/cluster/src/membership/member_table.rs
+++ b/crates/cluster/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of all other routers, with the sets and digests that are kept in step with it.
+//! The table of all other routers, with indexes and digests that are updated with every change.
 
 use super::digest::ViewDigests;
 use super::record::{MemberRecord, MemberState};
@@ -7,21 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Routers that are remembered at most, failed ones and those that left among them.
+/// Maximum number of routers in the member table, including members that have failed or left.
 pub const MAX_MEMBERS: usize = 2_000;
-/// Routers without room in the table that are counted at most.
+/// Maximum number of unlisted routers, for which the member table had no room, that are counted.
 const MAX_UNLISTED: usize = MAX_MEMBERS;
 
-/// Another router.
+/// What the local router knows of another router.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) record: MemberRecord,
+    /// Present exactly while the record's state is `Suspect`.
     pub(super) suspicion: Option<Suspicion>,
-    /// When the record last changed.
+    /// Instant on the local clock at which the record last changed.
     pub(super) changed_at: Time,
-    /// When it last answered the local router.
+    /// Instant on the local clock of the member's last acknowledgement to the local router; `None`
+    /// if it has sent none since its current start.
     pub(super) last_ack: Option<Time>,
-    /// Whether its last datagram had the digest of the local view.
+    /// Whether the view digest in the member's last datagram equalled that of the local view;
+    /// `false` before the first datagram and after a pause of the local process.
     pub(super) digest_matches: bool,
 }
 
@@ -29,12 +32,14 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
-    /// How many members are alive or suspect.
+    /// Number of members in state `Alive` or `Suspect`.
     reachable: usize,
+    /// Addresses of the members in state `Suspect`.
     suspects: BTreeSet<SocketAddr>,
-    /// Identifiers of routers that there was no room for: they count as possibly active for ever.
+    /// Identifiers ([`super::message::suspector_id`]) of routers for which the table had no room.
+    /// They count as possibly active until the local process ends.
     unlisted: BTreeSet<u32>,
-    /// Of all records, the local router's among them.
+    /// Digests of all records, including the local router's own record.
     digests: ViewDigests,
 }
 
@@ -63,7 +68,7 @@
         self.members.values_mut()
     }
 
-    /// How many members are alive or suspect.
+    /// Number of members in state `Alive` or `Suspect`.
     pub(super) fn reachable(&self) -> usize {
         self.reachable
     }
@@ -76,7 +81,7 @@
         !self.suspects.is_empty()
     }
 
-    /// The suspicions, by suspect.
+    /// All current suspicions, with the address of the suspect.
     pub(super) fn suspicions(&self) -> impl Iterator<Item = (SocketAddr, &Suspicion)> + '_ {
         self.suspects.iter().filter_map(|suspect| {
             let suspicion = self.members.get(suspect)?.suspicion.as_ref()?;
@@ -88,17 +93,19 @@
         &self.digests
     }
 
-    /// How many routers there was no room for.
+    /// Number of routers that are counted without being in the table.
     pub(super) fn unlisted(&self) -> usize {
         self.unlisted.len()
     }
 
-    /// Counts a router that there is no room for; whether it is new.
+    /// Counts a router for which the table has no room. Returns `false` if the router was counted
+    /// before, or if [`MAX_UNLISTED`] routers are counted already.
     pub(super) fn add_unlisted(&mut self, identifier: u32) -> bool {
         self.unlisted.len() < MAX_UNLISTED && self.unlisted.insert(identifier)
     }
 
-    /// Takes the local router's record into the digests, in place of `previous`.
+    /// Replaces the local router's own record in the digests; `previous` is `None` for the first
+    /// one.
     pub(super) fn replace_own_digest(
         &mut self,
         address: SocketAddr,
@@ -110,13 +117,15 @@
         }
     }
 
-    /// Adds a router that is not in the table.
+    /// Adds a router that is not in the table yet.
     pub(super) fn insert(&mut self, address: SocketAddr, member: Member) {
         self.update_indexes(address, None, Some(&member.record));
         self.members.insert(address, member);
     }
 
-    /// Replaces a member's record and suspicion; returns the record until now.
+    /// Replaces a member's record and suspicion, and returns the previous record; `None` if the
+    /// router is not in the table. A greater generation also resets what was known of the earlier
+    /// process: its last acknowledgement and digest comparison.
     pub(super) fn replace(
         &mut self,
         address: SocketAddr,
@@ -136,8 +145,8 @@
         Some(previous)
     }
 
-    /// Makes room if the table is full: forgets the member that left longest ago and returns its
-    /// address. A failed member is never forgotten, as it may be active.
+    /// Removes the member that left the cluster longest ago and returns its address; `None` if no
+    /// member has left. Failed members are never removed, as they may still be active.
     pub(super) fn evict_oldest_left(&mut self) -> Option<SocketAddr> {
         let (oldest, _) = self
             .iter()
@@ -149,14 +158,17 @@
         Some(oldest)
     }
 
+    /// Updates the reachable count, the suspects and the digests for a changed record. `previous`
+    /// is `None` if the member was added, `record` is `None` if it was removed.
     fn update_indexes(
         &mut self,
         address: SocketAddr,
         previous: Option<&MemberRecord>,
         record: Option<&MemberRecord>,
     ) {
-        let reachable =
-            |record: Option<&MemberRecord>| usize::from(record.is_some_and(|r| r.state.is_reachable()));
+        let reachable = |record: Option<&MemberRecord>| {
+            usize::from(record.is_some_and(|record| record.state.is_reachable()))
+        };
         self.reachable = self.reachable + reachable(record) - reachable(previous);
         if record.is_some_and(|record| record.state == MemberState::Suspect) {
             self.suspects.insert(address);
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,16 +1,19 @@
-//! Membership: which routers there are, in which state, and which may still be active.
+//! Membership: which routers belong to the cluster, the state of each, and which of them may still
+//! be active.
 //!
-//! SWIM with Lifeguard's extensions, digests on every datagram, and anti-entropy where digests
-//! differ. The module decides what the local router says of others and what it sends; what the
-//! result is used for is the caller's matter.
+//! The protocol is SWIM with Lifeguard's extensions. In addition every datagram carries a digest of
+//! the sender's view, and routers whose digests differ repair their views by anti-entropy. The
+//! module maintains the local view and decides which datagrams to send; it does not decide what
+//! the view is used for.
 //!
-//! A router is identified by the address that others send to: only one process can hold it, so the
-//! next start at an address supersedes the one before. All that is known of a router is a
-//! [`MemberRecord`]; the greatest one holds.
+//! A router is identified by its advertised address. Only one process at a time can hold an
+//! address, so a later start at an address supersedes the earlier one. What is known of a router is
+//! a [`MemberRecord`]; of two records the greater one supersedes the lesser one.
 //!
-//! Two sets are kept apart. *Reachable* routers answer as far as the local one can tell: good
-//! enough to save work by. *Possibly active* routers are all that have not announced that they
-//! left: safety rules must count these.
+//! The module distinguishes two sets of routers. *Reachable* routers are alive or suspected in the
+//! local view, which is accurate enough to save work but not for safety rules. *Possibly active*
+//! routers are all known routers that have not announced that they left; safety rules must count
+//! all of them.
 
 mod anti_entropy;
 mod convergence;
@@ -48,20 +51,23 @@
 use std::net::SocketAddr;
 use suspicion::Suspicion;
 
-/// Datagrams that wait to be sent at most; more are dropped as if the network had lost them.
+/// Capacity of the queue of outgoing datagrams. Datagrams beyond it are dropped, which has the same
+/// effect as loss in the network.
 const MAX_OUTGOING: usize = 256;
-/// Changes that wait to be reported at most; the oldest are dropped.
+/// Capacity of the queue of changes to report. When it is full, the oldest change is dropped.
 const MAX_CHANGES: usize = 1_024;
 
-/// The local router's view of the cluster.
+/// The membership protocol of the local router, with its view of the cluster. All instants passed
+/// to it and returned by it are on the caller's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Membership {
     options: MembershipOptions,
     /// The hash of the cluster's name.
     cluster: u64,
     rng: Pcg64Mcg,
+    /// The latest instant passed by the caller.
     now: Time,
-    /// The local router's own record.
+    /// The local router's record of itself, which is not in `table`.
     record: MemberRecord,
     table: MemberTable,
     gossip: GossipQueue,
@@ -71,12 +77,14 @@
     convergence: Convergence,
     outgoing: TransmitQueue,
     changes: VecDeque<MembershipChange>,
-    /// Counters for operators.
+    /// Counters of datagrams, probes, suspicions and refutations, for the admin endpoint and
+    /// metrics.
     pub counters: MembershipCounters,
 }
 
 impl Membership {
-    /// A router that knows no other one. Its first datagrams can be polled at once.
+    /// Creates the membership of a router that knows no other member. Datagrams to its seeds can be
+    /// polled at once.
     pub fn new(options: MembershipOptions, now: Time) -> Membership {
         let record = MemberRecord {
             generation: options.generation,
@@ -109,19 +117,21 @@
         membership
     }
 
-    /// From now on datagrams can be received; that none came before is no pause of the process.
+    /// Starts or restarts the protocol at `now`, to be called when datagrams can be received from
+    /// then on. The time that has passed before does not count as a pause of the process.
     pub fn join(&mut self, now: Time) {
         self.now = now.max(self.now);
-        self.convergence.note_difference(self.now);
+        self.convergence.record_difference(self.now);
         self.detector.cancel_probe();
         self.gossip.next_round = self.now;
         self.reconnect.next_attempt = self.now;
-        // Routers that start together should not probe in step.
+        // A random offset keeps routers that start together from probing at the same times.
         let jitter = self.random_below(self.options.timings.probe_interval);
         self.detector.next_probe = self.now + jitter;
     }
 
-    /// A datagram was received. One that is rejected is counted and has no other effect.
+    /// Handles a received membership datagram. A rejected datagram is counted and has no other
+    /// effect.
     pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) {
         self.advance_clock(now);
         self.counters.received.add(bytes.len());
@@ -132,7 +142,8 @@
         self.update_convergence();
     }
 
-    /// Time has passed; to be called when [`Membership::next_timeout`] is due.
+    /// Runs all actions that are due at `now`. To be called when [`Membership::next_timeout`] is
+    /// reached; an earlier call does no harm.
     pub fn handle_timeout(&mut self, now: Time) {
         self.advance_clock(now);
         self.expire_suspicions();
@@ -150,7 +161,8 @@
         self.update_convergence();
     }
 
-    /// When [`Membership::handle_timeout`] is to be called next.
+    /// The instant at which [`Membership::handle_timeout`] is to be called next. It may change with
+    /// every other call.
     pub fn next_timeout(&self) -> Time {
         let mut next = self.detector.next_probe.min(self.reconnect.next_attempt);
         if let Some(due) = self.indirect_probe_due() {
@@ -168,21 +180,24 @@
         next
     }
 
-    /// The next datagram to send.
+    /// Removes and returns the next datagram to send; `None` if there is none.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.outgoing.pop()
     }
 
-    /// The next change to report to operators.
+    /// Removes and returns the oldest unreported change; `None` if there is none.
     pub fn poll_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
 
+    /// Handles a decoded message: applies its records, handles its body, and starts a comparison
+    /// with the sender if the digests differ.
     fn on_message(&mut self, message: Message) {
         let Message { header, updates } = message;
         if header.sender == self.options.address {
-            // One of the local router's own datagrams that somebody sent back, or another process
-            // under its address: only a later start there matters.
+            // Either a datagram of the local router that was reflected back to it, or one from
+            // another process with the same address. Only the record in the header matters, as it
+            // may have to be superseded.
             self.on_claim_about_self(&header.record);
             return;
         }
@@ -199,7 +214,7 @@
         }
         let digest_matches = header.view_digest == self.digest();
         if !digest_matches {
-            self.convergence.note_difference(self.now);
+            self.convergence.record_difference(self.now);
         }
         if let Some(member) = self.table.get_mut(header.sender) {
             member.digest_matches = digest_matches;
@@ -210,8 +225,10 @@
         }
     }
 
-    /// Takes a record of another router if it holds over the known one; `suspector` is who
-    /// suspects, if it is a suspicion that came as gossip.
+    /// Applies a received or locally created record of another router: a greater one than the known
+    /// record replaces it and is disseminated, an equal one may confirm a suspicion, a lesser one
+    /// is ignored. `suspector` identifies the router that suspects, if the record is a suspicion
+    /// and names one.
     fn apply_record(&mut self, address: SocketAddr, record: MemberRecord, suspector: Option<u32>) {
         let Some(member) = self.table.get(address) else {
             return self.add_member(address, record, suspector);
@@ -227,7 +244,7 @@
             return;
         };
         if previous.digest(address) != record.digest(address) {
-            self.convergence.note_difference(self.now);
+            self.convergence.record_difference(self.now);
         }
         self.gossip.enqueue(address);
         self.report(match record.generation > previous.generation {
@@ -236,12 +253,13 @@
         });
     }
 
+    /// A new suspicion if the record's state is `Suspect`, otherwise `None`.
     fn suspicion_of(&self, record: &MemberRecord, suspector: Option<u32>) -> Option<Suspicion> {
         (record.state == MemberState::Suspect).then(|| Suspicion::new(self.now, suspector))
     }
 
-    /// Another router confirms a known suspicion, which is disseminated as long as it shortens the
-    /// suspicion.
+    /// Adds a confirmation by `suspector` to a known suspicion. The confirmation is disseminated
+    /// only if it shortens the suspicion timeout.
     fn confirm_suspicion(&mut self, address: SocketAddr, suspector: Option<u32>) {
         let suspicion = self.table.get_mut(address).and_then(|member| member.suspicion.as_mut());
         let (Some(suspicion), Some(suspector)) = (suspicion, suspector) else { return };
@@ -250,7 +268,8 @@
         }
     }
 
-    /// Takes a router into the table that was unknown.
+    /// Adds an unknown router to the member table and the probe order. If the table is full and no
+    /// member that left can be evicted, the router is only counted as possibly active.
     fn add_member(&mut self, address: SocketAddr, record: MemberRecord, suspector: Option<u32>) {
         if self.table.len() >= MAX_MEMBERS && !self.evict_member() {
             let may_be_active = record.state != MemberState::Left;
@@ -259,7 +278,7 @@
             }
             return;
         }
-        self.convergence.note_difference(self.now);
+        self.convergence.record_difference(self.now);
         self.gossip.enqueue(address);
         if let Some(first) = self.reachable_namesake(&record) {
             let name = record.name.clone();
@@ -275,7 +294,8 @@
         self.detector.insert_into_order(position, address);
     }
 
-    /// Another reachable router with the name of this one, which is reachable too.
+    /// The address of a reachable router that has the same name as `record`: another member or the
+    /// local router. `None` if there is none or `record` is not reachable itself.
     fn reachable_namesake(&self, record: &MemberRecord) -> Option<SocketAddr> {
         if !record.state.is_reachable() {
             return None;
@@ -288,7 +308,7 @@
         }
     }
 
-    /// Makes room in a full table; whether that was possible.
+    /// Evicts the member that left longest ago. Returns `false` if no member has left.
     fn evict_member(&mut self) -> bool {
         let Some(evicted) = self.table.evict_oldest_left() else { return false };
         self.detector.remove_from_order(evicted);
@@ -296,6 +316,7 @@
         true
     }
 
+    /// Queues a change for [`Membership::poll_change`].
     fn report(&mut self, change: MembershipChange) {
         if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
@@ -304,12 +325,12 @@
         self.changes.push_back(change);
     }
 
-    /// A random number below a bound.
+    /// A random number below `bound`; 0 if `bound` is 0.
     fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
 
-    /// At most `count` reachable routers in random order, without the excluded ones.
+    /// Up to `count` random reachable members in random order, without the excluded ones.
     fn sample_reachable(&mut self, count: usize, excluded: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut candidates: Vec<SocketAddr> = self
             .table
--- a/crates/cluster/src/membership/reconnect.rs
+++ b/crates/cluster/src/membership/reconnect.rs
@@ -1,21 +1,24 @@
-//! Attempts to reach failed routers, and seeds that are still unknown.
+//! Periodic attempts to reach failed members and seeds that are not in the member table.
 
 use super::record::MemberState;
 use super::Membership;
 use crate::{Time, SEC};
 use std::net::SocketAddr;
 
-/// All reachable routers together make so many attempts a second for one unreachable router.
+/// Number of attempts per second that all reachable routers together make for each unreachable
+/// target.
 const ATTEMPTS_PER_SECOND: u64 = 4;
-/// The longest interval that follows from that, however large the cluster.
+/// Upper bound of the interval derived from [`ATTEMPTS_PER_SECOND`], which grows with the cluster.
 const MAX_RECONNECT_INTERVAL: Time = 60 * SEC;
-/// Targets that a router contacts at once while it knows nobody.
+/// Maximum number of targets contacted at once while the local router has no reachable member.
 const MAX_TARGETS_WHEN_ALONE: usize = 8;
 
-/// When the next attempt is due, and which target is next.
+/// Schedule of the attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Reconnect {
+    /// Instant on the local clock at which the next attempt is due.
     pub(super) next_attempt: Time,
+    /// Position of the last contacted target in the sorted list of unreachable targets.
     position: usize,
 }
 
@@ -26,8 +29,8 @@
 }
 
 impl Membership {
-    /// Contacts the next failed router or unknown seed; all of them while the local router knows
-    /// nobody.
+    /// Compares views with the next unreachable target, or with up to [`MAX_TARGETS_WHEN_ALONE`] of
+    /// them while no member is reachable, and schedules the next attempt.
     pub(super) fn reconnect(&mut self) {
         let targets = self.unreachable_targets();
         self.schedule_reconnect(targets.len());
@@ -42,6 +45,7 @@
         }
     }
 
+    /// The addresses of failed members and of seeds that are not in the member table, sorted.
     fn unreachable_targets(&self) -> Vec<SocketAddr> {
         let failed = self
             .table
@@ -59,11 +63,12 @@
         targets
     }
 
-    /// All reachable routers do the same, so the interval grows with their number; it varies at
-    /// random.
-    fn schedule_reconnect(&mut self, targets: usize) {
+    /// Schedules the next attempt. All reachable routers contact the same targets, so the interval
+    /// is proportional to the number of reachable routers per target, within its bounds, and varies
+    /// at random by up to half.
+    fn schedule_reconnect(&mut self, target_count: usize) {
         let reachable = self.table.reachable() as u64 + 1;
-        let shared_interval = SEC * reachable / (ATTEMPTS_PER_SECOND * (targets as u64).max(1));
+        let shared_interval = SEC * reachable / (ATTEMPTS_PER_SECOND * (target_count as u64).max(1));
         let min_interval = self.options.timings.reconnect_interval;
         let interval = min_interval.max(shared_interval.min(MAX_RECONNECT_INTERVAL));
         let jitter = self.random_below(interval);
