--- a/crates/cluster/src/quota/broker.rs
+++ b/crates/cluster/src/quota/broker.rs
@@ -1,8 +1,9 @@
-//! Brokers: for each limit one router collects unused quota and lends it to those that want it.
+//! Brokers: for each limit one router borrows unused quota from the others and lends it to routers
+//! that need more than their own share.
 //!
-//! A broker is chosen by rendezvous hashing among the reachable routers and has no authority: if
-//! two routers hold themselves to be the broker, each lends what was lent to it, and all of that
-//! was subtracted elsewhere.
+//! The broker of a limit is chosen by rendezvous hashing among the reachable routers. Safety does
+//! not depend on the choice: if two routers both act as broker, each lends only quota that was lent
+//! to it and that its lenders have subtracted from their own.
 
 use super::lease::{LeaseHolder, LeaseTransfer};
 use super::ledger::GrantRequest;
@@ -15,44 +16,50 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a router wanted is forgotten after so many exchanges without a message.
+/// A router's demand for a limit expires after this number of exchange intervals without a message
+/// that renews it.
 const DEMAND_LIFETIME_EXCHANGES: Time = 3;
-/// Each router that wants more gets at most this fraction of what is free at once: the first one
-/// must not get all.
-const MAX_FRACTION_PER_GRANT: u32 = 4;
-/// More is lent to a broker only if it is at least this fraction of the own share, to be worth the
-/// messages.
-const MIN_OFFER_FRACTION: u32 = 16;
+/// Divisor of the free quota: one reply adds at most the free quota divided by this to a borrower's
+/// leases, or a single request if that is more. The first borrower must not get all free quota.
+const FREE_QUOTA_DIVISOR_PER_GRANT: u32 = 4;
+/// Divisor of the own share: more quota is lent to a broker only if the increase is at least the
+/// own share divided by this, as a smaller increase does not justify the messages.
+const MIN_OFFER_DIVISOR: u32 = 16;
 
-/// What the local router tells a limit's broker.
+/// The entry of one limit in the next message to the limit's broker.
 pub(super) struct BrokerOffer {
     pub(super) broker: SocketAddr,
     pub(super) entry: LimitEntry,
 }
 
-/// What one router wants of a limit and what it has borrowed of it here.
+/// Another router that wants to borrow from the local one, or has borrowed, quota of one limit.
+/// Amounts are in parts of [`super::WHOLE_QUOTA`].
 #[derive(Clone, Copy, Debug)]
 struct Borrower {
     address: SocketAddr,
+    /// Total quota that it wants to borrow; 0 once its demand has expired.
     wanted: u32,
+    /// Quota that one of its requests uses; at least 1.
     request_size: u32,
+    /// Quota of its valid leases from the local router.
     borrowed: u32,
-    /// Orders borrowers that have borrowed the same.
+    /// Orders borrowers that have borrowed the same amount.
     tie_breaker: u64,
 }
 
-/// A router's rank for a limit, by rendezvous hashing.
+/// A router's weight for a limit in rendezvous hashing: the router with the greatest is the broker.
 fn rendezvous_hash(address: SocketAddr, limit_id: u64) -> u64 {
     xxh3_64_with_seed(address.to_string().as_bytes(), limit_id)
 }
 
-/// Whether a peer shares limits of this scope with the local router.
+/// Whether a peer shares limits of this scope with the local router. The limits of a scope other
+/// than `Zone` count as shared with every router.
 fn shares_scope(peer: &Peer, scope: QuotaScope) -> bool {
     scope != QuotaScope::Zone || peer.same_zone
 }
 
 impl QuotaManager {
-    /// The broker of a limit; none if it is the local router.
+    /// The address of a limit's broker; `None` if the local router itself is the broker.
     pub(super) fn broker(&self, limit_id: u64, scope: QuotaScope) -> Option<SocketAddr> {
         let reachable = self
             .peers
@@ -65,8 +72,8 @@
             .filter(|broker| *broker != self.options.address)
     }
 
-    /// What the local router wants of a limit from its broker, and what it lends to it; none if it
-    /// is the broker.
+    /// Computes the local router's demand for a limit and lends its spare quota to the limit's
+    /// broker. `None` if the local router is the broker or the limit is not tracked here.
     pub(super) fn offer_to_broker(&mut self, limit_id: u64) -> Option<BrokerOffer> {
         let scope = self.limits.get(&limit_id)?.scope;
         let broker = self.broker(limit_id, scope)?;
@@ -79,7 +86,7 @@
         let (kept, wanted) = if limit.update_pooling(own_share) {
             (0, demand)
         } else {
-            // One request stays here for the first that comes.
+            // Quota for at least one request is kept, so that the next request can be admitted.
             (demand.max(request_size).min(own_share), demand.saturating_sub(own_share))
         };
         let lent = limit.ledger.lent_to(&borrower, now);
@@ -92,7 +99,8 @@
         Some(BrokerOffer { broker, entry })
     }
 
-    /// What a router that asks is granted of a limit, if that is in use here as well.
+    /// Computes and grants the leases that a requesting router gets of a limit. `None` if the limit
+    /// is not tracked here.
     pub(super) fn grant_to(&mut self, borrower: LeaseHolder, entry: &LimitEntry) -> Option<LimitEntry> {
         let limit_id = entry.limit_id;
         let limit = self.limits.get(&limit_id)?;
@@ -100,8 +108,9 @@
         let own_share = self.own_share.of(limit.scope);
         let demand = limit.demand_in_requests(self.now);
         let mut borrowers = self.borrowers(limit_id);
-        // What they have stays theirs as long as they want it: quota that changes hands is unusable
-        // for a window. Only what is wanted here of the own share is reclaimed.
+        // Borrowers keep what they have as long as they want it, because quota that is moved from
+        // one router to another can't be used for the length of the usage window. Only the part of
+        // the own share that is wanted here is reclaimed.
         let lendable = own_share.saturating_sub(demand).saturating_add(limit.ledger.borrowed(self.now));
         let lent = borrowers.iter().fold(0u32, |sum, borrower| sum.saturating_add(borrower.borrowed));
         let free = limit
@@ -109,14 +118,15 @@
             .usable(self.now, own_share, &self.options.timings)
             .saturating_sub(demand)
             .min(lendable.saturating_sub(lent));
-        let targets = share_out(free, lendable, &mut borrowers);
+        let targets = allocate(free, lendable, &mut borrowers);
         let target = targets.get(&borrower.address).copied().unwrap_or(0);
         let duration = self.options.timings.broker_lease_duration;
         let transfers = self.grant(limit_id, borrower, target, duration);
         Some(LimitEntry { limit_id, wanted: 0, request_size, transfers })
     }
 
-    /// Grants and counts leases of a limit that is in use here.
+    /// Grants a borrower leases of a limit up to `target` in total, for `duration` from when the
+    /// borrower sent its request, and counts them. Empty if the limit is not tracked here.
     fn grant(
         &mut self,
         limit_id: u64,
@@ -133,7 +143,7 @@
         transfers
     }
 
-    /// The routers that want some of a limit from the local one, or have borrowed some.
+    /// All routers that want to borrow quota of a limit from the local router, or have borrowed it.
     fn borrowers(&self, limit_id: u64) -> Vec<Borrower> {
         let Some(limit) = self.limits.get(&limit_id) else { return Vec::new() };
         let lifetime = DEMAND_LIFETIME_EXCHANGES * self.options.timings.exchange_interval;
@@ -157,21 +167,22 @@
     }
 }
 
-/// What a broker is to have of the own share: what is spare, but little more than it has is not
-/// worth the messages.
+/// The total quota that the broker should have from the local router: the spare quota, or what is
+/// lent already if the spare quota is only slightly more ([`MIN_OFFER_DIVISOR`]).
 fn offer_target(spare: u32, lent: u32, own_share: u32) -> u32 {
-    let is_little_more = spare > lent && spare - lent < own_share / MIN_OFFER_FRACTION;
-    if is_little_more {
+    let is_increase_too_small = spare > lent && spare - lent < own_share / MIN_OFFER_DIVISOR;
+    if is_increase_too_small {
         lent
     } else {
         spare
     }
 }
 
-/// Shares free quota out: what borrowers have stays as far as they want it and `lendable` allows
-/// all of them together; then each that wants more gets whole requests of what is free. Returns
-/// what each is to have in all.
-fn share_out(free: u32, lendable: u32, borrowers: &mut [Borrower]) -> BTreeMap<SocketAddr, u32> {
+/// Allocates quota to borrowers and returns the total quota that each should have. First, borrowers
+/// keep what they have borrowed as far as they still want it, up to `lendable` for all of them
+/// together. Then each borrower that wants more gets a part of `free` in whole requests, in
+/// ascending order of what they have borrowed.
+fn allocate(free: u32, lendable: u32, borrowers: &mut [Borrower]) -> BTreeMap<SocketAddr, u32> {
     borrowers.sort_by_key(|borrower| (borrower.borrowed, borrower.tie_breaker, borrower.address));
     let mut targets: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     let mut remaining = lendable;
@@ -184,7 +195,7 @@
     for borrower in borrowers.iter() {
         let target = targets.entry(borrower.address).or_default();
         let missing = borrower.wanted.saturating_sub(*target);
-        let limited = (free / MAX_FRACTION_PER_GRANT).min(missing).max(borrower.request_size);
+        let limited = (free / FREE_QUOTA_DIVISOR_PER_GRANT).min(missing).max(borrower.request_size);
         let whole_requests = limited / borrower.request_size * borrower.request_size;
         if missing > 0 && left >= whole_requests {
             *target += whole_requests;
--- a/crates/cluster/src/quota/exchange.rs
+++ b/crates/cluster/src/quota/exchange.rs
@@ -1,4 +1,5 @@
-//! Messages between routers that share limits: what is sent, and what a received one changes.
+//! Exchange of quota messages: sending to brokers and other peers, and handling of received
+//! messages.
 
 use super::lease::LeaseHolder;
 use super::limit::Limit;
@@ -12,7 +13,8 @@
 use std::net::SocketAddr;
 
 impl QuotaManager {
-    /// Tells each broker what is wanted and lends it what is not.
+    /// Sends each broker the local router's demand, and leases of the quota that is not needed
+    /// here, for all limits in demand.
     pub(super) fn exchange_with_brokers(&mut self) {
         let limits: Vec<u64> = self
             .limits
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Sends a message to a known router.
+    /// Sends a message to a peer. Does nothing if the router is not a known peer; drops the message
+    /// if the transmit queue is full.
     pub(super) fn send(&mut self, destination: SocketAddr, entries: Vec<LimitEntry>, is_reply: bool) {
         let Some(peer) = self.peers.get(&destination) else { return };
         let header = MessageHeader {
@@ -49,7 +52,11 @@
             is_reply,
         };
         let payload = message::encode(&header, &entries);
-        debug_assert!(payload.len() <= MAX_DATAGRAM_LEN, "a datagram of {} bytes", payload.len());
+        debug_assert!(
+            payload.len() <= MAX_DATAGRAM_LEN,
+            "quota datagram of {} bytes exceeds {MAX_DATAGRAM_LEN}",
+            payload.len()
+        );
         if self.outgoing.is_full() {
             return;
         }
@@ -57,7 +64,10 @@
         self.outgoing.push(destination, payload);
     }
 
-    /// Takes a message and replies to it, unless it is a reply itself.
+    /// Handles a received message and replies to it, unless it is a reply itself or the local
+    /// router has stopped. A message from an unknown router, for another process at the local
+    /// address, or with an echo from the local clock's future only counts as stale. Leases are
+    /// accepted only from a message that names the local process as its receiver.
     pub(super) fn on_message(&mut self, message: Message) {
         let Message { header, entries } = message;
         let is_for_local_instance = header.receiver_instance == self.options.instance_id;
@@ -77,7 +87,7 @@
                 self.accept_transfers(sender, entry, header.echoed_at);
             }
             if !header.is_reply {
-                self.note_demand(sender.address, entry);
+                self.record_demand(sender.address, entry);
             }
         }
         if !header.is_reply && !self.stopped {
@@ -86,8 +96,9 @@
         }
     }
 
-    /// Remembers what a router wants of a limit, for as many limits as are bounded to.
-    fn note_demand(&mut self, sender: SocketAddr, entry: &LimitEntry) {
+    /// Records a peer's demand for a limit. A demand for a further limit is ignored once
+    /// [`MAX_LIMITS`] limits are recorded for the peer.
+    fn record_demand(&mut self, sender: SocketAddr, entry: &LimitEntry) {
         let Some(peer) = self.peers.get_mut(&sender) else { return };
         let is_known = peer.demands.contains_key(&entry.limit_id);
         if !is_known && peer.demands.len() >= MAX_LIMITS {
@@ -101,11 +112,13 @@
         peer.demands.insert(entry.limit_id, demand);
     }
 
-    /// Borrows what was granted. Leases last from `requested_at`, when the local message was sent
-    /// that this answers; [`NO_ECHO`] if it answers none.
+    /// Accepts the leases granted in one entry of a message. Their durations start at
+    /// `requested_at`: the instant on the local clock at which the local message was sent that the
+    /// lender echoes, or [`NO_ECHO`] if it echoes none. Leases that have expired by now are only
+    /// counted.
     fn accept_transfers(&mut self, lender: LeaseHolder, entry: &LimitEntry, requested_at: Time) {
         let now = self.now;
-        // Quota of a limit that is not in use here would only lie unused.
+        // Quota of a limit that the local router does not share could not be used here.
         let is_shared = |limit: &&mut Limit| limit.scope != QuotaScope::Elsewhere;
         let Some(limit) = self.limits.get_mut(&entry.limit_id).filter(is_shared) else { return };
         for transfer in &entry.transfers {
--- a/crates/cluster/src/quota/lease.rs
+++ b/crates/cluster/src/quota/lease.rs
@@ -1,27 +1,30 @@
-//! The terms of a lease between two routers, as both keep and send them.
+//! Types of a lease between two routers that are used both in the ledger and in datagrams.
 
 use crate::Time;
 use std::net::SocketAddr;
 
-/// Leases of one limit in a datagram at most.
+/// Maximum number of leases of one limit in a datagram.
 pub const MAX_TRANSFERS_PER_LIMIT: usize = 8;
 
-/// A router's process that lends or borrows: a later process at the address is another holder.
+/// A router process as lender or borrower. A later process at the same address is another holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseHolder {
-    /// The router's address.
+    /// The router's advertised address.
     pub address: SocketAddr,
-    /// The number of its process.
+    /// Identifies the process among all processes that ever used the address.
     pub instance_id: u64,
 }
 
-/// What a lender tells a borrower of one lease. The order of the fields is the wire format.
+/// Grant or renewal of one lease, as sent by the lender to the borrower. The order of fields is the
+/// wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct LeaseTransfer {
-    /// The lease's number, by the lender.
+    /// Identifies the lease among all leases of the lending process. A renewal has the identifier
+    /// of the lease that it renews.
     pub lease_id: u64,
-    /// What the borrower may use from now on under this lease, in parts of [`super::WHOLE_QUOTA`].
+    /// Quota of the lease from now on, in parts of [`super::WHOLE_QUOTA`]. A renewal may reduce it.
     pub quota: u32,
-    /// How long the lease lasts from when the borrower sent the message that this answers.
+    /// Duration of the lease, which starts when the borrower sent the message that this grant
+    /// replies to.
     pub duration: Time,
 }
--- a/crates/cluster/src/quota/ledger.rs
+++ b/crates/cluster/src/quota/ledger.rs
@@ -1,8 +1,12 @@
-//! The lease ledger of one limit at one router: what is borrowed and what is lent, and until when.
+//! The lease ledger of one limit at one router: the leases that are borrowed and lent, and their
+//! expiry.
 //!
-//! It decides what may be lent and for how long, not to whom. Whatever is lent is subtracted here
-//! first, under a number of its own, until the borrower can no longer use it by any clock. A
-//! transfer that is lost is void until then; one that arrives twice is the same lease.
+//! The ledger decides how much can be lent and for how long, but not to whom. Quota is subtracted
+//! here before the lease is sent, and stays subtracted until the borrower can no longer use it by
+//! any router's clock. Each lease has an identifier of its own: if its transfer is lost, nobody can
+//! use the quota until the lease expires; if it arrives twice, both copies are the same lease.
+//!
+//! All instants are on the local router's clock.
 
 use super::lease::{LeaseHolder, LeaseTransfer, MAX_TRANSFERS_PER_LIMIT};
 use super::options::LeaseTimings;
@@ -10,24 +14,27 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Leases of one limit that are borrowed, and lent, at most. Further ones are refused; what they
-/// would have transferred stays unusable until they expire.
+/// Maximum number of borrowed leases of one limit, and of lent leases (with reductions). Further
+/// transfers are ignored by the borrower; nobody can use their quota until they expire at the
+/// lender.
 pub const MAX_LEASES: usize = 256;
-/// The smallest lease: a smaller one would cost more messages than it serves requests.
+/// Minimum quota of a lease in parts of [`WHOLE_QUOTA`]: a smaller lease would cost more messages
+/// than it serves requests.
 const MIN_LEASE: u32 = WHOLE_QUOTA / 4_096;
-/// A new lease is at least this fraction of what the borrower should have in all: every lease of
-/// many small ones would have to be renewed in every message.
-const MIN_LEASE_FRACTION: u32 = 16;
+/// Divisor of the borrower's target: a new lease has at least the target divided by this. Each of
+/// many small leases would have to be renewed in every message.
+const MIN_LEASE_DIVISOR: u32 = 16;
 
 /// A lease in the ledger of its borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct BorrowedLease {
     quota: u32,
-    /// By the local clock, counted from when the lender was last asked.
+    /// Expiry instant. The duration is counted from when the local request was sent that the lender
+    /// replied to last.
     expires_at: Time,
 }
 
-/// Identifies a borrowed lease.
+/// Identifies a borrowed lease: lease identifiers are unique per lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct BorrowedLeaseKey {
     lender: LeaseHolder,
@@ -39,45 +46,50 @@
 struct LentLease {
     borrower: LeaseHolder,
     quota: u32,
-    /// Until then the borrower may use it by any clock; the usage counts for the expiry delay
-    /// beyond.
+    /// Instant by which the lease has expired at the borrower by any clock. The borrower's usage
+    /// counts against the limit for [`LeaseTimings::expiry_delay`] after it.
     expires_at: Time,
 }
 
-/// Quota that another router may use.
+/// Quota that another router may use until an instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OutstandingQuota {
     quota: u32,
+    /// Instant by which the quota has expired at the borrower by any clock.
     expires_at: Time,
 }
 
-/// What a borrower is to have, and what the lender can spare.
+/// Input of [`LeaseLedger::grant`]. Amounts are in parts of [`WHOLE_QUOTA`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantRequest {
-    /// Who borrows.
+    /// The router process that borrows.
     pub borrower: LeaseHolder,
-    /// What it is to have from this lender in all.
+    /// The total quota that the borrower should have from this lender after the grant.
     pub target: u32,
-    /// For how long from when the borrower asked.
+    /// Duration of the leases, counted from when the borrower sent its request.
     pub duration: Time,
-    /// The lender's own share.
+    /// The lender's own share of the limit.
     pub own_share: u32,
-    /// What the lender has used within the last window.
+    /// Quota that the lender itself used within the last usage window.
     pub used: u32,
 }
 
-/// The account of one limit at one router. Amounts are parts of [`WHOLE_QUOTA`].
+/// The borrowed and lent leases of one limit at one router. Amounts are in parts of
+/// [`WHOLE_QUOTA`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseLedger {
+    /// Leases from other routers.
     borrowed: BTreeMap<BorrowedLeaseKey, BorrowedLease>,
+    /// Leases to other routers, by lease identifier.
     lent: BTreeMap<u64, LentLease>,
-    /// What leases were reduced by when they were renewed: borrowers may use it until the leases
-    /// would have expired.
+    /// Quota by which lent leases were reduced on renewal. The borrower may not have received the
+    /// renewal, so it may use this quota until the expiry before the renewal.
     reduced: Vec<OutstandingQuota>,
 }
 
 impl LeaseLedger {
-    /// Removes what has expired.
+    /// Removes expired leases and reductions; lent ones only when their expiry delay has passed as
+    /// well.
     pub fn expire(&mut self, now: Time, timings: &LeaseTimings) {
         let delay = timings.expiry_delay();
         self.borrowed.retain(|_, lease| lease.expires_at > now);
@@ -85,49 +97,55 @@
         self.reduced.retain(|reduced| reduced.expires_at + delay > now);
     }
 
-    /// Whether nothing is borrowed or lent.
+    /// Whether the ledger has no borrowed lease, no lent lease and no reduction, expired ones that
+    /// are not removed yet included.
     pub fn is_empty(&self) -> bool {
         self.borrowed.is_empty() && self.lent.is_empty() && self.reduced.is_empty()
     }
 
-    /// What is borrowed at a point in time, as far as it is known now.
+    /// Quota of the borrowed leases that are still valid at the instant `at`, unless they are
+    /// renewed before.
     pub fn borrowed(&self, at: Time) -> u32 {
         let valid = self.borrowed.values().filter(|lease| lease.expires_at > at);
         saturating_sum(valid.map(|lease| lease.quota))
     }
 
-    /// What others may use at a point in time, or have used within the window before it.
+    /// Quota that other routers may use at the instant `at`, or may have used within the usage
+    /// window before it.
     pub fn lent(&self, at: Time, timings: &LeaseTimings) -> u32 {
         let delay = timings.expiry_delay();
         let counted = self.all_lent().filter(|lent| lent.expires_at + delay > at);
         saturating_sum(counted.map(|lent| lent.quota))
     }
 
-    /// What one other router may use now.
+    /// Quota of the valid leases lent to one borrower, without reductions.
     pub fn lent_to(&self, borrower: &LeaseHolder, now: Time) -> u32 {
         let valid = self.lent.values().filter(|lease| lease.borrower == *borrower && lease.expires_at > now);
         saturating_sum(valid.map(|lease| lease.quota))
     }
 
-    /// What may be used here at a point in time, of the own share and of what is borrowed.
+    /// Quota that the local router may use at the instant `at`: its own share and what it has
+    /// borrowed, less what it has lent.
     pub fn usable(&self, at: Time, own_share: u32, timings: &LeaseTimings) -> u32 {
         own_share.saturating_add(self.borrowed(at)).saturating_sub(self.lent(at, timings))
     }
 
-    /// When the next borrowed lease expires.
+    /// The instant at which the next borrowed lease expires; `None` if no valid lease is borrowed.
     pub fn next_expiry(&self, now: Time) -> Option<Time> {
         self.borrowed.values().map(|lease| lease.expires_at).filter(|at| *at > now).min()
     }
 
-    /// When the next lent quota may be used here again.
+    /// The instant from which the next lent quota may be used here again, unless its lease is
+    /// renewed; `None` if nothing is lent.
     pub fn next_reclaim(&self, now: Time, timings: &LeaseTimings) -> Option<Time> {
         let delay = timings.expiry_delay();
         self.all_lent().map(|lent| lent.expires_at + delay).filter(|at| *at > now).min()
     }
 
-    /// Adds or renews a borrowed lease. `expires_at` counts from when the lender was asked, by the
-    /// local clock, so that the lease expires here before it expires there. A renewal may last
-    /// longer but never grants more.
+    /// Adds or renews a borrowed lease. `expires_at` must count from when the local request to the
+    /// lender was sent, so that the lease expires here before it expires at the lender. A renewal
+    /// may extend a lease but never increases its quota. Ignored if the lease has expired, its
+    /// quota is 0 or more than the whole, or [`MAX_LEASES`] other leases are borrowed.
     pub fn borrow(&mut self, now: Time, lender: LeaseHolder, transfer: &LeaseTransfer, expires_at: Time) {
         let key = BorrowedLeaseKey { lender, lease_id: transfer.lease_id };
         let has_room = self.borrowed.len() < MAX_LEASES || self.borrowed.contains_key(&key);
@@ -140,8 +158,9 @@
         lease.expires_at = lease.expires_at.max(expires_at);
     }
 
-    /// Lends a router what it is to have in all, as far as that is available: renews its leases
-    /// first, then adds one. `last_lease_id` is the last number that was given to any lease.
+    /// Lends a borrower as much of its target as is available: renews its leases first, then adds
+    /// at most one lease. Returns the renewed and added leases. `last_lease_id` is the identifier
+    /// last given to any lease of the local process, of all limits; it is incremented.
     pub fn grant(
         &mut self,
         now: Time,
@@ -170,8 +189,8 @@
         transfers
     }
 
-    /// Renews the borrower's leases as far as it is to have them; the others expire as they would
-    /// have.
+    /// Renews the borrower's leases up to its target and returns the renewed ones. Leases that are
+    /// not renewed keep their expiry.
     fn renew_leases(&mut self, now: Time, expires_at: Time, request: &GrantRequest) -> Vec<LeaseTransfer> {
         let mut transfers = Vec::new();
         let mut renewed = 0;
@@ -195,8 +214,9 @@
         transfers
     }
 
-    /// The borrower's valid leases, by number. If they fill a message and more is wanted, the
-    /// smallest one is left to expire, to make room for a larger one.
+    /// The identifiers, in ascending order, of the borrower's valid leases to renew. If they fill a
+    /// message and the borrower should have more, the smallest lease is left to expire, to make
+    /// room for a larger one.
     fn renewable_leases(&self, now: Time, request: &GrantRequest) -> Vec<u64> {
         let mut valid: Vec<u64> = self
             .lent
@@ -213,8 +233,8 @@
         valid
     }
 
-    /// The least that is available and not lent at any time from now until `until`: borrowed leases
-    /// expire in between.
+    /// The minimum quota that is available and not lent at any instant from `now` until `until`,
+    /// given that borrowed leases may expire in between.
     fn available_until(&self, now: Time, until: Time, own_share: u32) -> u32 {
         let available = |at: Time| {
             let valid = self.all_lent().filter(|lent| lent.expires_at > at);
@@ -226,7 +246,7 @@
         expiries.chain([now]).map(available).min().unwrap_or(0)
     }
 
-    /// All that others may use, and until when.
+    /// All quota that other routers may use: lent leases and reductions.
     fn all_lent(&self) -> impl Iterator<Item = OutstandingQuota> + '_ {
         let leases = self
             .lent
@@ -236,9 +256,9 @@
     }
 }
 
-/// The smallest lease that is added for a borrower that is to have `target` in all.
+/// The minimum quota of a new lease for a borrower whose total quota should be `target`.
 fn min_new_lease(target: u32) -> u32 {
-    MIN_LEASE.max(target / MIN_LEASE_FRACTION)
+    MIN_LEASE.max(target / MIN_LEASE_DIVISOR)
 }
 
 fn saturating_sum(quotas: impl Iterator<Item = u32>) -> u32 {
--- a/crates/cluster/src/quota/limit.rs
+++ b/crates/cluster/src/quota/limit.rs
@@ -1,40 +1,42 @@
-//! One limit at the local router: its usage, its demand and its leases.
+//! State of one limit at the local router: its usage, demand and leases.
 
 use super::ledger::LeaseLedger;
 use super::WHOLE_QUOTA;
 use crate::{Time, MS};
 use hollymux_decision::{QuotaScope, WarmUpDemand};
 
-/// Past demand decays exponentially with this time constant.
+/// Time constant with which past demand decays exponentially.
 const DEMAND_DECAY_TIME: Time = 5_000 * MS;
-/// A remainder below this fraction of a request is what is left of decayed demand and needs no
-/// request of its own.
-const NEGLIGIBLE_REQUEST_FRACTION: u32 = 10;
-/// A pooled own share is taken back when it is this many requests: taking it back costs the expiry
-/// delay, so it is done late rather than often.
+/// Divisor of the request size: demand is not rounded up to a further request for a remainder of at
+/// most the request size divided by this, which is a residue of decayed demand.
+const NEGLIGIBLE_REQUEST_DIVISOR: u32 = 10;
+/// A pooled own share is taken back only when it is at least this number of requests. Quota that is
+/// taken back can't be used for the expiry delay, so changing back and forth is avoided.
 const MIN_REQUESTS_TO_UNPOOL: u32 = 3;
 
-/// A limit that is in use here, or of which something is borrowed or lent.
+/// A limit that is in demand here, or of which quota is borrowed or lent. Amounts are in parts of
+/// [`WHOLE_QUOTA`].
 #[derive(Clone, Debug)]
 pub(super) struct Limit {
-    /// The routers that share it.
+    /// The set of routers that share the limit.
     pub(super) scope: QuotaScope,
-    /// Used here within the last window.
+    /// Quota used here within the last usage window; 0 while the limit is not in demand.
     pub(super) used: u32,
-    /// The recent peak of demand, as of when; it decays.
+    /// Demand at `peak_at`: the latest demand, or the decayed peak before if that was greater.
     peak_demand: u32,
+    /// Instant on the local clock from which `peak_demand` decays.
     peak_at: Time,
-    /// What one request takes of the limit: less is of no use.
+    /// Quota that one request uses; at least 1. Less than this can't be used.
     pub(super) request_size: u32,
     pub(super) ledger: LeaseLedger,
-    /// The decision module demands it at present.
+    /// Whether the decision module's latest demands include this limit.
     pub(super) in_demand: bool,
-    /// All of the own share is lent to the broker.
+    /// Whether all of the own share is offered to the broker.
     own_share_pooled: bool,
 }
 
 impl Limit {
-    /// A limit that has not been in demand until now.
+    /// Creates the state of a limit that has not been in demand before.
     pub(super) fn new(now: Time, scope: QuotaScope) -> Limit {
         Limit {
             scope,
@@ -48,13 +50,14 @@
         }
     }
 
-    /// Forgets the demand of the last update; its peak still decays.
+    /// Marks the limit as not in demand, before the next demands are applied. The decaying peak is
+    /// kept.
     pub(super) fn clear_demand(&mut self) {
         self.in_demand = false;
         self.used = 0;
     }
 
-    /// Takes the decision module's demand.
+    /// Applies the decision module's current demand for the limit.
     pub(super) fn update_demand(&mut self, now: Time, demand: &WarmUpDemand) {
         self.scope = demand.sharers;
         self.used = quota_from_fraction(demand.used);
@@ -64,38 +67,41 @@
         self.peak_at = now;
     }
 
-    /// What is wanted here. Requests come in bursts: what was wanted a moment ago will be again,
-    /// and quota that is lent back and forth is of no use to any router meanwhile.
+    /// The local demand: the decayed peak of recent demand. Requests arrive in bursts, so quota
+    /// that was wanted a moment ago will probably be wanted again; quota that is lent back and
+    /// forth can't be used by any router in the meantime.
     pub(super) fn demand(&self, now: Time) -> u32 {
         let elapsed = now.saturating_sub(self.peak_at) as f64 / DEMAND_DECAY_TIME as f64;
         (f64::from(self.peak_demand) * (-elapsed).exp()) as u32
     }
 
-    /// What is wanted or used here, rounded up to whole requests.
+    /// The local demand or usage, whichever is greater, rounded up to whole requests. At most the
+    /// whole quota.
     pub(super) fn demand_in_requests(&self, now: Time) -> u32 {
         let demand = self.demand(now).max(self.used);
         demand
-            .saturating_sub(self.request_size / NEGLIGIBLE_REQUEST_FRACTION)
+            .saturating_sub(self.request_size / NEGLIGIBLE_REQUEST_DIVISOR)
             .div_ceil(self.request_size)
             .saturating_mul(self.request_size)
             .min(WHOLE_QUOTA)
     }
 
-    /// Whether all of the own share goes to the broker, which lends whole requests: a share of less
-    /// than a request is of use only together with those of others.
+    /// Updates and returns whether all of the own share is offered to the broker. An own share of
+    /// less than one request can't be used by itself; the broker combines the shares of several
+    /// routers and lends whole requests.
     pub(super) fn update_pooling(&mut self, own_share: u32) -> bool {
         let enough_to_unpool = own_share >= MIN_REQUESTS_TO_UNPOOL * self.request_size;
         self.own_share_pooled = own_share < self.request_size || self.own_share_pooled && !enough_to_unpool;
         self.own_share_pooled
     }
 
-    /// Whether there is no reason to remember the limit.
+    /// Whether the limit need not be tracked any longer: it is not in demand and has no leases.
     pub(super) fn is_idle(&self) -> bool {
         !self.in_demand && self.ledger.is_empty()
     }
 }
 
-/// A fraction of a limit in parts of [`WHOLE_QUOTA`], rounded up.
+/// Converts a fraction of a limit, clamped to 0 to 1, to parts of [`WHOLE_QUOTA`], rounded up.
 fn quota_from_fraction(fraction: f64) -> u32 {
     (fraction.clamp(0.0, 1.0) * f64::from(WHOLE_QUOTA)).ceil() as u32
 }
--- a/crates/cluster/src/quota/mod.rs
+++ b/crates/cluster/src/quota/mod.rs
@@ -1,14 +1,17 @@
-//! Leased quotas: limits of the whole cluster that must never be exceeded, shared by all routers.
-//! One such limit is the load that an endpoint bears while it warms up.
+//! Leased quotas: limits that routers share and that all of them together must never exceed, such
+//! as the warm-up budget of an endpoint.
 //!
-//! The module decides how much of each limit the local router may use now and until when, and what
-//! it lends to whom. How much a limit is, and what it is used for, is the decision module's matter.
+//! The module decides how much of each limit the local router may use and until when, and how much
+//! it lends to which router. The decision module determines the absolute size of a limit and what
+//! it is used for.
 //!
-//! Every limit is [`WHOLE_QUOTA`] parts that exist once. A router's *own share* is an even one, by
-//! the number of routers that may be active. Parts of it move by leases, which are subtracted at
-//! the lender before they are added at the borrower; what is lost in between is void until the
-//! lease expires. Each side's leases run on its own clock, with a bound on drift
-//! ([`LeaseTimings`]). Unused quota and demand meet at a broker.
+//! Every limit is divided into [`WHOLE_QUOTA`] parts, each of which only one router may use at a
+//! time. A router's *own share* is an even share: the whole divided by the number of possibly
+//! active routers. Routers lend parts of their quota to each other by leases. A lease is subtracted
+//! at the lender before it is added at the borrower; if the message between them is lost, nobody
+//! can use its quota until the lease expires. Lender and borrower each count the duration on their
+//! own clock, with a margin for clock drift ([`LeaseTimings`]). For each limit, a broker borrows
+//! unused quota and lends it to routers that need more.
 
 mod broker;
 mod exchange;
@@ -37,36 +40,44 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The parts that a limit consists of; all quotas are counted in these.
+/// Number of parts that make up a whole limit; all amounts of quota are in these parts.
 pub const WHOLE_QUOTA: u32 = 1 << 20;
-/// Limits that are leased at once; routers divide any further ones evenly.
+/// Maximum number of limits in demand for which quota is leased. Further limits are divided evenly.
 pub const MAX_LIMITS: usize = 512;
-/// Datagrams that wait to be sent at most; more are dropped as if the network had lost them.
+/// Capacity of the queue of outgoing datagrams. Datagrams beyond it are dropped, which has the same
+/// effect as loss in the network.
 const MAX_OUTGOING: usize = 512;
 
-/// The local router's quotas of the cluster's limits.
+/// The local router's quotas of all limits that it shares with other routers. All instants passed
+/// to it and returned by it are on the caller's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct QuotaManager {
     options: QuotaOptions,
     /// The hash of the cluster's name.
     cluster: u64,
+    /// The latest instant passed by the caller.
     now: Time,
+    /// Instant at which this process started to take part in leasing.
     started_at: Time,
-    /// All other routers that may be active.
+    /// All other routers that may be active and whose addresses are known.
     peers: BTreeMap<SocketAddr, Peer>,
     own_share: OwnShare,
+    /// Whether [`QuotaManager::stop`] was called.
     stopped: bool,
+    /// The tracked limits, by identifier.
     limits: BTreeMap<u64, Limit>,
-    /// The number of the last lease that was granted.
+    /// The identifier of the last lease granted, of any limit; 0 before the first one.
     last_lease_id: u64,
+    /// Instant at which the next exchange with brokers is due.
     next_exchange: Time,
     outgoing: TransmitQueue,
-    /// Counters for operators.
+    /// Counters of datagrams and leases, for the admin endpoint and metrics.
     pub counters: QuotaCounters,
 }
 
 impl QuotaManager {
-    /// A router that has just started: it may use nothing.
+    /// Creates the quotas of a router that has just started. It may use nothing until its own share
+    /// is acknowledged by the other routers or it has borrowed quota.
     pub fn new(options: QuotaOptions, now: Time) -> QuotaManager {
         QuotaManager {
             cluster: cluster_hash(&options.cluster_name),
@@ -84,7 +95,7 @@
         }
     }
 
-    /// Takes what the decision module wants now, in place of what it wanted before.
+    /// Replaces the decision module's demands. Demands beyond the first [`MAX_LIMITS`] are ignored.
     pub fn update_demand(&mut self, now: Time, demands: &[WarmUpDemand]) {
         self.advance_clock(now);
         self.limits.values_mut().for_each(Limit::clear_demand);
@@ -100,12 +111,12 @@
         });
     }
 
-    /// Whether a datagram is one of quotas, by its first byte.
+    /// Whether a datagram is a quota datagram, judging by its leading byte.
     pub fn is_quota_datagram(bytes: &[u8]) -> bool {
         bytes.first() == Some(&message::VERSION)
     }
 
-    /// A quota datagram was received. One that is rejected is counted and has no other effect.
+    /// Handles a received quota datagram. A rejected datagram is counted and has no other effect.
     pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) {
         self.advance_clock(now);
         self.counters.received.add(bytes.len());
@@ -115,8 +126,8 @@
         }
     }
 
-    /// Time has passed; to be called when [`QuotaManager::next_timeout`] is due, after
-    /// [`QuotaManager::update_demand`].
+    /// Runs the exchange with brokers and other peers if it is due at `now`. To be called when
+    /// [`QuotaManager::next_timeout`] is reached, after [`QuotaManager::update_demand`].
     pub fn handle_timeout(&mut self, now: Time) {
         self.advance_clock(now);
         if self.stopped || self.now < self.next_exchange {
@@ -128,23 +139,25 @@
         self.exchange_with_brokers();
     }
 
-    /// The router sends no new requests from now on: it gives its own share up.
+    /// Stops the use of quota: the own share is given up, and from now on no leases are requested,
+    /// granted or renewed. To be called when the router sends no new requests to endpoints.
     pub fn stop(&mut self, now: Time) {
         self.advance_clock(now);
         self.own_share.release();
         self.stopped = true;
     }
 
-    /// When [`QuotaManager::handle_timeout`] is to be called next.
+    /// The instant at which [`QuotaManager::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Time {
         self.next_exchange
     }
 
-    /// The next datagram to send.
+    /// Removes and returns the next datagram to send; `None` if there is none.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.outgoing.pop()
     }
 
+    /// Advances the local clock to `now`, which never goes back, and applies divisors that are due.
     fn advance_clock(&mut self, now: Time) {
         self.now = now.max(self.now);
         self.own_share.apply_pending(self.now);
--- a/crates/cluster/src/quota/options.rs
+++ b/crates/cluster/src/quota/options.rs
@@ -1,22 +1,28 @@
-//! What leased quotas are configured with, and the expiry times that follow from it.
+//! Configuration of leased quotas, and the expiry times derived from it.
 
 use crate::counters::RouterCounts;
 use crate::{Time, MS};
 use std::net::SocketAddr;
 
-/// Times that the guarantees follow from. `docs/quota-leases.md` gives the reason of each.
+/// Multiple of the maximum clock drift that a margin covers, see
+/// [`LeaseTimings::with_drift_margin`].
+const DRIFT_MARGIN_FACTOR: Time = 3;
+
+/// Durations and the clock drift on which the safety of leases depends. `docs/quota-leases.md`
+/// gives the reason of each default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
-    /// How long a router lends to a broker, counted from when the broker asked.
+    /// Duration of a lease from a router to a broker. A received lease with a longer duration is
+    /// shortened to this.
     pub lease_duration: Time,
-    /// How long a broker lends to other routers.
+    /// Duration of a lease from a broker to another router.
     pub broker_lease_duration: Time,
-    /// From one exchange with a broker to the next.
+    /// Interval between exchanges of the local router with its brokers.
     pub exchange_interval: Time,
-    /// The window over which usage of a limit counts: a quota that is back may be used again this
-    /// much later.
+    /// Length of the window over which usage counts against a limit. Quota of an expired lease may
+    /// be used again by the lender only after this window, with a margin for clock drift.
     pub usage_window: Time,
-    /// The most by which a router's clock runs fast or slow, in thousandths.
+    /// Maximum drift of any router's clock, fast or slow, in thousandths of the elapsed time.
     pub max_clock_drift_per_mille: Time,
 }
 
@@ -33,39 +39,42 @@
 }
 
 impl LeaseTimings {
-    /// A span that is over by the local clock only after `span` is over by any router's clock.
+    /// Extends a duration by a margin for clock drift: when the result has elapsed on the local
+    /// clock, `duration` has elapsed on every other router's clock.
     ///
-    /// By true time a borrower's lease ends at most `span / (1 - drift)` after it asked, and the
-    /// lender, which was asked later, counts at most `1 + drift` times as much. Three times the
-    /// drift covers both.
-    pub fn with_drift_margin(&self, span: Time) -> Time {
-        span + (span * 3 * self.max_clock_drift_per_mille).div_ceil(1_000)
+    /// In true time a borrower's lease ends at most `duration / (1 - drift)` after the borrower
+    /// sent its request. The lender received the request later, and its clock advances at most
+    /// `1 + drift` times as fast as true time. A margin of three times the drift covers both.
+    pub fn with_drift_margin(&self, duration: Time) -> Time {
+        duration + (duration * DRIFT_MARGIN_FACTOR * self.max_clock_drift_per_mille).div_ceil(1_000)
     }
 
-    /// How long after its use, or the end of its lease, a quota still counts against the limit by
-    /// any clock.
+    /// Duration on the local clock for which quota still counts against the limit after it was used
+    /// or its lease expired: the usage window with a margin for clock drift.
     pub fn expiry_delay(&self) -> Time {
         self.with_drift_margin(self.usage_window)
     }
 
-    /// The longest time after which all that a stopped router lent, used or borrowed has expired.
+    /// Maximum duration on the local clock after which everything that a stopped router lent, used
+    /// or borrowed has expired.
     pub fn max_claim_lifetime(&self) -> Time {
         let longest_lease = self.lease_duration.max(self.broker_lease_duration);
         self.with_drift_margin(longest_lease) + self.expiry_delay()
     }
 }
 
-/// The local router's identity and the cluster's configured size.
+/// The local router's identity, the cluster's configured size and the lease timings.
 #[derive(Clone, Debug)]
 pub struct QuotaOptions {
-    /// The cluster's name: datagrams of other clusters are dropped.
+    /// The cluster's name. Datagrams from routers with another cluster name are rejected.
     pub cluster_name: String,
-    /// The address that other routers send to.
+    /// The advertised address, to which other routers send datagrams; it identifies the router.
     pub address: SocketAddr,
-    /// The number of this process: no other process at this address ever has the same; never 0.
+    /// Identifies this process: must differ from the number of every other process at this address,
+    /// earlier or later, and must not be 0.
     pub instance_id: u64,
-    /// Routers that are configured: no limit is divided by fewer.
+    /// Configured numbers of routers; limits are never divided by fewer.
     pub configured_routers: RouterCounts,
-    /// Times that the guarantees follow from.
+    /// Durations of leases and exchanges, and the maximum clock drift.
     pub timings: LeaseTimings,
 }
--- a/crates/cluster/src/quota/own_share.rs
+++ b/crates/cluster/src/quota/own_share.rs
@@ -1,9 +1,10 @@
-//! The own even share: by how many routers limits are divided, and from when on the local router
-//! may use its part.
+//! The local router's own share of each limit: the numbers of routers by which limits are divided,
+//! and when the share may be used.
 //!
-//! Even shares add up to no more than the whole only if every router divides by enough. A router
-//! that starts uses none until all others have acknowledged the same set of routers, and that all
-//! they ever lent fits under it.
+//! The even shares of all routers add up to no more than the whole limit only if every router
+//! divides by enough routers. A router that starts therefore uses no own share until all others
+//! have acknowledged the same set of possibly active routers. A router acknowledges a set only when
+//! everything that it lent or used before the set changed has expired.
 
 use super::peers::{ActivePeers, Peer};
 use super::{QuotaManager, WHOLE_QUOTA};
@@ -14,16 +15,19 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Routers that are asked in one exchange whether they count the local one.
+/// Maximum number of routers that are sent a request for acknowledgement per exchange interval.
 const MAX_ACKNOWLEDGEMENT_REQUESTS: usize = 32;
-/// Hash seed of sets of routers; part of the wire format.
+/// Seed of [`router_set_digest`]; part of the wire format.
 const ROUTER_SET_HASH_SEED: u64 = 6;
-/// The digest that stands for no set: what a router has lent does not fit under its new set yet.
+/// Digest sent in place of a router set's digest while usage and leases from before the set last
+/// changed have not expired, so that the set is not acknowledged yet.
 const NO_ROUTER_SET: u64 = 0;
 
-/// Smaller divisors that take effect when the routers that left, and what they lent, have expired.
+/// Smaller divisors that take effect only when everything that the removed routers lent, used or
+/// borrowed has expired.
 #[derive(Clone, Copy, Debug)]
 struct PendingDivisors {
+    /// Instant on the local clock at which the divisors take effect.
     effective_at: Time,
     divisors: RouterCounts,
 }
@@ -31,20 +35,23 @@
 /// The state of the own share.
 #[derive(Clone, Debug)]
 pub(super) struct OwnShare {
-    /// By how many routers limits are divided.
+    /// Numbers of routers by which limits are divided; at least 1.
     divisors: RouterCounts,
+    /// Smaller divisors that are not in effect yet; `None` if there are none.
     pending: Option<PendingDivisors>,
-    /// The digest of the set of routers that may be active.
+    /// Digest of the set of possibly active routers, including the local one.
     router_set: u64,
-    /// When that set last changed.
+    /// Instant on the local clock at which that set last changed.
     router_set_changed_at: Time,
-    /// The own share may be used.
+    /// Whether the own share may be used.
     in_use: bool,
-    /// Where the next requests for acknowledgement go on in the list of peers.
+    /// Number of requests for acknowledgement sent so far, wrapping. It selects the routers that
+    /// are sent the next ones when more than [`MAX_ACKNOWLEDGEMENT_REQUESTS`] are missing.
     request_cursor: usize,
 }
 
 impl OwnShare {
+    /// Creates an own share that is not in use, divided by the configured numbers of routers.
     pub(super) fn new(now: Time, local: SocketAddr, configured: RouterCounts) -> OwnShare {
         OwnShare {
             divisors: RouterCounts { all: configured.all.max(1), own_zone: configured.own_zone.max(1) },
@@ -68,12 +75,13 @@
         self.router_set
     }
 
-    /// Gives the own share up.
+    /// Stops using the own share.
     pub(super) fn release(&mut self) {
         self.in_use = false;
     }
 
-    /// The own share of a limit with this scope.
+    /// The own share of a limit with this scope, in parts of [`WHOLE_QUOTA`]; 0 while the own share
+    /// is not in use, and for a limit that the routers of another zone share.
     pub(super) fn of(&self, scope: QuotaScope) -> u32 {
         match scope {
             _ if !self.in_use => 0,
@@ -83,7 +91,7 @@
         }
     }
 
-    /// Applies smaller divisors that are due.
+    /// Applies the pending smaller divisors if they are due.
     pub(super) fn apply_pending(&mut self, now: Time) {
         if let Some(pending) = self.pending.filter(|pending| now >= pending.effective_at) {
             self.divisors = pending.divisors;
@@ -91,15 +99,17 @@
         }
     }
 
+    /// Sets the digest of the possibly active routers, and restarts the time after which the local
+    /// router acknowledges it if it has changed.
     fn update_router_set(&mut self, now: Time, router_set: u64) {
         if router_set != self.router_set {
             self.router_set = router_set;
-            // Whatever was lent before may have been more than the new share leaves.
+            // Earlier leases to other routers may exceed the new share until they expire.
             self.router_set_changed_at = now;
         }
     }
 
-    /// Larger divisors take effect at once, smaller ones after `delay`.
+    /// Updates the divisors. Larger ones take effect at once, smaller ones after `delay`.
     fn update_divisors(&mut self, now: Time, delay: Time, divisors: RouterCounts) {
         let effective = RouterCounts {
             all: self.divisors.all.max(divisors.all),
@@ -114,8 +124,8 @@
     }
 }
 
-/// The digest of the local router and these others; never [`NO_ROUTER_SET`] unless routers are
-/// unlisted.
+/// The digest of a set of routers: the local one, `others` and the number of unlisted ones. Without
+/// unlisted routers it is never [`NO_ROUTER_SET`].
 fn router_set_digest(local: SocketAddr, others: &BTreeSet<SocketAddr>, unlisted: u32) -> u64 {
     let mut addresses: Vec<String> = others.iter().chain([&local]).map(SocketAddr::to_string).collect();
     addresses.sort();
@@ -124,7 +134,8 @@
 }
 
 impl QuotaManager {
-    /// Takes all other routers that may be active.
+    /// Replaces the set of other routers that may be active. To be called with every change of
+    /// membership; the divisors of limits follow from it.
     pub fn update_peers(&mut self, now: Time, active: &ActivePeers) {
         self.advance_clock(now);
         for known in &active.peers {
@@ -147,8 +158,8 @@
         self.own_share.update_divisors(self.now, delay, divisors);
     }
 
-    /// The set of routers that all of the local router's usage and leases fit under: everything
-    /// older has expired.
+    /// The digest of the current set of routers if all usage and leases of the local router from
+    /// before the set last changed have expired; [`NO_ROUTER_SET`] until then.
     pub(super) fn acknowledged_set(&self) -> u64 {
         let settled_at = self.own_share.router_set_changed_at + self.options.timings.max_claim_lifetime();
         if self.now >= settled_at {
@@ -158,8 +169,9 @@
         }
     }
 
-    /// Starts to use the own share when that is safe: what an earlier process at this address lent
-    /// or used has expired, and every other router that may be active counts the local one.
+    /// Starts to use the own share if that is safe: everything that an earlier process at the local
+    /// address lent or used has expired, and every other possibly active router counts the local
+    /// router in its divisors.
     pub(super) fn try_activate_own_share(&mut self) {
         let earlier_claims_expire_at = self.started_at + self.options.timings.max_claim_lifetime();
         if self.own_share.in_use || self.now < earlier_claims_expire_at {
@@ -168,9 +180,9 @@
         let router_set = self.own_share.router_set;
         let acknowledged = |peer: &Peer| peer.acknowledged_set == router_set;
         let all_acknowledged = self.peers.values().all(acknowledged);
-        // A router that uses its own share counts all whose shares are in use. If it holds the same
-        // routers to be active, and knows that an earlier process here used its share, then all
-        // others count this one.
+        // A router whose own share is in use counts all other routers whose shares are in use. If
+        // such a router has acknowledged the same set, and knows that an earlier process at the
+        // local address used its share, then all other routers count the local one.
         let earlier_share_confirmed = self
             .peers
             .values()
@@ -178,18 +190,20 @@
         self.own_share.in_use = all_acknowledged || earlier_share_confirmed;
     }
 
-    /// Asks routers that have not acknowledged the local one yet; and once the own share is in use,
-    /// those that have not said that they know: the next process at this address needs their
+    /// Sends requests for acknowledgement: empty messages, each of which is replied to with a
+    /// current header. Before the own share is in use they go to routers that have not acknowledged
+    /// the current set. Afterwards they go to reachable routers that have not reported that they
+    /// know that the own share is in use, because the next process at this address needs their
     /// confirmation.
     pub(super) fn request_acknowledgements(&mut self) {
         let in_use = self.own_share.in_use;
         let router_set = self.own_share.router_set;
-        let is_asked = |peer: &Peer| match in_use {
+        let needs_request = |peer: &Peer| match in_use {
             true => peer.reachable && !peer.knows_local_share,
             false => peer.acknowledged_set != router_set,
         };
         let missing: Vec<SocketAddr> =
-            self.peers.iter().filter(|(_, peer)| is_asked(peer)).map(|(address, _)| *address).collect();
+            self.peers.iter().filter(|(_, peer)| needs_request(peer)).map(|(address, _)| *address).collect();
         let count = missing.len().min(MAX_ACKNOWLEDGEMENT_REQUESTS);
         for offset in 0..count {
             let position = (self.own_share.request_cursor + offset) % missing.len();
--- a/crates/cluster/src/quota/peers.rs
+++ b/crates/cluster/src/quota/peers.rs
@@ -1,4 +1,4 @@
-//! The other routers that limits are shared with.
+//! The other routers with which limits are shared, and what they have reported in their messages.
 
 use super::lease::LeaseHolder;
 use super::message::{MessageHeader, NO_ECHO};
@@ -10,26 +10,27 @@
 /// Another router that may be active.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaPeer {
-    /// Its address.
+    /// The advertised address of the router.
     pub address: SocketAddr,
-    /// Whether it is in the local router's zone.
+    /// Whether the router is in the local router's zone.
     pub same_zone: bool,
-    /// Whether it can be reached, as far as membership can tell: saves messages, and decides
-    /// nothing else.
+    /// Whether membership considers the router reachable. This decides only which routers are sent
+    /// messages and may be brokers; no safety rule depends on it.
     pub reachable: bool,
 }
 
-/// All other routers that may be active.
+/// All other routers that may be active: input of [`super::QuotaManager::update_peers`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ActivePeers {
-    /// Those that are known by address.
+    /// The routers whose addresses are known.
     pub peers: Vec<QuotaPeer>,
-    /// How many more there may be, for which the member table had no room.
+    /// Number of further routers, for which the member table had no room.
     pub unlisted: u32,
 }
 
 impl ActivePeers {
-    /// All other routers that may be active according to membership.
+    /// The possibly active routers of a membership view, without the local one. While the local
+    /// router is isolated, all of them count as unreachable.
     pub fn from_membership(membership: &Membership) -> ActivePeers {
         let own_zone = &membership.own_record().zone;
         let isolated = membership.is_isolated();
@@ -48,39 +49,44 @@
     }
 }
 
-/// What another router last wanted of a limit from the local one.
+/// The latest demand of another router for one limit. Amounts are in parts of
+/// [`super::WHOLE_QUOTA`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PeerDemand {
+    /// Total quota that it wants to borrow from the local router.
     pub(super) wanted: u32,
-    /// What one request takes there.
+    /// Quota that one of its requests uses; at least 1.
     pub(super) request_size: u32,
+    /// Instant on the local clock at which the demand was received.
     pub(super) received_at: Time,
 }
 
-/// What is known of another router.
+/// State of another router that may be active.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Peer {
     pub(super) same_zone: bool,
     pub(super) reachable: bool,
-    /// The process that sent the last message; `UNKNOWN_INSTANCE` before the first one.
+    /// The process that sent the last message; `UNKNOWN_INSTANCE` before the first message.
     pub(super) instance_id: u64,
-    /// The latest of its clock that it has sent; `NO_ECHO` before the first message.
+    /// The latest `sent_at`, on the peer's clock, in the messages of this process; `NO_ECHO` before
+    /// the first message.
     pub(super) latest_sent_at: Time,
-    /// The digest of the set of routers by which it divides, and under which all that it has lent
-    /// fits.
+    /// The latest [`MessageHeader::acknowledged_set`] of the peer; 0 before the first message.
     pub(super) acknowledged_set: u64,
-    /// What it wants, by limit.
+    /// The peer's demands, by limit.
     pub(super) demands: BTreeMap<u64, PeerDemand>,
-    /// Its present process uses its own share.
+    /// Whether the peer's last message reported that its own share is in use.
     pub(super) uses_own_share: bool,
-    /// Its present process or an earlier one used its own share.
+    /// Whether any process at the peer's address has reported that its own share was in use.
     pub(super) ever_used_own_share: bool,
-    /// It has said that a process at the local address used its own share.
+    /// Whether the peer has reported that it knows that a process at the local address used its own
+    /// share.
     pub(super) knows_local_share: bool,
 }
 
 impl Peer {
-    /// Takes a message's header.
+    /// Applies the header of a received message. A header from a new process resets the clock echo
+    /// and the demands.
     pub(super) fn update(&mut self, header: &MessageHeader) {
         if self.instance_id != header.sender_instance {
             self.instance_id = header.sender_instance;
@@ -94,7 +100,7 @@
         self.knows_local_share |= header.knows_receiver_share;
     }
 
-    /// Its present process as a lender or a borrower.
+    /// The process that sent the last message, as a lender or borrower at `address`.
     pub(super) fn holder(&self, address: SocketAddr) -> LeaseHolder {
         LeaseHolder { address, instance_id: self.instance_id }
     }
--- a/crates/cluster/src/quota/status.rs
+++ b/crates/cluster/src/quota/status.rs
@@ -1,4 +1,4 @@
-//! What operators and the decision module see of leased quotas.
+//! Leased quotas as shown to operators and as passed to the decision module.
 
 use super::limit::Limit;
 use super::options::LeaseTimings;
@@ -9,79 +9,88 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The state of one limit at the local router. Amounts are parts of [`super::WHOLE_QUOTA`].
+/// The state of one limit at the local router. Amounts are in parts of [`super::WHOLE_QUOTA`];
+/// instants are on the local clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// The limit's identifier: that of its endpoint.
+    /// The identifier of the limit, which is that of the endpoint it applies to.
     pub limit_id: u64,
-    /// The routers that share the limit.
+    /// The set of routers that share the limit.
     pub scope: QuotaScope,
-    /// What the local router may use now.
+    /// Quota that the local router may use now.
     pub usable: u32,
-    /// The local router's own even share.
+    /// The local router's own share; 0 while it is not in use.
     pub own_share: u32,
-    /// Borrowed from other routers.
+    /// Quota borrowed from other routers.
     pub borrowed: u32,
-    /// What other routers may use, or may have used within the last window.
+    /// Quota that other routers may use, or may have used within the last usage window.
     pub lent: u32,
-    /// Used here within the last window.
+    /// Quota used by the local router within the last usage window.
     pub used: u32,
-    /// Wanted here.
+    /// Quota that the local router wants, as a decaying peak of recent demand.
     pub demand: u32,
-    /// When the next borrowed lease ends, by the local clock.
+    /// Instant at which the next borrowed lease expires; `None` if nothing is borrowed.
     pub next_expiry: Option<Time>,
-    /// When the next lent quota is available again, by the local clock.
+    /// Instant from which the next lent quota may be used here again; `None` if nothing is lent.
     pub next_reclaim: Option<Time>,
-    /// The router that collects unused quota of this limit; none if it is the local one.
+    /// The address of the limit's broker; `None` if the local router is the broker.
     pub broker: Option<SocketAddr>,
 }
 
-/// Whether the local router's own even share is in use, and by how many routers limits are divided.
+/// The state of the local router's own share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnShareStatus {
-    /// The own share may be used: all other routers count this one.
+    /// Whether the own share may be used, because all other routers count the local one.
     pub in_use: bool,
-    /// By how many routers a limit is divided that all share, and one that a zone shares.
+    /// The numbers of routers by which limits are divided: `all` for a limit that all routers
+    /// share, `own_zone` for one that the routers of the local zone share.
     pub divisors: RouterCounts,
 }
 
-/// What the decision module may use: fractions of limits.
+/// The shares of limits that the decision module may use. Every share is a fraction of its limit,
+/// from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaAllocation {
-    /// The own even share of any limit that all routers share.
+    /// The own share of each limit that all routers share and that is not in `endpoints`; 0 while
+    /// the own share is not in use.
     pub share_of_all: f64,
-    /// The own even share of any limit that the routers of the own zone share.
+    /// The own share of each limit that the routers of the local zone share and that is not in
+    /// `endpoints`; 0 while the own share is not in use.
     pub share_of_own_zone: f64,
-    /// What may be used of each limit that is in use here.
+    /// The usable share of each limit that is in demand here or has leases, by the endpoint that
+    /// the limit applies to.
     pub endpoints: BTreeMap<EndpointId, QuotaShare>,
 }
 
-/// Counters for operators.
+/// Counters of quota datagrams and leases since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaCounters {
-    /// Datagrams received.
+    /// Datagrams received, including rejected ones.
     pub received: DatagramCount,
-    /// Datagrams handed out to be sent.
+    /// Datagrams queued for [`QuotaManager::poll_transmit`].
     pub sent: DatagramCount,
-    /// Datagrams that could not be used.
+    /// Received datagrams that were rejected.
     pub rejected: RejectedDatagrams,
-    /// Messages from, or for, another process at the address, or from an unknown router.
+    /// Number of messages ignored because the sender is not a known peer, the message is for
+    /// another process at the local address, or its echo is later than the local clock.
     pub stale_messages: u64,
-    /// Leases granted or renewed for other routers.
+    /// Number of leases granted to other routers or renewed for them.
     pub leases_granted: u64,
-    /// Leases accepted or renewed from other routers.
+    /// Number of leases and renewals received from other routers before they expired.
     pub leases_accepted: u64,
-    /// Leases that had already expired when they arrived.
+    /// Number of leases and renewals that had expired when they were received, or that replied to
+    /// no message of the local process.
     pub leases_expired_in_transit: u64,
 }
 
-/// Parts of a limit as a fraction of it.
+/// Converts parts of [`WHOLE_QUOTA`] to a fraction of the whole limit.
 fn fraction(quota: u32) -> f64 {
     f64::from(quota) / f64::from(WHOLE_QUOTA)
 }
 
 impl QuotaManager {
-    /// What may be used of a limit here; the own even share if it is not in use yet.
+    /// The share of a limit that may be used at `now`, and from when on a smaller one. The own
+    /// share, without an end, if the limit is not tracked here or the router has stopped.
     pub fn usable_share(&self, now: Time, limit_id: u64, scope: QuotaScope) -> QuotaShare {
         let own_share = self.own_share.of(scope);
         let constant = |share: f64| QuotaShare { now: share, until: Timestamp::MAX, after: share };
@@ -94,13 +103,13 @@
         QuotaShare {
             now: usable,
             until: Timestamp::from_micros(expires_at),
-            // When the first lease expires all of them count as expired: the next message says
-            // more.
+            // From the expiry of the first lease, all borrowed leases count as expired, unless a
+            // new share is set before.
             after: fraction(own_share.saturating_sub(limit.ledger.lent(now, timings))),
         }
     }
 
-    /// What the decision module may use now.
+    /// The shares of all limits that the decision module may use at `now`.
     pub fn allocation(&self, now: Time) -> QuotaAllocation {
         let divisors = self.own_share.divisors();
         let even_share = |divisor: u32| match self.own_share.in_use() {
@@ -119,17 +128,17 @@
         }
     }
 
-    /// Whether the own share is in use, and by how many routers limits are divided.
+    /// Whether the own share is in use, and the numbers of routers by which limits are divided.
     pub fn own_share_status(&self) -> OwnShareStatus {
         OwnShareStatus { in_use: self.own_share.in_use(), divisors: self.own_share.divisors() }
     }
 
-    /// The times that are in force.
+    /// The configured lease timings.
     pub fn timings(&self) -> &LeaseTimings {
         &self.options.timings
     }
 
-    /// Other routers that have not said that they count the local one.
+    /// The addresses of the other routers that have not acknowledged the current set of routers.
     pub fn unacknowledged_by(&self) -> Vec<SocketAddr> {
         let router_set = self.own_share.router_set();
         self.peers
@@ -139,7 +148,8 @@
             .collect()
     }
 
-    /// All limits that are in use here, or of which something is borrowed or lent.
+    /// The state of each limit that is in demand here, or of which quota is borrowed or lent, in
+    /// ascending order of identifier.
     pub fn lease_statuses(&self) -> Vec<LeaseStatus> {
         self.limits.iter().map(|(limit_id, limit)| self.lease_status(*limit_id, limit)).collect()
     }
