--- a/crates/cluster/tests/datagram_bytes.rs
+++ b/crates/cluster/tests/datagram_bytes.rs
@@ -1,6 +1,5 @@
-//! The bytes that routers send each other over a scripted conversation, held by digests: routers of
-//! two versions understand each other only as long as neither the encoding nor the order of
-//! datagrams changes.
+//! Compares all bytes that routers send in a scripted exchange with recorded digests. Routers of
+//! different versions work together only if the encoding and the order of datagrams stay the same.
 
 mod common;
 
@@ -13,12 +12,16 @@
 use xxhash_rust::xxh3::Xxh3;
 
 const ROUTERS: usize = 5;
-const STEP: Time = 10 * MS;
+/// Time between two steps of the script; every router runs once in each step.
+const STEP_DURATION: Time = 10 * MS;
+/// The instant at which the script starts, on the clock that all routers share.
 const START: Time = 1_000 * SEC;
 
-/// Load moves to the next router this often.
+/// Time after which the load moves from one router to the next.
 const BUSY_PERIOD: Time = 3 * SEC;
+/// Fraction of each limit that the router with the load wants.
 const BUSY_DEMAND: f64 = 0.9;
+/// Fraction of each limit that the other routers want.
 const LOW_DEMAND: f64 = 0.03;
 
 struct Router {
@@ -26,7 +29,7 @@
     quota: QuotaManager,
 }
 
-/// Digests of all that was sent, in order.
+/// Running digests of all payloads sent, in the order of sending, and their number.
 #[derive(Clone, Default)]
 struct Sent {
     membership_bytes: Xxh3,
@@ -34,9 +37,10 @@
     datagrams: usize,
 }
 
-/// Routers on sound links that deliver every datagram one step later.
+/// A cluster whose links deliver every datagram one step after it was sent.
 struct Cluster {
     now: Time,
+    /// `None` while the router is not running.
     routers: Vec<Option<Router>>,
     in_flight: VecDeque<Transmit>,
     sent: Sent,
@@ -79,7 +83,8 @@
         });
     }
 
-    /// Two limits: one that all routers share, and one of a zone with large requests.
+    /// A router's demands for two limits: one that all routers share, and one with large requests
+    /// that the routers of a zone share.
     fn demands(&self, router: usize) -> [WarmUpDemand; 2] {
         let is_busy = (self.now / BUSY_PERIOD) as usize % ROUTERS == router;
         let wanted = if is_busy { BUSY_DEMAND } else { LOW_DEMAND };
@@ -96,11 +101,11 @@
     fn run(&mut self, duration: Time) {
         let until = self.now + duration;
         while self.now < until {
-            self.now += STEP;
+            self.now += STEP_DURATION;
             for transmit in std::mem::take(&mut self.in_flight) {
                 self.deliver(transmit);
             }
-            (0..ROUTERS).for_each(|router| self.turn(router));
+            (0..ROUTERS).for_each(|router| self.run_router(router));
         }
     }
 
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Handles a router's due timeouts and sends what it has to send.
-    fn turn(&mut self, router: usize) {
+    /// Handles a router's due timeouts and sends its queued datagrams.
+    fn run_router(&mut self, router: usize) {
         let demands = self.demands(router);
         let now = self.now;
         let Some(Router { membership, quota }) = &mut self.routers[router] else { return };
@@ -143,7 +148,7 @@
         }
     }
 
-    /// A router announces that it stops, and stops.
+    /// A router announces that it leaves, and stops 2 s later.
     fn leave(&mut self, router: usize) {
         if let Some(Router { membership, quota }) = &mut self.routers[router] {
             membership.set_phase(self.now, RouterPhase::Standby);
@@ -159,11 +164,14 @@
     }
 }
 
+/// Guards against unintended changes of the wire format or of the order of datagrams, which routers
+/// of other versions might not understand.
 #[test]
-fn a_scripted_conversation_sends_the_same_bytes() {
+fn scripted_exchange_sends_the_recorded_bytes() {
     let mut cluster = Cluster::new();
     cluster.run(12 * SEC);
-    // A crash that is suspected, confirmed and expires; then a restart at the same address.
+    // Router 3 crashes: the others suspect it, confirm the suspicion and declare it failed. Then it
+    // restarts at the same address.
     cluster.routers[3] = None;
     cluster.run(9 * SEC);
     cluster.start(3);
--- a/crates/cluster/tests/membership_model.rs
+++ b/crates/cluster/tests/membership_model.rs
@@ -1,10 +1,11 @@
-//! Membership under every order of events, up to a bound: three routers with a clock each,
-//! datagrams that are delivered in any order, dropped or delivered twice, one crash with a restart,
-//! one cut. The production code is checked itself.
+//! Model check of membership: explores all orders of events, within bounds, for three routers with
+//! independent clocks. Datagrams are delivered in any order, dropped or delivered twice; a router
+//! crashes and restarts; a router is partitioned from the others. The model runs the production
+//! code itself.
 //!
-//! Bounds: the number of steps from a converged cluster, datagrams in flight, clocks at most 3 s
-//! apart, one crash, one cut, one duplicated datagram. The seeded schedules of the simulation go
-//! further.
+//! Bounds: number of steps from the initial states, datagrams in flight, clocks at most 3 s apart,
+//! one crash, one partition, one duplicated datagram. The seeded schedules of the simulation
+//! package cover longer runs.
 
 mod common;
 mod model_support;
@@ -20,13 +21,16 @@
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
-/// Clocks are at most this far apart.
+/// A router handles a timeout only if it is due at most this long after the slowest clock.
 const MAX_CLOCK_DIFFERENCE: Time = 3 * SEC;
-/// With sound links all running routers agree within this time.
+/// Time within which all running routers must converge once all links work.
 const CONVERGENCE_TIMEOUT: Time = 60 * SEC;
-/// The clock when a model starts.
+/// The instant on every router's clock at which the model starts.
 const START: Time = 1_000 * SEC;
-/// How far the model is searched.
+/// An initial state whose fault lasts longer than this must show router 2 as failed; one whose
+/// fault is shorter must not.
+const TIME_TO_FAILURE: Time = 10 * SEC;
+/// Bounds of the search.
 const BOUNDS: SearchBounds = SearchBounds { max_depth: 8, target_states: 40_000, min_states: 30_000 };
 
 fn membership(router: usize, now: Time, generation: u64) -> Membership {
@@ -43,15 +47,15 @@
     Membership::new(options, now)
 }
 
-/// Faults that may still happen.
+/// Number of faults of each kind that may still be injected.
 #[derive(Clone, Debug)]
 struct FaultBudget {
     crashes: u8,
-    cuts: u8,
+    partitions: u8,
     duplicates: u8,
 }
 
-/// The record of one router as another one holds it.
+/// A pair of routers, by number: `observer` has a record of `member` in its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Observation {
     observer: usize,
@@ -65,37 +69,39 @@
     network: Network,
     budget: FaultBudget,
     restarts: u64,
+    /// The record that each observer had of each member after its last event.
     latest_records: BTreeMap<Observation, MemberRecord>,
-    record_went_back: bool,
+    /// Whether any observer ever replaced a record by a lesser one.
+    record_regressed: bool,
 }
 
 identify_by_debug_output!(State);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// A router's clock goes on to its next timeout.
+    /// A router's clock advances to its next timeout, which it handles.
     HandleTimeout(usize),
     Deliver(usize),
     Drop(usize),
     Duplicate(usize),
     Crash(usize),
     Restart(usize),
-    Cut(usize),
+    Partition(usize),
     Heal,
 }
 
 impl State {
-    /// All routers have started and converged.
+    /// A state in which all routers have started and converged.
     fn converged() -> State {
         let memberships = (0..ROUTERS).map(|router| Some(membership(router, START, START + router as u64)));
         let mut state = State {
             memberships: memberships.collect(),
             clocks: vec![START; ROUTERS],
             network: Network::default(),
-            budget: FaultBudget { crashes: 1, cuts: 1, duplicates: 1 },
+            budget: FaultBudget { crashes: 1, partitions: 1, duplicates: 1 },
             restarts: 0,
             latest_records: BTreeMap::new(),
-            record_went_back: false,
+            record_regressed: false,
         };
         (0..ROUTERS).for_each(|router| state.collect_output(router));
         state.run(5 * SEC);
@@ -103,7 +109,8 @@
         state
     }
 
-    /// Sends what a router has to send, and notes whether a record in its table went back.
+    /// Sends a router's queued datagrams, and checks that no record in its table was replaced by a
+    /// lesser one.
     fn collect_output(&mut self, router: usize) {
         let Some(membership) = &mut self.memberships[router] else { return };
         while membership.poll_change().is_some() {}
@@ -113,7 +120,7 @@
             let member = (0..ROUTERS).find(|member| router_address(*member) == status.address);
             let observation = Observation { observer: router, member: member.unwrap_or(0) };
             let previous = self.latest_records.insert(observation, status.record.clone());
-            self.record_went_back |= previous.is_some_and(|previous| previous > status.record);
+            self.record_regressed |= previous.is_some_and(|previous| previous > status.record);
         }
     }
 
@@ -136,7 +143,8 @@
         self.collect_output(datagram.to);
     }
 
-    /// A restart under a generation lower than the one before, as after a clock that went back.
+    /// Restarts a router with a generation lower than its previous one, as if the clock from which
+    /// generations are taken had been set back.
     fn restart(&mut self, router: usize) {
         self.restarts += 1;
         let now = self.latest_clock();
@@ -150,13 +158,14 @@
         self.clocks.iter().copied().max().unwrap_or(0)
     }
 
-    /// Time passes for all routers, and all datagrams arrive at once.
+    /// Advances all clocks by `duration`; datagrams are delivered without delay.
     fn run(&mut self, duration: Time) {
         let until = self.latest_clock() + duration;
         self.run_until(until, |_| false);
     }
 
-    /// The same until a condition holds; whether it came to hold.
+    /// Advances all clocks until `condition` holds and returns `true`, or until the next timeout is
+    /// not due before `until` and returns `false`.
     fn run_until(&mut self, until: Time, condition: impl Fn(&State) -> bool) -> bool {
         loop {
             while self.network.len() > 0 {
@@ -176,16 +185,16 @@
         }
     }
 
-    /// Whether the running routers converge once all links are sound.
+    /// Whether the running routers converge, starting from this state, once all links work.
     fn converges(&self) -> bool {
         let mut state = self.clone();
-        state.network.cut_off = None;
+        state.network.partitioned = None;
         let now = state.latest_clock();
         state.clocks.iter_mut().for_each(|clock| *clock = now);
         state.run_until(now + CONVERGENCE_TIMEOUT, State::has_converged)
     }
 
-    /// Whether all running routers have the same view, in which all of them are reachable.
+    /// Whether all running routers have the same view, and each considers all others reachable.
     fn has_converged(&self) -> bool {
         let running: Vec<usize> = (0..ROUTERS).filter(|router| self.memberships[*router].is_some()).collect();
         let is_reachable = |observer: usize, member: usize| {
@@ -202,7 +211,8 @@
         self.memberships[observer].as_ref()?.record_of(router_address(member))
     }
 
-    /// Whether each running router counts all that it ever knew as possibly active.
+    /// Whether each running router counts all routers that it has known since its start as possibly
+    /// active.
     fn counts_all_known(&self) -> bool {
         self.memberships.iter().enumerate().all(|(observer, membership)| {
             let known = self.latest_records.keys().filter(|key| key.observer == observer).count() as u32;
@@ -211,20 +221,21 @@
     }
 }
 
-/// What takes many steps to come about is where the model starts: a suspicion, a failure, a cut
-/// that both sides have noticed.
+/// A state some time after router 2 crashed or was partitioned. The search starts from such states
+/// because suspicions and failures take more steps to develop than its depth allows.
 fn with_fault(converged: &State, crash: bool, duration: Time) -> State {
     let mut state = converged.clone();
     if crash {
         state.memberships[2] = None;
         state.budget.crashes = 0;
     } else {
-        state.network.cut_off = Some(2);
-        state.budget.cuts = 0;
+        state.network.partitioned = Some(2);
+        state.budget.partitions = 0;
     }
     state.run(duration);
-    let held_state = state.record(0, 2).map(|record| record.state);
-    assert_eq!(held_state == Some(MemberState::Failed), duration > 10 * SEC, "{held_state:?}");
+    let observed_state = state.record(0, 2).map(|record| record.state);
+    let must_have_failed = duration > TIME_TO_FAILURE;
+    assert_eq!(observed_state == Some(MemberState::Failed), must_have_failed, "{observed_state:?}");
     state
 }
 
@@ -259,8 +270,8 @@
             if state.budget.crashes > 0 && state.memberships[router].is_some() {
                 actions.push(Action::Crash(router));
             }
-            if state.budget.cuts > 0 {
-                actions.push(Action::Cut(router));
+            if state.budget.partitions > 0 {
+                actions.push(Action::Partition(router));
             }
         }
         for index in 0..state.network.len() {
@@ -269,7 +280,7 @@
                 actions.push(Action::Duplicate(index));
             }
         }
-        if state.network.cut_off.is_some() {
+        if state.network.partitioned.is_some() {
             actions.push(Action::Heal);
         }
     }
@@ -289,27 +300,33 @@
                 state.memberships[router] = None;
             }
             Action::Restart(router) => state.restart(router),
-            Action::Cut(router) => {
-                state.budget.cuts -= 1;
-                state.network.cut_off = Some(router);
+            Action::Partition(router) => {
+                state.budget.partitions -= 1;
+                state.network.partitioned = Some(router);
             }
-            Action::Heal => state.network.cut_off = None,
+            Action::Heal => state.network.partitioned = None,
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Cluster>> {
         vec![
-            Property::always("records never go back", |_, state: &State| !state.record_went_back),
-            Property::always("possibly active routers are counted", |_, state: &State| {
+            Property::always("no record is replaced by a lesser one", |_, state: &State| {
+                !state.record_regressed
+            }),
+            Property::always("all known routers count as possibly active", |_, state: &State| {
                 state.counts_all_known()
             }),
-            Property::always("running routers converge again", |_, state: &State| state.converges()),
+            Property::always("running routers converge once all links work", |_, state: &State| {
+                state.converges()
+            }),
         ]
     }
 }
 
+/// Guards against partitions and crashes after which routers never converge again, and against a
+/// router that may be active but is not counted.
 #[test]
-fn no_order_of_events_loses_a_router_for_good_or_leaves_an_active_one_uncounted() {
+fn routers_converge_and_count_all_active_ones_under_every_event_order() {
     assert_properties_hold(Cluster, &BOUNDS);
 }
--- a/crates/cluster/tests/model_support/mod.rs
+++ b/crates/cluster/tests/model_support/mod.rs
@@ -1,5 +1,5 @@
-//! What the model checks share: datagrams that are delivered in any order, and states that are told
-//! apart by all that they hold.
+//! Support for the model checks: a network that delivers datagrams in any order, the search itself,
+//! and equality of states by their debug output.
 
 use crate::common::router_address;
 use hollymux_cluster::Transmit;
@@ -7,42 +7,44 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// Routers in a model.
+/// Number of routers in a model.
 pub const ROUTERS: usize = 3;
-/// Threads that search a model.
+/// Number of threads that search a model.
 const SEARCH_THREADS: usize = 4;
-/// Datagrams in flight at most; the oldest ones beyond are lost.
+/// Maximum number of datagrams in flight; when there are more, the oldest ones are lost.
 const MAX_IN_FLIGHT: usize = 6;
 
-/// A datagram in flight.
+/// A datagram in flight between two routers, which are identified by number.
 #[derive(Clone, Debug)]
 pub struct Datagram {
     from: usize,
-    /// The router that receives it.
+    /// The number of the receiving router.
     pub to: usize,
-    /// Its bytes.
+    /// The bytes to pass to the receiving router.
     pub payload: Vec<u8>,
 }
 
-/// What becomes of a datagram when it is delivered.
+/// Whether a datagram stays in flight when it is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is no longer in flight.
+    /// The datagram is removed.
     Single,
-    /// A second copy stays in flight.
+    /// The datagram stays in flight, so that it can be delivered again.
     Duplicated,
 }
 
-/// The links between the routers of a model.
+/// The network between the routers of a model.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
+    /// Datagrams in the order in which they were sent.
     in_flight: Vec<Datagram>,
-    /// A router that is cut off from all others.
-    pub cut_off: Option<usize>,
+    /// The number of a router whose links to all others are down; `None` if all links work.
+    pub partitioned: Option<usize>,
 }
 
 impl Network {
-    /// Sends a router's datagrams.
+    /// Puts the datagrams of router `from` in flight. Datagrams to unknown addresses or to the
+    /// router itself are lost.
     pub fn send(&mut self, from: usize, transmits: Vec<Transmit>) {
         for Transmit { destination, payload } in transmits {
             let receiver = (0..ROUTERS).find(|to| router_address(*to) == destination && *to != from);
@@ -52,33 +54,36 @@
         self.in_flight.drain(..excess);
     }
 
-    /// How many datagrams are in flight.
+    /// Number of datagrams in flight.
     pub fn len(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Takes a datagram out of flight; none if the cut swallows it.
+    /// Delivers the datagram at `index`; `None` if it is lost because its sender or receiver is
+    /// partitioned.
     pub fn deliver(&mut self, index: usize, delivery: Delivery) -> Option<Datagram> {
         let datagram = match delivery {
             Delivery::Single => self.in_flight.remove(index),
             Delivery::Duplicated => self.in_flight[index].clone(),
         };
-        let is_cut = self.cut_off.is_some_and(|cut| cut == datagram.from || cut == datagram.to);
-        (!is_cut).then_some(datagram)
+        let is_blocked =
+            self.partitioned.is_some_and(|router| router == datagram.from || router == datagram.to);
+        (!is_blocked).then_some(datagram)
     }
 }
 
-/// How far a model is searched.
+/// Bounds of the search of a model.
 pub struct SearchBounds {
-    /// Steps from an initial state at most.
+    /// Maximum depth of the search, counted from the initial states.
     pub max_depth: usize,
-    /// States after which the search ends.
+    /// Number of states after which the search ends.
     pub target_states: usize,
-    /// A search that has seen no more states than this has not covered enough.
+    /// The check fails unless the search has visited more unique states than this.
     pub min_states: usize,
 }
 
-/// Searches a model breadth first and asserts all of its properties.
+/// Searches a model breadth first, and asserts all of its properties and that the search was large
+/// enough.
 pub fn assert_properties_hold<M>(model: M, bounds: &SearchBounds)
 where
     M: Model + Send + Sync + 'static,
@@ -94,11 +99,11 @@
         .join();
     checker.assert_properties();
     let states = checker.unique_state_count();
-    assert!(states > bounds.min_states, "{states} states");
+    assert!(states > bounds.min_states, "only {states} unique states were searched");
 }
 
-/// Two states are equal if their debug output is: the state machines implement neither comparison
-/// nor hashing.
+/// Implements `PartialEq` and `Hash` of a model's state by its debug output, because the state
+/// machines of the cluster package implement neither.
 macro_rules! identify_by_debug_output {
     ($state:ty) => {
         impl PartialEq for $state {
--- a/crates/cluster/tests/quota_ledger.rs
+++ b/crates/cluster/tests/quota_ledger.rs
@@ -1,4 +1,5 @@
-//! The lease ledger of one limit: nothing can be used on both sides of a lease.
+//! Tests of the lease ledger of one limit: quota must never be usable by the lender and the
+//! borrower of a lease at the same time.
 
 use hollymux_cluster::quota::lease::{LeaseHolder, LeaseTransfer};
 use hollymux_cluster::quota::ledger::{GrantRequest, LeaseLedger, MAX_LEASES};
@@ -6,18 +7,20 @@
 use hollymux_cluster::{Time, MS, SEC};
 use std::net::SocketAddr;
 
+/// The only process of the router with this number.
 fn holder(router: u8) -> LeaseHolder {
     LeaseHolder { address: SocketAddr::from(([10, 0, 0, router], 7_946)), instance_id: u64::from(router) }
 }
 
+/// A transfer of `quota` for one second.
 fn transfer(lease_id: u64, quota: u32) -> LeaseTransfer {
     LeaseTransfer { lease_id, quota, duration: SEC }
 }
 
-/// Guards against a lease that ends later by the borrower's slow clock than by the lender's fast
-/// one.
+/// Guards against a lender that uses lent quota again too early: a lease expires latest at a
+/// borrower whose clock is slow, and is reclaimed earliest by a lender whose clock is fast.
 #[test]
-fn a_quota_is_reclaimed_a_window_after_the_slowest_clock_has_ended_its_lease() {
+fn lent_quota_is_reclaimed_a_usage_window_after_it_expires_on_the_slowest_clock() {
     let timings = LeaseTimings::default();
     let mut lender = LeaseLedger::default();
     let mut borrower = LeaseLedger::default();
@@ -43,12 +46,12 @@
         "reclaimed after {reclaimed} ms, last used after {last_used} ms"
     );
     let bound = timings.max_claim_lifetime() + 100 * MS;
-    assert!(reclaimed * MS <= bound, "reclaimed after {reclaimed} ms only");
+    assert!(reclaimed * MS <= bound, "reclaimed only after {reclaimed} ms");
 }
 
-/// Guards against a broker that lends for longer what it has borrowed for a while.
+/// Guards against a broker that lends borrowed quota for longer than it has borrowed it.
 #[test]
-fn what_is_lent_on_expires_before_what_was_borrowed() {
+fn quota_lent_on_expires_before_the_borrowed_lease() {
     let timings = LeaseTimings::default();
     let mut broker = LeaseLedger::default();
     broker.borrow(0, holder(1), &transfer(1, WHOLE_QUOTA / 2), SEC);
@@ -57,14 +60,15 @@
     assert!(broker.grant(0, &request(SEC), &timings, &mut 0).is_empty());
     let transfers = broker.grant(0, &request(900 * MS), &timings, &mut 0);
     assert_eq!(transfers.iter().map(|transfer| transfer.quota).sum::<u32>(), WHOLE_QUOTA / 2);
-    // Later in the lease the same quota can't be lent for as long.
+    // Less time of the borrowed lease is left now, so a grant of the same duration is refused.
     assert!(broker.grant(500 * MS, &request(900 * MS), &timings, &mut 1).is_empty());
     assert_eq!(broker.lent(500 * MS, &timings), WHOLE_QUOTA / 2);
 }
 
-/// Guards against a lease that is counted twice, or that grows or is revived by an older message.
+/// Guards against a lease that is counted twice when its transfer is duplicated, and against one
+/// that an older transfer increases or revives after its expiry.
 #[test]
-fn a_transfer_that_arrives_twice_or_late_is_the_same_lease_or_none() {
+fn duplicated_and_late_transfers_neither_add_nor_revive_leases() {
     let mut ledger = LeaseLedger::default();
     ledger.borrow(0, holder(1), &transfer(9, 1_000), SEC);
     ledger.borrow(10, holder(1), &transfer(9, 1_000), SEC);
@@ -76,9 +80,10 @@
     assert_eq!(ledger.borrowed(3 * SEC), 0);
 }
 
-/// Guards against tables that grow with what others send.
+/// Guards against a ledger that grows without bound with the transfers that other routers send, and
+/// against transfers of more than the whole quota.
 #[test]
-fn the_number_of_leases_is_bounded() {
+fn number_of_borrowed_leases_is_bounded() {
     let mut ledger = LeaseLedger::default();
     for lease_id in 0..10_000 {
         ledger.borrow(0, holder(1), &transfer(lease_id, 1), SEC);
--- a/crates/cluster/tests/quota_model.rs
+++ b/crates/cluster/tests/quota_model.rs
@@ -1,11 +1,11 @@
-//! One limit under every order of events, up to a bound: three routers whose clocks drift as far
-//! apart as is allowed, datagrams that are delivered in any order, dropped or delivered twice, one
-//! crash with a restart, one cut, a process that stands still. The production code is checked
-//! itself.
+//! Model check of leased quotas: explores all orders of events, within bounds, for one limit shared
+//! by three routers. Their clocks drift apart as far as the timings allow. Datagrams are delivered
+//! in any order, dropped or delivered twice; a router crashes and restarts, is partitioned from the
+//! others, or is paused. The model runs the production code itself.
 //!
-//! Bounds: the number of steps from three states in which quota is lent, datagrams in flight, one
-//! crash, one cut, two duplicated datagrams, one pause. Longer schedules are those of
-//! `quota_safety.rs`.
+//! Bounds: number of steps from three initial states in which quota is lent, datagrams in flight,
+//! one crash, one partition, two duplicated datagrams, one pause. `quota_safety.rs` covers longer
+//! schedules.
 
 mod common;
 mod model_support;
@@ -21,51 +21,57 @@
 };
 use stateright::{Model, Property};
 
-const LIMIT: u64 = 6;
-/// By how many thousandths each clock is fast: as far apart as the timings allow.
+const LIMIT_ID: u64 = 6;
+/// Drift of each router's clock in thousandths, positive for a fast clock: the extremes that the
+/// timings allow, and none.
 const DRIFT_PER_MILLE: [i64; ROUTERS] = [10, 0, -10];
-/// Clocks of different routers have nothing to do with each other.
+/// Offset between the clocks of successive routers: clocks of different routers are unrelated.
 const CLOCK_OFFSET: Time = 500 * SEC;
-/// The true time when a model starts.
+/// The true time at which the model starts.
 const START: Time = 1_000 * SEC;
-/// The fraction of the limit that one request takes.
-const REQUEST_SIZE: f64 = 0.01;
-/// The fraction that routers without load want.
+/// Fraction of the limit that one request uses.
+const REQUEST_FRACTION: f64 = 0.01;
+/// Fraction of the limit that a router without load wants.
 const LOW_DEMAND: f64 = 0.02;
-/// For errors of floating-point sums.
+/// Tolerance for rounding errors of floating-point sums, as a fraction of the limit.
 const TOLERANCE: f64 = 1e-6;
-/// How far the model is searched.
+/// Bounds of the search.
 const BOUNDS: SearchBounds = SearchBounds { max_depth: 9, target_states: 1_200_000, min_states: 500_000 };
 
-/// Faults that may still happen.
+/// Number of faults of each kind that may still be injected.
 #[derive(Clone, Debug)]
 struct FaultBudget {
     crashes: u8,
-    cuts: u8,
+    partitions: u8,
     duplicates: u8,
     pauses: u8,
 }
 
-/// That a router used a fraction of the limit, by true time.
+/// A router's use of a fraction of the limit.
 #[derive(Clone, Debug)]
 struct Usage {
     router: usize,
+    /// True time of the use.
     at: Time,
     fraction: f64,
 }
 
 #[derive(Clone, Debug)]
 struct State {
-    /// True time.
+    /// The current true time.
     now: Time,
+    /// The quotas of each router; `None` while it is not running.
     routers: Vec<Option<QuotaManager>>,
     paused: [bool; ROUTERS],
     /// The fraction of the limit that each router wants.
     demands: [f64; ROUTERS],
     network: Network,
     budget: FaultBudget,
+    /// The instance identifier given to the router process started last.
     last_instance_id: u64,
+    /// Recent uses of the limit by all routers, in order of true time.
     usage: Vec<Usage>,
+    /// Whether all routers together ever used more than the whole limit within a usage window.
     limit_exceeded: bool,
 }
 
@@ -73,28 +79,28 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// Time passes for all routers, and due timeouts are handled.
+    /// This true time passes for all routers, and due timeouts are handled.
     PassTime(Time),
-    /// Time passes to just before the next borrowed lease expires.
-    PassToExpiry,
-    /// Time passes to just after the next lent quota is reclaimed.
-    PassToReclaim,
+    /// Time passes until just before the next expiry of a borrowed lease.
+    PassTimeToExpiry,
+    /// Time passes until just after the next lent quota is available to its lender again.
+    PassTimeToReclaim,
     Deliver(usize),
     Duplicate(usize),
-    /// A router uses all that it may.
+    /// A router uses all quota that it may use.
     Use(usize),
-    /// Load moves to one router.
+    /// One router gets all load: its demand becomes the whole limit, that of the others low.
     MoveLoad(usize),
     Crash(usize),
     Start(usize),
     Pause(usize),
     Resume(usize),
-    Cut(usize),
+    Partition(usize),
     Heal,
 }
 
 impl State {
-    /// All routers have started and use their own shares.
+    /// A state in which all routers have started and use their own shares.
     fn started() -> State {
         let mut state = State {
             now: START,
@@ -102,7 +108,7 @@
             paused: [false; ROUTERS],
             demands: [1.0; ROUTERS],
             network: Network::default(),
-            budget: FaultBudget { crashes: 1, cuts: 1, duplicates: 2, pauses: 1 },
+            budget: FaultBudget { crashes: 1, partitions: 1, duplicates: 2, pauses: 1 },
             last_instance_id: 0,
             usage: Vec::new(),
             limit_exceeded: false,
@@ -110,13 +116,14 @@
         (0..ROUTERS).for_each(|router| state.start(router));
         state.run(10 * SEC);
         assert!(state.routers.iter().flatten().all(|quota| quota.own_share_status().in_use));
-        // The router whose clock is fast is the broker: leases end for it first.
+        // Router 0 must be the broker: its clock is fast, so leases expire there first.
         let broker = Some(router_address(0));
         let others = state.routers.iter().flatten().skip(1);
         assert!(others.map(|quota| quota.lease_statuses()).all(|leases| leases[0].broker == broker));
         state
     }
 
+    /// The current instant on a router's clock.
     fn clock(&self, router: usize) -> Time {
         let drifted = self.now as i64 * (1_000 + DRIFT_PER_MILLE[router]) / 1_000;
         drifted as Time + router as Time * CLOCK_OFFSET
@@ -142,7 +149,8 @@
         self.paused[router] = false;
     }
 
-    /// What a router used within the expiry delay of its own clock.
+    /// Fraction of the limit that a router used within the last expiry delay, measured by its own
+    /// clock.
     fn used_by(&self, router: usize) -> f64 {
         let delay = LeaseTimings::default().expiry_delay() as i64;
         let true_delay = delay * 1_000 / (1_000 + DRIFT_PER_MILLE[router]);
@@ -151,16 +159,16 @@
         recent.map(|usage| usage.fraction).sum()
     }
 
-    /// Has a running router act, after it has been told what is wanted there now, and sends its
-    /// datagrams.
+    /// Updates a router's demand, calls `action` and sends the router's datagrams. Does nothing if
+    /// the router is paused or not running.
     fn act(&mut self, router: usize, action: impl FnOnce(&mut QuotaManager, Time)) {
         let now = self.clock(router);
         let demand = WarmUpDemand {
-            endpoint: EndpointId(LIMIT),
+            endpoint: EndpointId(LIMIT_ID),
             sharers: QuotaScope::All,
             used: self.used_by(router),
             wanted: self.demands[router],
-            unit: REQUEST_SIZE,
+            unit: REQUEST_FRACTION,
         };
         let is_running = !self.paused[router];
         let Some(quota) = self.routers[router].as_mut().filter(|_| is_running) else { return };
@@ -182,31 +190,33 @@
         self.usage.retain(|usage| usage.at > since);
     }
 
-    /// True time until the first of these moments, which each router tells by its own clock.
-    fn time_until(&self, moment: impl Fn(&LeaseStatus) -> Option<Time>) -> Option<Time> {
-        let true_time_until = |router: usize| {
-            let at = self.routers[router].as_ref()?.lease_statuses().iter().filter_map(&moment).min()?;
-            let left = at.checked_sub(self.clock(router))? as i64 * 1_000;
-            Some((left / (1_000 + DRIFT_PER_MILLE[router])) as Time)
+    /// True time until the first instant that `instant` returns for a lease status of any router,
+    /// on that router's clock. `None` if there is none more than 1 ms ahead.
+    fn true_time_until(&self, instant: impl Fn(&LeaseStatus) -> Option<Time>) -> Option<Time> {
+        let time_until_at = |router: usize| {
+            let at = self.routers[router].as_ref()?.lease_statuses().iter().filter_map(&instant).min()?;
+            let clock_time_left = at.checked_sub(self.clock(router))? as i64;
+            Some((clock_time_left * 1_000 / (1_000 + DRIFT_PER_MILLE[router])) as Time)
         };
-        (0..ROUTERS).filter_map(true_time_until).filter(|duration| *duration > MS).min()
+        (0..ROUTERS).filter_map(time_until_at).filter(|duration| *duration > MS).min()
     }
 
     fn deliver(&mut self, index: usize, delivery: Delivery) {
-        // A paused process would read it when it resumes; here it is lost, which makes no less
-        // trouble.
+        // A paused process would receive the datagram when it resumes. In the model the datagram is
+        // lost instead, which is no easier case.
         if let Some(datagram) = self.network.deliver(index, delivery) {
             self.act(datagram.to, |quota, now| quota.handle_datagram(now, &datagram.payload));
         }
     }
 
-    /// A router uses all that it may; notes whether all of them together exceed the limit.
+    /// A router uses all quota that it may use. Records whether all routers together have exceeded
+    /// the limit within the usage window.
     fn use_all(&mut self, router: usize) {
         let now = self.clock(router);
         let used = self.used_by(router);
         let is_running = !self.paused[router];
         let Some(quota) = self.routers[router].as_ref().filter(|_| is_running) else { return };
-        let share = quota.usable_share(now, LIMIT, QuotaScope::All);
+        let share = quota.usable_share(now, LIMIT_ID, QuotaScope::All);
         let usable = if now < share.until.as_micros() { share.now } else { share.after };
         let free = usable - used;
         if free > 0.0 {
@@ -218,7 +228,7 @@
         self.limit_exceeded |= total > 1.0 + TOLERANCE;
     }
 
-    /// Time passes for all routers, and all datagrams arrive at once.
+    /// Lets true time pass in small steps; datagrams are delivered without delay.
     fn run(&mut self, duration: Time) {
         let until = self.now + duration;
         while self.now < until {
@@ -229,25 +239,27 @@
         }
     }
 
+    /// Sets the demand of one router to the whole limit and that of the others to a low one.
     fn move_load(&mut self, router: usize) {
         self.demands = [LOW_DEMAND; ROUTERS];
         self.demands[router] = 1.0;
     }
 
-    /// Quota of the others has been lent to this router for a while.
+    /// A later state in which the other routers have lent most of their quota to this router.
     fn with_quota_lent_to(&self, router: usize) -> State {
         let mut state = self.clone();
         state.move_load(router);
-        // Until the leases no longer change.
+        // After this time the leases no longer change.
         state.run(60 * SEC);
         let usable = state.routers[router]
             .as_ref()
-            .map(|quota| quota.usable_share(state.clock(router), LIMIT, QuotaScope::All).now);
-        assert!(usable.is_some_and(|usable| usable > 0.6), "{usable:?}");
+            .map(|quota| quota.usable_share(state.clock(router), LIMIT_ID, QuotaScope::All).now);
+        assert!(usable.is_some_and(|usable| usable > 0.6), "router may use only {usable:?} of the limit");
         state
     }
 
-    /// No datagram arrives any more until the leases of this router are just about to expire.
+    /// The last state before the leases borrowed by this router expire because no datagram is
+    /// delivered any more.
     fn just_before_expiry(mut self, router: usize) -> State {
         let borrowed = |state: &State| {
             state.routers[router].as_ref().map_or(0, |quota| quota.lease_statuses()[0].borrowed)
@@ -266,7 +278,7 @@
         }
     }
 
-    /// The faults and events that may happen to one router.
+    /// Appends the events and faults that are possible at one router.
     fn router_actions(&self, router: usize, actions: &mut Vec<Action>) {
         let is_started = self.routers[router].is_some();
         actions.push(match (is_started, self.paused[router]) {
@@ -277,7 +289,7 @@
         if self.demands[router] < 1.0 {
             actions.push(Action::MoveLoad(router));
         }
-        // Faults of router 1 show nothing that those of the others do not.
+        // Faults of router 1 would add no case that faults of the others do not cover.
         if router == 1 {
             return;
         }
@@ -285,8 +297,8 @@
         if self.budget.crashes > 0 && is_running {
             actions.push(Action::Crash(router));
         }
-        if self.budget.cuts > 0 {
-            actions.push(Action::Cut(router));
+        if self.budget.partitions > 0 {
+            actions.push(Action::Partition(router));
         }
         if self.budget.pauses > 0 && is_running {
             actions.push(Action::Pause(router));
@@ -300,8 +312,8 @@
     type State = State;
     type Action = Action;
 
-    /// Quota is lent to one router; or load has just moved on from there; or the leases are about
-    /// to expire.
+    /// Three states: quota is lent to router 2; load has then just moved to router 1; the leases of
+    /// router 2 are about to expire.
     fn init_states(&self) -> Vec<State> {
         let lent = State::started().with_quota_lent_to(2);
         let mut load_moved = lent.clone();
@@ -311,18 +323,18 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.extend([Action::PassTime(400 * MS), Action::PassToExpiry, Action::PassToReclaim]);
+        actions.extend([Action::PassTime(400 * MS), Action::PassTimeToExpiry, Action::PassTimeToReclaim]);
         for router in 0..ROUTERS {
             state.router_actions(router, actions);
         }
         for index in 0..state.network.len() {
-            // A datagram that is never delivered is a lost one.
+            // Loss needs no action of its own: a datagram that is never delivered is lost.
             actions.push(Action::Deliver(index));
             if state.budget.duplicates > 0 {
                 actions.push(Action::Duplicate(index));
             }
         }
-        if state.network.cut_off.is_some() {
+        if state.network.partitioned.is_some() {
             actions.push(Action::Heal);
         }
     }
@@ -331,12 +343,12 @@
         let mut state = state.clone();
         match action {
             Action::PassTime(duration) => state.pass_time(duration),
-            Action::PassToExpiry => {
-                let duration = state.time_until(|lease| lease.next_expiry)?;
+            Action::PassTimeToExpiry => {
+                let duration = state.true_time_until(|lease| lease.next_expiry)?;
                 state.pass_time(duration - MS);
             }
-            Action::PassToReclaim => {
-                let duration = state.time_until(|lease| lease.next_reclaim)?;
+            Action::PassTimeToReclaim => {
+                let duration = state.true_time_until(|lease| lease.next_reclaim)?;
                 state.pass_time(duration + MS);
             }
             Action::Deliver(index) => state.deliver(index, Delivery::Single),
@@ -356,11 +368,11 @@
                 state.paused[router] = true;
             }
             Action::Resume(router) => state.paused[router] = false,
-            Action::Cut(router) => {
-                state.budget.cuts -= 1;
-                state.network.cut_off = Some(router);
+            Action::Partition(router) => {
+                state.budget.partitions -= 1;
+                state.network.partitioned = Some(router);
             }
-            Action::Heal => state.network.cut_off = None,
+            Action::Heal => state.network.partitioned = None,
         }
         Some(state)
     }
@@ -370,7 +382,8 @@
     }
 }
 
+/// Guards against quota that two routers can use at once after some order of events.
 #[test]
-fn no_order_of_events_lets_all_routers_together_exceed_the_limit() {
+fn routers_together_never_exceed_the_limit_under_any_event_order() {
     assert_properties_hold(Cluster, &BOUNDS);
 }
