--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -121,19 +121,19 @@
     /// The candidate updates for a message to `receiver`, in order of preference. If the receiver
     /// itself is suspected or failed, its own record comes first, so that it can refute at once.
     fn select_updates(&self, receiver: SocketAddr) -> Vec<GossipUpdate> {
-        let is_receiver_accused = self
+        let is_receiver_suspected_or_failed = self
             .table
             .get(receiver)
             .is_some_and(|member| matches!(member.record.state, MemberState::Suspect | MemberState::Failed));
         let mut updates = Vec::new();
-        if is_receiver_accused {
+        if is_receiver_suspected_or_failed {
             updates.extend(self.updates_about(receiver));
         }
         let queued = self
             .gossip
             .least_sent_first()
             .into_iter()
-            .filter(|member| *member != receiver || !is_receiver_accused)
+            .filter(|member| *member != receiver || !is_receiver_suspected_or_failed)
             .take(MAX_DATAGRAM_LEN / MIN_UPDATE_LEN);
         updates.extend(queued.flat_map(|member| self.updates_about(member)));
         updates
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -200,13 +200,13 @@
         }
         let Some(probe) = &self.detector.probe else { return };
         let (nonce, target) = (probe.nonce, probe.target);
-        let helpers = self.sample_reachable(INDIRECT_PROBES, &[target]);
+        let relays = self.sample_reachable(INDIRECT_PROBES, &[target]);
         if let Some(probe) = &mut self.detector.probe {
-            let requested = helpers.len() as u32;
+            let requested = relays.len() as u32;
             probe.stage = ProbeStage::Indirect { requested, without_nack: requested };
         }
-        for helper in helpers {
-            self.send(helper, MessageBody::IndirectPing { nonce, target });
+        for relay in relays {
+            self.send(relay, MessageBody::IndirectPing { nonce, target });
         }
     }
 
--- a/crates/cluster/src/quota/broker.rs
+++ b/crates/cluster/src/quota/broker.rs
@@ -73,7 +73,8 @@
     }
 
     /// Computes the local router's demand for a limit and lends its spare quota to the limit's
-    /// broker. `None` if the local router is the broker or the limit is not tracked here.
+    /// broker, once a message from the broker's process has been received. `None` if the local
+    /// router is the broker or the limit is not tracked here.
     pub(super) fn offer_to_broker(&mut self, limit_id: u64) -> Option<BrokerOffer> {
         let scope = self.limits.get(&limit_id)?.scope;
         let broker = self.broker(limit_id, scope)?;
@@ -185,21 +186,21 @@
 fn allocate(free: u32, lendable: u32, borrowers: &mut [Borrower]) -> BTreeMap<SocketAddr, u32> {
     borrowers.sort_by_key(|borrower| (borrower.borrowed, borrower.tie_breaker, borrower.address));
     let mut targets: BTreeMap<SocketAddr, u32> = BTreeMap::new();
-    let mut remaining = lendable;
+    let mut remaining_lendable = lendable;
     for borrower in borrowers.iter() {
-        let kept = borrower.borrowed.min(borrower.wanted).min(remaining);
-        remaining -= kept;
+        let kept = borrower.borrowed.min(borrower.wanted).min(remaining_lendable);
+        remaining_lendable -= kept;
         targets.insert(borrower.address, kept);
     }
-    let mut left = free;
+    let mut remaining_free = free;
     for borrower in borrowers.iter() {
         let target = targets.entry(borrower.address).or_default();
         let missing = borrower.wanted.saturating_sub(*target);
         let limited = (free / FREE_QUOTA_DIVISOR_PER_GRANT).min(missing).max(borrower.request_size);
         let whole_requests = limited / borrower.request_size * borrower.request_size;
-        if missing > 0 && left >= whole_requests {
+        if missing > 0 && remaining_free >= whole_requests {
             *target += whole_requests;
-            left -= whole_requests;
+            remaining_free -= whole_requests;
         }
     }
     targets
--- a/crates/cluster/src/quota/ledger.rs
+++ b/crates/cluster/src/quota/ledger.rs
@@ -1,10 +1,11 @@
 //! The lease ledger of one limit at one router: the leases that are borrowed and lent, and their
 //! expiry.
 //!
-//! The ledger decides how much can be lent and for how long, but not to whom. Quota is subtracted
-//! here before the lease is sent, and stays subtracted until the borrower can no longer use it by
-//! any router's clock. Each lease has an identifier of its own: if its transfer is lost, nobody can
-//! use the quota until the lease expires; if it arrives twice, both copies are the same lease.
+//! The ledger decides how much can be lent and for how long, but not to which router. Quota is
+//! subtracted here before the lease is sent, and stays subtracted until the borrower can no longer
+//! use it by any router's clock. Each lease has an identifier of its own: if its transfer is lost,
+//! no router can use the quota until the lease expires; if it arrives twice, both copies are the
+//! same lease.
 //!
 //! All instants are on the local router's clock.
 
@@ -14,9 +15,9 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Maximum number of borrowed leases of one limit, and of lent leases (with reductions). Further
-/// transfers are ignored by the borrower; nobody can use their quota until they expire at the
-/// lender.
+/// Maximum number of leases of one limit that a router borrows, and likewise of leases that it
+/// lends. Reductions of lent leases count as leases. A borrower ignores transfers beyond it; no
+/// router can use their quota until they expire at the lender.
 pub const MAX_LEASES: usize = 256;
 /// Minimum quota of a lease in parts of [`WHOLE_QUOTA`]: a smaller lease would cost more messages
 /// than it serves requests.
--- a/crates/cluster/src/quota/mod.rs
+++ b/crates/cluster/src/quota/mod.rs
@@ -8,7 +8,7 @@
 //! Every limit is divided into [`WHOLE_QUOTA`] parts, each of which only one router may use at a
 //! time. A router's *own share* is an even share: the whole divided by the number of possibly
 //! active routers. Routers lend parts of their quota to each other by leases. A lease is subtracted
-//! at the lender before it is added at the borrower; if the message between them is lost, nobody
+//! at the lender before it is added at the borrower; if the message between them is lost, no router
 //! can use its quota until the lease expires. Lender and borrower each count the duration on their
 //! own clock, with a margin for clock drift ([`LeaseTimings`]). For each limit, a broker borrows
 //! unused quota and lends it to routers that need more.
--- a/crates/cluster/src/quota/own_share.rs
+++ b/crates/cluster/src/quota/own_share.rs
@@ -161,8 +161,9 @@
     /// The digest of the current set of routers if all usage and leases of the local router from
     /// before the set last changed have expired; [`NO_ROUTER_SET`] until then.
     pub(super) fn acknowledged_set(&self) -> u64 {
-        let settled_at = self.own_share.router_set_changed_at + self.options.timings.max_claim_lifetime();
-        if self.now >= settled_at {
+        let earlier_claims_expire_at =
+            self.own_share.router_set_changed_at + self.options.timings.max_claim_lifetime();
+        if self.now >= earlier_claims_expire_at {
             self.own_share.router_set
         } else {
             NO_ROUTER_SET
