--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,64 +1,72 @@
-//! Why a plan could not be made.
+//! Errors that prevent a plan from being made or drawn.
 
-/// A reason for which there is no plan; its message is one line.
+/// An error that prevents a plan from being made. Its message fits on one line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// The recording holds no request, or none is left after filtering.
+    /// The recording holds no request, or none is left once unusually large objects are excluded.
     #[error("the recording holds no request")]
     EmptyRecording,
-    /// The recording does not say how fast one transfer to a client runs.
+    /// The recording does not give a positive, finite rate for a single transfer to a client. Link
+    /// capacities are expressed in multiples of that rate.
     #[error(
-        "the recording says nothing of the rate of a transfer, which sizes of links are measured by"
+        "the recording does not give the rate of a single transfer, which is the unit of link \
+         capacities"
     )]
     MissingFlowRate,
-    /// The recorded routers were configured with different rates of a transfer.
-    #[error("routers were told different rates of a flow")]
+    /// The recorded routers were configured with different rates for a single transfer.
+    #[error("the recorded routers were configured with different rates of a single transfer")]
     ConflictingFlowRates,
     /// A recorded request belongs to a class that the recording does not describe.
-    #[error("a request of class {class} of {class_count}")]
+    #[error(
+        "a recorded request has class {class}, but the recording describes only {class_count} \
+         classes"
+    )]
     UnknownClass {
-        /// The class that the request names.
+        /// Index of the class in the request.
         class: u8,
-        /// How many classes the recording describes.
+        /// Number of classes that the recording describes.
         class_count: usize,
     },
-    /// The recording has a site that the fleet file does not have.
-    #[error("the recording has an office {site}, the fleet has not")]
+    /// The recording has a site that is missing from the fleet file.
+    #[error("the recording has an office {site}, which is missing from the fleet file")]
     UnknownSite {
-        /// The site's name.
+        /// Name of the missing site.
         site: String,
     },
-    /// Neither the fleet file nor the recorded endpoint list gives a link's capacity.
-    #[error("offices: {site}: link_flows is not given and not listed")]
+    /// Neither the fleet file nor the recorded endpoint list gives the capacity of the edge caches'
+    /// outbound links.
+    #[error(
+        "offices: {site}: link_flows is given neither in the fleet file nor in the endpoint list"
+    )]
     UnknownLinkCapacity {
-        /// The site whose edge caches are meant.
+        /// Name of the site with these edge caches.
         site: String,
     },
-    /// The goal is no share between 0 and 1.
-    #[error("a goal lies above 0% and below 100%")]
+    /// The goal is not strictly between 0 and 1.
+    #[error("the goal must be above 0% and below 100%")]
     InvalidGoal,
-    /// The scale lies outside of what the model supports.
-    #[error("a scale lies between 0.05 and 20")]
+    /// The scale is outside the range that the model supports.
+    #[error("the scale must be between 0.05 and 20")]
     InvalidScale,
-    /// The warm-up lasts longer than the recording.
+    /// The warm-up is negative or does not end before the recording does.
     #[error("the warm-up must end within the {recorded_s:.0} s recorded")]
     InvalidWarmUp {
-        /// How long the recording lasts, in seconds.
+        /// Length of the recorded load, in seconds.
         recorded_s: f64,
     },
-    /// An endpoint that is to be lost does not exist.
+    /// An endpoint named in a loss to evaluate does not exist in the fleet.
     #[error("{name} is no hub and no box (OFFICE-N) of this fleet")]
     UnknownEndpoint {
-        /// The name that was given.
+        /// The endpoint name from the options.
         name: String,
     },
 }
 
-/// The plot could not be drawn.
+/// The plotting library failed to draw the plot.
 #[derive(Debug, thiserror::Error)]
 #[error("drawing the plot: {source}")]
 pub struct PlotError {
-    /// What the drawing library reports.
+    /// Error reported by the plotting library.
     #[from]
     pub source: plotters::drawing::DrawingAreaErrorKind<std::io::Error>,
 }
