--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The fleet as an operator describes it. What the file does not give is calibrated from the
-//! recording or not judged; the plan says which.
+//! The fleet file: an operator's description of edge caches, parent caches, the origin and routers.
+//! A value that the file leaves out is calibrated from the recording, takes its default, or its
+//! resource is left out of the plan. The plan lists what was calibrated or assumed.
 //!
 //! The keys of the file are older than the names in this module, hence the `rename` attributes.
 
@@ -8,117 +9,124 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The most edge caches that a site can have: the model's bound, well above any site.
+/// Maximum number of edge caches per site: a bound of the model, well above any real site.
 const MAX_EDGE_CACHES: usize = 1_000;
-/// The most that fills can be faster than transfers to clients.
+/// Maximum ratio of a fill's rate to the rate of a transfer to a client.
 const MAX_FILL_SPEEDUP: f64 = 100.0;
-/// The most retries of a client that are simulated.
+/// Maximum number of retries per client request in the replay.
 const MAX_CLIENT_RETRIES: u32 = 10;
-/// The longest warm-up of an endpoint, in seconds.
+/// Maximum warm-up time of an endpoint, in seconds.
 const MAX_WARM_UP_S: f64 = 600.0;
-/// What the file says of a value that must be positive.
+/// Error for a number that must be positive and finite.
 const MUST_BE_POSITIVE: &str = "must be above 0";
-/// What the file says of a list that is empty.
-const IS_EMPTY: &str = "there is none";
+/// Error for a list that must have at least one element.
+const MUST_NOT_BE_EMPTY: &str = "must not be empty";
 
-/// Edge caches, parent caches and the origin, with the links between them. Capacities of links are
-/// in flows: how many transfers at a client's full rate they carry.
+/// Error for a site or parent cache whose name is already taken.
+const DUPLICATE_NAME: &str = "is already the name of another hub or office";
+
+/// Edge caches, parent caches and the origin, with the links between them. Link capacities are in
+/// flows: the number of simultaneous transfers at a client's full rate that a link carries.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The sites.
+    /// Sites with edge caches; at least one.
     #[serde(rename = "offices")]
     pub sites: Vec<Site>,
-    /// The parent caches.
+    /// Parent caches; at least one.
     #[serde(rename = "hubs")]
     pub parent_caches: Vec<ParentCache>,
-    /// The origin. Default: nothing is known of it, and it is not judged.
+    /// Origin. Default: nothing is known about its limits, and the plan does not evaluate it.
     #[serde(default, rename = "library")]
     pub origin: Origin,
-    /// How much faster than a transfer to a client a fill can be. Default: 3.
+    /// Maximum rate of a fill, in multiples of the rate of a transfer to a client; 1 to 100.
+    /// Default: 3.
     #[serde(default = "default_fill_speedup", rename = "fill_pace")]
     pub fill_speedup: f64,
-    /// Clients.
+    /// Retry behaviour of clients whose requests are not served.
     #[serde(default)]
     pub clients: Clients,
-    /// How caches warm up after a loss.
+    /// Warm-up of caches that return after a loss.
     #[serde(default, rename = "cold")]
     pub warm_up: WarmUp,
-    /// Routers.
+    /// Resources of each router, and the cost of a request.
     #[serde(default)]
     pub routers: Routers,
 }
 
-/// A site with edge caches.
+/// A site: edge caches that share an inbound link.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Its name, as the recording has it.
+    /// Name of the site, the same as in the recording.
     pub name: String,
-    /// The parent cache that it is assigned to.
+    /// Name of the parent cache that the site is assigned to.
     #[serde(rename = "hub")]
     pub parent_cache: String,
-    /// How many edge caches there are.
+    /// Number of edge caches at the site; 1 to 1000.
     #[serde(rename = "boxes")]
     pub edge_caches: usize,
-    /// The link that all fills from outside share, in flows.
+    /// Capacity of the inbound link that all fills of the site share, in flows.
     pub link_in_flows: f64,
-    /// Each edge cache's outbound link, in flows. Default: the weight in the endpoint list.
+    /// Capacity of each edge cache's outbound link, in flows. Default: the weight in the recorded
+    /// endpoint list.
     #[serde(default)]
     pub link_flows: Option<f64>,
-    /// Each edge cache's capacity, in bytes. Default: calibrated.
+    /// Storage capacity of each edge cache, in bytes. Default: calibrated from the recording.
     #[serde(default, rename = "keep_bytes")]
     pub cache_bytes: Option<f64>,
-    /// Each edge cache's cores. Default: not judged.
+    /// Number of cores of each edge cache. Default: cores are not evaluated.
     #[serde(default)]
     pub cores: Option<f64>,
-    /// An edge cache's processor time for one request. Default: cores are not judged.
+    /// Processor time of an edge cache per request, in milliseconds. Default: cores are not
+    /// evaluated.
     #[serde(default)]
     pub work_ms: Option<f64>,
-    /// How many fills an edge cache runs at most. Default: not judged.
+    /// Maximum number of concurrent fills per edge cache. Default: unlimited, and not evaluated.
     #[serde(default, rename = "fills")]
     pub max_fills: Option<usize>,
 }
 
-/// A parent cache.
+/// A parent cache, which fills edge caches and fetches its own misses from the origin.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ParentCache {
-    /// Its name: that of its zone in the endpoint list.
+    /// Name of the parent cache: the name of its zone in the endpoint list.
     pub name: String,
-    /// Its outbound link, in flows.
+    /// Capacity of its outbound link, in flows.
     pub link_flows: f64,
-    /// Its capacity, in bytes. Default: unbounded.
+    /// Storage capacity, in bytes. Default: unbounded.
     #[serde(default, rename = "keep_bytes")]
     pub cache_bytes: Option<f64>,
-    /// How many fetches from the origin it runs at most. Default: not judged.
+    /// Maximum number of concurrent fetches from the origin. Default: unlimited, and not evaluated.
     #[serde(default, rename = "fetches")]
     pub max_fetches: Option<usize>,
 }
 
-/// The origin.
+/// Limits of the origin. A limit that is left out is not evaluated.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Origin {
-    /// Calls per second above which it rejects. Default: not judged.
+    /// Rate of calls above which the origin rejects, in calls per second. Default: not evaluated.
     #[serde(rename = "calls_per_s")]
     pub max_calls_per_s: Option<f64>,
-    /// Its outbound link, in flows. Default: not judged.
+    /// Capacity of the origin's outbound link, in flows. Default: not evaluated.
     pub link_flows: Option<f64>,
-    /// How many calls it works on at a time. Default: not judged.
+    /// Maximum number of calls that the origin executes at the same time. Default: not evaluated.
     pub workers: Option<usize>,
-    /// Its service time for one call. Default: calibrated from the latency of writes.
+    /// Service time of the origin per call, in milliseconds. Default: calibrated from the latency
+    /// of writes.
     pub service_ms: Option<f64>,
 }
 
-/// What clients do when they are not served.
+/// Retry behaviour of clients whose requests are not served.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How many times a client retries. Default: 2.
+    /// Maximum number of retries per request; 0 to 10. Default: 2.
     #[serde(rename = "tries")]
     pub max_retries: u32,
-    /// The shortest wait before a retry; the longest is twice that. Default: 300.
+    /// Minimum wait before a retry, in milliseconds; the maximum is twice that. Default: 300.
     #[serde(rename = "wait_ms")]
     pub min_retry_wait_ms: f64,
 }
@@ -129,20 +137,23 @@
     }
 }
 
-/// How a cache returns after a loss: empty, and with a share of its link's capacity that grows.
+/// Warm-up of a cache that returns after a loss: it starts empty, and the usable share of its link
+/// grows linearly from an initial share to 1.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct WarmUp {
-    /// The share of its link that an edge cache starts with. Default: 0.18.
+    /// Share of its link capacity that an edge cache starts with, above 0 and at most 1. Default:
+    /// 0.18.
     #[serde(rename = "box_from")]
     pub edge_cache_initial_share: f64,
-    /// An edge cache has warmed up after this. Default: 17.
+    /// Warm-up time of an edge cache, in seconds; 0 to 600. Default: 17.
     #[serde(rename = "box_s")]
     pub edge_cache_s: f64,
-    /// The share of its link that a parent cache starts with. Default: 0.07.
+    /// Share of its link capacity that a parent cache starts with, above 0 and at most 1. Default:
+    /// 0.07.
     #[serde(rename = "hub_from")]
     pub parent_cache_initial_share: f64,
-    /// A parent cache has warmed up after this. Default: 18.
+    /// Warm-up time of a parent cache, in seconds; 0 to 600. Default: 18.
     #[serde(rename = "hub_s")]
     pub parent_cache_s: f64,
 }
@@ -158,17 +169,16 @@
     }
 }
 
-/// What a router has, and what a request costs it.
+/// Resources of each router, and the cost of a request.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Routers {
-    /// File descriptors. Default: 1024.
+    /// Number of file descriptors available to a router. Default: 1024.
     #[serde(rename = "sockets")]
     pub max_sockets: f64,
-    /// Memory, in MB. Default: 192.
+    /// Memory available to a router, in MB. Default: 192.
     pub memory_mb: f64,
-    /// Processor time for one request. Default: 0.35, as measured for this version
-    /// (docs/capacity.md).
+    /// Processor time of a router per request, in milliseconds. Default: 0.35 (docs/capacity.md).
     pub cpu_ms: f64,
 }
 
@@ -196,20 +206,24 @@
 
 impl Check for Fleet {
     fn check(&self, faults: &mut Faults) {
-        faults.unless(!self.sites.is_empty(), "offices", IS_EMPTY);
-        faults.unless(!self.parent_caches.is_empty(), "hubs", IS_EMPTY);
+        faults.unless(!self.sites.is_empty(), "offices", MUST_NOT_BE_EMPTY);
+        faults.unless(!self.parent_caches.is_empty(), "hubs", MUST_NOT_BE_EMPTY);
         let mut names: BTreeSet<&str> = BTreeSet::new();
         for (index, parent) in self.parent_caches.iter().enumerate() {
             let path = format!("hubs[{index}]");
-            faults.unless(names.insert(&parent.name), format!("{path}.name"), "stands twice");
+            faults.unless(names.insert(&parent.name), format!("{path}.name"), DUPLICATE_NAME);
             parent.check(&path, faults);
         }
         for (index, site) in self.sites.iter().enumerate() {
             let path = format!("offices[{index}]");
-            faults.unless(names.insert(&site.name), format!("{path}.name"), "stands twice");
+            faults.unless(names.insert(&site.name), format!("{path}.name"), DUPLICATE_NAME);
             let has_parent =
                 self.parent_caches.iter().any(|parent| parent.name == site.parent_cache);
-            faults.unless(has_parent, format!("{path}.hub"), "is no hub of this fleet");
+            faults.unless(
+                has_parent,
+                format!("{path}.hub"),
+                "is not the name of a hub in this file",
+            );
             site.check(&path, faults);
         }
         self.origin.check(faults);
@@ -276,7 +290,7 @@
             (self.parent_cache_initial_share, "cold.hub_from"),
         ];
         for (share, field) in shares {
-            faults.unless(is_share(share), field, "must lie between 0 and 1");
+            faults.unless(is_share(share), field, "must be above 0 and at most 1");
         }
         let durations = [(self.edge_cache_s, "cold.box_s"), (self.parent_cache_s, "cold.hub_s")];
         for (duration_s, field) in durations {
