--- a/crates/capacity/src/confidence.rs
+++ b/crates/capacity/src/confidence.rs
@@ -1,79 +1,83 @@
-//! Confidence intervals by a block bootstrap over the seconds that an estimate was summed from.
-//! Blocks keep together what depends on each other, such as a burst and the late responses behind
-//! it.
+//! Point estimates with confidence intervals, computed by a block bootstrap over the seconds that
+//! an estimate is summed from. Blocks of consecutive seconds keep correlated values together, such
+//! as a burst and the late responses that follow it.
 
 use crate::replay::Totals;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Serialize, Serializer};
 
-/// Seconds per block: longer than a burst and its late responses.
+/// Length of a bootstrap block, in seconds: longer than a burst and the late responses after it.
 const BLOCK_SECONDS: usize = 5;
-/// Bootstrap samples, enough for the 5% and 95% quantiles.
+/// Number of bootstrap samples: enough for the 5% and 95% quantiles.
 const BOOTSTRAP_SAMPLES: usize = 400;
-/// With fewer blocks no interval is given.
+/// Number of blocks below which no interval is given.
 const MIN_BLOCKS: usize = 4;
-/// Quantiles of the bootstrap samples that bound a 90% interval.
+/// Quantile of the bootstrap samples that is the lower bound of the 90% interval.
 const LOWER_QUANTILE: f64 = 0.05;
-/// See [`LOWER_QUANTILE`].
+/// Quantile of the bootstrap samples that is the upper bound of the 90% interval.
 const UPPER_QUANTILE: f64 = 0.95;
 
-/// A 90% confidence interval, as far as the recording's own variation tells.
+/// A 90% confidence interval. It reflects only the variation within the recording.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// The lower bound.
+    /// Lower bound, in the unit of the estimate.
     pub low: f64,
-    /// The upper bound.
+    /// Upper bound, in the unit of the estimate.
     pub high: f64,
 }
 
 impl Serialize for Interval {
-    /// Plans in JSON have intervals as `[low, high]`.
+    /// Writes the interval as `[low, high]`, the format of plans in JSON.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         [self.low, self.high].serialize(serializer)
     }
 }
 
-/// An estimated figure.
+/// A point estimate with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// The point estimate.
+    /// Point estimate, a finite number.
     pub value: f64,
-    /// Its confidence interval; none where the recording is too short for one.
+    /// Confidence interval. `None` if the recording is too short for one, or for estimates that are
+    /// not computed from seconds.
     #[serde(rename = "between")]
     pub interval: Option<Interval>,
 }
 
 impl Estimate {
-    /// An estimate without an interval, if the value is a finite number.
+    /// Returns an estimate without an interval, or `None` if `value` is not a finite number.
     pub fn without_interval(value: f64) -> Option<Estimate> {
         value.is_finite().then_some(Estimate { value, interval: None })
     }
 }
 
-/// One row of a ratio of sums.
+/// The contribution of one second, or of one block of seconds, to a ratio of sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RatioTerm {
-    /// What is added to the sum above.
+    /// Contribution to the numerator.
     pub numerator: f64,
-    /// What is added to the sum below.
+    /// Contribution to the denominator.
     pub denominator: f64,
 }
 
-/// A ratio of sums over rows with its interval; none if the denominators add up to nothing.
-pub fn estimate_ratio(rows: &[RatioTerm], seed: u64) -> Option<Estimate> {
-    let total = sum_terms(rows);
+/// Estimates the ratio of summed numerators to summed denominators, with a bootstrap interval drawn
+/// with `seed`. Returns `None` if the denominators do not add up to a positive number or a sum is
+/// not finite.
+pub fn estimate_ratio(terms: &[RatioTerm], seed: u64) -> Option<Estimate> {
+    let total = sum_terms(terms);
     let is_finite = total.numerator.is_finite() && total.denominator.is_finite();
     if total.denominator <= 0.0 || !is_finite {
         return None;
     }
-    let blocks: Vec<RatioTerm> = rows.chunks(BLOCK_SECONDS).map(sum_terms).collect();
+    let blocks: Vec<RatioTerm> = terms.chunks(BLOCK_SECONDS).map(sum_terms).collect();
     let value = total.numerator / total.denominator;
     let interval = if blocks.len() < MIN_BLOCKS { None } else { bootstrap_interval(&blocks, seed) };
     Some(Estimate { value, interval })
 }
 
-/// The weight served within its latency objective, as a share of the weight requested.
+/// Estimates the priority weight served within its latency objective as a share of the requested
+/// weight.
 pub fn estimate_served_in_time(seconds: &[Totals], seed: u64) -> Option<Estimate> {
     let term = |second: &Totals| RatioTerm {
         numerator: second.in_time_weight,
@@ -82,7 +86,8 @@
     estimate_ratio(&seconds.iter().map(term).collect::<Vec<_>>(), seed)
 }
 
-/// The weight served, late responses at their late weight, as a share of the weight requested.
+/// Estimates the earned priority weight as a share of the requested weight. A late response earns
+/// its class's late weight.
 pub fn estimate_served(seconds: &[Totals], seed: u64) -> Option<Estimate> {
     let term = |second: &Totals| RatioTerm {
         numerator: second.earned_weight,
@@ -91,16 +96,16 @@
     estimate_ratio(&seconds.iter().map(term).collect::<Vec<_>>(), seed)
 }
 
-/// The mean of a value by second.
+/// Estimates the mean of a value that is given per second; `None` without values.
 pub fn estimate_mean(values: &[f64], seed: u64) -> Option<Estimate> {
     let term = |value: &f64| RatioTerm { numerator: *value, denominator: 1.0 };
     estimate_ratio(&values.iter().map(term).collect::<Vec<_>>(), seed)
 }
 
-fn sum_terms(rows: &[RatioTerm]) -> RatioTerm {
-    rows.iter().fold(RatioTerm::default(), |sum, row| RatioTerm {
-        numerator: sum.numerator + row.numerator,
-        denominator: sum.denominator + row.denominator,
+fn sum_terms(terms: &[RatioTerm]) -> RatioTerm {
+    terms.iter().fold(RatioTerm::default(), |sum, term| RatioTerm {
+        numerator: sum.numerator + term.numerator,
+        denominator: sum.denominator + term.denominator,
     })
 }
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,9 +1,9 @@
-//! Capacity planning from recorded traffic. Input: a recording and a description of the fleet.
-//! Output: what breaks first, how many edge caches a goal needs, and what losses of endpoints do,
-//! with a confidence interval for each figure.
+//! Capacity planning from recorded traffic. The input is a recording and a description of the
+//! fleet. The output lists the resources that saturate first, the number of edge caches that a goal
+//! needs, and the effect of losing endpoints, with confidence intervals where the recording is long enough for them.
 //!
-//! The crate has no I/O and no clock, and shares nothing but file formats with the simulated fleets
-//! that its predictions are checked on. docs/capacity.md describes the model.
+//! The crate does no I/O and reads no clock. It shares only file formats with the simulator that
+//! its predictions are checked against. docs/capacity.md describes the model.
 
 pub mod calibration;
 pub mod confidence;
