--- a/crates/capacity/src/network.rs
+++ b/crates/capacity/src/network.rs
@@ -1,21 +1,23 @@
-//! The network that a load is replayed over: what the fleet file gives, completed from the recorded
-//! endpoint list and by calibration.
+//! The network that a load is replayed over: the fleet file, completed from the recorded endpoint
+//! list and by calibration.
 
 use crate::error::PlanError;
 use crate::fleet::{self, Fleet, WarmUp};
 use crate::placement::{endpoint_hash, WeightedEndpoint};
 use crate::trace::{ListedEndpoint, Trace};
 
-/// Latencies that a recording shows and no operator writes down, in microseconds.
+/// Latencies that are calibrated from a recording, as the fleet file does not give them. In
+/// microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseDelays {
-    /// From a request to the first byte of a hit in an edge cache.
+    /// Time from a request to the first byte of a cache hit in an edge cache.
     pub hit_us: f64,
-    /// What a fill from a parent cache takes more than a hit, until its first byte.
+    /// Additional time until the first byte of a fill from a parent cache, compared with a hit.
     pub parent_us: f64,
-    /// What a fetch from the origin takes more than that: the way to it and its work.
+    /// Additional time until the first byte of a fetch from the origin, compared with a fill that
+    /// hits in the parent cache: network latency and the origin's service time.
     pub origin_us: f64,
-    /// A write, from the request to its response.
+    /// Time from a write request to its response.
     pub write_us: f64,
 }
 
@@ -30,108 +32,111 @@
     }
 }
 
-/// An edge cache's processor.
+/// Processor capacity of an edge cache.
 #[derive(Clone, Copy, Debug)]
 pub struct Processor {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// The work of one request, in microseconds.
+    /// Processor time per request, in microseconds.
     pub request_us: f64,
 }
 
-/// An edge cache.
+/// An edge cache of the replayed network.
 #[derive(Clone, Debug)]
 pub struct EdgeCacheNode {
-    /// Its name.
+    /// Name: the site's name and the position in the site from 1, such as `cairo-1`.
     pub name: String,
-    /// Its identity in hashed orders.
+    /// Hash of the endpoint's unique name; its identity in hash orders.
     pub hash: u64,
-    /// Its outbound link, in flows.
+    /// Capacity of its outbound link, in flows.
     pub link_flows: f64,
-    /// Its capacity, in bytes; infinite where it is neither given nor calibrated.
+    /// Storage capacity, in bytes; infinite if it is neither given nor calibrated.
     pub cache_bytes: f64,
-    /// How many fills it runs at most; `usize::MAX` without a limit.
+    /// Maximum number of concurrent fills; `usize::MAX` if unlimited.
     pub max_fills: usize,
-    /// Its processor, if it is judged.
+    /// Processor capacity; `None` if the fleet file does not give both cores and work per request,
+    /// and cores are not evaluated.
     pub processor: Option<Processor>,
 }
 
-/// A site.
+/// A site of the replayed network.
 #[derive(Clone, Debug)]
 pub struct SiteNetwork {
-    /// Its name.
+    /// Name, as in the fleet file and the recording.
     pub name: String,
-    /// Its edge caches.
+    /// Edge caches of the site, in the order of their numbers.
     pub edge_caches: Vec<EdgeCacheNode>,
-    /// The inbound link that its fills share, in flows.
+    /// Capacity of the inbound link that all fills of the site share, in flows.
     pub link_in_flows: f64,
 }
 
-/// A parent cache.
+/// A parent cache of the replayed network.
 #[derive(Clone, Debug)]
 pub struct ParentCacheNode {
-    /// Its name.
+    /// Name, as in the fleet file.
     pub name: String,
-    /// Its identity in hashed orders.
+    /// Hash of the endpoint's unique name; its identity in hash orders.
     pub hash: u64,
-    /// Its outbound link, in flows.
+    /// Capacity of its outbound link, in flows.
     pub link_flows: f64,
-    /// Its capacity, in bytes.
+    /// Storage capacity, in bytes; infinite if the fleet file does not give it.
     pub cache_bytes: f64,
-    /// How many fetches it runs at most; `usize::MAX` without a limit.
+    /// Maximum number of concurrent fetches from the origin; `usize::MAX` if unlimited.
     pub max_fetches: usize,
 }
 
-/// The origin's limits, where they are known.
+/// Limits of the origin; `None` for a limit that the fleet file does not give.
 #[derive(Clone, Debug)]
 pub struct OriginLimits {
-    /// How many calls it works on at a time.
+    /// Maximum number of calls that the origin executes at the same time.
     pub workers: Option<usize>,
-    /// Calls per second above which it rejects.
+    /// Rate of calls above which the origin rejects, in calls per second.
     pub max_calls_per_s: Option<f64>,
-    /// Its outbound link, in flows.
+    /// Capacity of its outbound link, in flows.
     pub link_flows: Option<f64>,
-    /// Its service time for one call, in microseconds; 0 if unknown.
+    /// Service time per call, in microseconds; 0 if it is neither given nor calibrated.
     pub service_us: f64,
 }
 
-/// How clients retry.
+/// Retry behaviour of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// How many times a client retries.
+    /// Maximum number of retries per request.
     pub max_retries: u32,
-    /// The shortest wait before a retry, in microseconds; the longest is twice that.
+    /// Minimum wait before a retry, in microseconds; the maximum is twice that.
     pub min_wait_us: f64,
 }
 
-/// The whole network.
+/// The whole network that a load is replayed over.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// The sites: those of the recording in its order, then those without load.
+    /// Sites: those of the recording in the recording's order, then those without recorded load.
     pub sites: Vec<SiteNetwork>,
-    /// The parent caches.
+    /// Parent caches, in the order of the fleet file.
     pub parent_caches: Vec<ParentCacheNode>,
-    /// The rate of a flow, in bytes per second.
+    /// Rate of one flow, a transfer to a client, in bytes per second.
     pub flow_bytes_per_s: f64,
-    /// The rate of a fill, in flows.
+    /// Maximum rate of a fill, in flows.
     pub fill_speedup: f64,
-    /// The origin.
+    /// Limits of the origin.
     pub origin: OriginLimits,
-    /// Clients' retries.
+    /// Retry behaviour of clients.
     pub retries: RetryPolicy,
-    /// How caches warm up after a loss.
+    /// Warm-up of caches that return after a loss.
     pub warm_up: WarmUp,
-    /// Latencies.
+    /// Response latencies: defaults until they are calibrated.
     pub delays: ResponseDelays,
-    /// What was calibrated or assumed, as lines for the plan.
+    /// Values that were calibrated or assumed, one line each, for the printed plan.
     pub calibration_notes: Vec<String>,
 }
 
 impl Network {
-    /// The network of a fleet, for a recording's sites.
+    /// Builds the network of a fleet for the sites of a recording. Response delays have their
+    /// defaults, and the notes say which links take their capacity from the endpoint list.
     ///
     /// # Errors
-    /// The fleet lacks a site of the recording, or a link's capacity is known from neither.
+    /// The fleet lacks a site of the recording, or neither of them gives the link capacity of a
+    /// site's edge caches.
     pub fn new(fleet: &Fleet, trace: &Trace) -> Result<Network, PlanError> {
         let mut calibration_notes = Vec::new();
         let mut sites = Vec::new();
@@ -160,8 +165,8 @@
         })
     }
 
-    /// The same network with `count` edge caches at a site: the last ones are removed, or ones like
-    /// the last are added.
+    /// Returns the same network with `count` edge caches at a site, at least 1. Surplus edge caches
+    /// are removed from the end; additional ones are copies of the last.
     pub fn with_edge_caches(&self, site: usize, count: usize) -> Network {
         let mut network = self.clone();
         let site = &mut network.sites[site];
@@ -175,12 +180,12 @@
         network
     }
 
-    /// How many edge caches there are in all.
+    /// Returns the number of edge caches over all sites.
     pub fn edge_cache_count(&self) -> usize {
         self.sites.iter().map(|site| site.edge_caches.len()).sum()
     }
 
-    /// The parent caches, for placement.
+    /// Returns the parent caches with their weights for placement.
     pub fn weighted_parents(&self) -> Vec<WeightedEndpoint> {
         let weighted =
             |node: &ParentCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
@@ -216,7 +221,7 @@
         })
     }
 
-    /// The edge caches, for placement.
+    /// Returns the site's edge caches with their weights for placement.
     pub fn weighted_edge_caches(&self) -> Vec<WeightedEndpoint> {
         let weighted =
             |node: &EdgeCacheNode| WeightedEndpoint { hash: node.hash, weight: node.link_flows };
@@ -225,7 +230,9 @@
 }
 
 impl EdgeCacheNode {
-    /// The edge cache at a position in its site, as `listed` if the recording lists it.
+    /// Creates the edge cache at position `index` of its site. `listed` is its entry in the
+    /// recorded endpoint list, if there is one; without it, `mean_weight` is its link capacity
+    /// unless the fleet file gives one.
     fn new(
         site: &fleet::Site,
         index: usize,
@@ -265,7 +272,8 @@
     }
 }
 
-/// The fleet's sites: those of the recording in its order, then the others.
+/// Returns the fleet's sites: those of the recording in the recording's order, then the others.
+/// Fails if the fleet lacks a site of the recording.
 fn sites_in_trace_order<'a>(
     fleet: &'a Fleet,
     trace: &Trace,
@@ -279,7 +287,7 @@
     Ok(ordered)
 }
 
-/// The edge caches that the recording lists for a site, by unique name.
+/// Returns the edge caches that the recording lists for a site, sorted by unique name.
 fn listed_edge_caches<'a>(site: &fleet::Site, trace: &'a Trace) -> Vec<&'a ListedEndpoint> {
     let mut listed: Vec<&ListedEndpoint> = trace
         .listed_endpoints
@@ -290,7 +298,7 @@
     listed
 }
 
-/// The mean weight of the endpoints that have one; 0 if none has.
+/// Returns the mean of the positive weights; 0 if no endpoint has one.
 fn mean_known_weight(listed: &[&ListedEndpoint]) -> f64 {
     let weights = listed.iter().map(|endpoint| endpoint.weight);
     let known: Vec<f64> = weights.filter(|weight| *weight > 0.0).collect();
