--- a/crates/capacity/src/eviction.rs
+++ b/crates/capacity/src/eviction.rs
@@ -1,22 +1,22 @@
-//! A bounded cache with priorities: the lower priority is evicted first, and within a priority what
-//! was used least recently.
+//! A bounded LRU cache with retention priorities: copies of a lower priority are evicted first, and
+//! within one priority the least recently used copy.
 
 use crate::trace::ChunkId;
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a copy is to be retained relative to others.
+/// Retention priority of a cached copy; lower priorities are evicted first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetentionPriority {
-    /// Evicted before all others.
+    /// Evicted before copies of any other priority.
     Lowest,
-    /// A copy that was requested once, or that is one of several replicas.
+    /// For a copy that was requested once, or that is not at the chunk's preferred edge cache.
     #[default]
     Normal,
-    /// A copy that was requested again recently.
+    /// For a copy that was requested again recently.
     High,
 }
 
-/// A copy's place in the order of eviction: by priority, then by last use.
+/// Position of a copy in the eviction order: by priority, then by last use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     priority: RetentionPriority,
@@ -30,7 +30,7 @@
     created_us: u64,
 }
 
-/// A cache of chunks that is bounded in bytes.
+/// A cache of chunks whose total size is bounded.
 #[derive(Debug)]
 pub struct LruCache {
     capacity_bytes: f64,
@@ -41,7 +41,7 @@
 }
 
 impl LruCache {
-    /// An empty cache of that many bytes.
+    /// Creates an empty cache that holds up to `capacity_bytes`.
     pub fn new(capacity_bytes: f64) -> LruCache {
         LruCache {
             capacity_bytes,
@@ -52,8 +52,9 @@
         }
     }
 
-    /// When the copy of a chunk was created, if there is one not older than `not_before_us`. A hit
-    /// counts as a use, and raises the copy's priority to `priority`.
+    /// Returns the creation time of a chunk's copy, or `None` if there is no copy or it was created
+    /// before `not_before_us`. A hit counts as a use, and raises the copy's priority to at least
+    /// `priority`.
     pub fn lookup(
         &mut self,
         chunk: ChunkId,
@@ -69,7 +70,8 @@
         Some(copy.created_us)
     }
 
-    /// Stores a copy, unless that would evict copies of a higher priority.
+    /// Stores a copy in place of any older copy of the chunk, and evicts others to make room for
+    /// it. If only copies of a higher priority are left to evict, the new copy is not stored.
     pub fn insert(
         &mut self,
         chunk: ChunkId,
@@ -104,7 +106,8 @@
         *self = LruCache::new(self.capacity_bytes);
     }
 
-    /// The chunk to evict for one of `priority`; none if all that is left is more important.
+    /// Returns the chunk to evict for a new copy of `priority`, or `None` if the cache is empty or
+    /// holds only copies of a higher priority.
     fn next_victim(&self, priority: RetentionPriority) -> Option<ChunkId> {
         let (rank, chunk) = self.eviction_order.first_key_value()?;
         (rank.priority <= priority).then_some(*chunk)
--- a/crates/capacity/src/replication.rs
+++ b/crates/capacity/src/replication.rs
@@ -1,34 +1,39 @@
-//! How many edge caches a chunk is spread over. A chunk that takes more than its share of a
-//! router's requests is replicated on the first 1, 3, 7, ... endpoints of its hashed order; each
-//! level doubles the block that is added. The rule is the decision module's.
+//! Replication of popular chunks over several edge caches, by the same rule as the decision module.
+//! A chunk that receives more than its share of a router's requests is replicated on the first 1,
+//! 3, 7, ... endpoints of its hash order: each replication level adds a block of endpoints twice as
+//! large as the block before.
 
 use crate::trace::ChunkId;
 use std::collections::HashMap;
 
-/// The shortest time over which requests are counted.
+/// Minimum length of a sampling interval, in microseconds.
 const MIN_SAMPLING_INTERVAL_US: u64 = 1_000_000;
-/// The fewest requests that a count is judged by, unless the interval reaches `LEVEL_DECAY_US`.
+/// Minimum number of requests in a sampling interval, unless the interval reaches `LEVEL_DECAY_US`.
 const MIN_SAMPLED_REQUESTS: u32 = 40;
-/// A level falls by one after a chunk's count has stayed below its threshold this long.
+/// Time after which a level falls by one if the chunk's count has stayed below its threshold, in
+/// microseconds.
 const LEVEL_DECAY_US: u64 = 10_000_000;
-/// A level rises when a chunk's count exceeds this many times the next block's share of requests.
-const WIDEN_SHARE: f64 = 0.5;
-/// By how many standard errors a count must exceed its threshold, so that chance widens nothing.
-const WIDEN_STANDARD_ERRORS: f64 = 2.0;
+/// Threshold for raising a level, as a share of the requests that the block added by the level
+/// would receive if requests were spread evenly over all endpoints.
+const RAISE_SHARE: f64 = 0.5;
+/// Number of standard errors by which a chunk's count must exceed the threshold, so that random
+/// variation does not raise a level.
+const RAISE_STANDARD_ERRORS: f64 = 2.0;
 /// Weight of the latest interval in the moving average of the request rate.
 const RATE_SMOOTHING: f64 = 0.2;
-/// The largest level that is computed with; its block is larger than any site.
+/// Maximum level used in computations; its block is larger than any site.
 const MAX_LEVEL: u32 = 20;
 
-/// A replicated chunk.
+/// The replication level of a replicated chunk.
 #[derive(Clone, Copy, Debug)]
 struct ChunkLevel {
     level: u32,
-    /// When the chunk's count last justified the level.
+    /// Time at which the level was raised, lowered, or last confirmed by the chunk's count, in
+    /// microseconds.
     justified_us: u64,
 }
 
-/// The replication levels that one router keeps.
+/// Replication levels of the chunks that one router has received requests for.
 #[derive(Debug, Default)]
 pub struct ReplicationLevels {
     interval_began_us: u64,
@@ -39,7 +44,8 @@
 }
 
 impl ReplicationLevels {
-    /// Counts a request and returns how many endpoints of its order the chunk is spread over.
+    /// Counts a request for a chunk and returns the number of endpoints of its hash order that the
+    /// chunk is replicated on: at least 1, and at most `endpoint_count`.
     pub fn record_request(&mut self, now_us: u64, chunk: ChunkId, endpoint_count: usize) -> usize {
         let elapsed_us = now_us.saturating_sub(self.interval_began_us);
         let sampled_enough = self.sampled_requests >= MIN_SAMPLED_REQUESTS;
@@ -52,17 +58,18 @@
         (replica_count(self.level(chunk)) as usize).min(endpoint_count).max(1)
     }
 
-    /// A chunk's level; 0 is one replica.
+    /// Returns a chunk's replication level; 0 is a single replica.
     pub fn level(&self, chunk: ChunkId) -> u32 {
         self.levels.get(&chunk).map_or(0, |entry| entry.level)
     }
 
-    /// Whether no chunk is replicated.
+    /// Returns whether no chunk has more than one replica.
     pub fn is_empty(&self) -> bool {
         self.levels.is_empty()
     }
 
-    /// Raises and lowers levels by what was counted, and begins another interval.
+    /// Ends the sampling interval: raises and lowers levels by the requests counted in it, and
+    /// begins the next one.
     fn end_interval(&mut self, now_us: u64, elapsed_s: f64, endpoint_count: f64) {
         let rate = f64::from(self.sampled_requests) / elapsed_s.max(1e-6);
         self.requests_per_s = if self.requests_per_s == 0.0 {
@@ -72,15 +79,15 @@
         };
         let expected_requests = self.requests_per_s.max(rate) * elapsed_s;
         let threshold = |level: u32| {
-            WIDEN_SHARE * f64::from(1u32 << level.min(MAX_LEVEL)) / endpoint_count
+            RAISE_SHARE * f64::from(1u32 << level.min(MAX_LEVEL)) / endpoint_count
                 * expected_requests
         };
         for (chunk, count) in std::mem::take(&mut self.sampled_by_chunk) {
             let count = f64::from(count);
             let level = self.level(chunk);
-            let can_widen = f64::from(replica_count(level)) < endpoint_count;
-            let surely_counted = count - WIDEN_STANDARD_ERRORS * count.sqrt();
-            if can_widen && surely_counted > threshold(level + 1) {
+            let can_raise = f64::from(replica_count(level)) < endpoint_count;
+            let count_lower_bound = count - RAISE_STANDARD_ERRORS * count.sqrt();
+            if can_raise && count_lower_bound > threshold(level + 1) {
                 self.levels.insert(chunk, ChunkLevel { level: level + 1, justified_us: now_us });
             } else if level > 0 && count > threshold(level) {
                 self.levels.insert(chunk, ChunkLevel { level, justified_us: now_us });
@@ -102,7 +109,7 @@
     }
 }
 
-/// Endpoints that a chunk of that level is spread over: 1, 3, 7, ...
+/// Returns the number of endpoints that a chunk of a level is replicated on: 1, 3, 7, ...
 fn replica_count(level: u32) -> u32 {
     (2u32 << level.min(MAX_LEVEL)) - 1
 }
--- a/crates/capacity/src/reuse_distance.rs
+++ b/crates/capacity/src/reuse_distance.rs
@@ -1,21 +1,22 @@
-//! Reuse distances: how many bytes of other chunks were requested between two requests for the same
-//! chunk. An LRU cache still has the chunk if it holds more than that, so one pass over the load
-//! gives the hit ratio for every cache size (Mattson's stack distances).
+//! Reuse distances: the bytes of other chunks that are requested between two requests for the same
+//! chunk. An LRU cache still holds the chunk if the cache is larger than that, so one pass over the
+//! load gives the hit ratio for every cache size (Mattson's stack distances).
 //!
-//! Exact distances take a tree with one leaf per request. Sampled ones follow only chunks whose
-//! hash falls below a bound and scale distances up, which leaves the curve unbiased (SHARDS).
+//! Exact distances need a tree with one leaf per request. Sampled distances follow only the chunks
+//! whose hash is below a bound, and are scaled up accordingly, which leaves the curve unbiased
+//! (SHARDS).
 
 use crate::trace::ChunkId;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The smallest share of chunks that can be sampled.
+/// Lower bound of the share of chunks that a sample follows.
 const MIN_SAMPLE_SHARE: f64 = 1e-6;
-/// Taken off a count that was computed from a ratio, so that the ratio finds its own count again
-/// despite rounding.
+/// Subtracted from a hit count that was computed from a hit ratio before it is rounded up, so that
+/// rounding errors do not raise it to the next count.
 const COUNT_TOLERANCE: f64 = 1e-6;
 
-/// Sums over prefixes of an array that changes one element at a time.
+/// A Fenwick tree: prefix sums of an array whose elements change one at a time.
 #[derive(Debug)]
 struct FenwickTree {
     partial_sums: Vec<f64>,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The sum of all elements before `index`.
+    /// Returns the sum of all elements before `index`.
     fn sum_before(&self, index: usize) -> f64 {
         let mut node = index;
         let mut sum = 0.0;
@@ -46,20 +47,21 @@
     }
 }
 
-/// A request for a chunk, as a cache sees it.
+/// A request for a chunk that reaches a cache.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheAccess {
-    /// When, in microseconds.
+    /// Time of the request, in microseconds.
     pub at_us: u64,
-    /// The chunk.
+    /// The requested chunk.
     pub chunk: ChunkId,
-    /// The chunk's size.
+    /// Size of the chunk, in bytes.
     pub bytes: f64,
-    /// A copy created before this is not valid: it was purged, or is no longer fresh.
+    /// Oldest valid creation time of a copy, in microseconds. A copy created earlier was purged or
+    /// is no longer fresh.
     pub not_before_us: u64,
 }
 
-/// The last access to a chunk.
+/// The most recent access to a chunk.
 #[derive(Clone, Copy, Debug)]
 struct LastAccess {
     index: usize,
@@ -67,20 +69,22 @@
     bytes: f64,
 }
 
-/// The hit ratio as a function of cache size.
+/// The hit ratio of an LRU cache as a function of its size.
 #[derive(Clone, Debug, Default)]
 pub struct HitRatioCurve {
-    /// Distances of requests that a large enough cache serves, in ascending order.
+    /// Reuse distances of the followed requests that an unbounded cache serves, in bytes and in
+    /// ascending order.
     distances: Vec<f64>,
-    /// Requests for chunks that were followed.
+    /// Number of requests for followed chunks.
     requests: f64,
-    /// Requests that a sample should have followed less those that it did follow. Chunks with most
-    /// requests are few, so whether they are in the sample is chance; theirs are short distances.
+    /// Expected number of followed requests less the actual number; 0 without sampling. It counts
+    /// as hits at any cache size: the deviation is mostly due to the few most requested chunks,
+    /// which are in the sample or not by chance and have short distances.
     sampling_deficit: f64,
 }
 
 impl HitRatioCurve {
-    /// The share of requests that a cache of so many bytes serves.
+    /// Returns the share of requests that a cache of `cache_bytes` serves.
     pub fn hit_ratio(&self, cache_bytes: f64) -> f64 {
         let hits = self.distances.partition_point(|distance| *distance <= cache_bytes) as f64;
         let requests = self.requests + self.sampling_deficit;
@@ -91,7 +95,8 @@
         }
     }
 
-    /// The smallest cache that serves that share of requests; none if no size does.
+    /// Returns the smallest cache size in bytes with at least this hit ratio, or `None` if no size
+    /// reaches it.
     pub fn min_size_for(&self, hit_ratio: f64) -> Option<f64> {
         let hits = hit_ratio * (self.requests + self.sampling_deficit);
         let followed_hits =
@@ -102,14 +107,14 @@
         self.distances.get(followed_hits - 1).copied()
     }
 
-    /// The hit ratio of an unbounded cache.
+    /// Returns the hit ratio of an unbounded cache.
     pub fn max_hit_ratio(&self) -> f64 {
         self.hit_ratio(f64::INFINITY)
     }
 }
 
-/// The curve of a load that meets one cache. `sample_share` is the share of chunks that are
-/// followed; 1 follows all.
+/// Computes the hit ratio curve of the requests that reach one cache, in order of time.
+/// `sample_share` is the share of chunks that are followed; 1 follows all.
 pub fn hit_ratio_curve(
     accesses: impl Iterator<Item = CacheAccess>,
     sample_share: f64,
@@ -132,19 +137,20 @@
     curve
 }
 
-/// The reuse distance of every access that finds a valid copy in an unbounded cache.
+/// Returns the reuse distance of every access that finds a valid copy in an unbounded cache,
+/// including the size of the requested chunk itself.
 fn reuse_distances(accesses: &[CacheAccess], sample_share: f64) -> Vec<f64> {
     let mut bytes_by_last_access = FenwickTree::new(accesses.len());
     let mut last_access: HashMap<ChunkId, LastAccess> = HashMap::new();
     let mut distances = Vec::new();
     for (index, access) in accesses.iter().enumerate() {
-        // A copy is as old as the last request that had to fetch one.
+        // A copy dates from the last access that did not find a valid one.
         let mut copy_created_us = access.at_us;
         if let Some(last) = last_access.get(&access.chunk).copied() {
             if last.copy_created_us >= access.not_before_us {
                 let between = bytes_by_last_access.sum_before(index)
                     - bytes_by_last_access.sum_before(last.index);
-                // The chunk itself takes up space as well.
+                // The requested chunk itself takes up space in the cache as well.
                 distances.push((between - last.bytes).max(0.0) / sample_share + access.bytes);
                 copy_created_us = last.copy_created_us;
             }
--- a/crates/capacity/src/shared_link.rs
+++ b/crates/capacity/src/shared_link.rs
@@ -1,14 +1,17 @@
-//! A link that transfers share evenly (processor sharing), each at no more than its own rate.
+//! A link whose capacity is shared evenly by its active transfers (processor sharing), each limited
+//! to a maximum rate of its own.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashSet};
 
-/// Below this many bytes a transfer has completed, whatever the link's rate: rounding of doubles.
+/// Remaining bytes below which a transfer counts as complete at any link rate, to absorb rounding
+/// errors.
 const COMPLETION_TOLERANCE_BYTES: f64 = 1e-9;
-/// Times are whole microseconds, so a transfer within half of one of its end has completed.
+/// Remaining time within which a transfer counts as complete: event times are rounded to whole
+/// microseconds.
 const COMPLETION_TOLERANCE_US: f64 = 0.5;
 
-/// When a transfer ends, in terms of the link's level.
+/// The level of the link, see [`SharedLink`], at which a transfer completes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct TransferEnd {
     level: f64,
@@ -29,12 +32,13 @@
     }
 }
 
-/// A shared link. Times are in microseconds, sizes in bytes.
+/// A shared link. Times are in microseconds, sizes in bytes. Transfers are tracked by the link's
+/// level: the bytes that a transfer active since the start would have moved.
 #[derive(Debug)]
 pub struct SharedLink {
     bytes_per_us: f64,
     max_transfer_bytes_per_us: f64,
-    /// Bytes that a transfer which was active all the time has moved.
+    /// Bytes that a transfer active since the start would have moved.
     level: f64,
     now_us: f64,
     ends: BinaryHeap<Reverse<TransferEnd>>,
@@ -44,7 +48,8 @@
 }
 
 impl SharedLink {
-    /// A link of that capacity, of which one transfer takes at most `max_transfer_bytes_per_s`.
+    /// Creates a link with a capacity of `bytes_per_s`, of which a single transfer uses at most
+    /// `max_transfer_bytes_per_s`.
     pub fn new(bytes_per_s: f64, max_transfer_bytes_per_s: f64) -> SharedLink {
         SharedLink {
             bytes_per_us: bytes_per_s / 1e6,
@@ -58,12 +63,12 @@
         }
     }
 
-    /// Transfers that are active now.
+    /// Returns the number of active transfers.
     pub fn active_transfers(&self) -> usize {
         self.active_transfers
     }
 
-    /// Lets time pass until `now_us`.
+    /// Advances the link to `now_us`.
     pub fn advance(&mut self, now_us: u64) {
         let now_us = now_us as f64;
         while self.now_us < now_us {
@@ -71,7 +76,7 @@
                 self.now_us = now_us;
                 return;
             }
-            // Second by second, for the account of what was carried.
+            // Advances in steps of at most one second, since carried bytes are counted per second.
             let second = (self.now_us / 1e6) as usize;
             let until_us = now_us.min((second as f64 + 1.0) * 1e6);
             let moved = (until_us - self.now_us) * self.transfer_rate();
@@ -84,13 +89,13 @@
         }
     }
 
-    /// Changes the capacity from now on.
+    /// Changes the capacity of the link from `now_us` on.
     pub fn set_capacity(&mut self, now_us: u64, bytes_per_s: f64) {
         self.advance(now_us);
         self.bytes_per_us = bytes_per_s / 1e6;
     }
 
-    /// Starts a transfer. Identifiers must not be used twice.
+    /// Starts a transfer. Each identifier may be used only once per link.
     pub fn start(&mut self, now_us: u64, transfer: u64, bytes: f64) {
         self.advance(now_us);
         self.ends.push(Reverse(TransferEnd { level: self.level + bytes, transfer }));
@@ -105,7 +110,8 @@
         }
     }
 
-    /// When the next transfer completes if nothing changes.
+    /// Returns the time at which the next transfer completes if no transfer starts or ends before,
+    /// or `None` if no transfer is active.
     pub fn next_completion_us(&mut self) -> Option<u64> {
         self.discard_aborted();
         let Reverse(next) = self.ends.peek()?;
@@ -113,7 +119,8 @@
         Some((self.now_us + remaining / self.transfer_rate()).ceil() as u64)
     }
 
-    /// Removes one transfer that has completed by now.
+    /// Removes one transfer that has completed by `now_us` and returns its identifier, or `None` if
+    /// no other has.
     pub fn take_completed(&mut self, now_us: u64) -> Option<u64> {
         self.advance(now_us);
         self.discard_aborted();
@@ -127,7 +134,7 @@
         Some(next.transfer)
     }
 
-    /// The share of the link's capacity that was used in a second.
+    /// Returns the share of the link's current capacity that was used in a second, counted from 0.
     pub fn utilization(&self, second: usize) -> f64 {
         let capacity = self.bytes_per_us * 1e6;
         if capacity > 0.0 {
@@ -137,7 +144,7 @@
         }
     }
 
-    /// The rate of each active transfer, in bytes per microsecond.
+    /// Returns the rate of each active transfer, in bytes per microsecond.
     fn transfer_rate(&self) -> f64 {
         let even_share = self.bytes_per_us / self.active_transfers.max(1) as f64;
         self.max_transfer_bytes_per_us.min(even_share)
--- a/crates/capacity/src/worker_pool.rs
+++ b/crates/capacity/src/worker_pool.rs
@@ -1,12 +1,12 @@
-//! Workers that calls wait for in order of arrival, behind a limit of calls per second.
+//! A pool of workers that serves calls in order of arrival, behind a limit on the rate of calls.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// The window over which the limit of calls counts.
+/// Length of the sliding window in which the rate limit counts calls, in microseconds.
 const RATE_LIMIT_WINDOW_US: u64 = 1_000_000;
 
-/// A first-come, first-served pool. Times are in microseconds.
+/// A first-come, first-served worker pool with a rate limit. Times are in microseconds.
 #[derive(Debug)]
 pub struct WorkerPool {
     worker_count: usize,
@@ -17,8 +17,8 @@
 }
 
 impl WorkerPool {
-    /// A pool of that many workers, without one: as many as there are calls. Calls above
-    /// `max_calls_per_s` are rejected.
+    /// Creates a pool of `worker_count` workers, or of unlimited size if `None`. Calls above
+    /// `max_calls_per_s` are rejected; `None` is no limit.
     pub fn new(worker_count: Option<usize>, max_calls_per_s: Option<f64>) -> WorkerPool {
         WorkerPool {
             worker_count: worker_count.unwrap_or(usize::MAX),
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Submits a call and returns when it is done; none if it is rejected. Calls come in order of
-    /// time.
+    /// Submits a call and returns the time at which it completes, or `None` if the rate limit
+    /// rejects it. Calls must be submitted in order of time.
     pub fn submit(&mut self, now_us: u64, service_time_us: u64) -> Option<u64> {
         self.count_call(now_us);
         if !self.admit(now_us) {
@@ -49,7 +49,7 @@
         Some(done_us)
     }
 
-    /// Calls by second, rejected ones among them.
+    /// Returns the number of calls in each second, including rejected ones.
     pub fn calls_by_second(&self) -> &[f64] {
         &self.calls_by_second
     }
@@ -62,7 +62,7 @@
         self.calls_by_second[second] += 1.0;
     }
 
-    /// Whether the limit of calls lets one more pass.
+    /// Returns whether the rate limit admits another call, and counts the call if so.
     fn admit(&mut self, now_us: u64) -> bool {
         let expired = |call_us: &u64| *call_us + RATE_LIMIT_WINDOW_US < now_us;
         while self.recent_calls_us.front().is_some_and(expired) {
