--- a/crates/capacity/src/calibration/cache_size.rs
+++ b/crates/capacity/src/calibration/cache_size.rs
@@ -1,43 +1,48 @@
-//! How much the edge caches of a site hold: the size at which the reuse distances of the site's own
-//! load give as many hits as its responses show.
+//! Calibration of the capacity of edge caches: the size at which the reuse distances of a site's
+//! own load give the hit ratio that the site's responses show.
 
-use super::{latency_beside_sending_us, MIN_TIMED_RESPONSES};
+use super::{latency_excluding_transfer_us, MIN_TIMED_RESPONSES};
 use crate::network::Network;
 use crate::placement::{hash_order, placement_seed};
 use crate::reuse_distance::{hit_ratio_curve, CacheAccess, HitRatioCurve};
 use crate::trace::{PurgeLog, Trace};
 
-/// A response that took this share of its sending time more than the fastest was no plain hit.
+/// Share of its transfer time that a hit may take in addition to the maximum delay of hits. A
+/// slower response was not a plain hit.
 const HIT_SLOWDOWN: f64 = 0.25;
-/// With more requests than this only a sample of the chunks is followed.
+/// Number of requests up to which every chunk is followed; a longer trace is sampled.
 const MAX_EXACT_REQUESTS: usize = 200_000;
-/// The share of chunks that a sample follows.
+/// Share of chunks that is followed if the trace is sampled.
 const SAMPLE_SHARE: f64 = 0.1;
-/// A hit ratio this close to the highest possible says that the caches hold all that is requested.
+/// Difference from the maximum possible hit ratio below which caches count as large enough for
+/// everything that is requested.
 const UNBOUNDED_TOLERANCE: f64 = 0.02;
-/// Halvings of the interval in which the size is sought: far below a byte for any cache.
+/// Number of bisection steps in the search for the size: enough to find it to well below a byte for
+/// any cache.
 const BISECTION_STEPS: usize = 40;
 
-/// The load of a site's edge caches, and the hits that its responses show.
+/// The accesses to a site's edge caches, and the hits that its responses show.
 struct SiteObservation {
-    /// Accesses by edge cache.
+    /// Accesses of each edge cache, in order of time.
     accesses: Vec<Vec<CacheAccess>>,
     timed_responses: f64,
     hits: f64,
 }
 
-/// The hit ratio curve of an edge cache, weighted by its requests.
+/// The hit ratio curve of one edge cache with its number of requests, the weight in the site's
+/// mean.
 struct WeightedCurve {
     requests: f64,
     curve: HitRatioCurve,
 }
 
-/// The hit ratio curves of a site's edge caches.
+/// The hit ratio curves of all edge caches of a site.
 struct SiteCurves {
     edge_caches: Vec<WeightedCurve>,
 }
 
-/// Sets the capacity of the edge caches of every site whose file does not give it.
+/// Calibrates the capacity of the edge caches at every site for which the fleet file does not give
+/// it.
 pub(super) fn calibrate(trace: &Trace, network: &mut Network) {
     for site in 0..trace.sites.len() {
         let edge_caches = &network.sites[site].edge_caches;
@@ -49,7 +54,8 @@
     }
 }
 
-/// Sets the capacity of a site's edge caches and says in words what was found.
+/// Calibrates the capacity of a site's edge caches and returns a note for the plan. The capacity
+/// stays unbounded if there are too few responses, or if the hit ratio is close to the maximum.
 fn calibrate_site(trace: &Trace, network: &mut Network, site: usize) -> String {
     let observation = observe_site(trace, network, site);
     if observation.timed_responses < MIN_TIMED_RESPONSES as f64 {
@@ -60,8 +66,10 @@
     let sample_share = if is_sampled { SAMPLE_SHARE } else { 1.0 };
     let curves = SiteCurves::new(observation.accesses, sample_share);
     if hit_ratio + UNBOUNDED_TOLERANCE >= curves.max_hit_ratio() {
-        let held = curves.largest_useful_size(0.0);
-        return format!("its boxes keep all that they are asked for, {held:.0} bytes at least");
+        let useful_bytes = curves.largest_useful_size(0.0);
+        return format!(
+            "its boxes keep all that they are asked for, {useful_bytes:.0} bytes at least"
+        );
     }
     let cache_bytes = curves.size_for(hit_ratio);
     for node in &mut network.sites[site].edge_caches {
@@ -87,8 +95,8 @@
         if usize::from(request.site) != site || class.is_write {
             continue;
         }
-        if let Some(latency_us) = latency_beside_sending_us(trace, request) {
-            let slowdown_us = HIT_SLOWDOWN * trace.sending_time_s(chunk) * 1e6;
+        if let Some(latency_us) = latency_excluding_transfer_us(trace, request) {
+            let slowdown_us = HIT_SLOWDOWN * trace.transfer_time_s(chunk) * 1e6;
             observation.timed_responses += 1.0;
             if latency_us <= max_delay_us + slowdown_us {
                 observation.hits += 1.0;
@@ -114,7 +122,7 @@
         SiteCurves { edge_caches: accesses.into_iter().map(weighted).collect() }
     }
 
-    /// The site's hit ratio if each edge cache holds so many bytes.
+    /// Returns the site's hit ratio if each edge cache holds `cache_bytes`.
     fn hit_ratio(&self, cache_bytes: f64) -> f64 {
         self.weighted_mean(|curve| curve.hit_ratio(cache_bytes))
     }
@@ -123,14 +131,15 @@
         self.weighted_mean(HitRatioCurve::max_hit_ratio)
     }
 
-    /// The size above which no edge cache gains hits, and at least `min_bytes`.
+    /// Returns the size in bytes above which no edge cache gains hits, and at least `min_bytes`.
     fn largest_useful_size(&self, min_bytes: f64) -> f64 {
         let useful_size =
             |weighted: &WeightedCurve| weighted.curve.min_size_for(weighted.curve.max_hit_ratio());
         self.edge_caches.iter().filter_map(useful_size).fold(min_bytes, f64::max)
     }
 
-    /// The size of each edge cache at which the site has that hit ratio, by bisection.
+    /// Returns the size of each edge cache in bytes at which the site has this hit ratio, by
+    /// bisection.
     fn size_for(&self, hit_ratio: f64) -> f64 {
         let (mut low, mut high) = (0.0f64, self.largest_useful_size(1.0));
         for _ in 0..BISECTION_STEPS {
--- a/crates/capacity/src/calibration/delays.rs
+++ b/crates/capacity/src/calibration/delays.rs
@@ -1,28 +1,31 @@
-//! How long responses take to begin, by where they come from.
+//! Calibration of response delays, by the source of the response.
 
-use super::{latency_beside_sending_us, MIN_TIMED_RESPONSES};
+use super::{latency_excluding_transfer_us, MIN_TIMED_RESPONSES};
 use crate::network::Network;
 use crate::replay::{replay, ReplayOptions, ServedFrom};
 use crate::trace::Trace;
 
-/// The fastest responses are hits; this quantile of all is taken for them before any replay.
+/// Quantile of all latencies that is the first estimate of the delay of a hit, before any replay:
+/// the fastest responses are hits.
 const FASTEST_QUANTILE: f64 = 0.05;
-/// The quantile that is taken of the responses from one source: slower ones waited for others too.
-const UNDISTURBED_QUANTILE: f64 = 0.35;
-/// The quantile that is taken of writes, which do not queue behind transfers.
+/// Quantile of the latencies of one source that is its delay: slower responses also waited for
+/// other transfers.
+const UNCONTENDED_QUANTILE: f64 = 0.35;
+/// Quantile of the latencies of writes that is their delay; writes do not queue behind transfers.
 const WRITE_QUANTILE: f64 = 0.5;
 
-/// A first estimate of the delay of hits, from the fastest responses of all.
+/// Makes a first estimate of the delay of hits, from the fastest responses of all reads.
 pub(super) fn calibrate_fastest_hits(trace: &Trace, network: &mut Network) {
     let reads = trace.requests.iter().filter(|request| !trace.class_of(request).is_write);
     let mut latencies: Vec<f64> =
-        reads.filter_map(|request| latency_beside_sending_us(trace, request)).collect();
+        reads.filter_map(|request| latency_excluding_transfer_us(trace, request)).collect();
     if let Some(fastest_us) = quantile(&mut latencies, FASTEST_QUANTILE) {
         network.delays.hit_us = fastest_us.max(0.0);
     }
 }
 
-/// The delays of each source, from the responses that a replay says came from it.
+/// Calibrates the delay of each source, from the responses that a replay attributes to it, and of
+/// writes.
 pub(super) fn calibrate(trace: &Trace, network: &mut Network, seed: u64) {
     let options = ReplayOptions { seed, record_sources: true, ..ReplayOptions::default() };
     let sources = replay(trace, network, &options).sources;
@@ -40,18 +43,18 @@
 }
 
 fn calibrate_sources(trace: &Trace, network: &mut Network, sources: &[ServedFrom]) {
-    if let Some(hit_us) = undisturbed_latency_us(trace, sources, ServedFrom::EdgeCache) {
+    if let Some(hit_us) = uncontended_latency_us(trace, sources, ServedFrom::EdgeCache) {
         network.delays.hit_us = hit_us.max(0.0);
     }
     let hit_us = network.delays.hit_us;
-    match undisturbed_latency_us(trace, sources, ServedFrom::ParentCache) {
+    match uncontended_latency_us(trace, sources, ServedFrom::ParentCache) {
         Some(parent_us) => network.delays.parent_us = (parent_us - hit_us).max(0.0),
         None => network
             .calibration_notes
             .push("fills from a hub: too few to time, the way is assumed".into()),
     }
     let parent_us = network.delays.parent_us;
-    match undisturbed_latency_us(trace, sources, ServedFrom::Origin) {
+    match uncontended_latency_us(trace, sources, ServedFrom::Origin) {
         Some(origin_us) => network.delays.origin_us = (origin_us - hit_us - parent_us).max(0.0),
         None => network
             .calibration_notes
@@ -59,7 +62,8 @@
     }
 }
 
-/// The delay of writes, and the origin's service time where it is not given: that of a write.
+/// Calibrates the delay of writes. It is also the origin's service time if the fleet file gives the
+/// number of workers but no service time.
 fn calibrate_writes(trace: &Trace, network: &mut Network, sources: &[ServedFrom]) {
     let mut latencies: Vec<f64> = trace
         .requests
@@ -80,8 +84,9 @@
     }
 }
 
-/// The latency, beside sending, of responses from one source that waited for nothing else.
-fn undisturbed_latency_us(
+/// Returns the latency, excluding the transfer, of responses from one source that did not wait for
+/// other transfers, in microseconds; `None` if there are too few responses.
+fn uncontended_latency_us(
     trace: &Trace,
     sources: &[ServedFrom],
     wanted: ServedFrom,
@@ -91,12 +96,12 @@
         .iter()
         .zip(sources)
         .filter(|(_, source)| **source == wanted)
-        .filter_map(|(request, _)| latency_beside_sending_us(trace, request))
+        .filter_map(|(request, _)| latency_excluding_transfer_us(trace, request))
         .collect();
-    quantile(&mut latencies, UNDISTURBED_QUANTILE)
+    quantile(&mut latencies, UNCONTENDED_QUANTILE)
 }
 
-/// A quantile of some latencies; none if there are too few.
+/// Returns a quantile of the latencies, or `None` if there are too few to calibrate by.
 fn quantile(latencies: &mut [f64], share: f64) -> Option<f64> {
     if latencies.len() < MIN_TIMED_RESPONSES {
         return None;
--- a/crates/capacity/src/network.rs
+++ b/crates/capacity/src/network.rs
@@ -98,7 +98,7 @@
     pub service_us: f64,
 }
 
-/// Retry behaviour of clients.
+/// Retry behaviour of clients whose requests are not served.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// Maximum number of retries per request.
@@ -120,7 +120,7 @@
     pub fill_speedup: f64,
     /// Limits of the origin.
     pub origin: OriginLimits,
-    /// Retry behaviour of clients.
+    /// Retry behaviour of clients whose requests are not served.
     pub retries: RetryPolicy,
     /// Warm-up of caches that return after a loss.
     pub warm_up: WarmUp,
--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -1,5 +1,5 @@
-//! Recorded load as the planner uses it: clients' first attempts by site with the sizes of the
-//! chunks they ask for, which can be scaled, cut, and filtered.
+//! Recorded load in the form that the planner replays: the first attempts of clients by site, with
+//! the sizes of the requested chunks. A trace can be scaled, cut to an excerpt, and filtered.
 
 mod object_size;
 mod purges;
@@ -12,28 +12,28 @@
 use hollymux_capture::RecordedClass;
 use std::collections::HashMap;
 
-/// A chunk's number: its position in [`Trace::chunks`].
+/// Number of a chunk: its index in [`Trace::chunks`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkId(pub u32);
 
-/// A chunk of an object.
+/// A chunk of an object, as requested in a trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Chunk {
-    /// The object.
+    /// Identifier of the object.
     pub object: u64,
-    /// The chunk's position in the object.
+    /// Position of the chunk in its object, from 0.
     pub index: u32,
-    /// The object's group, which can be purged as a whole.
+    /// Object group, which can be purged as a whole.
     pub group: u8,
-    /// The request class, as an index of [`Trace::classes`].
+    /// Request class, as an index of [`Trace::classes`].
     pub class: u8,
-    /// Its size in bytes: as served, or estimated where it was never served.
+    /// Size in bytes: as served, or estimated if the chunk was never served.
     pub bytes: f32,
     /// Whether the object is unusually large for its class.
     pub is_unusually_large: bool,
 }
 
-/// What identifies a chunk in a recording.
+/// Identity of a chunk in a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ChunkAddress {
     object: u64,
@@ -46,44 +46,46 @@
     }
 }
 
-/// A client's first attempt.
+/// A client's first attempt at a request; retries are not part of a trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// When it arrived, in microseconds from the start of the trace.
+    /// Arrival time, in microseconds from the start of the trace.
     pub arrived_us: u64,
-    /// What it asks for.
+    /// The requested chunk.
     pub chunk: ChunkId,
-    /// The site, as an index of [`Trace::sites`].
+    /// Site of the router that received the request, as an index of [`Trace::sites`].
     pub site: u16,
-    /// The router.
+    /// Number of the router that received the request.
     pub router: u16,
-    /// The viewing that it belongs to: requests of one site for one object that follow each other
-    /// closely.
+    /// Number of the viewing that the request belongs to: the requests of one site for one object
+    /// that follow each other closely.
     pub viewing: u32,
-    /// How long the client waits, in microseconds.
+    /// The client's timeout, in microseconds.
     pub timeout_us: u32,
-    /// How long the recorded response took, in microseconds; none if it was not served.
+    /// Latency of the recorded response, in microseconds; `None` if the request was not served.
     pub latency_us: Option<u32>,
 }
 
-/// The rules for one class of requests.
+/// Objectives and rules for one class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name, as recorded.
     pub name: String,
-    /// The latency objective of a response of no size, in microseconds.
+    /// Fixed part of the latency objective, in microseconds: the objective of an empty response.
     pub latency_objective_us: u64,
-    /// What is added to the objective, in multiples of the time that sending the chunk takes.
+    /// Size-dependent part of the latency objective, in multiples of the time that the transfer of
+    /// the chunk to the client takes.
     pub latency_objective_stretch: f64,
-    /// The priority weight of a response within the objective.
+    /// Priority weight earned by a response within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that a late response earns.
+    /// Share of the priority weight earned by a late response.
     pub late_weight: f64,
-    /// Whether requests change something at the origin; they bypass the caches.
+    /// Whether requests are writes, which bypass the caches and are executed by the origin.
     pub is_write: bool,
-    /// Whether clients retry requests that were not served.
+    /// Whether clients retry requests that were not served: true for idempotent ones.
     pub clients_retry: bool,
-    /// How long a cached copy is fresh, in microseconds; 0: until it is purged.
+    /// Time for which a cached copy is fresh, in microseconds; 0 if it stays fresh until it is
+    /// purged.
     pub fresh_for_us: u64,
 }
 
@@ -102,137 +104,141 @@
     }
 }
 
-/// An endpoint as the recorded endpoint list has it.
+/// An edge cache or parent cache in the recorded endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its unique name.
+    /// Unique name of the endpoint.
     pub uid: String,
-    /// Its zone: the name of its site, or of the parent cache.
+    /// Zone: the name of the endpoint's site, or of the parent cache itself.
     pub zone: String,
-    /// Whether it is a parent cache.
+    /// Whether the endpoint is a parent cache rather than an edge cache.
     pub is_parent_cache: bool,
-    /// Its link's capacity, in flows.
+    /// Listed weight: the capacity of the endpoint's link, in flows.
     pub weight: f64,
 }
 
-/// Recorded load.
+/// Recorded load of all sites.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    /// First attempts, by arrival.
+    /// First attempts of clients, in order of arrival.
     pub requests: Vec<TraceRequest>,
-    /// The chunks that they ask for.
+    /// Requested chunks, by number.
     pub chunks: Vec<Chunk>,
-    /// Purges, in order of time.
+    /// Purges of cached copies, in order of time.
     pub purges: Vec<Purge>,
-    /// How long the trace lasts, in microseconds.
+    /// Length of the trace, in microseconds.
     pub duration_us: u64,
-    /// The request classes.
+    /// Request classes, by index.
     pub classes: Vec<RequestClass>,
-    /// Names of the sites.
+    /// Names of the sites, by index.
     pub sites: Vec<String>,
-    /// How many routers were recorded.
+    /// Number of recorded routers.
     pub router_count: usize,
-    /// The rate of one transfer to a client, in bytes per second.
+    /// Rate of one flow, a transfer to a client, in bytes per second.
     pub flow_bytes_per_s: f64,
-    /// Edge caches and parent caches, as listed last.
+    /// Edge caches and parent caches in the state in which they were listed last.
     pub listed_endpoints: Vec<ListedEndpoint>,
-    /// The share of recorded requests that were retries by clients.
+    /// Share of the recorded requests that were retries by clients, 0 to 1.
     pub retry_share: f64,
 }
 
-/// A cut of a trace.
+/// A contiguous part of a trace with a warm-up period at its start.
 #[derive(Clone, Debug)]
 pub struct TraceExcerpt {
-    /// The excerpt, which begins at time 0.
+    /// Load of the excerpt, with times counted from its start.
     pub trace: Trace,
-    /// When the part that it was cut for begins; what comes before is warm-up. Microseconds.
+    /// End of the warm-up period, in microseconds from the start of the excerpt; 0 without one.
     pub warm_up_ends_us: u64,
 }
 
 impl Trace {
-    /// The chunk of a number.
+    /// Returns the chunk with the number `chunk`.
     pub fn chunk(&self, chunk: ChunkId) -> &Chunk {
         &self.chunks[chunk.0 as usize]
     }
 
-    /// The chunk that a request asks for.
+    /// Returns the chunk that a request is for.
     pub fn chunk_of(&self, request: &TraceRequest) -> &Chunk {
         self.chunk(request.chunk)
     }
 
-    /// The class of a chunk.
+    /// Returns the request class of a chunk.
     pub fn class_of_chunk(&self, chunk: &Chunk) -> &RequestClass {
         &self.classes[usize::from(chunk.class)]
     }
 
-    /// The class of a request.
+    /// Returns the request class of the chunk that a request is for.
     pub fn class_of(&self, request: &TraceRequest) -> &RequestClass {
         self.class_of_chunk(self.chunk_of(request))
     }
 
-    /// How long it takes to send a chunk to a client, in seconds.
-    pub fn sending_time_s(&self, chunk: &Chunk) -> f64 {
+    /// Returns how long a transfer of the chunk to a client takes at the full rate of a flow, in
+    /// seconds.
+    pub fn transfer_time_s(&self, chunk: &Chunk) -> f64 {
         f64::from(chunk.bytes) / self.flow_bytes_per_s
     }
 
-    /// How long a request for a chunk may take to be in time, in microseconds.
+    /// Returns the latency objective of requests for a chunk, in microseconds.
     pub fn latency_objective_us(&self, chunk: &Chunk) -> f64 {
         let class = self.class_of_chunk(chunk);
-        let stretch_us = class.latency_objective_stretch * self.sending_time_s(chunk) * 1e6;
+        let stretch_us = class.latency_objective_stretch * self.transfer_time_s(chunk) * 1e6;
         class.latency_objective_us as f64 + stretch_us
     }
 
-    /// How long the trace lasts, in seconds.
+    /// Returns the length of the trace, in seconds.
     pub fn duration_s(&self) -> f64 {
         self.duration_us as f64 / 1e6
     }
 
-    /// First attempts per second.
+    /// Returns the mean rate of first attempts, per second.
     pub fn requests_per_s(&self) -> f64 {
         self.requests.len() as f64 / self.duration_s().max(1e-9)
     }
 
-    /// The share of all requested bytes that unusually large objects make up.
+    /// Returns the share of requested bytes that belongs to unusually large objects; 0 if no bytes
+    /// are requested.
     pub fn large_object_share(&self) -> f64 {
         let chunks = || self.requests.iter().map(|request| self.chunk_of(request));
-        let all: f64 = chunks().map(|chunk| f64::from(chunk.bytes)).sum();
+        let all_bytes: f64 = chunks().map(|chunk| f64::from(chunk.bytes)).sum();
         let large = chunks().filter(|chunk| chunk.is_unusually_large);
-        let large: f64 = large.map(|chunk| f64::from(chunk.bytes)).sum();
-        if all > 0.0 {
-            large / all
+        let large_bytes: f64 = large.map(|chunk| f64::from(chunk.bytes)).sum();
+        if all_bytes > 0.0 {
+            large_bytes / all_bytes
         } else {
             0.0
         }
     }
 
-    /// The same load without unusually large objects.
+    /// Returns the same load without requests for unusually large objects.
     pub fn without_large_objects(&self) -> Trace {
         let mut trace = self.clone();
         trace.requests.retain(|request| !self.chunk_of(request).is_unusually_large);
         trace
     }
 
-    /// The share of a site's bytes that goes to objects which no other site requests.
+    /// Returns the share of a site's requested bytes that belongs to objects which no other site
+    /// requests; 0 if the site requests none.
     pub fn local_share(&self, site: usize) -> f64 {
         let only_site = self.only_site_by_object();
-        let (mut local, mut all) = (0.0, 0.0);
+        let (mut local_bytes, mut all_bytes) = (0.0, 0.0);
         for request in self.requests.iter().filter(|request| usize::from(request.site) == site) {
             let chunk = self.chunk_of(request);
             let bytes = f64::from(chunk.bytes);
-            all += bytes;
+            all_bytes += bytes;
             if only_site.get(&chunk.object).is_some_and(Option::is_some) {
-                local += bytes;
+                local_bytes += bytes;
             }
         }
-        if all > 0.0 {
-            local / all
+        if all_bytes > 0.0 {
+            local_bytes / all_bytes
         } else {
             0.0
         }
     }
 
-    /// The busiest stretch of about `max_requests` first attempts, preceded by a third as many as
-    /// warm-up. A trace that is short enough is returned whole, without warm-up.
+    /// Returns the busiest excerpt of `max_requests` first attempts. Its first quarter is warm-up;
+    /// the rest is the run of consecutive requests of that number that arrives in the shortest
+    /// time. A trace with at most `max_requests` is returned whole, without warm-up.
     pub fn busiest_excerpt(&self, max_requests: usize) -> TraceExcerpt {
         if self.requests.len() <= max_requests {
             return TraceExcerpt { trace: self.clone(), warm_up_ends_us: 0 };
@@ -250,7 +256,8 @@
         }
     }
 
-    /// The load between two requests, from time 0.
+    /// Returns the load from the request at index `first` to the one before `end`, with times
+    /// counted from the first.
     fn cut(&self, first: usize, end: usize) -> Trace {
         let start_us = self.requests[first].arrived_us;
         let mut trace = self.clone();
@@ -263,7 +270,7 @@
         trace
     }
 
-    /// For every object the one site that requests it; none where several do.
+    /// Returns, for each object, the only site that requests it, or `None` if several sites do.
     fn only_site_by_object(&self) -> HashMap<u64, Option<u16>> {
         let mut only_site: HashMap<u64, Option<u16>> = HashMap::new();
         for request in &self.requests {
--- a/crates/capacity/src/trace/object_size.rs
+++ b/crates/capacity/src/trace/object_size.rs
@@ -1,41 +1,46 @@
-//! Sizes of chunks that were never served, and which objects are unusually large for their class.
+//! Estimates of the sizes of chunks that were never served, and detection of objects that are
+//! unusually large for their class.
 //!
-//! Clients give up on large objects, so what was never served is larger than what was. The longest
-//! wait for a chunk gives its least size.
+//! Clients time out on large objects, so chunks that were never served tend to be larger than those
+//! that were. The longest time that a client waited for a chunk gives a lower bound of its size.
 
 use super::{Chunk, ChunkId, Trace};
 use std::collections::{BTreeMap, HashMap};
 
-/// An object is unusually large from this many times its class's median on.
+/// Ratio of an object's mean chunk size to the median over the objects of its class above which the
+/// object is unusually large.
 const LARGE_FACTOR: f64 = 6.0;
-/// The same where at least [`MIN_CORROBORATING_CHUNKS`] of its chunks say so. Of a large object
-/// only the smaller chunks come in time, so that its mean looks less than it is.
+/// The ratio that is sufficient if at least [`MIN_CORROBORATING_CHUNKS`] chunks or unserved waits
+/// are known. Only the smaller chunks of a large object are served in time, so the mean of those
+/// served underestimates it.
 const CORROBORATED_LARGE_FACTOR: f64 = 3.5;
-/// See [`CORROBORATED_LARGE_FACTOR`].
+/// Number of served chunks and unserved waits from which [`CORROBORATED_LARGE_FACTOR`] applies.
 const MIN_CORROBORATING_CHUNKS: f64 = 3.0;
-/// An object that was never served is held to be too large if chance explains its unserved waits
-/// with less than this probability.
+/// Probability below which chance does not explain the unserved waits of an object that was never
+/// served; the object then counts as too large to be served.
 const MAX_CHANCE: f64 = 0.02;
-/// Chunks that were never served are larger than those of the same object that were, and than their
-/// longest wait could have brought, by about this factor.
+/// Estimated ratio of the size of a chunk that was never served to the sizes of served chunks of
+/// the same object, and to the bytes that a transfer could have sent during the longest wait.
 const UNSERVED_SIZE_FACTOR: f64 = 1.3;
-/// Objects of a class that must be known before any of them is called unusually large.
+/// Minimum number of served objects in a class before any of its objects is classified as unusually
+/// large.
 const MIN_KNOWN_OBJECTS: usize = 20;
 
-/// Requests for a chunk that waited long and were not served.
+/// Requests for one chunk that waited long and were not served.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UnservedWaits {
     pub(super) count: u32,
     pub(super) longest_us: u32,
 }
 
-/// What is known of an object's size.
+/// What the recording shows of an object's size.
 #[derive(Clone, Copy, Debug, Default)]
 struct ObjectEvidence {
     served_bytes: f64,
     served_chunks: f64,
     unserved_waits: u32,
-    /// What the longest unserved wait could have brought, in bytes.
+    /// Bytes that a transfer could have sent during the longest unserved wait for one of its
+    /// chunks.
     longest_wait_bytes: f64,
 }
 
@@ -53,18 +58,18 @@
     }
 }
 
-/// What is usual in a class.
+/// Statistics of the sizes and unserved waits in a request class.
 #[derive(Clone, Copy, Debug)]
 struct ClassStatistics {
     median_chunk_bytes: f64,
     median_object_mean_bytes: f64,
-    /// The share of requests that waited in vain.
+    /// Share of the class's requests that waited long and were not served, 0 to 1.
     unserved_share: f64,
-    knows_enough_objects: bool,
+    has_enough_objects: bool,
 }
 
 impl ClassStatistics {
-    /// Whether an object that was never served is too large to be served.
+    /// Whether the object was never served and is too large to be served within clients' timeouts.
     fn is_too_large(&self, evidence: &ObjectEvidence) -> bool {
         !evidence.was_served()
             && evidence.longest_wait_bytes > self.median_chunk_bytes
@@ -72,18 +77,18 @@
     }
 
     fn is_unusually_large(&self, evidence: &ObjectEvidence) -> bool {
-        let witnesses = evidence.served_chunks + f64::from(evidence.unserved_waits);
-        let factor = if witnesses >= MIN_CORROBORATING_CHUNKS {
+        let evidence_count = evidence.served_chunks + f64::from(evidence.unserved_waits);
+        let factor = if evidence_count >= MIN_CORROBORATING_CHUNKS {
             CORROBORATED_LARGE_FACTOR
         } else {
             LARGE_FACTOR
         };
         let exceeds = evidence.mean_chunk_bytes() > factor * self.median_object_mean_bytes;
-        self.knows_enough_objects && (exceeds || self.is_too_large(evidence))
+        self.has_enough_objects && (exceeds || self.is_too_large(evidence))
     }
 }
 
-/// Estimates sizes from unserved waits, by chunk.
+/// Estimates chunk sizes from the unserved waits for each chunk.
 pub(super) struct SizeEstimator<'a> {
     unserved_waits: &'a HashMap<ChunkId, UnservedWaits>,
 }
@@ -93,7 +98,7 @@
         SizeEstimator { unserved_waits }
     }
 
-    /// Fills in the sizes that are missing and marks unusually large objects.
+    /// Fills in the missing chunk sizes of a trace and marks unusually large objects.
     pub(super) fn estimate(&self, trace: &mut Trace) {
         for class in 0..trace.classes.len() {
             let evidence = self.evidence_by_object(trace, class);
@@ -111,7 +116,8 @@
         }
     }
 
-    /// What the longest unserved wait for a chunk could have brought.
+    /// Returns the bytes that a transfer could have sent during the longest unserved wait for a
+    /// chunk; 0 without any.
     fn wait_bytes(&self, chunk: ChunkId, flow_bytes_per_s: f64) -> f64 {
         let waits = self.unserved_waits.get(&chunk);
         waits.map_or(0.0, |waits| f64::from(waits.longest_us) / 1e6 * flow_bytes_per_s)
@@ -152,14 +158,14 @@
             served_objects.map(ObjectEvidence::mean_chunk_bytes).collect();
         ClassStatistics {
             median_chunk_bytes: median(&mut chunk_sizes),
-            knows_enough_objects: object_means.len() >= MIN_KNOWN_OBJECTS,
+            has_enough_objects: object_means.len() >= MIN_KNOWN_OBJECTS,
             median_object_mean_bytes: median(&mut object_means),
             unserved_share: (unserved / (requests as f64).max(1.0)).clamp(0.0, 1.0),
         }
     }
 }
 
-/// The size of a chunk that was never served.
+/// Estimates the size of a chunk that was never served, in bytes.
 fn estimated_bytes(
     chunk: &Chunk,
     wait_bytes: f64,
@@ -178,7 +184,7 @@
     bytes as f32
 }
 
-/// The median, the upper one of an even number of values; 0 without values.
+/// Returns the median, the upper one for an even number of values; 0 without values.
 fn median(values: &mut [f64]) -> f64 {
     if values.is_empty() {
         return 0.0;
--- a/crates/capacity/src/trace/scaling.rs
+++ b/crates/capacity/src/trace/scaling.rs
@@ -1,21 +1,22 @@
-//! Scaling a load by viewings.
+//! Scaling of a load in units of viewings.
 //!
-//! An added viewing copies a recorded one but for its object: an object that was viewed r times
-//! stands for one that was viewed r - 1 times, and one that was viewed once for one that was never
-//! seen (the Good-Turing estimate). So what was requested once does not become popular by
-//! multiplication.
+//! An added viewing is a copy of a recorded viewing, but of another object: an object that was
+//! viewed r times is replaced by one that was viewed r - 1 times, and one that was viewed once by
+//! an object that was not requested before (the Good-Turing estimate). This keeps objects that were
+//! requested once from becoming popular by repetition.
 
 use super::{Chunk, ChunkAddress, ChunkId, Trace, TraceRequest};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
 
-/// An added viewing comes up to this much earlier or later than the one it copies.
+/// Maximum shift in time of an added viewing from the viewing that it copies, earlier or later, in
+/// microseconds.
 const MAX_SHIFT_US: u64 = 15_000_000;
-/// A factor this close to 1 leaves the load as it is.
+/// Maximum difference from 1 of a factor that leaves the load unchanged.
 const UNSCALED_TOLERANCE: f64 = 1e-9;
 
-/// How often an object was viewed, and by which site alone.
+/// Number of viewings of an object, and whether only one site viewed it.
 #[derive(Clone, Copy, Debug)]
 struct Popularity {
     viewings: u32,
@@ -23,7 +24,7 @@
     class: u8,
 }
 
-/// Objects that can stand for each other.
+/// The properties that objects must share to replace each other in added viewings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PopularityKey {
     class: u8,
@@ -31,16 +32,17 @@
     viewings: u32,
 }
 
-/// The viewings of a load, and their objects by popularity.
+/// The viewings of a load, and their objects grouped by popularity.
 struct ViewingCatalogue {
-    /// The requests of each viewing, as indices of the trace's requests.
+    /// Requests of each viewing, as indices of the trace's requests.
     viewings: Vec<Vec<u32>>,
     popularity: BTreeMap<u64, Popularity>,
-    /// Objects by class and number of viewings; those of one site alone also by site.
+    /// Objects by class and number of viewings. Objects that only one site viewed are also listed
+    /// under that site.
     objects: HashMap<PopularityKey, Vec<u64>>,
 }
 
-/// A load while it is scaled.
+/// State of a scaling run: the recorded load, and the scaled load built so far.
 struct LoadScaler<'a> {
     recorded: &'a Trace,
     scaled: Trace,
@@ -51,8 +53,8 @@
 }
 
 impl Trace {
-    /// The load this many times as strong: viewings are left out, or added beside the recorded
-    /// ones.
+    /// Returns the load scaled by `factor`: viewings are left out at random, or copies of them are
+    /// added to the recorded ones. The result depends only on the trace, `factor` and `seed`.
     pub fn scaled(&self, factor: f64, seed: u64) -> Trace {
         if (factor - 1.0).abs() < UNSCALED_TOLERANCE {
             return self.clone();
@@ -85,8 +87,8 @@
         ViewingCatalogue { viewings, popularity, objects }
     }
 
-    /// The object that stands for `object` in an added viewing.
-    fn stand_in(&self, object: u64, rng: &mut Pcg64Mcg) -> u64 {
+    /// Returns the object that replaces `object` in an added viewing.
+    fn replacement_object(&self, object: u64, rng: &mut Pcg64Mcg) -> u64 {
         let Some(popularity) = self.popularity.get(&object) else { return rng.random() };
         if popularity.viewings == 1 {
             return rng.random();
@@ -117,11 +119,12 @@
         }
     }
 
-    /// Adds a viewing as often as the factor says; what is left of it after the whole times is
-    /// chance.
+    /// Adds a viewing to the scaled load as many times as the integer part of the factor, and once
+    /// more with a probability of its fractional part. The first one is the recorded viewing, the
+    /// others are shifted copies.
     fn add_copies(&mut self, viewing: &[u32], factor: f64, catalogue: &ViewingCatalogue) {
-        let one_more = self.rng.random::<f64>() < factor.fract();
-        let copies = factor.floor() as usize + usize::from(one_more);
+        let adds_fractional_copy = self.rng.random::<f64>() < factor.fract();
+        let copies = factor.floor() as usize + usize::from(adds_fractional_copy);
         if copies == 0 {
             return;
         }
@@ -132,13 +135,13 @@
         let object = recorded.chunk_of(first).object;
         for _ in 1..copies {
             let shift_us = self.rng.random_range(0..=2 * self.max_shift_us);
-            let stand_in = catalogue.stand_in(object, &mut self.rng);
-            self.add_shifted(viewing, shift_us, stand_in);
+            let replacement_object = catalogue.replacement_object(object, &mut self.rng);
+            self.add_shifted(viewing, shift_us, replacement_object);
         }
     }
 
-    /// Adds a copy of a viewing at another time and of another object. The shift counts from
-    /// `max_shift_us` before the recorded time, and wraps around at the ends of the load.
+    /// Adds a copy of a viewing at another time and of another object. `shift_us` is counted from
+    /// `max_shift_us` before the recorded time; times wrap around at the ends of the load.
     fn add_shifted(&mut self, viewing: &[u32], shift_us: u64, object: u64) {
         let duration_us = self.recorded.duration_us;
         for index in viewing {
@@ -156,7 +159,8 @@
         self.next_viewing += 1;
     }
 
-    /// The chunk of `object` that corresponds to another object's chunk.
+    /// Returns the chunk of `object` that corresponds to another object's chunk: one with the same
+    /// position, group, class and size. It is added if the load does not have it yet.
     fn chunk_like(&mut self, chunk: ChunkId, object: u64) -> ChunkId {
         let copy = Chunk { object, ..*self.recorded.chunk(chunk) };
         let chunks = &mut self.scaled.chunks;
--- a/crates/capacity/src/trace/viewings.rs
+++ b/crates/capacity/src/trace/viewings.rs
@@ -1,12 +1,12 @@
 //! Grouping of requests into viewings: all requests of one site for one object that follow each
-//! other closely. Load is scaled by viewings.
+//! other closely, such as those for its consecutive chunks. Load is scaled in units of viewings.
 
 use std::collections::HashMap;
 
-/// Requests belong to one viewing up to this gap.
+/// Maximum time between two consecutive requests of one viewing, in microseconds.
 const MAX_VIEWING_GAP_US: u64 = 5_000_000;
 
-/// An object at a site.
+/// An object as requested at one site; the key of the latest viewings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SiteObject {
     site: u16,
@@ -20,7 +20,7 @@
     last_request_us: u64,
 }
 
-/// Assigns requests to viewings, in order of arrival.
+/// Assigns requests to viewings. Requests must be passed in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct ViewingTracker {
     latest: HashMap<SiteObject, LatestViewing>,
@@ -28,7 +28,8 @@
 }
 
 impl ViewingTracker {
-    /// The number of the viewing that a request belongs to.
+    /// Returns the number of the viewing that a request belongs to: the latest one of the object at
+    /// the site, or a new one if there is none or its last request is too long ago.
     pub(super) fn assign(&mut self, site: u16, object: u64, arrived_us: u64) -> u32 {
         let site_object = SiteObject { site, object };
         let continued = self
@@ -37,14 +38,14 @@
             .filter(|latest| arrived_us <= latest.last_request_us + MAX_VIEWING_GAP_US);
         let number = match continued {
             Some(latest) => latest.number,
-            None => self.take_number(),
+            None => self.allocate_number(),
         };
         let latest = LatestViewing { number, last_request_us: arrived_us };
         self.latest.insert(site_object, latest);
         number
     }
 
-    fn take_number(&mut self) -> u32 {
+    fn allocate_number(&mut self) -> u32 {
         self.next_number += 1;
         self.next_number - 1
     }
