--- a/crates/capacity/src/replay/admission.rs
+++ b/crates/capacity/src/replay/admission.rs
@@ -1,43 +1,50 @@
-//! Whether an endpoint takes one more request: the decision module's rules for overload and
-//! warm-up, with what routers learn from responses.
+//! Admission of requests at endpoints: the decision module's rules for spare capacity and for
+//! warm-up budgets, and the service times and lateness that routers learn from responses.
 
 use super::outages::EndpointRef;
 use super::request_table::RequestId;
 use super::simulation::Simulation;
 use crate::trace::RequestClass;
 
-/// An edge cache has spare capacity while a transfer there would take this share of the time that
-/// its class leaves (docs/design.md).
+/// Share of the latency objective that one more transfer may take at an edge cache with spare
+/// capacity (docs/design.md).
 const CAPACITY_SHARE: f64 = 0.9;
-/// Responses that took more of their objective than this on average reduce an edge cache's
-/// capacity: something that the router does not see is short.
+/// Mean lateness above which the usable capacity of an edge cache is reduced in proportion: some
+/// resource that the router does not observe is short. Lateness is a response's latency in
+/// multiples of its objective.
 const MAX_LATENESS: f64 = 0.5;
-/// The most that one response counts as late, in multiples of its objective.
+/// Maximum lateness of a single response, in multiples of its objective.
 const LATENESS_CAP: f64 = 2.0;
-/// The number of responses over which the lateness of an edge cache is averaged.
+/// Number of responses over which the lateness of an edge cache is averaged.
 const LATENESS_SAMPLES: f64 = 20.0;
-/// The number of responses over which the service time of a class is averaged.
+/// Number of responses over which the service time of a class is averaged.
 const SERVICE_TIME_SAMPLES: f64 = 50.0;
-/// The least service time that a class's slack is computed with, in seconds.
+/// Minimum service time in the computation of a class's slack, in seconds.
 const MIN_SERVICE_TIME_S: f64 = 0.001;
-/// The least slack, in multiples of the service time beyond one, so that nothing is divided by 0.
+/// Minimum slack beyond one service time, in multiples of the service time. It avoids a division by
+/// zero.
 const MIN_SLACK: f64 = 0.1;
-/// The least capacity of an edge cache, in flows, for the same reason.
+/// Minimum link capacity of an edge cache in the computation of its slowdown, in flows. It avoids a
+/// division by zero.
 const MIN_LINK_FLOWS: f64 = 0.01;
-/// Routers use an endpoint that warms up for this many times what its share of capacity allows.
+/// Ratio of the work that routers send to an endpoint that is warming up to the work that its share
+/// of capacity allows.
 const WARM_UP_OVERCOMMIT: f64 = 1.2;
-/// The time over which work offered to an endpoint that warms up is averaged, in microseconds.
+/// Time constant over which the work sent to an endpoint that is warming up is averaged, in
+/// microseconds.
 const WARM_UP_WINDOW_US: f64 = 1_500_000.0;
 
-/// What routers have learned of how long a response takes where nobody else is served.
+/// Service times that routers have learned: how long a response takes at an edge cache that serves
+/// no other request.
 #[derive(Debug)]
 pub(super) struct ServiceTimes {
-    /// In seconds, by site and class.
+    /// Service times in seconds, by site and then by class.
     by_site_and_class: Vec<Vec<f64>>,
 }
 
 impl ServiceTimes {
-    /// Before any response, a class's service time is taken to be its objective.
+    /// Creates the initial service times. Before the first response, the service time of a class is
+    /// its latency objective.
     pub(super) fn new(classes: &[RequestClass], site_count: usize) -> ServiceTimes {
         let objective_s = |class: &RequestClass| class.latency_objective_us as f64 / 1e6;
         let initial: Vec<f64> = classes.iter().map(objective_s).collect();
@@ -55,8 +62,8 @@
 }
 
 impl Simulation<'_> {
-    /// Spare capacity of an edge cache for a class: 1 where nothing is active, below 0 where one
-    /// more request could not be sent in time.
+    /// Returns the spare capacity of an edge cache for a class: 1 with no active attempts, and
+    /// negative if one more request would exceed the usable share of its latency objective.
     pub(super) fn spare_capacity(
         &self,
         site: usize,
@@ -74,8 +81,9 @@
         1.0 - (slowdown - 1.0) / (usable_share * slack - 1.0).max(MIN_SLACK)
     }
 
-    /// Whether routers put more work on an endpoint, which they limit while it warms up. Counts the
-    /// work if so.
+    /// Returns whether routers send more work to an endpoint: always, unless it is warming up and
+    /// its budget is used up. Work that is admitted is counted against the budget. If no work was
+    /// sent recently, a single request is admitted even if it exceeds the budget.
     pub(super) fn admit_work(&mut self, endpoint: usize, link_flows: f64, work_s: f64) -> bool {
         let share = self.capacity_share(endpoint);
         if share >= 1.0 {
@@ -94,7 +102,7 @@
         true
     }
 
-    /// The share of its link that an endpoint has: less than 1 while it warms up.
+    /// Returns the usable share of an endpoint's link capacity: below 1 while it is warming up.
     pub(super) fn capacity_share(&self, endpoint: usize) -> f64 {
         let Some(returned_us) = self.availability[endpoint].returned_us else { return 1.0 };
         let warm_up = &self.network.warm_up;
@@ -114,7 +122,7 @@
         }
     }
 
-    /// Counts a request at its edge cache.
+    /// Counts a request as an active attempt at its edge cache, unless it is counted already.
     pub(super) fn join_edge_cache(&mut self, id: RequestId) {
         let edge_cache = self.edge_cache_of(id);
         let now_us = self.now_us;
@@ -126,7 +134,7 @@
         }
     }
 
-    /// Counts a request as no longer at its edge cache.
+    /// Removes a request from the active attempts of its edge cache, if it is counted there.
     pub(super) fn leave_edge_cache(&mut self, id: RequestId) {
         let edge_cache = self.edge_cache_of(id);
         let request = self.requests.get_mut(id);
@@ -136,8 +144,8 @@
         }
     }
 
-    /// What routers learn from a response: how late the edge cache is, and the class's service
-    /// time.
+    /// Updates what routers learn from a response: the edge cache's lateness and the class's
+    /// service time.
     pub(super) fn learn_from_response(&mut self, id: RequestId) {
         let edge_cache = self.edge_cache_of(id);
         let request = self.requests.get(id);
@@ -145,11 +153,12 @@
         let latency_s = self.attempt_age_s(id);
         self.learn_lateness(id, latency_s);
         let link_flows = self.network.sites[site].edge_caches[position].link_flows;
-        let alone_s = latency_s / self.slowdown_with_one_more(edge_cache, link_flows);
-        self.service_times.learn(site, self.class_index(id), alone_s);
+        let service_time_s = latency_s / self.slowdown_with_one_more(edge_cache, link_flows);
+        self.service_times.learn(site, self.class_index(id), service_time_s);
     }
 
-    /// What routers learn from a response that did not come in time.
+    /// Updates the edge cache's lateness after a request whose response did not arrive before the
+    /// client's timeout.
     pub(super) fn learn_from_timeout(&mut self, id: RequestId) {
         self.learn_lateness(id, self.attempt_age_s(id));
     }
@@ -170,7 +179,8 @@
         *lateness += (observed - *lateness) / LATENESS_SAMPLES;
     }
 
-    /// How many times longer a transfer takes at an edge cache with one more than are active now.
+    /// Returns the slowdown of transfers at an edge cache if one more were active: their duration
+    /// in multiples of the duration at the full rate of a flow, at least 1.
     fn slowdown_with_one_more(&self, edge_cache: usize, link_flows: f64) -> f64 {
         let transfers = 1.0 + self.edge_caches[edge_cache].active_attempts as f64;
         (transfers / link_flows.max(MIN_LINK_FLOWS)).max(1.0)
--- a/crates/capacity/src/replay/endpoints.rs
+++ b/crates/capacity/src/replay/endpoints.rs
@@ -1,30 +1,31 @@
-//! What a replay knows of each endpoint and each router.
+//! State of each endpoint and of each router in a replay.
 
 use crate::eviction::{LruCache, RetentionPriority};
 use crate::network::{EdgeCacheNode, ParentCacheNode};
 use crate::replication::ReplicationLevels;
 use crate::trace::ChunkId;
 
-/// Something that varies with time, by second.
+/// A time series with one value per second.
 #[derive(Debug)]
 pub(super) struct SecondSeries {
     values: Vec<f64>,
 }
 
 impl SecondSeries {
-    /// A series over the load's seconds and the one after them.
+    /// Creates a series of zeros over the seconds of the load and the one after them.
     fn new(seconds: usize) -> SecondSeries {
         SecondSeries { values: vec![0.0; seconds + 1] }
     }
 
-    /// Counts one more in a second; what comes after the load is left out.
+    /// Adds 1 to the value of a second. Seconds after the end of the load are ignored.
     pub(super) fn increment(&mut self, second: usize) {
         if let Some(value) = self.values.get_mut(second) {
             *value += 1.0;
         }
     }
 
-    /// Raises a second's value to `level`; what comes after the load is left out.
+    /// Raises the value of a second to at least `level`. Seconds after the end of the load are
+    /// ignored.
     pub(super) fn raise_to(&mut self, second: usize, level: usize) {
         if let Some(value) = self.values.get_mut(second) {
             *value = value.max(level as f64);
@@ -36,19 +37,20 @@
     }
 }
 
-/// An edge cache.
+/// State of an edge cache.
 #[derive(Debug)]
 pub(super) struct EdgeCacheState {
     pub(super) cache: LruCache,
-    /// Fills that it runs now.
+    /// Number of fills that are running.
     pub(super) active_fills: usize,
-    /// The most fills that it ran, by second.
+    /// Maximum number of concurrent fills in each second.
     pub(super) fill_peaks: SecondSeries,
-    /// Attempts sent to it, by second.
+    /// Number of attempts sent to the edge cache in each second.
     pub(super) attempts: SecondSeries,
-    /// Attempts that are at it now.
+    /// Number of attempts at the edge cache that have not ended.
     pub(super) active_attempts: usize,
-    /// A moving average of its responses' latency, in multiples of their objective.
+    /// Moving average of the latency of its responses, in multiples of their objectives; 0 before
+    /// the first response.
     pub(super) lateness: f64,
 }
 
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Puts in a copy that was there before the load; one that is requested again is retained
-    /// longer.
+    /// Stores a copy that the cache holds before the load begins. A chunk that is preloaded
+    /// repeatedly is retained at the higher priority.
     pub(super) fn preload(&mut self, chunk: ChunkId, bytes: f64) {
         let is_present = self.cache.lookup(chunk, 0, RetentionPriority::High).is_some();
         let priority = if is_present { RetentionPriority::High } else { RetentionPriority::Normal };
@@ -73,13 +75,13 @@
     }
 }
 
-/// A parent cache.
+/// State of a parent cache.
 #[derive(Debug)]
 pub(super) struct ParentCacheState {
     pub(super) cache: LruCache,
-    /// Fetches from the origin that it runs now.
+    /// Number of fetches from the origin that are running.
     pub(super) active_fetches: usize,
-    /// The most fetches that it ran, by second.
+    /// Maximum number of concurrent fetches in each second.
     pub(super) fetch_peaks: SecondSeries,
 }
 
@@ -93,15 +95,18 @@
     }
 }
 
-/// Whether an endpoint can be used, and how far.
+/// Availability of an endpoint, and its warm-up budget.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Availability {
+    /// False during an outage of the endpoint.
     pub(super) is_available: bool,
-    /// When it returned from a loss, if it was lost.
+    /// Time at which the endpoint returned from a loss, in microseconds; `None` if it was never
+    /// lost.
     pub(super) returned_us: Option<u64>,
-    /// Sending time in seconds that was recently offered to it while it warmed up; decays.
+    /// Work sent to the endpoint while it was warming up, in seconds of service time; it decays
+    /// exponentially.
     pub(super) recent_work_s: f64,
-    /// When `recent_work_s` was last brought up to date.
+    /// Time at which `recent_work_s` was last updated, in microseconds.
     pub(super) recent_work_us: u64,
 }
 
@@ -116,11 +121,12 @@
     }
 }
 
-/// A router.
+/// State of a router: its replication levels and its open requests.
 #[derive(Debug, Default)]
 pub(super) struct RouterState {
     pub(super) replication: ReplicationLevels,
+    /// Number of requests from clients that have not ended.
     pub(super) open_requests: usize,
-    /// Bytes of the responses to open requests.
+    /// Total size of the responses to open requests, in bytes.
     pub(super) held_bytes: f64,
 }
--- a/crates/capacity/src/replay/events.rs
+++ b/crates/capacity/src/replay/events.rs
@@ -1,37 +1,39 @@
-//! The events of a replay and the queue that they wait in.
+//! The events of a replay, and the queue of scheduled events.
 
 use super::fetch_table::FetchId;
 use super::request_table::{RequestHandle, RequestId};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Something that happens at a moment of the replay.
+/// An event of the replay.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A transfer on a link completes, unless the link's transfers have changed since.
+    /// The next transfer on a link completes, unless the link has been rescheduled since this event
+    /// was scheduled.
     TransferDue {
-        /// The link.
+        /// Number of the link in the topology.
         link: usize,
-        /// The version of the link's schedule that this event belongs to.
+        /// Version of the link's schedule for which the event was scheduled; it is stale if the
+        /// link has a later one.
         version: u32,
     },
-    /// A fill reaches its parent cache.
+    /// A request for a fill reaches its parent cache.
     FillReachedParent(RequestHandle),
     /// The first byte of a fetch from the origin reaches the parent cache.
     FetchResponded(FetchId),
-    /// The client has the whole response.
+    /// The last byte of the response reaches the client.
     ResponseCompleted(RequestHandle),
     /// The client's timeout expires.
     TimedOut(RequestHandle),
-    /// Another attempt is due: a client's retry, or a router's attempt at another endpoint.
+    /// Another attempt is due: the client's retry, or the router's attempt at another endpoint.
     AttemptDue(RequestId),
     /// The endpoints of the outage are lost.
     OutageBegins,
     /// The endpoints of the outage return.
     OutageEnds,
-    /// An endpoint that warms up gets another share of its link.
+    /// The usable share of the link of an endpoint that is warming up is updated.
     WarmUpDue {
-        /// The endpoint.
+        /// Number of the endpoint in the topology.
         endpoint: usize,
     },
 }
@@ -39,7 +41,7 @@
 #[derive(Debug)]
 struct ScheduledEvent {
     at_us: u64,
-    /// Events of the same moment happen in the order in which they were scheduled.
+    /// Events at the same time are handled in the order in which they were scheduled.
     sequence: u64,
     event: Event,
 }
@@ -64,14 +66,14 @@
     }
 }
 
-/// An event that is due.
+/// An event taken from the queue, with its time in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DueEvent {
     pub(super) at_us: u64,
     pub(super) event: Event,
 }
 
-/// Events in order of time.
+/// Scheduled events in order of time.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     scheduled: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -84,7 +86,7 @@
         self.scheduled.push(Reverse(ScheduledEvent { at_us, sequence: self.sequence, event }));
     }
 
-    /// When the next event is due.
+    /// Returns the time of the next event, or `None` if none is scheduled.
     pub(super) fn next_at_us(&self) -> Option<u64> {
         self.scheduled.peek().map(|Reverse(next)| next.at_us)
     }
--- a/crates/capacity/src/replay/fetch_table.rs
+++ b/crates/capacity/src/replay/fetch_table.rs
@@ -1,25 +1,26 @@
-//! The table of fetches from the origin. Requests for a chunk that is being fetched join the fetch.
+//! The table of fetches from the origin. A request for a chunk that a parent cache is already
+//! fetching joins the fetch (request coalescing).
 
 use super::request_table::RequestHandle;
 use crate::trace::ChunkId;
 use std::collections::HashMap;
 
-/// A fetch from the origin.
+/// Identifier of a fetch from the origin: its index in the fetch table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FetchId(pub(super) u32);
 
-/// How far a fetch has come.
+/// Progress of a fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchState {
     /// The origin has not responded yet.
     Requested,
     /// The response is being transferred.
     Receiving,
-    /// It has ended, with the whole response or without it.
+    /// The fetch has ended, with or without the complete response.
     Ended,
 }
 
-/// A chunk at a parent cache.
+/// A chunk at a parent cache; the key of a running fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ParentChunk {
     pub(super) parent: u16,
@@ -30,14 +31,17 @@
 #[derive(Debug)]
 pub(super) struct OriginFetch {
     pub(super) target: ParentChunk,
-    /// The oldest copy that was valid when the fetch began.
+    /// Oldest valid creation time of a copy when the fetch began, in microseconds. A later purge
+    /// raises the limit, and new requests no longer join.
     pub(super) valid_since_us: u64,
     pub(super) state: FetchState,
+    /// Creation time of the copy, in microseconds: the arrival of the first byte; 0 before.
     pub(super) copy_created_us: u64,
+    /// Requests that wait for the fetch, including those that have withdrawn since.
     pub(super) waiting: Vec<RequestHandle>,
 }
 
-/// All fetches, and those that run by parent cache and chunk.
+/// All fetches of the replay, and the running ones by parent cache and chunk.
 #[derive(Debug, Default)]
 pub(super) struct FetchTable {
     fetches: Vec<OriginFetch>,
@@ -53,7 +57,8 @@
         &mut self.fetches[fetch.0 as usize]
     }
 
-    /// The running fetch of a chunk, if its response will be valid.
+    /// Returns the running fetch of a chunk, or `None` if there is none or the chunk was purged
+    /// after it began.
     pub(super) fn joinable(&self, target: ParentChunk, valid_since_us: u64) -> Option<FetchId> {
         let fetch = *self.running.get(&target)?;
         (self.get(fetch).valid_since_us >= valid_since_us).then_some(fetch)
@@ -78,7 +83,7 @@
         ended.state = FetchState::Ended;
         let waiting = std::mem::take(&mut ended.waiting);
         let target = ended.target;
-        // A later fetch of the same chunk may have taken its place, after a purge.
+        // After a purge, a later fetch of the same chunk may have replaced this one.
         if self.running.get(&target) == Some(&fetch) {
             self.running.remove(&target);
         }
--- a/crates/capacity/src/replay/fills.rs
+++ b/crates/capacity/src/replay/fills.rs
@@ -1,5 +1,6 @@
-//! Fills of edge caches from parent caches, and fetches of parent caches from the origin. Requests
-//! for a chunk that is being fetched join the fetch.
+//! Fills of edge caches from parent caches, and fetches of parent caches from the origin. A request
+//! for a chunk that is being fetched joins the fetch. Writes are executed here as well, since they
+//! are calls of the origin.
 
 use super::events::Event;
 use super::fetch_table::{FetchId, FetchState, ParentChunk};
@@ -9,7 +10,7 @@
 use super::simulation::Simulation;
 use crate::eviction::RetentionPriority;
 
-/// Whether a fetch ended with the whole response.
+/// Whether a fetch ended with the complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchOutcome {
     Completed,
@@ -20,13 +21,13 @@
     /// Counts a fill that begins at the request's edge cache.
     pub(super) fn begin_fill(&mut self, id: RequestId) {
         let second = self.second();
-        let edge_cache_number = self.edge_cache_of(id);
-        let edge_cache = &mut self.edge_caches[edge_cache_number];
+        let edge_cache_index = self.edge_cache_of(id);
+        let edge_cache = &mut self.edge_caches[edge_cache_index];
         edge_cache.active_fills += 1;
         edge_cache.fill_peaks.raise_to(second, edge_cache.active_fills);
     }
 
-    /// A fill has ended with the whole chunk, which the edge cache stores.
+    /// Ends a fill that has received the complete chunk, and stores the chunk in the edge cache.
     pub(super) fn complete_fill(&mut self, id: RequestId) {
         self.end_fill(id);
         let edge_cache = self.edge_cache_of(id);
@@ -41,14 +42,16 @@
         );
     }
 
-    /// A fill has ended.
+    /// Ends a fill, without storing the chunk.
     pub(super) fn end_fill(&mut self, id: RequestId) {
         let edge_cache = self.edge_cache_of(id);
         self.edge_caches[edge_cache].active_fills -= 1;
         self.requests.get_mut(id).is_filling = false;
     }
 
-    /// A fill reaches its parent cache, which has a copy, or has the chunk fetched from the origin.
+    /// Handles the arrival of a fill at its parent cache: starts the transfers if the parent cache
+    /// has a valid copy, otherwise has the chunk fetched from the origin. If the parent cache is
+    /// lost or cannot fetch, the request is attempted elsewhere.
     pub(super) fn on_fill_reached_parent(&mut self, handle: RequestHandle) {
         if !self.requests.is_current(handle) {
             return;
@@ -76,7 +79,8 @@
         }
     }
 
-    /// The fetch of a chunk by a parent cache; none if neither it nor the origin takes one more.
+    /// Returns a running fetch of the chunk or begins one. Returns `None` if the parent cache is at
+    /// its limit of fetches or the origin rejects the call.
     fn join_or_begin_fetch(&mut self, target: ParentChunk, valid_since_us: u64) -> Option<FetchId> {
         let joinable = self.fetches.joinable(target, valid_since_us);
         if joinable.is_some() {
@@ -110,15 +114,15 @@
         }
     }
 
-    /// Passes on a chunk that is still being fetched, as it arrives.
+    /// Starts to pass on a chunk that is still being fetched, as its bytes arrive.
     fn pass_on_fetch(&mut self, id: RequestId) {
         // The end of the fetch is one of the steps that the response waits for.
         self.requests.get_mut(id).pending_steps = 1;
         self.start_fill_transfers(id);
     }
 
-    /// The first byte of a fill is there: it goes on to the edge cache and to the client as it
-    /// comes.
+    /// Starts the transfers of a fill when its first byte is available: it is passed on to the edge
+    /// cache and to the client as it arrives.
     fn start_fill_transfers(&mut self, id: RequestId) {
         self.start_transfer(id, TransferLeg::FromParent);
         self.start_transfer(id, TransferLeg::IntoSite);
@@ -128,7 +132,8 @@
         }
     }
 
-    /// The first byte of a fetch reaches the parent cache.
+    /// Handles the arrival of a fetch's first byte at the parent cache. The fetch fails if the
+    /// parent cache is lost.
     pub(super) fn on_fetch_responded(&mut self, fetch: FetchId) {
         let parent = usize::from(self.fetches.get(fetch).target.parent);
         if !self.availability[self.topology.parent_cache(parent)].is_available {
@@ -148,7 +153,7 @@
         }
     }
 
-    /// The last byte of a fetch reaches the parent cache.
+    /// Handles the arrival of a fetch's last byte at the parent cache.
     pub(super) fn on_origin_transfer_completed(&mut self, transfer: u64) {
         self.end_fetch(FetchId(transfer as u32), FetchOutcome::Completed);
     }
@@ -158,7 +163,8 @@
     }
 
     fn end_fetch(&mut self, fetch: FetchId, outcome: FetchOutcome) {
-        // It ends once, whether its parent cache was lost or its last byte arrived.
+        // A fetch ends only once, although both its last byte and the loss of its parent cache can
+        // end it.
         if self.fetches.get(fetch).state == FetchState::Ended {
             return;
         }
@@ -187,7 +193,8 @@
         }
     }
 
-    /// A write is executed by the origin, past all caches.
+    /// Has the origin execute a write, which bypasses all caches. The client's attempt fails if the
+    /// origin rejects the call.
     pub(super) fn execute_write(&mut self, id: RequestId) {
         let service_us = self.network.origin.service_us;
         let Some(done_us) = self.origin.submit(self.now_us, service_us as u64) else {
--- a/crates/capacity/src/replay/links.rs
+++ b/crates/capacity/src/replay/links.rs
@@ -1,4 +1,5 @@
-//! The links of a replay with the transfers on them, and when each link's next transfer completes.
+//! The links of a replay with the transfers on them, and the scheduling of each link's next
+//! completed transfer.
 
 use super::events::Event;
 use super::request_table::{RequestHandle, RequestId};
@@ -7,21 +8,21 @@
 use crate::network::Network;
 use crate::shared_link::SharedLink;
 
-/// Capacity of the origin's link where it is not given, in flows: more than any load takes.
+/// Capacity of the origin's link if it is not given, in flows: more than any load uses.
 const UNLIMITED_LINK_FLOWS: f64 = 1e9;
-/// Bits of a transfer's identifier that name the leg.
+/// Number of bits of a transfer's identifier that hold the leg.
 const LEG_BITS: u32 = 2;
-/// Bits of a transfer's identifier that name the request's generation.
+/// Number of bits of a transfer's identifier that hold the request's generation.
 const GENERATION_BITS: u32 = 30;
 
-/// The links that a response crosses. A fill crosses all at once.
+/// A link that a response crosses. The transfers of a fill cross all three at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferLeg {
-    /// The edge cache's outbound link.
+    /// The edge cache's outbound link, to the client.
     ToClient,
-    /// The parent cache's outbound link.
+    /// The parent cache's outbound link, used by fills.
     FromParent,
-    /// The site's inbound link.
+    /// The site's inbound link, used by fills.
     IntoSite,
 }
 
@@ -38,14 +39,14 @@
     }
 }
 
-/// A transfer's identifier on its link: unique, as a request's generation changes when it
-/// withdraws.
+/// Returns the identifier of a transfer on its link. It is not reused, since the request's
+/// generation changes when the request withdraws or ends.
 fn transfer_id(request: RequestHandle, leg: TransferLeg) -> u64 {
     let generation = u64::from(request.generation) & ((1 << GENERATION_BITS) - 1);
     u64::from(request.id.0) << (GENERATION_BITS + LEG_BITS) | generation << LEG_BITS | leg as u64
 }
 
-/// The links with the version of each one's schedule.
+/// All links by their number in the topology, with the version of each link's schedule.
 #[derive(Debug)]
 pub(super) struct LinkTable {
     links: Vec<SharedLink>,
@@ -53,7 +54,7 @@
 }
 
 impl LinkTable {
-    /// The links of a network, in the topology's order.
+    /// Creates the links of a network, in the order of the topology's numbers.
     pub(super) fn new(network: &Network) -> LinkTable {
         let flow = network.flow_bytes_per_s;
         let fill_rate = flow * network.fill_speedup;
@@ -68,19 +69,19 @@
         LinkTable { versions: vec![0; links.len()], links }
     }
 
-    /// Lets time pass on all links.
+    /// Advances all links to `now_us`.
     pub(super) fn advance_all(&mut self, now_us: u64) {
         self.links.iter_mut().for_each(|link| link.advance(now_us));
     }
 
-    /// The share of a link's capacity that was used, by second.
+    /// Returns the used share of a link's capacity in each second.
     pub(super) fn utilization(&self, link: usize, seconds: usize) -> Vec<f64> {
         (0..seconds).map(|second| self.links[link].utilization(second)).collect()
     }
 }
 
 impl Simulation<'_> {
-    /// Starts the transfer of a request's chunk on one leg.
+    /// Starts the transfer of a request's chunk over the link of one leg.
     pub(super) fn start_transfer(&mut self, id: RequestId, leg: TransferLeg) {
         let bytes = f64::from(self.chunk_of(id).bytes);
         let link = self.leg_link(id, leg);
@@ -92,7 +93,7 @@
         self.reschedule_link(link);
     }
 
-    /// Starts the transfer of a fetch on the origin's link.
+    /// Starts the transfer of a fetch over the origin's link.
     pub(super) fn start_origin_transfer(&mut self, transfer: u64, bytes: f64) {
         let link = self.topology.origin_link();
         self.links.links[link].start(self.now_us, transfer, bytes);
@@ -111,13 +112,14 @@
         self.reschedule_link(link);
     }
 
-    /// Changes a link's capacity from now on.
+    /// Changes a link's capacity from the current time on.
     pub(super) fn set_link_capacity(&mut self, link: usize, bytes_per_s: f64) {
         self.links.links[link].set_capacity(self.now_us, bytes_per_s);
         self.reschedule_link(link);
     }
 
-    /// Takes the transfers off a link that have completed, if its schedule is still the same.
+    /// Handles the completion of transfers on a link. Does nothing if `version` is stale, as the
+    /// link has been rescheduled since.
     pub(super) fn on_transfer_due(&mut self, link: usize, version: u32) {
         if self.links.versions[link] != version {
             return;
@@ -135,7 +137,8 @@
         self.reschedule_link(link);
     }
 
-    /// Schedules the completion of a link's next transfer, in place of what was scheduled before.
+    /// Schedules the completion of a link's next transfer. An event that was scheduled for the link
+    /// before becomes stale.
     fn reschedule_link(&mut self, link: usize) {
         self.links.versions[link] = self.links.versions[link].wrapping_add(1);
         let version = self.links.versions[link];
--- a/crates/capacity/src/replay/mod.rs
+++ b/crates/capacity/src/replay/mod.rs
@@ -1,10 +1,10 @@
-//! Replay of a load over a network, as a discrete event simulation. Every first attempt is placed
-//! as the routers place it, served from its edge cache or filled over links that it shares with
-//! others, and retried by its client if it is not served. The result is the weight that was served
-//! in time by site, class and second, and how much of every resource was used.
+//! Replay of a load over a network, as a discrete-event simulation. Each first attempt is placed as
+//! the routers place it, served from its edge cache or filled over links that it shares with other
+//! transfers, and retried by its client if it is not served. The result is the priority weight
+//! served in time by site, class and second, and the use of every resource.
 //!
-//! Time is that of the recording. Links are shared as in [`crate::shared_link`]; a client's
-//! transfer starts with the first byte of its fill.
+//! The replay runs in the time of the recording. Links are shared as in [`crate::shared_link`]. A
+//! response that is filled is passed on to the client from its first byte.
 
 mod admission;
 mod endpoints;
@@ -29,34 +29,35 @@
 use crate::trace::Trace;
 use simulation::Simulation;
 
-/// What caches hold when the load begins.
+/// Content of the caches at the beginning of the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InitialCaches {
-    /// What the warm-up requests. What they really held when the recording began is not known, and
-    /// a fleet that starts empty under its full load may collapse at a load that it carries when
-    /// warm.
+    /// The chunks that are requested during the warm-up. The real content at the beginning of the
+    /// recording is not known, and a fleet that starts with empty caches under its full load may
+    /// collapse at a load that it carries when warm.
     #[default]
     Warm,
-    /// Nothing, as after a loss of everything.
+    /// Nothing, as after a loss of all caches.
     Empty,
 }
 
-/// How a load is replayed.
+/// Options of a replay.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayOptions {
-    /// What caches hold at the beginning.
+    /// Content of the caches at the beginning of the load.
     pub initial_caches: InitialCaches,
-    /// Endpoints that are lost for a while.
+    /// Endpoints that are lost for a while; `None` without losses.
     pub outage: Option<Outage>,
-    /// From when on classes, hits and bytes are counted, in microseconds.
+    /// Time from which class totals, hits and bytes are counted, in microseconds.
     pub counted_from_us: u64,
-    /// The seed of random numbers.
+    /// Seed of the random numbers that choose replicas and waits before retries.
     pub seed: u64,
-    /// Whether the result says where each first attempt was served from.
+    /// Whether the result says where each first attempt was served from, see
+    /// [`ReplayResult::sources`].
     pub record_sources: bool,
 }
 
-/// Replays a load over a network.
+/// Replays a load over a network. The result depends only on the arguments.
 pub fn replay(trace: &Trace, network: &Network, options: &ReplayOptions) -> ReplayResult {
     let mut simulation = Simulation::new(trace, network, options);
     if options.initial_caches == InitialCaches::Warm {
--- a/crates/capacity/src/replay/outages.rs
+++ b/crates/capacity/src/replay/outages.rs
@@ -1,43 +1,45 @@
-//! Loss and return of endpoints: they return empty, and with a share of their link that grows.
+//! Loss and return of endpoints. A lost endpoint returns with an empty cache and a reduced link
+//! capacity that grows while it warms up.
 
 use super::events::Event;
 use super::links::TransferLeg;
 use super::request_table::{OpenRequest, RequestId};
 use super::simulation::Simulation;
 
-/// How often the link of an endpoint that warms up gets a larger share.
+/// Interval at which the link capacity of an endpoint that is warming up is raised, in
+/// microseconds.
 const WARM_UP_INTERVAL_US: u64 = 500_000;
 
-/// An endpoint that can be lost.
+/// An endpoint that can be lost: an edge cache or a parent cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointRef {
-    /// An edge cache.
+    /// An edge cache of a site.
     EdgeCache {
-        /// Its site.
+        /// Index of its site in the network.
         site: usize,
-        /// Its position in the site.
+        /// Position of the edge cache in its site.
         position: usize,
     },
-    /// A parent cache.
+    /// A parent cache of the network.
     ParentCache {
-        /// Its position among the parent caches.
+        /// Index of the parent cache in the network.
         parent: usize,
     },
 }
 
-/// Endpoints that are lost together for a while.
+/// Endpoints that are lost at the same time and return at the same time.
 #[derive(Clone, Debug)]
 pub struct Outage {
-    /// The endpoints.
+    /// Endpoints that are lost.
     pub endpoints: Vec<EndpointRef>,
-    /// When they are lost, in microseconds.
+    /// Time of the loss, in microseconds from the start of the load.
     pub from_us: u64,
-    /// When they return, in microseconds.
+    /// Time of the return, in microseconds from the start of the load.
     pub to_us: u64,
 }
 
 impl Simulation<'_> {
-    /// Schedules the outage, if there is one.
+    /// Schedules the outage of the replay's options, if there is one.
     pub(super) fn schedule_outage(&mut self) {
         let Some(outage) = self.outage else { return };
         self.schedule(outage.from_us, Event::OutageBegins);
@@ -54,7 +56,8 @@
         endpoints.iter().for_each(|endpoint| self.restore(*endpoint));
     }
 
-    /// An endpoint that warms up gets the share of its link that it now has.
+    /// Sets the link capacity of a returned endpoint to its current share, and schedules the next
+    /// update while it is warming up.
     pub(super) fn on_warm_up_due(&mut self, endpoint: usize) {
         let share = self.capacity_share(endpoint);
         let link_flows = match self.topology.endpoint_ref(endpoint) {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Whether an open request fails if an endpoint is lost.
+    /// Returns whether the current attempt of an open request fails if an endpoint is lost.
     fn depends_on(&self, id: RequestId, request: &OpenRequest, endpoint: EndpointRef) -> bool {
         match endpoint {
             EndpointRef::EdgeCache { .. } => {
--- a/crates/capacity/src/replay/outcome.rs
+++ b/crates/capacity/src/replay/outcome.rs
@@ -1,36 +1,39 @@
-//! What a replay comes to: totals by second, site and class, and how the load developed.
+//! The result of a replay: totals by second, site and class, and whether the load runs away.
 
 use super::resources::ResourceUsage;
 use crate::trace::{RequestClass, Trace, TraceRequest};
 
-/// The part of the counted time that a runaway is judged by, at its beginning and its end.
+/// Number of equal parts of the counted time of which the first and the last are compared to detect
+/// a runaway load.
 const RUNAWAY_PARTS: usize = 3;
-/// Parts shorter than this many seconds say nothing of a runaway.
+/// Minimum length of these parts, in seconds; shorter ones say nothing about a runaway load.
 const MIN_RUNAWAY_PART_S: usize = 3;
-/// Retries per first attempt at the end above which they can run away.
+/// Minimum number of retries per first attempt in the last part of a runaway load.
 const MIN_RUNAWAY_RETRIES: f64 = 0.2;
-/// Retries have grown if they are this many times those at the beginning.
+/// Minimum ratio of the retries per first attempt in the last part to those in the first part of a
+/// runaway load.
 const RUNAWAY_RETRY_GROWTH: f64 = 1.5;
-/// The load has run away if the weight in time has also fallen by this share.
+/// Minimum decrease of the share of weight served in time, from the first to the last part of a
+/// runaway load.
 const RUNAWAY_LOSS: f64 = 0.1;
 
-/// Sums over a stretch of time.
+/// Sums over a period of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// Priority weight that was requested.
+    /// Priority weight of the first attempts.
     pub requested_weight: f64,
-    /// Priority weight that was earned, late responses at their late weight.
+    /// Priority weight earned; a late response earns its class's late weight.
     pub earned_weight: f64,
-    /// Priority weight that was served within its latency objective.
+    /// Priority weight served within the latency objective.
     pub in_time_weight: f64,
-    /// First attempts of clients.
+    /// Number of first attempts by clients.
     pub first_attempts: f64,
-    /// Retries of clients.
+    /// Number of retries by clients.
     pub retries: f64,
 }
 
 impl Totals {
-    /// Adds another stretch.
+    /// Adds the sums of another period.
     pub fn add(&mut self, other: &Totals) {
         self.requested_weight += other.requested_weight;
         self.earned_weight += other.earned_weight;
@@ -39,7 +42,8 @@
         self.retries += other.retries;
     }
 
-    /// The weight served in time, as a share of that requested; 1 where nothing was requested.
+    /// Returns the priority weight served in time as a share of the requested weight; 1 if nothing
+    /// was requested.
     pub fn in_time_share(&self) -> f64 {
         if self.requested_weight > 0.0 {
             self.in_time_weight / self.requested_weight
@@ -48,59 +52,61 @@
         }
     }
 
-    /// Retries per first attempt.
+    /// Returns the number of retries per first attempt.
     fn retries_per_first_attempt(&self) -> f64 {
         self.retries / self.first_attempts.max(1.0)
     }
 }
 
-/// Where a first attempt was served from.
+/// The source from which a first attempt was served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServedFrom {
-    /// It was not served, or not at the first attempt.
+    /// The request was not served, or only by a retry or by another attempt of the router.
     #[default]
     Unknown,
-    /// Its edge cache.
+    /// The edge cache, as a cache hit.
     EdgeCache,
-    /// A parent cache.
+    /// A parent cache, through a fill that hit there.
     ParentCache,
-    /// The origin, through a parent cache.
+    /// The origin, through a parent cache that fetched the chunk.
     Origin,
     /// The origin, which executed a write.
     Write,
 }
 
-/// The result of a replay.
+/// Result of a replay.
 #[derive(Debug, Default)]
 pub struct ReplayResult {
-    /// Totals by second of the first attempt's arrival, then by site.
+    /// Totals by the second of the first attempt's arrival, then by site.
     pub seconds: Vec<Vec<Totals>>,
-    /// Totals by class, from `counted_from_us` on.
+    /// Totals by class, of first attempts that arrived from `counted_from_us` on.
     pub classes: Vec<Totals>,
-    /// From when on classes, hits and bytes are counted, in microseconds.
+    /// Time from which class totals, hits and bytes are counted, in microseconds.
     pub counted_from_us: u64,
-    /// Attempts that reached an edge cache.
+    /// Number of attempts sent to edge caches, from `counted_from_us` on.
     pub edge_attempts: f64,
-    /// Attempts that an edge cache served from what it held.
+    /// Number of attempts that were hits in an edge cache, from `counted_from_us` on.
     pub edge_hits: f64,
-    /// Bytes served to clients.
+    /// Bytes served to clients, from `counted_from_us` on.
     pub served_bytes: f64,
-    /// Bytes filled into edge caches.
+    /// Bytes of fills that were started for edge caches, from `counted_from_us` on.
     pub filled_bytes: f64,
-    /// Where each first attempt was served from; empty unless asked for.
+    /// Source of each first attempt, by the index of the request in the trace; empty unless
+    /// [`super::ReplayOptions::record_sources`] is set.
     pub sources: Vec<ServedFrom>,
-    /// The use of each resource that is judged.
+    /// Usage of each resource with a known limit.
     pub resources: Vec<ResourceUsage>,
-    /// The most requests that were open at one router.
+    /// Maximum number of open requests at any one router, over the whole replay.
     pub max_open_requests: usize,
-    /// The most bytes that one router held or waited for.
+    /// Maximum total size of the responses to open requests at any one router over the whole
+    /// replay, in bytes.
     pub max_held_bytes: f64,
-    /// Calls of the origin, writes among them.
+    /// Number of calls that the origin accepted over the whole replay: fetches and writes.
     pub origin_calls: f64,
 }
 
 impl ReplayResult {
-    /// A result of nothing yet, for a load on a number of sites.
+    /// Creates a result with all totals zero, for a load and a number of sites.
     pub(super) fn empty(
         trace: &Trace,
         site_count: usize,
@@ -118,7 +124,8 @@
         }
     }
 
-    /// Adds to the totals of a first attempt's second, site and class.
+    /// Adds to the totals of a first attempt's second and site, and to those of its class if it is
+    /// counted.
     pub(super) fn record(&mut self, request: &TraceRequest, class: usize, totals: &Totals) {
         let second = (request.arrived_us / 1_000_000) as usize;
         self.seconds[second][usize::from(request.site)].add(totals);
@@ -127,12 +134,12 @@
         }
     }
 
-    /// The first second that is counted.
+    /// Returns the first second that is counted.
     pub fn counted_from_second(&self) -> usize {
         (self.counted_from_us / 1_000_000) as usize
     }
 
-    /// All sites together, over the seconds from `from` to `to`.
+    /// Returns the totals of all sites from second `from` up to but not including `to`.
     pub fn totals(&self, from: usize, to: usize) -> Totals {
         let mut totals = Totals::default();
         for second in self.seconds.iter().take(to.min(self.seconds.len())).skip(from) {
@@ -141,12 +148,12 @@
         totals
     }
 
-    /// All sites together, second by second, from `from` to `to`.
+    /// Returns the totals of all sites for each second from `from` up to but not including `to`.
     pub fn totals_by_second(&self, from: usize, to: usize) -> Vec<Totals> {
         (from..to).map(|second| self.totals(second, second + 1)).collect()
     }
 
-    /// One site, over all that is counted.
+    /// Returns the totals of one site over the counted seconds.
     pub fn site_totals(&self, site: usize) -> Totals {
         let mut totals = Totals::default();
         let counted = self.seconds.iter().skip(self.counted_from_second());
@@ -154,12 +161,12 @@
         totals
     }
 
-    /// All that is counted.
+    /// Returns the totals of all sites over the counted seconds.
     pub fn counted_totals(&self) -> Totals {
         self.totals(self.counted_from_second(), self.seconds.len())
     }
 
-    /// The share of attempts at edge caches that were hits.
+    /// Returns the share of attempts at edge caches that were hits; 0 without attempts.
     pub fn hit_ratio(&self) -> f64 {
         if self.edge_attempts > 0.0 {
             self.edge_hits / self.edge_attempts
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Bytes filled for each byte served.
+    /// Returns the bytes filled per byte served; 0 if nothing was served.
     pub fn fill_ratio(&self) -> f64 {
         if self.served_bytes > 0.0 {
             self.filled_bytes / self.served_bytes
@@ -177,7 +184,9 @@
         }
     }
 
-    /// Whether the load runs away: retries grow through the load, and the weight in time falls.
+    /// Returns whether the load runs away: retries grow from the first to the last part of the
+    /// counted time, while the share of weight served in time falls. Returns false if the counted
+    /// time is too short to tell.
     pub fn runs_away(&self) -> bool {
         let from = self.counted_from_second();
         let end = self.seconds.len();
@@ -194,7 +203,7 @@
     }
 }
 
-/// What a response earns that is served at `served_at_us`.
+/// Returns the weight that a response earns if it is served at `served_at_us`.
 pub(super) fn response_totals(
     request: &TraceRequest,
     class: &RequestClass,
--- a/crates/capacity/src/replay/request_table.rs
+++ b/crates/capacity/src/replay/request_table.rs
@@ -1,10 +1,12 @@
-//! The table of open requests: what is known of each, in slots that are used again.
+//! The table of open requests. Requests are stored in slots, which are reused after a request is
+//! closed.
 
 use super::fetch_table::FetchId;
 use super::outcome::ServedFrom;
 use crate::eviction::RetentionPriority;
 
-/// The slot of an open request. Slots are used again.
+/// Identifier of an open request: its slot in the table. Slots are reused, so an event refers to a
+/// request by a [`RequestHandle`] where it may be stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestId(pub(super) u32);
 
@@ -14,53 +16,56 @@
     }
 }
 
-/// A request at one stage: whatever was scheduled for an earlier stage is stale.
+/// A request with its generation when the handle was taken. A handle with an older generation than
+/// the request's is stale, and its event is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestHandle {
     pub(super) id: RequestId,
     pub(super) generation: u32,
 }
 
-/// A request of a client.
+/// State of an open request, from the client's first attempt until it is served or the client gives
+/// up.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OpenRequest {
-    /// The first attempt, as an index of the trace's requests.
+    /// First attempt, as an index of the trace's requests.
     pub(super) trace_index: u32,
-    /// Changes whenever the request withdraws from where it is, or ends.
+    /// Generation, raised whenever the request is withdrawn from its endpoints or its slot is
+    /// closed or reused.
     pub(super) generation: u32,
-    /// Retries by the client so far.
+    /// Number of retries by the client so far.
     pub(super) retries: u8,
-    /// The router's attempts since the client's last one.
+    /// Number of attempts by the router since the client's last attempt began.
     pub(super) attempts: u8,
-    /// The site.
+    /// Site of the request, as an index of the network's sites.
     pub(super) site: u16,
-    /// The edge cache of the current attempt, by its position in the site.
+    /// Edge cache of the current attempt, by its position in the site.
     pub(super) edge_cache: u16,
-    /// The parent cache that fills the current attempt.
+    /// Parent cache that fills the current attempt, by its index; meaningful only for a miss.
     pub(super) parent_cache: u16,
-    /// Transfers and fetches that the response still waits for.
+    /// Number of transfers and fetches that the response still waits for.
     pub(super) pending_steps: u8,
-    /// Which legs the response is being transferred on, by [`super::links::TransferLeg`].
+    /// Legs over which the response is being transferred, indexed by [`super::links::TransferLeg`].
     pub(super) active_legs: [bool; 3],
-    /// Whether the edge cache is being filled for this request.
+    /// Whether a fill of the edge cache is running for this request.
     pub(super) is_filling: bool,
-    /// The priority of the copy that a fill leaves.
+    /// Retention priority of the copy that a fill stores.
     pub(super) retention: RetentionPriority,
-    /// When the copy that serves the request was created.
+    /// Creation time of the copy that serves the request, in microseconds.
     pub(super) copy_created_us: u64,
-    /// The fetch from the origin that the request waits for.
+    /// Fetch from the origin that the request waits for, if any.
     pub(super) fetch: Option<FetchId>,
-    /// Where the current attempt is served from.
+    /// Source that serves the current attempt.
     pub(super) served_from: ServedFrom,
-    /// When the client made its last attempt.
+    /// Time of the client's last attempt, in microseconds.
     pub(super) client_attempt_us: u64,
-    /// When the current attempt was sent to its edge cache.
+    /// Time at which the current attempt was sent to its edge cache, in microseconds.
     pub(super) sent_us: u64,
-    /// Whether the current attempt is counted at its edge cache.
+    /// Whether the current attempt is counted as active at its edge cache.
     pub(super) is_at_edge_cache: bool,
 }
 
-/// Open requests by slot.
+/// Open requests by slot, with the free slots.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     slots: Vec<OpenRequest>,
@@ -88,7 +93,7 @@
         self.slots.len() == self.free.len()
     }
 
-    /// The open requests for which `predicate` holds, by slot.
+    /// Returns the open requests for which `predicate` holds, in order of slots.
     pub(super) fn find(
         &self,
         predicate: impl Fn(RequestId, &OpenRequest) -> bool,
@@ -97,7 +102,7 @@
         ids.filter(|id| predicate(*id, self.get(*id)) && !self.free.contains(id)).collect()
     }
 
-    /// Puts a request into a free slot.
+    /// Stores a request in a free slot, or in a new one if none is free.
     pub(super) fn open(&mut self, request: OpenRequest) -> RequestId {
         match self.free.pop() {
             Some(id) => {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Frees a slot; whatever was scheduled for its request becomes stale.
+    /// Closes a request and frees its slot. Handles of the request become stale.
     pub(super) fn close(&mut self, id: RequestId) {
         self.get_mut(id).generation += 1;
         self.free.push(id);
--- a/crates/capacity/src/replay/requests.rs
+++ b/crates/capacity/src/replay/requests.rs
@@ -1,5 +1,5 @@
-//! The way of a request: from a client's first attempt to its response, or until the client gives
-//! up.
+//! The life cycle of a request: from a client's first attempt to its response, or until the client
+//! gives up.
 
 use super::events::Event;
 use super::links::TransferLeg;
@@ -9,11 +9,12 @@
 use crate::trace::{Chunk, RequestClass, TraceRequest};
 use rand::Rng;
 
-/// How long a router takes to notice that an endpoint is lost, before it tries another.
+/// Time that a router takes to detect that an endpoint is lost before it attempts another, in
+/// microseconds.
 const FAILURE_DETECTION_US: u64 = 30_000;
 
 impl<'a> Simulation<'a> {
-    /// A client's first attempt.
+    /// Opens a request for a client's first attempt, counts it at its router and makes the attempt.
     pub(super) fn open_request(&mut self, trace_index: usize) {
         let request = self.trace.requests[trace_index];
         let id = self.requests.open(OpenRequest {
@@ -51,18 +52,19 @@
         usize::from(self.chunk_of(id).class)
     }
 
-    /// The router that a request came to. Traces put together by hand may name more than there are.
+    /// Returns the index of the router that received a request. Synthetic traces may name more
+    /// routers than they declare, so the number wraps around.
     pub(super) fn router_of(&self, id: RequestId) -> usize {
         usize::from(self.trace_request(id).router) % self.routers.len()
     }
 
-    /// The edge cache of a request's current attempt.
+    /// Returns the endpoint number of the edge cache of a request's current attempt.
     pub(super) fn edge_cache_of(&self, id: RequestId) -> usize {
         let request = self.requests.get(id);
         self.topology.edge_cache(usize::from(request.site), usize::from(request.edge_cache))
     }
 
-    /// A first attempt or a retry of the client begins; the client waits until its timeout.
+    /// Begins a first attempt or a retry of the client, and schedules the client's timeout.
     fn begin_client_attempt(&mut self, id: RequestId) {
         let timeout_us = u64::from(self.trace_request(id).timeout_us);
         self.requests.get_mut(id).client_attempt_us = self.now_us;
@@ -71,7 +73,7 @@
         self.route(id);
     }
 
-    /// The client's retry or the router's next attempt is due.
+    /// Makes the attempt that is due: a retry by the client, or the router's next attempt.
     pub(super) fn on_attempt_due(&mut self, id: RequestId) {
         if self.requests.get(id).attempts == 0 {
             self.begin_client_attempt(id);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// A transfer or a fetch that the response waited for has completed.
+    /// Handles the completion of a transfer or fetch that the response waits for.
     pub(super) fn complete_step(&mut self, id: RequestId) {
         self.requests.get_mut(id).pending_steps -= 1;
         let request = *self.requests.get(id);
@@ -88,19 +90,21 @@
         let has_arrived = !is_transferring(TransferLeg::FromParent)
             && !is_transferring(TransferLeg::IntoSite)
             && request.fetch.is_none();
-        // A fill ends before its client has been sent all, and remains if the client leaves then.
+        // The fill may end before the transfer to the client does, and its copy is stored even if
+        // the client leaves before the transfer ends.
         if request.is_filling && has_arrived {
             self.complete_fill(id);
         }
         if request.pending_steps > 0 {
             return;
         }
-        // All has been sent; the way to the client and the work on it are still to come.
+        // The last byte has been sent. The delay of a hit is added here: the network latency to the
+        // client and the processing of the request.
         let done_us = self.now_us + self.network.delays.hit_us as u64;
         self.schedule(done_us, Event::ResponseCompleted(self.requests.handle(id)));
     }
 
-    /// The client has its response.
+    /// Handles the arrival of the complete response at the client.
     pub(super) fn on_response_completed(&mut self, handle: RequestHandle) {
         if !self.requests.is_current(handle) {
             return;
@@ -121,7 +125,7 @@
         self.close_request(id);
     }
 
-    /// The client's timeout has expired.
+    /// Handles the expiry of the client's timeout.
     pub(super) fn on_timed_out(&mut self, handle: RequestHandle) {
         if !self.requests.is_current(handle) {
             return;
@@ -132,7 +136,8 @@
         self.reject(handle.id);
     }
 
-    /// The current attempt failed: another one follows once that has been noticed.
+    /// Withdraws a failed attempt. The router makes another one after it has detected the failure,
+    /// unless the client's timeout expires before.
     pub(super) fn retry_elsewhere(&mut self, id: RequestId) {
         let timeout_us = u64::from(self.trace_request(id).timeout_us);
         let times_out_us = self.requests.get(id).client_attempt_us + timeout_us;
@@ -144,13 +149,14 @@
         self.schedule(self.now_us + FAILURE_DETECTION_US, Event::AttemptDue(id));
     }
 
-    /// The client's attempt is not served.
+    /// Ends the client's attempt unserved.
     pub(super) fn reject(&mut self, id: RequestId) {
         self.withdraw(id);
         self.end_client_attempt(id);
     }
 
-    /// Withdraws a request from links and its edge cache. What is under way for it becomes stale.
+    /// Withdraws a request from its links, its edge cache and any fetch. Events that were scheduled
+    /// for it become stale.
     fn withdraw(&mut self, id: RequestId) {
         for leg in TransferLeg::ALL {
             self.abort_transfer(id, leg);
@@ -165,7 +171,8 @@
         request.generation += 1;
     }
 
-    /// An attempt of the client was not served: it retries after a wait, or gives up.
+    /// Ends an unserved attempt of the client: the client retries after a random wait, or gives up
+    /// if it has no retries left or its class is not retried.
     fn end_client_attempt(&mut self, id: RequestId) {
         let may_retry = self.class_of(id).clients_retry;
         let request = self.requests.get_mut(id);
@@ -184,7 +191,7 @@
         self.result.record(self.trace_request(id), class, totals);
     }
 
-    /// Notes where a first attempt was served from, if the result is to say so.
+    /// Records where a first attempt was served from, if the result records sources.
     fn record_source(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let is_first_attempt = request.retries == 0 && request.attempts == 1;
--- a/crates/capacity/src/replay/resources.rs
+++ b/crates/capacity/src/replay/resources.rs
@@ -1,43 +1,44 @@
-//! The resources that can run out, and how much of each a replay used.
+//! The resources that can become saturated, and how much of each a replay used.
 
 use super::endpoints::SecondSeries;
 use super::outcome::ReplayResult;
 use super::simulation::Simulation;
 
-/// Something that can run out.
+/// A resource that can become saturated. A string is the name of the endpoint or site.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
-    /// An edge cache's outbound link.
+    /// Outbound link of an edge cache.
     EdgeCacheLink(String),
-    /// An edge cache's cores.
+    /// Cores of an edge cache.
     EdgeCacheCores(String),
-    /// The fills that an edge cache can run.
+    /// Concurrent fills of an edge cache.
     EdgeCacheFills(String),
-    /// A site's inbound link.
+    /// Inbound link of a site.
     SiteInboundLink(String),
-    /// A parent cache's outbound link.
+    /// Outbound link of a parent cache.
     ParentCacheLink(String),
-    /// The fetches that a parent cache can run.
+    /// Concurrent fetches of a parent cache.
     ParentCacheFetches(String),
-    /// The calls per second that the origin accepts.
+    /// Rate of calls that the origin accepts.
     OriginCalls,
-    /// The origin's outbound link.
+    /// Outbound link of the origin.
     OriginLink,
-    /// The origin's workers.
+    /// Workers of the origin.
     OriginWorkers,
 }
 
-/// How much of a resource was used.
+/// Usage of a resource over a replay.
 #[derive(Clone, Debug)]
 pub struct ResourceUsage {
-    /// The resource.
+    /// Resource that was used.
     pub resource: Resource,
-    /// The share that was used, by second.
+    /// Used share of the resource in each second; 1 is its capacity or limit.
     pub by_second: Vec<f64>,
 }
 
 impl Simulation<'_> {
-    /// The result, with the use of every resource that is judged.
+    /// Ends the replay and returns its result, with the usage of every resource that has a known
+    /// limit.
     pub(super) fn into_result(mut self) -> ReplayResult {
         self.links.advance_all(self.trace.duration_us);
         let mut resources = self.site_resources();
--- a/crates/capacity/src/replay/routing.rs
+++ b/crates/capacity/src/replay/routing.rs
@@ -1,4 +1,5 @@
-//! Which endpoints a request is sent to: its edge cache, and for a miss the parent cache.
+//! Choice of the endpoints that a request is sent to: its edge cache and, for a miss, the parent
+//! cache that fills it.
 
 use super::events::Event;
 use super::links::TransferLeg;
@@ -9,25 +10,26 @@
 use crate::placement::{hash_order, placement_seed};
 use rand::Rng;
 
-/// Attempts of a router for one attempt of the client.
+/// Maximum number of attempts by a router for one attempt of the client.
 const MAX_ATTEMPTS: u8 = 6;
-/// An endpoint that is not the first choice must have this much spare capacity (bounded-load
-/// hashing).
+/// Spare capacity required of an edge cache that is not the first choice (bounded-load hashing).
 const OVERFLOW_SPARE_CAPACITY: f64 = 0.8;
-/// A chunk that a router was asked for within this time is retained at the higher priority.
+/// Time after a request during which another request for the same chunk at the same router raises
+/// its retention priority, in microseconds.
 const RECENT_REQUEST_US: u64 = 30_000_000;
 
-/// An edge cache that was chosen for a request.
+/// An edge cache chosen for a request.
 #[derive(Clone, Copy, Debug)]
 struct EdgeCacheChoice {
-    /// Its position in the site.
+    /// Position of the edge cache in its site.
     position: usize,
-    /// Its rank in the chunk's hashed order of the available edge caches.
+    /// Rank of the edge cache among the available ones in the chunk's hash order, from 0.
     rank: usize,
 }
 
 impl Simulation<'_> {
-    /// Makes an attempt: chooses an edge cache and sends the request there.
+    /// Makes an attempt of the router: sends a read to an edge cache, and a write to the origin.
+    /// Rejects the request if no edge cache admits it or the attempts are used up.
     pub(super) fn route(&mut self, id: RequestId) {
         let request = self.requests.get_mut(id);
         request.attempts += 1;
@@ -43,8 +45,8 @@
         }
     }
 
-    /// The first edge cache in the chunk's order that can take the request. A replicated chunk
-    /// begins at a random one of its replicas.
+    /// Returns the first edge cache in the chunk's hash order that admits the request, or `None` if
+    /// none does. The search for a replicated chunk begins at one of its replicas chosen at random.
     fn choose_edge_cache(&mut self, id: RequestId) -> Option<EdgeCacheChoice> {
         let site = usize::from(self.requests.get(id).site);
         let order = self.available_edge_caches(id);
@@ -66,8 +68,8 @@
         None
     }
 
-    /// Whether an edge cache of the request's site has that much spare capacity, and can run a
-    /// fill.
+    /// Returns whether an edge cache of the request's site has at least `min_spare` spare capacity
+    /// and can run another fill.
     fn has_spare_capacity(&self, id: RequestId, position: usize, min_spare: f64) -> bool {
         let site = usize::from(self.requests.get(id).site);
         let node = &self.network.sites[site].edge_caches[position];
@@ -77,7 +79,8 @@
         spare >= min_spare && can_fill
     }
 
-    /// The available edge caches of the request's site in the chunk's order, by position.
+    /// Returns the positions of the available edge caches of the request's site, in the chunk's
+    /// hash order.
     fn available_edge_caches(&self, id: RequestId) -> Vec<u16> {
         let site = usize::from(self.requests.get(id).site);
         let is_available = |position: &u16| {
@@ -88,8 +91,9 @@
         order.into_iter().filter(is_available).collect()
     }
 
-    /// How many edge caches the chunk is spread over. Only a client's attempt counts as a request,
-    /// and only it goes to any replica.
+    /// Returns the number of edge caches that the chunk is replicated on. Only the first attempt
+    /// for each attempt of the client counts as a request and is spread over the replicas; later
+    /// ones start at the first choice.
     fn replicas(&mut self, id: RequestId, endpoint_count: usize) -> usize {
         if self.requests.get(id).attempts != 1 {
             return 1;
@@ -100,7 +104,7 @@
         replication.record_request(self.now_us, chunk, endpoint_count)
     }
 
-    /// Sends a request to an edge cache, which serves it from its cache or has it filled.
+    /// Sends a request to an edge cache, which serves it as a hit or has it filled.
     fn send_to_edge_cache(&mut self, id: RequestId, choice: EdgeCacheChoice) {
         let retention = self.retention(id, choice);
         let request = self.requests.get_mut(id);
@@ -113,8 +117,8 @@
         let second = self.second();
         self.result.edge_attempts += counted;
         self.join_edge_cache(id);
-        let edge_cache_number = self.edge_cache_of(id);
-        let edge_cache = &mut self.edge_caches[edge_cache_number];
+        let edge_cache_index = self.edge_cache_of(id);
+        let edge_cache = &mut self.edge_caches[edge_cache_index];
         edge_cache.attempts.increment(second);
         match edge_cache.cache.lookup(chunk, valid_since_us, retention) {
             Some(copy_created_us) => {
@@ -129,7 +133,8 @@
         }
     }
 
-    /// The priority of the copy that a request leaves at an edge cache.
+    /// Returns the retention priority of the copy that a request leaves at an edge cache: high if
+    /// the chunk was requested recently and the edge cache is its first choice.
     fn retention(&mut self, id: RequestId, choice: EdgeCacheChoice) -> RetentionPriority {
         let request = self.trace_request(id);
         let key = RouterChunk { router: request.router, chunk: request.chunk };
@@ -142,7 +147,8 @@
         }
     }
 
-    /// Has a miss filled from the first parent cache in the chunk's order that takes the work.
+    /// Starts the fill of a miss from the first parent cache in the chunk's hash order that admits
+    /// the work, or rejects the request if none does.
     fn fill_from_parent(&mut self, id: RequestId) {
         let Some(parent) = self.choose_parent(id) else { return self.reject(id) };
         let request = self.requests.get_mut(id);
--- a/crates/capacity/src/replay/simulation.rs
+++ b/crates/capacity/src/replay/simulation.rs
@@ -1,4 +1,4 @@
-//! The state of a replay and its main loop.
+//! The state of a replay and its event loop.
 
 use super::admission::ServiceTimes;
 use super::endpoints::{Availability, EdgeCacheState, ParentCacheState, RouterState};
@@ -19,14 +19,14 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// A chunk at a router.
+/// A chunk as requested from one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RouterChunk {
     pub(super) router: u16,
     pub(super) chunk: ChunkId,
 }
 
-/// A replay in progress.
+/// State of a replay in progress. Times are in microseconds from the start of the load.
 pub(super) struct Simulation<'a> {
     pub(super) trace: &'a Trace,
     pub(super) network: &'a Network,
@@ -38,17 +38,18 @@
     pub(super) links: LinkTable,
     pub(super) edge_caches: Vec<EdgeCacheState>,
     pub(super) parent_caches: Vec<ParentCacheState>,
-    /// Edge caches and parent caches, by the topology's numbers.
+    /// Availability of edge caches and parent caches, by endpoint number.
     pub(super) availability: Vec<Availability>,
     pub(super) routers: Vec<RouterState>,
     pub(super) origin: WorkerPool,
     pub(super) fetches: FetchTable,
     pub(super) service_times: ServiceTimes,
     pub(super) purge_log: PurgeLog,
-    /// When a router was last asked for a chunk.
+    /// Time of the last request for a chunk at each router, in microseconds.
     pub(super) last_requested_us: HashMap<RouterChunk, u64>,
-    /// The edge caches of each site, for placement.
+    /// Edge caches of each site with their weights, for placement.
     pub(super) weighted_edge_caches: Vec<Vec<WeightedEndpoint>>,
+    /// Parent caches with their weights, for placement.
     pub(super) weighted_parents: Vec<WeightedEndpoint>,
     pub(super) outage: Option<&'a Outage>,
     pub(super) result: ReplayResult,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Fills the caches with what the load requests before it is counted.
+    /// Preloads the caches with the chunks that are requested before the counted time begins.
     pub(super) fn fill_initial_caches(&mut self) {
         let counted_from_us = self.result.counted_from_us;
         let trace = self.trace;
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Plays all first attempts, and then what follows from them until every request has ended.
+    /// Runs the event loop: handles all first attempts and scheduled events in order of time, until
+    /// every request has ended.
     pub(super) fn run(&mut self) {
         let mut next_request = 0;
         loop {
@@ -141,22 +143,22 @@
         }
     }
 
-    /// Schedules an event, now at the earliest.
+    /// Schedules an event at `at_us`, or at the current time if that has passed.
     pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
         self.events.schedule(at_us.max(self.now_us), event);
     }
 
-    /// Whether what happens now is counted.
+    /// Returns whether the current time belongs to the counted part of the load.
     pub(super) fn is_counted(&self) -> bool {
         self.now_us >= self.result.counted_from_us
     }
 
-    /// The second that it is.
+    /// Returns the current second, counted from the start of the load.
     pub(super) fn second(&self) -> usize {
         (self.now_us / 1_000_000) as usize
     }
 
-    /// The oldest valid creation time of a chunk's copy.
+    /// Returns the oldest valid creation time of a chunk's copy, in microseconds.
     pub(super) fn valid_since_us(&self, chunk: ChunkId) -> u64 {
         let chunk = self.trace.chunk(chunk);
         let class = self.trace.class_of_chunk(chunk);
--- a/crates/capacity/src/replay/topology.rs
+++ b/crates/capacity/src/replay/topology.rs
@@ -1,13 +1,14 @@
-//! The numbering of endpoints and links. Endpoints that can be lost are numbered edge caches first,
-//! site by site, then parent caches. Each has a link with its number; the sites' inbound links and
-//! the origin's link follow.
+//! The numbering of endpoints and links. Endpoints are numbered from 0: edge caches first, site by
+//! site, then parent caches. The outbound link of an endpoint has the same number as the endpoint.
+//! The inbound links of the sites follow, then the origin's link.
 
 use super::outages::EndpointRef;
 use crate::network::Network;
 
-/// Where each kind of endpoint and link begins.
+/// The first numbers of each kind of endpoint and link.
 #[derive(Clone, Debug)]
 pub(super) struct Topology {
+    /// Number of the first edge cache of each site.
     first_edge_caches: Vec<usize>,
     edge_cache_count: usize,
     endpoint_count: usize,
@@ -27,32 +28,32 @@
         Topology { first_edge_caches, edge_cache_count, endpoint_count, origin_link }
     }
 
-    /// How many endpoints can be lost.
+    /// Returns the number of edge caches and parent caches.
     pub(super) fn endpoint_count(&self) -> usize {
         self.endpoint_count
     }
 
-    /// The number of an edge cache, by its site and its position there.
+    /// Returns the endpoint number of an edge cache, by its site and its position there.
     pub(super) fn edge_cache(&self, site: usize, position: usize) -> usize {
         self.first_edge_caches[site] + position
     }
 
-    /// The number of a parent cache as an endpoint.
+    /// Returns the endpoint number of a parent cache.
     pub(super) fn parent_cache(&self, parent: usize) -> usize {
         self.edge_cache_count + parent
     }
 
-    /// The number of a site's inbound link.
+    /// Returns the number of a site's inbound link.
     pub(super) fn inbound_link(&self, site: usize) -> usize {
         self.endpoint_count + site
     }
 
-    /// The number of the origin's outbound link.
+    /// Returns the number of the origin's outbound link.
     pub(super) fn origin_link(&self) -> usize {
         self.origin_link
     }
 
-    /// The number of an endpoint.
+    /// Returns the number of an endpoint, which is also that of its outbound link.
     pub(super) fn endpoint(&self, endpoint: EndpointRef) -> usize {
         match endpoint {
             EndpointRef::EdgeCache { site, position } => self.edge_cache(site, position),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The endpoint of a number.
+    /// Returns the endpoint that has the number `endpoint`.
     pub(super) fn endpoint_ref(&self, endpoint: usize) -> EndpointRef {
         if endpoint >= self.edge_cache_count {
             return EndpointRef::ParentCache { parent: endpoint - self.edge_cache_count };
