--- a/crates/capacity/src/plan/bottlenecks.rs
+++ b/crates/capacity/src/plan/bottlenecks.rs
@@ -1,4 +1,4 @@
-//! Which resources break, and at which load.
+//! Bottlenecks: the resources that become saturated, and the load at which each of them does.
 
 use super::load_levels::LoadLevel;
 use crate::confidence::{estimate_mean, Estimate};
@@ -6,35 +6,35 @@
 use crate::replay::Resource;
 use crate::report::Bottleneck;
 
-/// A resource breaks when this share of it is used on average over its busiest window.
-const BREAKING_USAGE: f64 = 0.95;
-/// Loads within this factor of the first that breaks something cannot be told apart.
+/// Mean usage over its busiest window at which a resource counts as saturated.
+const SATURATION_USAGE: f64 = 0.95;
+/// Factor within which saturation loads cannot be told apart from the lowest one.
 const SIMILAR_LOAD_FACTOR: f64 = 1.1;
-/// Beyond this multiple of the requested load nothing is said.
+/// Maximum saturation load that is reported, in multiples of the requested load.
 const MAX_LOAD_MULTIPLE: f64 = 4.0;
-/// Descriptors that a router needs with no request open.
+/// File descriptors that a router uses without open requests.
 const ROUTER_BASE_SOCKETS: f64 = 24.0;
-/// Descriptors per open request: the client's connection and one to an edge cache.
+/// File descriptors per open request: the client's connection and one to an edge cache.
 const SOCKETS_PER_REQUEST: f64 = 2.0;
-/// Megabytes that a router needs with no request open.
+/// Memory that a router uses without open requests, in MB.
 const ROUTER_BASE_MB: f64 = 5.0;
 
-/// How much of a resource is used at a load.
+/// Usage of a resource at one load.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsagePoint {
     load: f64,
     used: f64,
 }
 
-/// How bottlenecks are ordered: by load, and by use where loads cannot be told apart.
+/// Sort key of a bottleneck: its saturation load, and its usage if loads cannot be told apart.
 #[derive(Clone, Copy, Debug)]
 struct BottleneckRank {
     load: f64,
     used: f64,
 }
 
-/// Every resource with the load at which it breaks, the first to break first. `levels` begins with
-/// the requested load.
+/// Returns every resource with its saturation load, sorted with the first to become saturated
+/// first. `levels` begins with the requested load.
 pub(super) fn find_bottlenecks(levels: &[LoadLevel], fleet: &Fleet, seed: u64) -> Vec<Bottleneck> {
     let Some(requested) = levels.first() else { return Vec::new() };
     let resources = requested.first_result().resources.iter().enumerate();
@@ -63,19 +63,20 @@
     Bottleneck {
         resource: resource_name(resource),
         used,
-        breaks_at: breaking_load(points),
+        breaks_at: saturation_load(points),
         symptom: symptom(resource).into(),
     }
 }
 
-/// The load at which a resource breaks: between two loads by a straight line, before the first and
-/// beyond the last in proportion.
-fn breaking_load(points: &[UsagePoint]) -> Option<f64> {
+/// Returns the load at which a resource becomes saturated: interpolated linearly between two
+/// replayed loads, and extrapolated in proportion above the highest one. Returns `None` if it lies
+/// beyond [`MAX_LOAD_MULTIPLE`].
+fn saturation_load(points: &[UsagePoint]) -> Option<f64> {
     let mut last = UsagePoint::default();
     for point in points {
-        if point.used >= BREAKING_USAGE {
+        if point.used >= SATURATION_USAGE {
             let share = if point.used > last.used {
-                (BREAKING_USAGE - last.used) / (point.used - last.used)
+                (SATURATION_USAGE - last.used) / (point.used - last.used)
             } else {
                 1.0
             };
@@ -83,12 +84,13 @@
         }
         last = *point;
     }
-    let extrapolated = (last.used > 0.0).then(|| last.load * BREAKING_USAGE / last.used);
+    let extrapolated = (last.used > 0.0).then(|| last.load * SATURATION_USAGE / last.used);
     let requested_load = points.first().map_or(1.0, |point| point.load);
     extrapolated.filter(|load| *load <= MAX_LOAD_MULTIPLE * requested_load)
 }
 
-/// What each router needs by what it is asked, in proportion to the load.
+/// Returns the bottlenecks of a router: its usage at the requested load, extrapolated in proportion
+/// to the load.
 fn router_bottlenecks(requested: &LoadLevel, fleet: &Fleet) -> Vec<Bottleneck> {
     let trace = requested.first_trace();
     let result = requested.first_result();
@@ -119,8 +121,8 @@
     ]
 }
 
-/// Sorts by breaking load. Of those that break first within what can be told apart, the one that is
-/// used most comes first.
+/// Sorts by saturation load. Among those that cannot be told apart from the lowest load, the
+/// resource with the highest usage comes first.
 fn sort_by_load(bottlenecks: &mut [Bottleneck]) {
     let load = |bottleneck: &Bottleneck| bottleneck.breaks_at.unwrap_or(f64::INFINITY);
     let first_load = bottlenecks.iter().map(load).fold(f64::INFINITY, f64::min);
@@ -140,7 +142,7 @@
     });
 }
 
-/// A resource's name in the plan.
+/// Returns the name of a resource in the plan.
 fn resource_name(resource: &Resource) -> String {
     match resource {
         Resource::EdgeCacheLink(name) => format!("{name} link out"),
@@ -155,7 +157,7 @@
     }
 }
 
-/// What users notice when a resource breaks.
+/// Returns what users notice when a resource is saturated.
 fn symptom(resource: &Resource) -> &'static str {
     match resource {
         Resource::EdgeCacheLink(_) => "videos at this office come late; some are refused",
--- a/crates/capacity/src/plan/losses.rs
+++ b/crates/capacity/src/plan/losses.rs
@@ -1,4 +1,5 @@
-//! What losses of endpoints do: of each parent cache, of edge caches, and of what was asked for.
+//! Effects of losing endpoints: each parent cache, edge caches, and the losses that the options ask
+//! for.
 
 use super::trial::TrialLoad;
 use crate::confidence::{estimate_served_in_time, Estimate};
@@ -7,31 +8,37 @@
 use crate::report::LossOutcome;
 use rayon::prelude::*;
 
-/// With fewer counted seconds losses are not judged.
+/// Counted time below which losses are not evaluated, in seconds.
 pub(super) const MIN_COUNTED_S: f64 = 30.0;
-/// An endpoint is lost for this long at most.
+/// Maximum length of an outage, in microseconds.
 const MAX_OUTAGE_US: u64 = 20_000_000;
-/// The outage begins after one in so many parts of the counted time, and lasts for one at most.
+/// Divisor of the counted time: the outage begins after one such part and lasts for at most
+/// another.
 const OUTAGE_PARTS: u64 = 4;
-/// The fleet has recovered when the weight in time over this many seconds...
+/// Window over which the weight served in time is compared to detect a recovery, in seconds.
 const RECOVERY_WINDOW_S: usize = 5;
-/// ...is within this of what it would have been without the loss.
+/// Maximum decrease of the share of weight served in time, compared with a replay without the loss,
+/// at which the fleet counts as recovered.
 const RECOVERY_TOLERANCE: f64 = 0.03;
-/// Up to this many edge caches each one's loss is judged; above, each site's largest.
-const MAX_EDGE_CACHES_JUDGED: usize = 20;
-/// For how long all parent caches are lost, to see whether the load recovers.
+/// Number of edge caches in the fleet up to which the loss of each one is evaluated; in larger
+/// fleets, only that of each site's largest is.
+const MAX_EDGE_CACHES_EVALUATED: usize = 20;
+/// Length of the outage of all parent caches that tests for metastability, in microseconds.
 const METASTABILITY_OUTAGE_US: u64 = 1_000_000;
-/// The last part of the counted time shows the state that the load ends in: one in so many parts.
+/// Divisor of the counted time: the last such part shows the state that the load ends in.
 const METASTABILITY_PARTS: usize = 3;
-/// The least length of that part, in seconds.
+/// Minimum length of the last part of the counted time, in seconds.
 const MIN_METASTABILITY_PART_S: usize = 3;
-/// Counted seconds beyond the warm-up of a parent cache that are needed to judge metastability.
+/// Counted time in addition to a parent cache's warm-up that is needed to test for metastability,
+/// in seconds.
 const METASTABILITY_MARGIN_S: usize = 10;
-/// The load is metastable if the weight in time ends this much lower after the loss.
+/// Decrease of the share of weight served in time, in the last part of the load, above which the
+/// load is metastable.
 const METASTABILITY_LOSS: f64 = 0.1;
 
-/// The outcome of each loss; none is judged on too short a load.
-pub(super) fn judge_losses(
+/// Evaluates the requested losses and the default ones. Returns an empty list if the load is too
+/// short.
+pub(super) fn evaluate_losses(
     trial: &TrialLoad,
     requested: Vec<Vec<EndpointRef>>,
 ) -> Vec<LossOutcome> {
@@ -47,12 +54,12 @@
     losses.extend(default_losses(trial.network));
     losses
         .into_par_iter()
-        .map(|endpoints| judge_loss(trial, &without_loss, Outage { endpoints, from_us, to_us }))
+        .map(|endpoints| evaluate_loss(trial, &without_loss, Outage { endpoints, from_us, to_us }))
         .collect()
 }
 
-/// Whether the load that a warm fleet carries stays in a bad state after the loss of all parent
-/// caches; none if the load is too short to say.
+/// Returns whether the load stays in a bad state after a short loss of all parent caches, although
+/// a warm fleet carries it (metastability). Returns `None` if the load is too short to tell.
 pub(super) fn is_metastable(trial: &TrialLoad) -> Option<bool> {
     if !is_long_enough(trial) {
         return None;
@@ -80,7 +87,7 @@
     trial.trace.duration_s() - trial.counted_from_us as f64 / 1e6 >= MIN_COUNTED_S
 }
 
-fn judge_loss(trial: &TrialLoad, without_loss: &ReplayResult, outage: Outage) -> LossOutcome {
+fn evaluate_loss(trial: &TrialLoad, without_loss: &ReplayResult, outage: Outage) -> LossOutcome {
     let endpoints = outage.endpoints.clone();
     let lost_from = (outage.from_us / 1_000_000) as usize;
     let returned = (outage.to_us / 1_000_000) as usize;
@@ -102,7 +109,8 @@
     }
 }
 
-/// The first second from which the weight in time is as without the loss.
+/// Returns the first second, from the endpoints' return on, at which the weight served in time is
+/// within [`RECOVERY_TOLERANCE`] of that without the loss; `None` if there is none within the load.
 fn recovered_at(
     with_loss: &ReplayResult,
     without_loss: &ReplayResult,
@@ -118,7 +126,8 @@
     })
 }
 
-/// How long lost endpoints warm up, in seconds: that of a parent cache if one is among them.
+/// Returns the warm-up time of lost endpoints, in seconds: that of a parent cache if there is one
+/// among them.
 fn warm_up_s(network: &Network, endpoints: &[EndpointRef]) -> f64 {
     let is_parent = |endpoint: &EndpointRef| matches!(endpoint, EndpointRef::ParentCache { .. });
     if endpoints.iter().any(is_parent) {
@@ -128,14 +137,14 @@
     }
 }
 
-/// The losses of single endpoints that every plan judges.
+/// Returns the losses of single endpoints that every plan evaluates.
 fn default_losses(network: &Network) -> Vec<Vec<EndpointRef>> {
     let parents = 0..network.parent_caches.len();
     let mut losses: Vec<Vec<EndpointRef>> =
         parents.map(|parent| vec![EndpointRef::ParentCache { parent }]).collect();
-    let judge_all = network.edge_cache_count() <= MAX_EDGE_CACHES_JUDGED;
+    let evaluates_all = network.edge_cache_count() <= MAX_EDGE_CACHES_EVALUATED;
     for (index, site) in network.sites.iter().enumerate() {
-        let positions: Vec<usize> = if judge_all {
+        let positions: Vec<usize> = if evaluates_all {
             (0..site.edge_caches.len()).collect()
         } else {
             largest_edge_cache(site).into_iter().collect()
@@ -146,11 +155,11 @@
     losses
 }
 
-/// The edge cache of a site with the largest link, the first of equal ones.
+/// Returns the position of the edge cache with the largest link of a site, the first one of equals.
 fn largest_edge_cache(site: &SiteNetwork) -> Option<usize> {
     let link_flows = |position: &usize| site.edge_caches[*position].link_flows;
     let by_link = |left: &usize, right: &usize| {
-        // Of equal ones the maximum is the last, so positions compare in reverse.
+        // `max_by` returns the last of equal elements, so positions compare in reverse.
         link_flows(left).total_cmp(&link_flows(right)).then(right.cmp(left))
     };
     (0..site.edge_caches.len()).max_by(by_link)
--- a/crates/capacity/src/plan/mod.rs
+++ b/crates/capacity/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! Planning: what breaks first, how many edge caches a goal needs, what losses do, and where the
-//! load runs away.
+//! Capacity planning: the resources that saturate first, the number of edge caches that a goal
+//! needs, the effect of losses, and the loads at which retries run away.
 
 mod bottlenecks;
 mod load_levels;
@@ -22,29 +22,31 @@
 use load_levels::{replay_load_levels, LoadLevel};
 use trial::TrialLoad;
 
-/// First attempts of the load that is judged. A longer recording is judged by its busiest stretch.
+/// Maximum number of first attempts that are evaluated. Of a longer recording, only the busiest
+/// excerpt is.
 const MAX_REQUESTS: usize = 200_000;
-/// Requests of a class below which nothing is said of it.
+/// Number of first attempts of a class below which its result is withheld.
 const MIN_CLASS_REQUESTS: f64 = 30.0;
 
-/// What a plan is made from.
+/// Inputs of a plan.
 struct PlanInput<'a> {
     options: &'a PlanOptions,
     fleet: &'a Fleet,
-    /// The whole recording.
+    /// The whole recording, including unusually large objects.
     recorded: &'a Trace,
-    /// The part of it that is judged.
+    /// The part of the recording that is evaluated.
     trace: Trace,
-    /// When the warm-up ends, in microseconds.
+    /// End of the warm-up, in microseconds from the start of the trace; counting begins there.
     counted_from_us: u64,
-    /// The calibrated network.
+    /// The network, with calibrated values.
     network: Network,
 }
 
 /// Plans the capacity of a fleet for a recorded load.
 ///
 /// # Errors
-/// The options are invalid, or the recording and the fleet do not fit together.
+/// The options are invalid, no request is left to evaluate, or the recording and the fleet do not
+/// fit together.
 pub fn plan(
     recorded: &Trace,
     fleet: &Fleet,
@@ -88,7 +90,7 @@
             bottlenecks: bottlenecks::find_bottlenecks(&levels, self.fleet, self.options.seed),
             loads: levels.iter().map(|level| self.load_outcome(level)).collect(),
             sizing,
-            losses: losses::judge_losses(&trial, lost_endpoints),
+            losses: losses::evaluate_losses(&trial, lost_endpoints),
             is_metastable: losses::is_metastable(&trial),
             calibration_notes: self.network.calibration_notes.clone(),
             quality,
@@ -101,7 +103,7 @@
     }
 
     fn site_outcome(&self, level: &LoadLevel, index: usize, site: &SiteNetwork) -> SiteOutcome {
-        // Sites without recorded load come last.
+        // Sites without recorded load follow those of the trace.
         let has_load = index < self.trace.sites.len();
         SiteOutcome {
             name: site.name.clone(),
@@ -139,7 +141,7 @@
     }
 }
 
-/// Retries per first attempt; 0 without any.
+/// Returns the number of retries per first attempt; 0 without first attempts.
 fn retries_per_request(result: &ReplayResult) -> f64 {
     let totals = result.counted_totals();
     if totals.first_attempts > 0.0 {
--- a/crates/capacity/src/plan/options.rs
+++ b/crates/capacity/src/plan/options.rs
@@ -1,4 +1,4 @@
-//! What a plan is to answer.
+//! Options of a plan.
 
 use crate::error::PlanError;
 use crate::network::Network;
@@ -6,28 +6,29 @@
 use crate::trace::TraceExcerpt;
 use std::ops::RangeInclusive;
 
-/// Loads that can be planned for, in multiples of the recorded one.
+/// Supported range of the load to plan for, in multiples of the recorded load.
 const SCALES: RangeInclusive<f64> = 0.05..=20.0;
-/// The share of the load that is warm-up unless something else is asked for: one in so many parts.
+/// Divisor of the load's duration that gives the default warm-up: a quarter of it.
 const DEFAULT_WARM_UP_PARTS: u64 = 4;
 
-/// What to plan for.
+/// The load, the goal and the losses to plan for.
 #[derive(Clone, Debug)]
 pub struct PlanOptions {
-    /// The share of the weight that is to be served in time.
+    /// Share of the priority weight that should be served in time, strictly between 0 and 1.
     pub goal: f64,
-    /// The load, in multiples of the recorded one.
+    /// Load to plan for, in multiples of the recorded load; 0.05 to 20.
     pub scale: f64,
-    /// Losses to judge beside those of single endpoints: endpoints by name, lost together.
+    /// Losses to evaluate in addition to those of single endpoints. Each is a list of endpoint
+    /// names that are lost together.
     pub losses: Vec<Vec<String>>,
-    /// The first seconds of the recording fill the caches and are not counted; none: a quarter of
-    /// it.
+    /// Length of the warm-up in seconds, which fills the caches and is not counted; `None` for a
+    /// quarter of the load.
     pub warm_up_s: Option<f64>,
-    /// Whether unusually large objects are left out.
+    /// Whether requests for unusually large objects are left out.
     pub without_large_objects: bool,
-    /// What caches hold when the load begins.
+    /// Content of the caches at the beginning of the load.
     pub initial_caches: InitialCaches,
-    /// The seed of random numbers.
+    /// Seed of all random numbers; equal options and inputs give equal plans.
     pub seed: u64,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl PlanOptions {
-    /// Checks what can be checked without a recording.
+    /// Checks the options that do not depend on a recording.
     pub(super) fn validate(&self) -> Result<(), PlanError> {
         if !(self.goal > 0.0 && self.goal < 1.0) {
             return Err(PlanError::InvalidGoal);
@@ -57,20 +58,21 @@
         Ok(())
     }
 
-    /// When the warm-up ends, in microseconds: not before that of the excerpt.
+    /// Returns the end of the warm-up in microseconds, not before that of the excerpt itself. Fails
+    /// if the requested warm-up is negative or as long as the excerpt.
     pub(super) fn warm_up_us(&self, excerpt: &TraceExcerpt) -> Result<u64, PlanError> {
         let duration_us = excerpt.trace.duration_us;
-        let wanted_us = match self.warm_up_s {
+        let requested_us = match self.warm_up_s {
             Some(warm_up_s) if !(warm_up_s >= 0.0 && warm_up_s * 1e6 < duration_us as f64) => {
                 return Err(PlanError::InvalidWarmUp { recorded_s: excerpt.trace.duration_s() });
             }
             Some(warm_up_s) => (warm_up_s * 1e6) as u64,
             None => duration_us / DEFAULT_WARM_UP_PARTS,
         };
-        Ok(excerpt.warm_up_ends_us.max(wanted_us))
+        Ok(excerpt.warm_up_ends_us.max(requested_us))
     }
 
-    /// The endpoints of each loss to judge.
+    /// Resolves the endpoint names of each loss. Fails if the network lacks one of them.
     pub(super) fn lost_endpoints(
         &self,
         network: &Network,
@@ -81,7 +83,7 @@
         self.losses.iter().map(find_all).collect()
     }
 
-    /// How loads are replayed that are counted from a moment on.
+    /// Returns the options of a replay that is counted from `counted_from_us` on.
     pub(super) fn replay_options(&self, counted_from_us: u64) -> ReplayOptions {
         ReplayOptions {
             initial_caches: self.initial_caches,
@@ -92,7 +94,7 @@
     }
 }
 
-/// The endpoint of a name: a parent cache, or an edge cache as SITE-N.
+/// Finds an endpoint by name: a parent cache, or an edge cache as SITE-N.
 fn find_endpoint(network: &Network, name: &str) -> Result<EndpointRef, PlanError> {
     let parent = network.parent_caches.iter().position(|node| node.name == name);
     if let Some(parent) = parent {
--- a/crates/capacity/src/plan/quality.rs
+++ b/crates/capacity/src/plan/quality.rs
@@ -1,25 +1,26 @@
-//! What the plan rests on, and what the recording cannot support.
+//! Assessment of the recording that a plan is based on, and caveats where it does not support a
+//! result.
 
 use super::load_levels::{busiest_mean, LoadLevel};
 use super::losses::MIN_COUNTED_S;
 use super::{PlanInput, MIN_CLASS_REQUESTS};
 use crate::report::Quality;
 
-/// With fewer counted seconds intervals are wide.
+/// Counted time below which intervals are wide, in seconds.
 const MIN_RELIABLE_S: f64 = 120.0;
-/// A recording in which no resource was used more than this is far from any limit.
-const CALM_USAGE: f64 = 0.3;
-/// Unusually large objects with at most this share of the bytes are not worth a mention.
+/// Usage of the most used resource below which the recording is far from any limit.
+const LOW_USAGE: f64 = 0.3;
+/// Share of bytes up to which unusually large objects are not mentioned.
 const MIN_LARGE_OBJECT_SHARE: f64 = 0.02;
 
-/// Assesses the recording that a plan is made from.
+/// Assesses the recording that a plan is based on.
 pub(super) fn assess(input: &PlanInput, requested: &LoadLevel) -> Quality {
     let counted_us = input.trace.duration_us - input.counted_from_us.min(input.trace.duration_us);
     let counted_s = counted_us as f64 / 1e6;
     let large_object_share = input.recorded.large_object_share();
     let mut caveats = length_caveats(input, counted_s);
     caveats.extend(class_caveats(input, requested));
-    caveats.extend(calm_caveat(requested));
+    caveats.extend(low_usage_caveat(requested));
     if large_object_share > MIN_LARGE_OBJECT_SHARE && !input.options.without_large_objects {
         caveats.push(format!(
             "unusually large objects make up {:.0}% of bytes; --without-large leaves them out",
@@ -67,10 +68,10 @@
         .collect()
 }
 
-fn calm_caveat(requested: &LoadLevel) -> Option<String> {
+fn low_usage_caveat(requested: &LoadLevel) -> Option<String> {
     let resources = requested.first_result().resources.iter();
     let highest = resources.map(|usage| busiest_mean(&usage.by_second)).fold(0.0, f64::max);
-    (highest < CALM_USAGE).then(|| {
+    (highest < LOW_USAGE).then(|| {
         format!(
             "a calm recording: nothing was used above {:.0}%, so what breaks is far from what was \
              seen",
--- a/crates/capacity/src/plan/sizing.rs
+++ b/crates/capacity/src/plan/sizing.rs
@@ -1,4 +1,5 @@
-//! How many edge caches each site needs, and the cheapest allocation for all.
+//! Sizing: the number of edge caches that each site needs to reach the goal, and the cheapest
+//! allocation that reaches it for all sites together.
 
 use super::trial::TrialLoad;
 use crate::confidence::{estimate_served_in_time, Estimate};
@@ -7,12 +8,13 @@
 use crate::report::{SiteAllocation, SiteRequirement, Sizing};
 use rayon::prelude::*;
 
-/// More edge caches than this many times those that a site has help nobody.
+/// Maximum number of edge caches that is tried at a site, in multiples of the present number. More
+/// of them do not help: something else is the bottleneck.
 const MAX_GROWTH_FACTOR: usize = 3;
-/// A small site is tried with at least this many more edge caches than it has.
+/// Minimum number of additional edge caches up to which a small site is tried.
 const MIN_GROWTH: usize = 2;
 
-/// Edge caches by site, with what they reach.
+/// The number of edge caches at each site, with the result of a replay over them.
 struct Allocation {
     counts: Vec<usize>,
     result: ReplayResult,
@@ -28,7 +30,7 @@
         self.result.counted_totals().in_time_share()
     }
 
-    /// The same with one edge cache less at a site.
+    /// Returns the same allocation with one edge cache less at a site.
     fn with_one_less(&self, trial: &TrialLoad, site: usize) -> Allocation {
         let mut counts = self.counts.clone();
         counts[site] -= 1;
@@ -36,17 +38,17 @@
     }
 }
 
-/// How many edge caches the goal needs.
+/// Computes the edge caches that the goal needs, by site and for all sites together.
 pub(super) fn size_sites(trial: &TrialLoad) -> Sizing {
     let network = trial.network;
     let present = trial.replay();
-    let needed: Vec<Option<usize>> =
-        (0..network.sites.len()).into_par_iter().map(|site| needed_at(trial, site)).collect();
-    let best = cheapest_allocation(trial, &needed);
+    let required: Vec<Option<usize>> =
+        (0..network.sites.len()).into_par_iter().map(|site| required_at(trial, site)).collect();
+    let best = cheapest_allocation(trial, &required);
     let reaches_goal = best.in_time_share() >= trial.options.goal;
     let site_names = || network.sites.iter().map(|site| site.name.clone());
     let requirements = site_names()
-        .zip(&needed)
+        .zip(&required)
         .map(|(site, edge_caches)| SiteRequirement { site, edge_caches: *edge_caches });
     let allocation = site_names()
         .zip(&best.counts)
@@ -60,9 +62,9 @@
     }
 }
 
-/// How many edge caches a site needs to reach the goal by itself, by bisection; none if no number
-/// does.
-fn needed_at(trial: &TrialLoad, site: usize) -> Option<usize> {
+/// Returns the number of edge caches that a site needs to reach the goal by itself, by bisection,
+/// or `None` if no number up to the limit of the search is enough.
+fn required_at(trial: &TrialLoad, site: usize) -> Option<usize> {
     let present = trial.network.sites[site].edge_caches.len();
     let reaches_goal = |count: usize| {
         let result = trial.replay_over(&trial.network.with_edge_caches(site, count));
@@ -84,12 +86,13 @@
     Some(high)
 }
 
-/// Takes away one edge cache after the other, where it costs least, as long as the goal is reached.
-/// The goal is for all sites together: one may fall short where another makes up for it.
-fn cheapest_allocation(trial: &TrialLoad, needed: &[Option<usize>]) -> Allocation {
-    // A site that cannot reach the goal keeps what it has: more edge caches would be for nothing.
+/// Removes edge caches one at a time, each where the removal costs the least weight served in time,
+/// as long as the goal is reached. The goal applies to all sites together: a site may miss it if
+/// another makes up for it.
+fn cheapest_allocation(trial: &TrialLoad, required: &[Option<usize>]) -> Allocation {
+    // A site that cannot reach the goal keeps its present edge caches, as more would not help.
     let sites = &trial.network.sites;
-    let initial = needed.iter().zip(sites).map(|(n, site)| n.unwrap_or(site.edge_caches.len()));
+    let initial = required.iter().zip(sites).map(|(n, site)| n.unwrap_or(site.edge_caches.len()));
     let mut best = Allocation::new(trial, initial.collect());
     while best.in_time_share() >= trial.options.goal {
         let smaller: Vec<Allocation> = (0..sites.len())
--- a/crates/capacity/src/plan/trial.rs
+++ b/crates/capacity/src/plan/trial.rs
@@ -1,20 +1,21 @@
-//! A load that is short enough to be replayed many times over, for trials of other fleets and of
-//! losses.
+//! The trial load: an excerpt that is short enough to be replayed many times, to evaluate other
+//! numbers of edge caches and losses of endpoints.
 
 use super::{PlanInput, PlanOptions};
 use crate::network::Network;
 use crate::replay::{replay, Outage, ReplayOptions, ReplayResult};
 use crate::trace::Trace;
 
-/// First attempts of the load; a longer one is tried by its busiest stretch.
+/// Maximum number of first attempts of the trial load. Of a longer load, the busiest excerpt is
+/// used.
 const MAX_TRIAL_REQUESTS: usize = 40_000;
 
-/// A load for trials, with the network and the options of the plan.
+/// The trial load, with the network and the options of the plan.
 pub(super) struct TrialLoad<'a> {
     pub(super) options: &'a PlanOptions,
     pub(super) network: &'a Network,
     pub(super) trace: Trace,
-    /// When the warm-up ends, in microseconds.
+    /// End of the warm-up, in microseconds from the start of the trace; counting begins there.
     pub(super) counted_from_us: u64,
 }
 
@@ -46,7 +47,7 @@
         replay(&self.trace, self.network, &options)
     }
 
-    /// The first second that is counted.
+    /// Returns the first second that is counted.
     pub(super) fn counted_from_second(&self) -> usize {
         (self.counted_from_us / 1_000_000) as usize
     }
