--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -1,6 +1,5 @@
-//! The plan as data. [`CapacityPlan::text`] renders it as a page for people and
-//! [`CapacityPlan::plot`] as a picture; as JSON it keeps the keys of earlier versions, hence the
-//! `rename` attributes.
+//! The plan as data. [`CapacityPlan::text`] renders it as text and [`CapacityPlan::plot`] as an SVG
+//! plot. Its JSON form keeps the keys of earlier versions, hence the `rename` attributes.
 
 mod plot;
 mod text;
@@ -8,60 +7,64 @@
 use crate::confidence::Estimate;
 use serde::{Serialize, Serializer};
 
-/// A resource, and the load at which it breaks.
+/// A resource and the load at which it becomes saturated.
 #[derive(Clone, Debug, Serialize)]
 pub struct Bottleneck {
-    /// The resource's name.
+    /// Name of the resource, such as `cairo-1 link out`.
     pub resource: String,
-    /// The share that is used on average at the requested load.
+    /// Mean used share of the resource at the requested load, where 1 is its limit; for a router's
+    /// sockets and memory, the maximum.
     pub used: Option<Estimate>,
-    /// The load at which it breaks, in multiples of the recorded one; none: too far to say.
+    /// Load at which the resource becomes saturated, in multiples of the recorded load; `None` if
+    /// it is too far from the replayed loads to tell.
     pub breaks_at: Option<f64>,
-    /// What users notice then.
+    /// What users notice when the resource is saturated.
     #[serde(rename = "notice")]
     pub symptom: String,
 }
 
-/// The fleet at one load.
+/// Outcome of a replay of the fleet at one load.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadOutcome {
-    /// The load, in multiples of the recorded one.
+    /// Load, in multiples of the recorded load.
     pub load: f64,
-    /// The weight served in time.
+    /// Share of the priority weight that is served in time.
     pub in_time: Option<Estimate>,
-    /// The weight served, late responses at their late weight.
+    /// Share of the priority weight that is earned; a late response earns its class's late weight.
     pub served: Option<Estimate>,
-    /// The hit ratio of the edge caches.
+    /// Hit ratio of the edge caches, 0 to 1.
     #[serde(rename = "hits")]
     pub hit_ratio: f64,
-    /// Clients' retries per first attempt.
+    /// Number of retries by clients per first attempt.
     #[serde(rename = "tries_again")]
     pub retries_per_request: f64,
     /// Whether retries amplify the load until it collapses.
     pub runs_away: bool,
 }
 
-/// A site at the requested load.
+/// Outcome of a site at the requested load.
 #[derive(Clone, Debug, Serialize)]
 pub struct SiteOutcome {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
-    /// How many edge caches it has.
+    /// Number of edge caches of the site.
     #[serde(rename = "boxes")]
     pub edge_caches: usize,
-    /// The weight served in time.
+    /// Share of the site's priority weight that is served in time.
     pub in_time: Option<Estimate>,
-    /// The share of its bytes that no other site requests.
+    /// Share of the site's bytes that belongs to objects which no other site requests; 0 for a site
+    /// without recorded load.
     #[serde(rename = "local_part")]
     pub local_share: f64,
 }
 
-/// A request class at the requested load. In JSON it is an array of its fields.
+/// Outcome of a request class at the requested load. In JSON it is an array of its fields.
 #[derive(Clone, Debug)]
 pub struct ClassOutcome {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// The weight served in time; none where the recording has too few requests of it.
+    /// Share of the class's priority weight that is served in time; `None` if the recording has too
+    /// few requests of the class.
     pub in_time: Option<Estimate>,
 }
 
@@ -71,12 +74,14 @@
     }
 }
 
-/// What a site needs to reach the goal by itself. In JSON it is an array of its fields.
+/// Number of edge caches that a site needs to reach the goal by itself. In JSON it is an array of
+/// its fields.
 #[derive(Clone, Debug)]
 pub struct SiteRequirement {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// How many edge caches it needs; none: no number is enough.
+    /// Number of edge caches that the site needs; `None` if no number up to the limit of the search
+    /// is enough.
     pub edge_caches: Option<usize>,
 }
 
@@ -86,12 +91,12 @@
     }
 }
 
-/// How many edge caches a site gets. In JSON it is an array of its fields.
+/// Number of edge caches allocated to a site. In JSON it is an array of its fields.
 #[derive(Clone, Debug)]
 pub struct SiteAllocation {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// How many edge caches it gets.
+    /// Number of edge caches allocated to the site.
     pub edge_caches: usize,
 }
 
@@ -101,109 +106,113 @@
     }
 }
 
-/// How many edge caches the goal needs.
+/// Edge caches that the goal needs, compared with the present ones.
 #[derive(Clone, Debug, Serialize)]
 pub struct Sizing {
-    /// How many there are.
+    /// Present number of edge caches over all sites.
     pub present: usize,
-    /// The weight served in time with those.
+    /// Share of the priority weight that is served in time with the present edge caches.
     pub present_reaches: Option<Estimate>,
-    /// What each site needs to reach the goal by itself.
+    /// Edge caches that each site needs to reach the goal by itself.
     #[serde(rename = "each")]
     pub requirements: Vec<SiteRequirement>,
-    /// The cheapest allocation that reaches the goal for all sites together; none: none does.
+    /// Cheapest allocation that reaches the goal for all sites together; `None` if no allocation
+    /// reaches it.
     #[serde(rename = "boxes")]
     pub allocation: Option<Vec<SiteAllocation>>,
-    /// The weight served in time with that allocation, or with the best there is.
+    /// Share of the priority weight that is served in time with that allocation, or with the best
+    /// one tried if none reaches the goal.
     pub reaches: Option<Estimate>,
 }
 
-/// What the loss of endpoints does.
+/// Effect of the loss of one or more endpoints.
 #[derive(Clone, Debug, Serialize)]
 pub struct LossOutcome {
-    /// The endpoints that are lost together.
+    /// Names of the endpoints that are lost together.
     #[serde(rename = "servers")]
     pub endpoints: Vec<String>,
-    /// For how long, in seconds.
+    /// Length of the outage, in seconds.
     pub lost_for_s: f64,
-    /// The weight served in time over the same seconds without the loss.
+    /// Share of the priority weight that is served in time over the same seconds without the loss.
     #[serde(rename = "without")]
     pub without_loss: Option<Estimate>,
-    /// The weight served in time during the loss.
+    /// Share of the priority weight that is served in time during the outage.
     #[serde(rename = "during")]
     pub during_loss: Option<Estimate>,
-    /// The weight served in time while the endpoints warm up again.
+    /// Share of the priority weight that is served in time while the returned endpoints warm up.
     #[serde(rename = "while_cold")]
     pub during_warm_up: Option<Estimate>,
-    /// Seconds from their return until all is as without the loss; none: not within the load.
+    /// Time from the endpoints' return until the weight served in time is within a tolerance of
+    /// that without the loss, in seconds; `None` if that does not happen within the load.
     #[serde(rename = "back_after_s")]
     pub recovered_after_s: Option<f64>,
 }
 
-/// What the plan rests on.
+/// Extent and quality of the recorded load that a plan is based on.
 #[derive(Clone, Debug, Serialize)]
 pub struct Quality {
-    /// Seconds of load that are counted.
+    /// Length of the counted part of the load, in seconds.
     pub seconds: f64,
-    /// First attempts.
+    /// Number of first attempts in the evaluated part of the recording, including the warm-up.
     pub requests: usize,
-    /// The share of recorded requests that were retries by clients.
+    /// Share of the recorded requests that were retries by clients.
     #[serde(rename = "tries_again")]
     pub retry_share: f64,
-    /// The share of bytes that unusually large objects make up.
+    /// Share of the recorded bytes that belongs to unusually large objects.
     #[serde(rename = "large_part")]
     pub large_object_share: f64,
-    /// What the recording cannot support.
+    /// Results that the recording does not support well, one line each.
     #[serde(rename = "doubts")]
     pub caveats: Vec<String>,
 }
 
-/// A capacity plan.
+/// A capacity plan for one load and one goal.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityPlan {
-    /// The requested load, in multiples of the recorded one.
+    /// Requested load, in multiples of the recorded load.
     pub scale: f64,
-    /// The share of the weight that is to be served in time.
+    /// Share of the priority weight that should be served in time.
     pub goal: f64,
-    /// First attempts per second at that load.
+    /// First attempts per second at the requested load.
     #[serde(rename = "rate")]
     pub requests_per_s: f64,
-    /// The weight served in time.
+    /// Share of the priority weight that is served in time at the requested load.
     pub in_time: Option<Estimate>,
-    /// The weight served, late responses at their late weight.
+    /// Share of the priority weight that is earned at the requested load; a late response earns its
+    /// class's late weight.
     pub served: Option<Estimate>,
-    /// The hit ratio of the edge caches.
+    /// Hit ratio of the edge caches at the requested load, 0 to 1.
     #[serde(rename = "hits")]
     pub hit_ratio: f64,
-    /// Bytes filled for each byte served.
+    /// Bytes filled into edge caches per byte served to clients.
     #[serde(rename = "filled")]
     pub fill_ratio: f64,
-    /// Calls of the origin per second.
+    /// Calls per second that the origin accepts at the requested load.
     #[serde(rename = "library_per_s")]
     pub origin_calls_per_s: f64,
-    /// By site.
+    /// Outcome of each site at the requested load.
     #[serde(rename = "offices")]
     pub sites: Vec<SiteOutcome>,
-    /// By request class.
+    /// Outcome of each request class at the requested load.
     pub classes: Vec<ClassOutcome>,
-    /// What breaks, the first to break first.
+    /// Resources with their saturation loads, the first to become saturated first.
     #[serde(rename = "breaks")]
     pub bottlenecks: Vec<Bottleneck>,
-    /// At several loads.
+    /// Outcomes at several loads, the requested load first.
     #[serde(rename = "multiples")]
     pub loads: Vec<LoadOutcome>,
-    /// Edge caches for the goal.
+    /// Edge caches that the goal needs.
     #[serde(rename = "mix")]
     pub sizing: Sizing,
-    /// Losses of endpoints.
+    /// Effects of losses of endpoints; empty if the load is too short to evaluate them.
     pub losses: Vec<LossOutcome>,
-    /// Whether the load stays in a bad state after the loss of all parent caches, though the fleet
-    /// carries it when warm; none: the recording is too short to say.
+    /// Whether the load stays in a bad state after a short loss of all parent caches, although the
+    /// fleet carries it when warm; `None` if the load is too short to tell.
     #[serde(rename = "cold_hubs")]
     pub is_metastable: Option<bool>,
-    /// What was calibrated or assumed.
+    /// Values that were calibrated or assumed, one line each.
     #[serde(rename = "fitted")]
     pub calibration_notes: Vec<String>,
-    /// What the plan rests on.
+    /// Extent and quality of the recorded load.
     pub quality: Quality,
 }
--- a/crates/capacity/src/report/plot.rs
+++ b/crates/capacity/src/report/plot.rs
@@ -1,28 +1,29 @@
-//! The plan as a picture: the weight served in time against the load.
+//! SVG plot of a plan: the share of priority weight served in time against the load.
 
 use super::CapacityPlan;
 use crate::confidence::Estimate;
 use crate::error::PlotError;
 use plotters::prelude::*;
 
-/// Width and height in pixels.
+/// Width and height of the plot, in pixels.
 const SIZE_PIXELS: (u32, u32) = (900, 420);
-/// How far the horizontal axis goes on after the highest load.
+/// Ratio of the end of the horizontal axis to the highest load.
 const LOAD_AXIS_MARGIN: f64 = 1.05;
-/// The top of the vertical axis: a little above a share of 1.
+/// Upper end of the vertical axis: slightly above a share of 1.
 const SHARE_AXIS_TOP: f64 = 1.02;
 
-/// A point of the curve.
+/// A point of the curve: a load, and the share of weight served in time at it.
 struct PlotPoint {
     load: f64,
     in_time: Estimate,
 }
 
 impl CapacityPlan {
-    /// The weight served in time against the load, with the goal and the intervals, as SVG.
+    /// Plots the share of priority weight served in time against the load as SVG, with the goal as
+    /// a horizontal line and the confidence intervals as vertical bars.
     ///
     /// # Errors
-    /// It cannot be drawn.
+    /// The plotting library fails to draw.
     pub fn plot(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         self.draw(&mut svg)?;
--- a/crates/capacity/src/report/text.rs
+++ b/crates/capacity/src/report/text.rs
@@ -1,17 +1,18 @@
-//! The plan as a page of text. Its words are the operators': a box is an edge cache, a hub a parent
-//! cache, the library the origin, worth the priority weight (docs/capacity.md).
+//! The plan as text. The text keeps the operators' vocabulary: a box is an edge cache, a hub a
+//! parent cache, the library the origin, an office a site, a filing a write, a try an attempt, and
+//! worth the priority weight (docs/capacity.md).
 
 use super::{Bottleneck, CapacityPlan, LoadOutcome, LossOutcome, SiteOutcome};
 use crate::confidence::{Estimate, Interval};
 
-/// Bottlenecks that the page lists; JSON has all of them.
+/// Maximum number of bottlenecks in the text; the JSON form lists all of them.
 const MAX_LISTED_BOTTLENECKS: usize = 8;
 
 impl CapacityPlan {
-    /// The plan as a page of text: the verdict first, then what it rests on.
+    /// Renders the plan as text: a summary first, and the basis of the plan last.
     pub fn text(&self) -> String {
         let sections = [
-            self.verdict(),
+            self.summary(),
             self.bottleneck_section(),
             self.load_section(),
             self.sizing_section(),
@@ -25,7 +26,7 @@
         paragraphs.join("\n\n") + "\n"
     }
 
-    fn verdict(&self) -> Vec<String> {
+    fn summary(&self) -> Vec<String> {
         let mut lines = vec![format!(
             "At {:.2} times the recorded load, {:.0} requests a second, {} of worth is served in \
              time; the goal is {:.1}%.",
@@ -192,7 +193,7 @@
     )
 }
 
-/// An estimated share as a percentage, with its interval if it has one.
+/// Formats an estimated share as a percentage, with its interval if it has one.
 fn percentage(estimate: Option<Estimate>) -> String {
     let Some(Estimate { value, interval }) = estimate else { return "not known".into() };
     let value = value * 100.0;
