--- a/crates/capacity/tests/caches.rs
+++ b/crates/capacity/tests/caches.rs
@@ -1,4 +1,5 @@
-//! The cache models against Che's approximation and a plain list.
+//! Compares the cache models with Che's approximation and with a reference LRU cache that is a
+//! plain list.
 
 use hollymux_capacity::eviction::{LruCache, RetentionPriority};
 use hollymux_capacity::reuse_distance::{hit_ratio_curve, CacheAccess};
@@ -11,16 +12,17 @@
 const PRIORITIES: [RetentionPriority; 3] =
     [RetentionPriority::Lowest, RetentionPriority::Normal, RetentionPriority::High];
 
-/// The hit ratio of an LRU cache under independent requests, by Che's approximation.
+/// Returns the hit ratio of an LRU cache under independent requests, by Che's approximation.
 fn che_hit_ratio(weights: &[f64], cache_size: f64) -> f64 {
     let total: f64 = weights.iter().sum();
-    // The characteristic time: after it a cache of that size has turned over.
-    let held_after =
+    // The bisection finds the characteristic time: the time in which as many distinct objects are
+    // requested as the cache holds.
+    let expected_distinct_objects =
         |time: f64| weights.iter().map(|w| 1.0 - (-w / total * time).exp()).sum::<f64>();
     let (mut low, mut high) = (0.0, 1e7);
     for _ in 0..100 {
         let middle = (low + high) / 2.0;
-        if held_after(middle) < cache_size {
+        if expected_distinct_objects(middle) < cache_size {
             low = middle
         } else {
             high = middle
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn the_hit_ratio_under_independent_requests_is_ches_approximation() {
+fn the_hit_ratio_under_independent_requests_matches_ches_approximation() {
     let (objects, zipf_exponent) = (2_000usize, 0.9);
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let distribution = Zipf::new(objects as f64, zipf_exponent).unwrap();
@@ -46,21 +48,26 @@
     for size in [50.0, 200.0, 800.0] {
         let expected = che_hit_ratio(&weights, size);
         let exact = curve.hit_ratio(size);
-        assert!((exact - expected).abs() < 0.012, "{size}: {exact} against {expected}");
-        // A fifth of the objects is followed: a cache of less than a hundred holds too few of them.
+        assert!(
+            (exact - expected).abs() < 0.012,
+            "cache size {size}: hit ratio {exact}, expected {expected}"
+        );
+        // The sample follows a fifth of the objects, which is too few for a comparison at sizes
+        // below 100.
         let sampled = sampled_curve.hit_ratio(size);
         assert!(
             size < 100.0 || (sampled - exact).abs() < 0.1,
-            "{size}: {sampled} sampled, {exact} exact"
+            "cache size {size}: hit ratio {sampled} sampled, {exact} exact"
         );
     }
 }
 
-/// A request for a chunk, and whether its copies were purged just before.
+/// A request for a chunk, and whether the chunk's copies were purged just before it.
 type Access = (u32, bool);
 
-/// The hits of an LRU cache that is a list with the last used chunk at its end.
-fn hits_of_plain_list(accesses: &[Access], size: usize) -> usize {
+/// Returns the hits of an LRU cache of `size` chunks, modelled as a list with the most recently
+/// used chunk at its end.
+fn reference_lru_hits(accesses: &[Access], size: usize) -> usize {
     let mut list: Vec<u32> = Vec::new();
     let mut hits = 0;
     for (chunk, is_purged) in accesses {
@@ -79,12 +86,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Reuse distances give the hits of a plain list of every size, also where copies are purged.
+    /// Guards against errors in reuse distances: for every cache size they must give the hits of
+    /// the reference cache, including when copies are purged between requests.
     #[test]
-    fn reuse_distances_give_the_hits_of_a_plain_list(
+    fn reuse_distances_give_the_hits_of_a_reference_lru_cache(
         uses in proptest::collection::vec((0u32..30, proptest::bool::weighted(0.1)), 1..300),
     ) {
-        // A purge just before a request: no copy made earlier is valid.
+        // A purge just before a request makes all copies created earlier invalid.
         let accesses = uses.iter().enumerate().map(|(index, (chunk, is_purged))| {
             let at_us = index as u64 + 1;
             let not_before_us = if *is_purged { at_us } else { 0 };
@@ -93,16 +101,17 @@
         let curve = hit_ratio_curve(accesses, 1.0);
         for size in [1usize, 2, 5, 10, 29, 30] {
             let hits = curve.hit_ratio(size as f64) * uses.len() as f64;
-            let expected = hits_of_plain_list(&uses, size);
-            prop_assert_eq!(hits.round() as usize, expected, "size {}", size);
+            let expected = reference_lru_hits(&uses, size);
+            prop_assert_eq!(hits.round() as usize, expected, "cache size {}", size);
         }
         let highest = curve.max_hit_ratio();
         prop_assert!(highest <= 1.0 && curve.min_size_for(highest).is_some());
     }
 
-    /// The cache is that list too, as long as all copies have one priority.
+    /// Guards against errors in the eviction order: with a single priority, the cache must have the
+    /// hits of the reference cache.
     #[test]
-    fn a_cache_of_one_priority_is_a_plain_list(
+    fn a_cache_with_a_single_priority_has_the_hits_of_a_reference_lru_cache(
         uses in proptest::collection::vec(0u32..30, 1..300),
         size in 1usize..20,
     ) {
@@ -116,12 +125,12 @@
             }
         }
         let accesses: Vec<Access> = uses.iter().map(|chunk| (*chunk, false)).collect();
-        prop_assert_eq!(hits, hits_of_plain_list(&accesses, size));
+        prop_assert_eq!(hits, reference_lru_hits(&accesses, size));
     }
 }
 
 #[test]
-fn a_copy_of_lower_priority_is_evicted_first_and_evicts_no_higher_one() {
+fn a_copy_of_lower_priority_is_evicted_first_and_never_evicts_a_higher_one() {
     use RetentionPriority::{High, Lowest, Normal};
     let mut cache = LruCache::new(3.0);
     cache.insert(ChunkId(1), 1.0, High, 10);
--- a/crates/capacity/tests/fleet_file.rs
+++ b/crates/capacity/tests/fleet_file.rs
@@ -1,9 +1,10 @@
-//! The operators' fleet file: what is refused, and that faults name the fields of the file.
+//! Validation of the fleet file: invalid values are rejected, and errors name the fields of the
+//! file.
 
 use hollymux_capacity::Fleet;
 
 #[test]
-fn an_impossible_fleet_is_refused_field_by_field() {
+fn an_invalid_fleet_file_is_rejected_with_an_error_for_each_field() {
     let text = "{offices: [{name: 'a', hub: 'x', boxes: 0, link_in_flows: 0, cores: 0},
         {name: 'a', hub: 'h', boxes: 1, link_in_flows: 1e999}],
         hubs: [{name: 'h', link_flows: -1}], clients: {tries: 99}}";
@@ -19,6 +20,6 @@
         "hubs[0].link_flows",
         "clients.tries",
     ] {
-        assert!(fields.contains(&field), "{field} of {faults:?}");
+        assert!(fields.contains(&field), "no error for {field} in {faults:?}");
     }
 }
--- a/crates/capacity/tests/placement.rs
+++ b/crates/capacity/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against the decision module, which the planner does not share code with.
+//! Compares placement with that of the decision module, with which the planner shares no code.
 
 use hollymux_capacity::placement::{endpoint_hash, hash_order, placement_seed, WeightedEndpoint};
 use hollymux_decision::{
@@ -42,21 +42,26 @@
     }
 }
 
-/// Where the decision module sends a request for a chunk: the edge cache and the parent cache.
-fn decided(entries: &[EndpointEntry], object: u64, part: u32) -> Option<(u64, Option<u64>)> {
-    let mut control = DecisionModule::new(settings(), 1).unwrap();
+/// Returns the edge cache and the parent cache to which the decision module sends a request for a
+/// chunk, or `None` if it makes no attempt.
+fn decision_module_choice(
+    entries: &[EndpointEntry],
+    object: u64,
+    chunk_index: u32,
+) -> Option<(u64, Option<u64>)> {
+    let mut decision_module = DecisionModule::new(settings(), 1).unwrap();
     let mut actions = Vec::new();
     let list = Event::EndpointList { kind: ListKind::Full, entries: entries.to_vec() };
-    control.handle(Timestamp::from_micros(1), list, &mut actions);
+    decision_module.handle(Timestamp::from_micros(1), list, &mut actions);
     actions.clear();
     let request = Request {
         id: 1,
         object,
-        part,
+        part: chunk_index,
         deadline: Timestamp::ZERO + REQUEST_TIMEOUT,
         ..Request::default()
     };
-    control.handle(Timestamp::from_micros(2), Event::Request(request), &mut actions);
+    decision_module.handle(Timestamp::from_micros(2), Event::Request(request), &mut actions);
     actions.iter().find_map(|action| match action {
         Action::Attempt { endpoint, fill, .. } => {
             Some((endpoint.0, fill.source.map(|parent| parent.0)))
@@ -66,7 +71,7 @@
 }
 
 #[test]
-fn a_request_goes_to_the_endpoints_that_the_decision_module_chooses() {
+fn placement_chooses_the_same_endpoints_as_the_decision_module() {
     let weighted = |(uid, weight): &(&str, f64)| WeightedEndpoint {
         hash: endpoint_hash(uid),
         weight: *weight,
@@ -85,6 +90,10 @@
         let edge_cache = edge_caches[usize::from(hash_order(&edge_caches, seed)[0])].hash;
         let parent = parent_caches[usize::from(hash_order(&parent_caches, seed)[0])].hash;
         let expected = Some((edge_cache, Some(parent)));
-        assert_eq!(decided(&entries, object, chunk_index), expected, "object {object}");
+        assert_eq!(
+            decision_module_choice(&entries, object, chunk_index),
+            expected,
+            "object {object}"
+        );
     }
 }
--- a/crates/capacity/tests/queueing.rs
+++ b/crates/capacity/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The simulated queues against closed forms of queueing theory.
+//! Compares the simulated queues with closed-form results of queueing theory.
 
 use hollymux_capacity::queueing_theory::{erlang_c_mean_wait, processor_sharing_mean_time};
 use hollymux_capacity::shared_link::SharedLink;
@@ -7,27 +7,28 @@
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64Mcg;
 
-/// The mean service time of a job where nobody else is served, in microseconds.
+/// Mean service time of a job on an otherwise idle link or pool, in microseconds.
 const MEAN_SERVICE_US: f64 = 10_000.0;
 
 fn exponential(rng: &mut Pcg64Mcg) -> f64 {
     Exp1.sample(rng)
 }
 
-/// What a link did under Poisson arrivals of jobs with exponential sizes.
+/// The result of a run of a shared link under Poisson arrivals of jobs with exponential sizes.
 struct LinkRun {
     link: SharedLink,
     duration_us: u64,
     started_jobs: u64,
     completed_jobs: u64,
-    /// The sum of all completed jobs' times on the link.
+    /// Total time that completed jobs spent on the link, in microseconds.
     total_time_us: f64,
-    /// The time integral of the number of active jobs.
+    /// Time integral of the number of active jobs, in microseconds.
     active_time_us: f64,
 }
 
 impl LinkRun {
-    /// One job alone takes a microsecond a byte; the load is the share of the link's capacity.
+    /// Runs a link until `completed_jobs` jobs are complete. A job alone on the link takes a
+    /// microsecond per byte; `load` is the offered load as a share of the link's capacity.
     fn new(load: f64, completed_jobs: u64) -> LinkRun {
         let mut rng = Pcg64Mcg::seed_from_u64(5);
         let mut run = LinkRun {
@@ -69,20 +70,27 @@
 }
 
 #[test]
-fn a_shared_link_takes_as_long_as_processor_sharing_and_obeys_littles_law() {
+fn a_shared_link_matches_processor_sharing_theory_and_littles_law() {
     for load in [0.3, 0.7] {
         let run = LinkRun::new(load, 200_000);
         let mean_time_us = run.total_time_us / run.completed_jobs as f64;
         let mean = mean_time_us / MEAN_SERVICE_US;
         let expected = processor_sharing_mean_time(load).unwrap();
-        assert!((mean / expected - 1.0).abs() < 0.05, "load {load}: {mean} against {expected}");
-        // Little: active jobs on average are jobs per microsecond times how long each stays.
+        assert!(
+            (mean / expected - 1.0).abs() < 0.05,
+            "load {load}: mean time {mean}, expected {expected}"
+        );
+        // Little's law: the mean number of active jobs is the arrival rate times the mean time on
+        // the link.
         let duration_us = run.duration_us as f64;
         let expected_active = run.started_jobs as f64 / duration_us * mean_time_us;
         assert!((run.active_time_us / duration_us / expected_active - 1.0).abs() < 0.01);
         let seconds = (run.duration_us / 1_000_000) as usize;
         let used: f64 = (0..seconds).map(|second| run.link.utilization(second)).sum();
-        assert!((used / seconds as f64 / load - 1.0).abs() < 0.03, "{load}");
+        assert!(
+            (used / seconds as f64 / load - 1.0).abs() < 0.03,
+            "load {load}: {used} link seconds used in {seconds} s"
+        );
     }
     assert_eq!(
         (processor_sharing_mean_time(1.0), erlang_c_mean_wait(4.0, 4), erlang_c_mean_wait(1.0, 0)),
@@ -91,7 +99,7 @@
 }
 
 #[test]
-fn calls_wait_for_workers_as_long_as_erlang_c_says() {
+fn calls_wait_for_workers_as_long_as_erlang_c_predicts() {
     for (load, worker_count) in [(0.6, 1), (3.2, 4), (14.0, 16)] {
         let mut rng = Pcg64Mcg::seed_from_u64(9);
         let mut pool = WorkerPool::new(Some(worker_count), None);
@@ -108,11 +116,14 @@
         let expected = erlang_c_mean_wait(load, worker_count).unwrap();
         assert!(
             (mean / expected - 1.0).abs() < 0.08,
-            "{load} at {worker_count}: {mean} against {expected}"
+            "load {load}, {worker_count} workers: mean wait {mean}, expected {expected}"
         );
     }
-    // Above its rate the pool rejects the excess.
+    // The pool rejects calls above its rate limit.
     let mut pool = WorkerPool::new(None, Some(10.0));
     let accepted = (0..100u64).filter(|call| pool.submit(call * 50_000, 1).is_some()).count();
-    assert!((45..=60).contains(&accepted), "{accepted} of 100 at twice the rate");
+    assert!(
+        (45..=60).contains(&accepted),
+        "{accepted} of 100 calls accepted at twice the rate limit"
+    );
 }
--- a/crates/capacity/tests/replication.rs
+++ b/crates/capacity/tests/replication.rs
@@ -7,13 +7,13 @@
 const REQUEST_GAP_US: u64 = 10_000;
 const ENDPOINTS: usize = 8;
 
-/// A chunk that is requested once.
+/// Returns a chunk that is requested only once, at one step of the test.
 fn rare_chunk(step: u64) -> ChunkId {
     ChunkId(step as u32 + 100)
 }
 
 #[test]
-fn a_popular_chunk_is_replicated_and_drawn_in_when_its_requests_end() {
+fn a_popular_chunk_is_replicated_until_its_requests_end() {
     let mut levels = ReplicationLevels::default();
     let mut replicas = 1;
     for step in 0..2_000u64 {
