--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,6 +1,7 @@
 //! Capacity planning from recorded traffic. The input is a recording and a description of the
 //! fleet. The output lists the resources that saturate first, the number of edge caches that a goal
-//! needs, and the effect of losing endpoints, with confidence intervals where the recording is long enough for them.
+//! needs, and the effect of losing endpoints, with confidence intervals where the recording is long
+//! enough for them.
 //!
 //! The crate does no I/O and reads no clock. It shares only file formats with the simulator that
 //! its predictions are checked against. docs/capacity.md describes the model.
