--- a/crates/simulation/src/scenario/checks.rs
+++ b/crates/simulation/src/scenario/checks.rs
@@ -1,18 +1,19 @@
-//! What a scenario must fulfil beyond its types. Fields are named by their keys in the file.
+//! Checks of a scenario that go beyond the types of its fields. Errors name fields by their keys in
+//! the file.
 
 use super::{Fault, FaultKind, ParentCache, RequestClass, Scenario, Site, ORIGIN_NAME};
 use hollymux_config_file::{Check, Faults};
 use std::collections::BTreeSet;
 
-/// The longest scenario, in seconds: virtual time is quick, but real time is not.
+/// Longest run, in seconds; it also limits runs on sockets, which take real time.
 const MAX_SECONDS: f64 = 3_600.0;
-/// First attempts a second that a test machine can still offer.
+/// Highest rate of first attempts per second; a test machine can't offer more.
 const MAX_RATE_PER_S: f64 = 20_000.0;
-/// The longest delay of the endpoint feed or between routers, in milliseconds.
+/// Longest delay of the endpoint feed or of datagrams between routers, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
-/// Edge caches of one site.
+/// Most edge caches that one site may have.
 const MAX_EDGE_CACHES: usize = 200;
-/// Routers of one site.
+/// Most routers that one site may have.
 pub(crate) const MAX_ROUTERS_PER_SITE: usize = 50;
 
 fn is_positive(value: f64) -> bool {
@@ -28,7 +29,7 @@
         self.check_load(faults);
         faults.unless(!self.sites.is_empty(), "offices", "there is none");
         faults.unless(!self.parent_caches.is_empty(), "hubs", "there is none");
-        // Names of servers and sites must differ from each other.
+        // The names of servers and sites must be unique; the origin's name is taken.
         let mut names = BTreeSet::from([ORIGIN_NAME]);
         for (index, parent) in self.parent_caches.iter().enumerate() {
             check_parent_cache(index, parent, &mut names, faults);
@@ -170,7 +171,7 @@
         faults.unless(delays, field("late_ms"), "late_ms and jitter_ms lie between 0 and 60000");
     }
 
-    /// Whether these are numbers of routers, which start at 1.
+    /// Whether the list has entries and all of them are numbers of routers, which start at 1.
     fn are_routers(&self, numbers: &[usize]) -> bool {
         !numbers.is_empty() && numbers.iter().all(|number| (1..=self.router_count()).contains(number))
     }
--- a/crates/simulation/src/scenario/defaults.rs
+++ b/crates/simulation/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! Values of what a scenario leaves out; the field that each belongs to says what it means.
+//! Default values of the fields that a scenario may omit; the comments of the fields explain them.
 
 use super::{Origin, RequestClass};
 
@@ -88,7 +88,8 @@
     }
 }
 
-/// A class with the default of every field that has one.
+/// A class that takes the default of every field that has one. Its latency objective and its
+/// timeout are 0 and must be set by the caller.
 fn class(name: &str, load_weight: f64, mean_bytes: f64, priority_weight: f64) -> RequestClass {
     RequestClass {
         name: name.to_string(),
@@ -112,8 +113,7 @@
     }
 }
 
-/// The three classes of a scenario that names none: videos in chunks, pages, and non-idempotent
-/// filings.
+/// The classes of a scenario that lists none: videos in chunks, pages, and non-idempotent filings.
 pub fn default_classes() -> Vec<RequestClass> {
     let video = RequestClass {
         chunks: 12,
--- a/crates/simulation/src/scenario/faults.rs
+++ b/crates/simulation/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a scenario, and when.
+//! The faults that a scenario can contain, and when each begins and ends.
 
 use super::Scenario;
 use crate::time::from_seconds;
@@ -6,138 +6,142 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong.
+/// A fault with its time.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// When the fault begins, in seconds since the start of the run.
     pub at_s: f64,
-    /// How long it lasts. Default: until the end.
+    /// How long the fault lasts, in seconds. Default: until the end of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
-    /// What it is.
+    /// The kind of fault, with its parameters.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// What can go wrong.
+/// The kinds of faults.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// A server crashes, and comes back with an empty cache and warming up.
+    /// A server crashes. When the fault ends, the server restarts with an empty cache and warms up.
     Crash {
-        /// Its name: `SITE-N`, a parent cache's name, or `library`.
+        /// The server's name: `SITE-N` for an edge cache, a parent cache's name, or `library` for
+        /// the origin.
         #[serde(rename = "who")]
         server: String,
     },
-    /// An edge cache crashes and another one comes up at its address, under a new id.
+    /// An edge cache crashes, and a new one with a new uid starts at its address at once.
     Replace {
-        /// The edge cache.
+        /// The edge cache's name, `SITE-N`.
         #[serde(rename = "who")]
         server: String,
     },
-    /// An edge cache drains, and is gone at the end.
+    /// An edge cache is listed as draining. When the fault ends, it stops and leaves the endpoint
+    /// list.
     Drain {
-        /// The edge cache.
+        /// The edge cache's name, `SITE-N`.
         #[serde(rename = "who")]
         server: String,
     },
-    /// A server's outgoing link has only a part of its rate.
+    /// A server's outgoing link loses part of its rate.
     Slow {
-        /// The server.
+        /// The server's name.
         #[serde(rename = "who")]
         server: String,
-        /// The part that is left.
+        /// The share of the rate that remains, from 0 to 1.
         #[serde(rename = "part")]
         rate_share: f64,
     },
-    /// A server can't be reached: connections stay open and silent.
+    /// A server is unreachable: its connections stay open, but nothing is sent or received on them.
     #[serde(rename = "cut")]
     Unreachable {
-        /// The server.
+        /// The server's name.
         #[serde(rename = "who")]
         server: String,
     },
-    /// Changes of the endpoint list take so much longer.
+    /// Changes of the endpoint list reach the routers later than usual.
     #[serde(rename = "late")]
     FeedDelay {
-        /// In milliseconds.
+        /// The additional delay, in milliseconds.
         by_ms: f64,
     },
-    /// A part of the requests of all cached classes goes to a few new objects.
+    /// A share of the requests of all cached classes goes to a few new objects.
     #[serde(rename = "crowd")]
     HotObjects {
-        /// The part.
+        /// The share of requests, from 0 to 1.
         #[serde(rename = "part")]
         share: f64,
-        /// How many objects.
+        /// The number of new objects.
         objects: u64,
     },
-    /// A part of one class's requests is for new objects of many times the usual size.
+    /// A share of one class's requests goes to new objects that are much larger than usual.
     #[serde(rename = "large")]
     LargeObjects {
-        /// The class.
+        /// The name of a cached class.
         class: String,
-        /// The part.
+        /// The share of requests, from 0 to 1.
         #[serde(rename = "part")]
         share: f64,
-        /// How many times the usual size.
+        /// The size of the new objects as a multiple of the usual size, from 1 to 50.
         #[serde(rename = "times")]
         size_factor: f64,
     },
-    /// All arrivals come this many times as often.
+    /// Clients' requests arrive more often, at all sites and in all classes.
     Surge {
-        /// How many times.
+        /// The factor by which the arrival rate is multiplied.
         #[serde(rename = "times")]
         factor: f64,
     },
-    /// Routers are cut off from all other routers, both ways; clients and servers reach them as
-    /// before.
+    /// Routers are partitioned from all other routers, in both directions; clients and servers
+    /// still reach them.
     #[serde(rename = "part")]
     Partition {
-        /// Their numbers among all routers, site by site, from 1.
+        /// The routers' numbers, counted from 1 over all sites in order.
         routers: Vec<usize>,
     },
     /// Datagrams from some routers to others are cut off, lost, duplicated, corrupted or delayed.
     #[serde(rename = "link")]
     RouterLink {
-        /// Numbers of the senders, from 1.
+        /// Numbers of the sending routers, from 1.
         from: Vec<usize>,
-        /// Numbers of the receivers.
+        /// Numbers of the receiving routers, from 1.
         to: Vec<usize>,
-        /// Nothing gets through. Default: false.
+        /// Whether all datagrams are dropped. Default: false.
         #[serde(default)]
         cut: bool,
-        /// The part that is lost. Default: 0.
+        /// The share of datagrams that are lost. Default: 0.
         #[serde(default)]
         loss: f64,
-        /// The part that is duplicated. Default: 0.
+        /// The share of datagrams that are duplicated. Default: 0.
         #[serde(rename = "twice", default)]
         duplication: f64,
-        /// The part that comes with a bit flipped. Default: 0.
+        /// The share of datagrams that arrive with one bit flipped. Default: 0.
         #[serde(rename = "flipped", default)]
         corruption: f64,
-        /// The delay of each. Default: 0.
+        /// The additional delay of every datagram, in milliseconds. Default: 0.
         #[serde(rename = "late_ms", default)]
         delay_ms: f64,
-        /// Up to so much more, which has them overtake each other. Default: 0.
+        /// The maximum of a further random delay, in milliseconds, which reorders datagrams.
+        /// Default: 0.
         #[serde(default)]
         jitter_ms: f64,
     },
-    /// Router processes are killed, and started anew at the end.
+    /// Router processes are killed. When the fault ends, they are started again.
     Kill {
-        /// Their numbers, from 1.
+        /// The routers' numbers, from 1.
         routers: Vec<usize>,
     },
-    /// Router processes stand still, and go on at the end.
+    /// Router processes are paused, as by SIGSTOP. When the fault ends, they are resumed.
     Pause {
-        /// Their numbers, from 1.
+        /// The routers' numbers, from 1.
         routers: Vec<usize>,
     },
 }
 
 impl FaultKind {
-    /// The name of the server that it concerns, if it concerns one.
+    /// The name of the server that the fault affects, or `None` if it affects clients, routers or
+    /// the endpoint feed.
     pub fn server(&self) -> Option<&str> {
         match self {
             FaultKind::Crash { server }
@@ -157,28 +161,28 @@
     }
 }
 
-/// The beginning or the end of a fault.
+/// Which end of a fault's time span a [`FaultStep`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultPhase {
-    /// It begins.
+    /// The fault begins.
     Begin,
-    /// It ends.
+    /// The fault ends.
     End,
 }
 
-/// One step of a scenario's faults.
+/// The beginning or the end of one of a scenario's faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultStep {
-    /// Time since the scenario's start.
+    /// The time since the start of the run.
     pub after: Time,
-    /// The fault, by its index.
+    /// The fault's index in [`Scenario::faults`].
     pub index: usize,
-    /// Whether it begins or ends.
+    /// Whether the fault begins or ends.
     pub phase: FaultPhase,
 }
 
 impl Scenario {
-    /// The faults that are active so many seconds after the start.
+    /// The faults that are active this many seconds after the start of the run.
     pub fn faults_at(&self, seconds: f64) -> impl Iterator<Item = &FaultKind> {
         let active = move |fault: &&Fault| {
             seconds >= fault.at_s && fault.for_s.is_none_or(|duration| seconds < fault.at_s + duration)
@@ -186,7 +190,8 @@
         self.faults.iter().filter(active).map(|fault| &fault.kind)
     }
 
-    /// The beginnings and ends of all faults, in the order of the faults.
+    /// The beginnings and ends of all faults, in the order of [`Scenario::faults`], not by time. A
+    /// fault without a duration has no end.
     pub fn fault_timeline(&self) -> Vec<FaultStep> {
         let mut steps = Vec::new();
         for (index, fault) in self.faults.iter().enumerate() {
