--- a/crates/simulation/src/model/accounting.rs
+++ b/crates/simulation/src/model/accounting.rs
@@ -1,22 +1,23 @@
-//! How much the model's resources are used while load is offered and counted.
+//! Use of the model's resources between the end of the warm-up and the end of the load.
 
 use super::{ServerKind, ServerModel, ServerRuntime};
 use crate::scenario::Site;
 use crate::time::as_seconds;
 use crate::Time;
 
-/// How much a resource was used.
+/// How much of one resource was used.
 #[derive(Clone, Debug)]
 pub struct ResourceUse {
-    /// Its name.
+    /// The name of the resource, which starts with that of its server or site.
     pub name: String,
-    /// The part of its capacity that was used, over the time that counts.
+    /// The share of its capacity that was used while accounting ran, usually from 0 to 1. For fills
+    /// it is the peak number of concurrent fills over the maximum number.
     pub part: f64,
-    /// Bytes carried, where it is a link.
+    /// The bytes that a link carried; `None` for other resources.
     pub bytes: Option<f64>,
 }
 
-/// What was used when accounting stopped.
+/// The figures at the end of accounting.
 #[derive(Debug)]
 pub(super) struct FinalUse {
     resources: Vec<ResourceUse>,
@@ -24,20 +25,20 @@
 }
 
 impl ServerModel {
-    /// Starts to account for the use of resources.
+    /// Starts accounting: what was used before `now` is left out of all figures.
     pub fn start_accounting(&mut self, now: Time) {
         self.accounting_since = now;
         self.advance_links();
         for runtime in &mut self.runtimes {
-            runtime.out.carried_before = runtime.out.link.carried();
-            runtime.work_before = runtime.work_done;
+            runtime.outgoing_link.carried_before_accounting = runtime.outgoing_link.link.carried();
+            runtime.work_before_accounting = runtime.work_done;
         }
         for site_link in &mut self.site_links {
-            site_link.carried_before = site_link.link.carried();
+            site_link.carried_before_accounting = site_link.link.carried();
         }
     }
 
-    /// Ends accounting: what is used from now on does not count.
+    /// Ends accounting and keeps its figures: what is used from now on is left out.
     pub fn stop_accounting(&mut self) {
         self.advance_links();
         let resources = self.resource_use();
@@ -45,14 +46,16 @@
         self.final_use = Some(FinalUse { resources, filled_bytes });
     }
 
-    /// Adds resources whose use was accounted for elsewhere.
+    /// Adds resources that were measured outside the model, such as the routers' processor cores.
+    /// Has no effect before accounting has ended.
     pub fn add_resource_use(&mut self, more: Vec<ResourceUse>) {
         if let Some(final_use) = &mut self.final_use {
             final_use.resources.extend(more);
         }
     }
 
-    /// How much each resource was used since accounting started.
+    /// The use of each resource from the start of accounting until its end, or until now if it
+    /// still runs.
     pub fn resource_use(&self) -> Vec<ResourceUse> {
         if let Some(final_use) = &self.final_use {
             return final_use.resources.clone();
@@ -60,7 +63,7 @@
         let seconds = as_seconds(self.now.saturating_sub(self.accounting_since).max(1));
         let mut resources = Vec::new();
         for (server, runtime) in self.servers.iter().zip(&self.runtimes) {
-            let bytes = runtime.out.carried();
+            let bytes = runtime.outgoing_link.carried();
             let part = bytes / (runtime.bytes_per_s * seconds);
             let name = format!("{} link out", server.name);
             resources.push(ResourceUse { name, part, bytes: Some(bytes) });
@@ -78,7 +81,7 @@
         ResourceUse { name, part: bytes / (rate * seconds), bytes: Some(bytes) }
     }
 
-    /// Bytes carried by the sites' incoming links since accounting started.
+    /// Bytes that the incoming links of all sites carried since accounting started.
     pub fn filled_bytes(&self) -> f64 {
         match &self.final_use {
             Some(final_use) => final_use.filled_bytes,
@@ -86,34 +89,36 @@
         }
     }
 
-    /// Requests that each server rejected, for those that rejected any.
+    /// The number of requests that each server rejected since the start of the run; servers that
+    /// rejected none are left out.
     pub fn rejected_by_server(&self) -> Vec<(String, u64)> {
         let all = self.servers.iter().zip(&self.runtimes);
         let rejecting = all.filter(|(_, runtime)| runtime.rejected > 0);
         rejecting.map(|(server, runtime)| (server.name.clone(), runtime.rejected)).collect()
     }
 
-    /// Brings what links have carried up to now.
+    /// Updates the byte counts of all links to the present.
     fn advance_links(&mut self) {
-        let outgoing = self.runtimes.iter_mut().map(|runtime| &mut runtime.out);
+        let outgoing = self.runtimes.iter_mut().map(|runtime| &mut runtime.outgoing_link);
         outgoing.chain(&mut self.site_links).for_each(|link| link.link.advance(self.now));
     }
 }
 
-/// Use of an edge cache's cores, or of the origin's workers. Those of parent caches are never
-/// short.
+/// The use of an edge cache's cores or of the origin's workers; `None` for parent caches, whose
+/// cores are never the bottleneck.
 fn worker_use(name: &str, kind: ServerKind, runtime: &ServerRuntime, seconds: f64) -> Option<ResourceUse> {
     let resource = match kind {
         ServerKind::EdgeCache(_) => "cores",
         ServerKind::Origin => "workers",
         ServerKind::ParentCache(_) => return None,
     };
-    let busy_seconds = (runtime.work_done - runtime.work_before) / 1e6;
+    let busy_seconds = (runtime.work_done - runtime.work_before_accounting) / 1e6;
     let part = busy_seconds / (runtime.workers as f64 * seconds);
     Some(ResourceUse { name: format!("{name} {resource}"), part, bytes: None })
 }
 
-/// The most fills that ran at once, against those that may.
+/// The peak number of concurrent fills over the maximum number; `None` for the origin, which fills
+/// nothing.
 fn fill_use(name: &str, runtime: &ServerRuntime) -> Option<ResourceUse> {
     if runtime.max_fills == 0 {
         return None;
--- a/crates/simulation/src/model/faults.rs
+++ b/crates/simulation/src/model/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of servers, their starts and stops, drains and purges.
+//! Effects of the scenario's faults on servers: starts, stops, drains, slow links and purges.
 
 use super::fills::Fill;
 use super::{ListedState, ModelEvent, ServerKind, ServerModel, ServerState, TimedEvent};
@@ -9,11 +9,12 @@
 use crate::{Time, SEC};
 use rand::Rng;
 
-/// Purged copies are gone from all caches after this.
+/// Time after which every cache has dropped the copies that a purge covers.
 pub const PURGE_COMPLETION: Time = 6 * SEC;
-/// Purges are remembered for this long, to check answers and fills against them.
+/// Time for which a purge is remembered, to check answers and fills against it.
 const PURGE_MEMORY: Time = 60 * SEC;
-/// A slow server keeps at least this part of its rate: a link at 0 would never end a transfer.
+/// Smallest share of its rate that a slow server keeps: on a link with rate 0 no transfer would
+/// ever end.
 const MIN_SLOW_FACTOR: f64 = 0.001;
 
 impl ServerModel {
@@ -40,7 +41,7 @@
                 self.stop(server, ServerState::Unreachable);
             }
             (FaultKind::Unreachable { .. }, FaultPhase::End) => self.set_state(server, ServerState::Up),
-            // The end of a replacement, and what does not concern servers.
+            // A replacement has no end, and the other faults do not affect servers.
             _ => {}
         }
     }
@@ -54,7 +55,7 @@
         self.events.push(ModelEvent::StateChanged { server, state });
     }
 
-    /// Reports a server's line of the endpoint list.
+    /// Reports a change of the server's entry in the endpoint list to the driver.
     fn publish(&mut self, server: usize, state: ListedState) {
         let listed = Box::new(self.servers[server].clone());
         self.events.push(ModelEvent::EndpointChanged { server, listed, state });
@@ -65,19 +66,20 @@
         self.adjust_capacity(server);
     }
 
-    /// A server goes down, or can't be reached any more.
+    /// Stops a server, or makes it unreachable.
     pub(super) fn stop(&mut self, server: usize, state: ServerState) {
         self.set_state(server, state);
-        // One that can't be reached goes on working.
+        // An unreachable server goes on processing what it has accepted.
         if state != ServerState::Unreachable {
             self.drop_all_work(server);
         }
     }
 
-    /// What a server was doing ends in nothing.
+    /// Drops everything that a server was doing, without answers.
     fn drop_all_work(&mut self, server: usize) {
-        self.runtimes[server].life += 1;
-        // In the order of ids, as that of the map differs from run to run.
+        self.runtimes[server].incarnation += 1;
+        // The ids are sorted because the order of a `HashMap` differs from run to run, and the same
+        // seed must give the same run.
         let here = self.requests.iter().filter(|(_, request)| request.server == server);
         let mut requests: Vec<u64> = here.map(|(id, _)| *id).collect();
         requests.sort_unstable();
@@ -86,9 +88,9 @@
                 self.release(request);
             }
         }
-        let concerned = |fill: &Fill| fill.concerns(server);
+        let involved = |fill: &Fill| fill.involves(server);
         let mut fills: Vec<u64> =
-            self.fills.iter().filter(|(_, fill)| concerned(fill)).map(|(id, _)| *id).collect();
+            self.fills.iter().filter(|(_, fill)| involved(fill)).map(|(id, _)| *id).collect();
         fills.sort_unstable();
         fills.into_iter().for_each(|id| self.end_fill(id, false));
         let runtime = &mut self.runtimes[server];
@@ -98,7 +100,7 @@
         runtime.warm_up_load.clear();
     }
 
-    /// A server comes up with an empty cache, and warms up.
+    /// Starts a server with an empty cache; edge caches and parent caches then warm up.
     fn start(&mut self, server: usize) {
         let kind = self.servers[server].kind;
         let cache_bytes = match kind {
@@ -117,7 +119,7 @@
         self.adjust_capacity(server);
     }
 
-    /// Another server comes up at the address of one that goes, under an id that no earlier one
+    /// Stops a server and starts another one at its address, under a uid that no earlier server
     /// had.
     fn replace(&mut self, server: usize, fault: usize) {
         self.stop(server, ServerState::Down);
@@ -127,7 +129,8 @@
         self.start(server);
     }
 
-    /// From `at` on every router knows a line of the endpoint list.
+    /// Records that from `at` on every router knows a change of the server's entry in the endpoint
+    /// list.
     pub fn endpoint_known_at(&mut self, server: usize, state: ListedState, at: Time) {
         match state {
             ListedState::Draining => {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Orders a purge of an object that was requested lately, and schedules the next one.
+    /// Issues a purge of an object that was requested recently, and schedules the next purge.
     pub(super) fn order_purge(&mut self) {
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / self.scenario.purges_per_s;
         self.schedule(self.now + from_seconds(gap), TimedEvent::OrderPurge);
--- a/crates/simulation/src/model/fills.rs
+++ b/crates/simulation/src/model/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: copies on their way from one server to the cache of another.
+//! Fills: transfers of a copy from a source server into the cache of another server.
 
 use super::links::{LinkId, Transfer, TransferOwner};
 use super::requests::{WorkItem, PARENT_RETENTION};
@@ -7,18 +7,18 @@
 use crate::objects::ChunkKey;
 use crate::{Time, MS};
 
-/// Time from an edge cache to its own parent cache.
+/// Delay from an edge cache to the parent cache of its site.
 const DELAY_TO_OWN_PARENT: Time = 6 * MS;
-/// Time between edge caches of one site.
+/// Delay between two edge caches of one site.
 const DELAY_WITHIN_SITE: Time = MS;
-/// Time to the origin.
+/// Delay from any server to the origin.
 const DELAY_TO_ORIGIN: Time = 10 * MS;
-/// Time to any other server.
+/// Delay between any other two servers.
 const DELAY_TO_OTHERS: Time = 30 * MS;
-/// A fill of which nothing has come by then is given up.
+/// A fill is given up if its first byte has not arrived within this time.
 const FIRST_BYTE_TIMEOUT: Time = 2_500 * MS;
 
-/// What is to be filled from where.
+/// The parameters of a fill.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FillRequest {
     pub to: usize,
@@ -27,47 +27,50 @@
     pub group: u32,
     pub class: usize,
     pub bytes: u64,
-    /// The date of the oldest copy that will do.
+    /// The oldest acceptable copy, by the time at which the origin sent it.
     pub oldest: Time,
-    /// The retention priority at the server that is filled; 0: it is not cached there.
+    /// The retention priority of the copy at the filled server; 0 does not cache it.
     pub retention: u8,
-    /// The source may serve from its cache only.
+    /// Whether the source may answer from its cache only.
     pub only_if_cached: bool,
 }
 
-/// A fill under way.
+/// A fill in progress.
 #[derive(Debug)]
 pub(super) struct Fill {
     request: FillRequest,
     dated: Time,
-    /// Its first byte has come.
+    /// Whether the first byte has arrived.
     pub transfer_started: bool,
-    /// What must still end: its transfers, and the fill behind it.
+    /// The number of steps that must end before the fill is complete: its transfers and, if there
+    /// is one, the upstream fill.
     steps_left: usize,
     transfers: Vec<Transfer>,
     pub waiting_requests: Vec<u64>,
-    /// Fills of other servers that this one feeds.
+    /// Ids of the fills of other servers that are fed by this one while it runs.
     pub dependent_fills: Vec<u64>,
-    /// The fill of the source that feeds this one.
+    /// The id of the source's own fill that feeds this one; `None` if the source had a copy or is
+    /// the origin.
     upstream: Option<u64>,
 }
 
 impl Fill {
-    /// Whether it goes to or comes from a server.
-    pub fn concerns(&self, server: usize) -> bool {
+    /// Whether a server is the target or the source of the fill.
+    pub fn involves(&self, server: usize) -> bool {
         self.request.to == server || self.request.from == server
     }
 }
 
 impl ServerModel {
-    /// The latest fill of a chunk at a server, if it brings a copy that is new enough.
+    /// The latest fill of a chunk at a server; `None` if no fill runs or if it may bring a copy
+    /// that is older than `oldest`.
     pub(super) fn running_fill(&self, server: usize, key: ChunkKey, oldest: Time) -> Option<u64> {
         let running = self.running_fills.get(&(server, key)).copied()?;
         let fill = self.fills.get(&running)?;
         (fill.request.oldest >= oldest).then_some(running)
     }
 
-    /// Starts a fill; none if the server has too many under way.
+    /// Starts a fill and returns its id; `None` if the server already runs as many fills as it may.
     pub(super) fn start_fill(&mut self, request: FillRequest) -> Option<u64> {
         let runtime = &mut self.runtimes[request.to];
         if runtime.fills >= runtime.max_fills {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// A fill has reached its source.
+    /// Processes the request for a fill at its source.
     pub(super) fn on_fill_arrives(&mut self, id: u64) {
         let Some(request) = self.fills.get(&id).map(|fill| fill.request) else { return };
         match self.servers[request.from].state {
@@ -122,7 +125,7 @@
             };
         }
         self.add_warm_up_load(request.from, request.class);
-        // What overloaded its source went with it.
+        // The source has stopped if this very request overloaded it.
         if self.servers[request.from].state != ServerState::Up {
             return;
         }
@@ -138,7 +141,8 @@
         }
     }
 
-    /// A parent cache fetches from the origin once for all who wait.
+    /// Has a parent cache fill a chunk from the origin, or joins the fill that already runs there:
+    /// the origin is asked once for all requests that wait.
     fn fill_parent(&mut self, request: &FillRequest) -> Option<u64> {
         let parent = request.from;
         if let Some(running) = self.running_fill(parent, request.key, request.oldest) {
@@ -154,7 +158,7 @@
         })
     }
 
-    /// Lets one fill be fed by another.
+    /// Makes one fill depend on another, which feeds it.
     fn feed_from(&mut self, id: u64, upstream: u64) {
         if let Some(fill) = self.fills.get_mut(&id) {
             fill.upstream = Some(upstream);
@@ -172,8 +176,8 @@
         }
     }
 
-    /// The first byte of a fill comes, of a copy of that date; one that is fed by another learns
-    /// its date at the end.
+    /// Starts the transfers of a fill when its first byte arrives. `dated` is the date of the copy;
+    /// a fill that is fed by another one gets the date when that one ends.
     pub(super) fn start_fill_transfer(&mut self, id: u64, dated: Time, upstream: Option<u64>) {
         let Some(fill) = self.fills.get_mut(&id) else { return };
         fill.transfer_started = true;
@@ -191,7 +195,7 @@
         fills.into_iter().for_each(|dependent| self.start_fill_transfer(dependent, 0, Some(id)));
     }
 
-    /// The links that a fill runs over.
+    /// The links that a fill occupies.
     fn fill_links(&self, to: usize, from: usize) -> Vec<LinkId> {
         let mut links = vec![LinkId::ServerOut(from)];
         if let ServerKind::EdgeCache(site) = self.servers[to].kind {
@@ -202,7 +206,7 @@
         links
     }
 
-    /// One of a fill's transfers, or the fill behind it, has ended.
+    /// Completes a fill when its last transfer or its upstream fill has ended.
     pub(super) fn on_fill_step(&mut self, id: u64) {
         let Some(fill) = self.fills.get_mut(&id) else { return };
         fill.steps_left -= 1;
@@ -211,7 +215,7 @@
         }
     }
 
-    /// A fill ends, complete or not.
+    /// Ends a fill, complete or not, and continues or fails what depends on it.
     pub(super) fn end_fill(&mut self, id: u64, complete: bool) {
         let Some(fill) = self.fills.remove(&id) else { return };
         let FillRequest { to, key, .. } = fill.request;
@@ -234,7 +238,8 @@
         }
     }
 
-    /// Caches what was filled, unless it was purged while it was on its way: it must not come back.
+    /// Caches the filled copy, unless a purge covered it while it was transferred: a purged copy
+    /// must not enter a cache again.
     fn cache_filled(&mut self, fill: &Fill) {
         let FillRequest { to, key, group, bytes, retention, .. } = fill.request;
         let purged = self.purges.iter().any(|purge| purge.covers(key.object, group, fill.dated));
@@ -261,7 +266,8 @@
             request.dated = fill.dated;
             return self.on_request_step(id);
         }
-        // Begun answers that can't be finished are errors; others were never processed.
+        // An answer that was begun and can't be finished is an error; before the first byte, the
+        // request was not processed.
         let result = match (fill.transfer_started, fill.request.only_if_cached) {
             (true, _) => AttemptResult::Failed,
             (false, true) => AttemptResult::Miss,
--- a/crates/simulation/src/model/links.rs
+++ b/crates/simulation/src/model/links.rs
@@ -1,48 +1,49 @@
-//! Transfers of the server model over its links.
+//! Transfers of the server model on its links.
 
 use super::{ServerModel, TimedEvent};
 use crate::shared_link::{SharedLink, TransferId};
 
-/// A link of the model.
+/// Identifies a link of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkId {
-    /// The outgoing link of a server.
+    /// The outgoing link of the server with this index.
     ServerOut(usize),
-    /// The incoming link of a site, which all fills from outside share.
+    /// The incoming link of the site with this index, which all fills from outside the site share.
     SiteIn(usize),
 }
 
-/// A link with what the model keeps beside it.
+/// A link, with its schedule and its accounting.
 #[derive(Debug)]
 pub(super) struct ModelLink {
     pub link: SharedLink,
-    /// Counts changes: the event for the end of a transfer is valid for one generation.
+    /// The number of changes on the link. A scheduled [`TimedEvent::LinkDue`] is valid only for the
+    /// generation that it names.
     generation: u64,
-    /// Bytes that it had carried when accounting started.
-    pub carried_before: f64,
+    /// Bytes that the link had carried when accounting started.
+    pub carried_before_accounting: f64,
 }
 
 impl ModelLink {
     pub fn new(link: SharedLink) -> ModelLink {
-        ModelLink { link, generation: 0, carried_before: 0.0 }
+        ModelLink { link, generation: 0, carried_before_accounting: 0.0 }
     }
 
     /// Bytes carried since accounting started.
     pub fn carried(&self) -> f64 {
-        self.link.carried() - self.carried_before
+        self.link.carried() - self.carried_before_accounting
     }
 }
 
-/// What a transfer belongs to.
+/// The request or fill on behalf of which a transfer runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TransferOwner {
-    /// The answer to the request of this id.
+    /// The transfer is the answer to the request with this id.
     Request(u64),
-    /// The fill of this id.
+    /// The transfer belongs to the fill with this id.
     Fill(u64),
 }
 
-/// A transfer on one link.
+/// A transfer on one link. A fill has one on each link that it uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Transfer {
     pub link: LinkId,
@@ -52,12 +53,12 @@
 impl ServerModel {
     fn link_mut(&mut self, id: LinkId) -> &mut ModelLink {
         match id {
-            LinkId::ServerOut(server) => &mut self.runtimes[server].out,
+            LinkId::ServerOut(server) => &mut self.runtimes[server].outgoing_link,
             LinkId::SiteIn(site) => &mut self.site_links[site],
         }
     }
 
-    /// Plans the end of the link's next transfer, in place of what was planned before.
+    /// Schedules the end of the link's next transfer and invalidates the earlier schedule.
     pub(super) fn reschedule_link(&mut self, id: LinkId) {
         let link = self.link_mut(id);
         link.generation += 1;
@@ -76,7 +77,7 @@
         Transfer { link, id }
     }
 
-    /// Cancels a transfer, unless it has ended.
+    /// Cancels a transfer; does nothing if it has already ended.
     pub(super) fn cancel_transfer(&mut self, transfer: Transfer) {
         if self.transfers.remove(&transfer.id).is_some() {
             let now = self.now;
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Transfers of a link have ended, if nothing changed there meanwhile.
+    /// Completes the transfers of a link that have ended; does nothing if the link has changed
+    /// since the event was scheduled.
     pub(super) fn on_link_due(&mut self, id: LinkId, generation: u64) {
         if self.link_mut(id).generation != generation {
             return;
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -1,10 +1,11 @@
-//! The servers of a scenario: edge caches, parent caches and the origin, with what they cache and
-//! the links between them. The model is fed attempts and time, and knows neither sockets nor
-//! routers.
+//! The simulated servers of a scenario: edge caches, parent caches and the origin, with their
+//! caches and the links between them. The model takes attempts and the current time and produces
+//! [`ModelEvent`]s; it contains no sockets and no routers, so that it runs the same in real and in
+//! virtual time.
 //!
-//! A transfer runs over each of its links at once and has ended when all of them have carried it.
-//! What is passed on from a fill starts when the fill's first byte is there and ends no sooner than
-//! the fill.
+//! A transfer occupies each of its links concurrently and ends when the last of them has carried
+//! all its bytes. An answer that is passed on from a running fill starts at the fill's first byte
+//! and does not end before the fill does.
 
 mod accounting;
 mod faults;
@@ -37,49 +38,50 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use warm_up::WarmUpLoad;
 
-/// A fill runs at most so many times as fast as a transfer to a client.
+/// Maximum rate of one fill, as a multiple of a client's full rate.
 const FILL_RATE_MULTIPLE: f64 = 3.0;
-/// Requests that an edge cache holds at once, for each of its cores.
+/// Maximum number of requests that a server holds at once, for each of its cores.
 const REQUESTS_PER_CORE: f64 = 40.0;
-/// Fills that an edge cache has under way at once, for each of its cores.
+/// Maximum number of concurrent fills of an edge cache, for each of its cores.
 const FILLS_PER_CORE: f64 = 5.0;
-/// Cores of a parent cache: more than it ever needs.
+/// Cores of a parent cache: so many that they are never the bottleneck.
 const PARENT_CACHE_CORES: f64 = 64.0;
-/// Tells the model's random numbers from those of the clients under the same seed.
+/// Separates the model's random numbers from those of the clients, which have the same seed.
 const SEED_SALT: u64 = 0x776f_726c;
 
-/// Rules that were seen violated, by name, and how often.
+/// How often each rule was violated, by the rule's name as printed in reports.
 pub type Violations = BTreeMap<&'static str, u64>;
 
-/// What happens in the model by itself.
+/// A future event inside the model.
 #[derive(Clone, Copy, Debug)]
 enum TimedEvent {
-    /// Transfers of a link end, unless its generation has changed.
+    /// The next transfer of a link ends. The event is void if the link's generation has changed.
     LinkDue { link: LinkId, generation: u64 },
-    /// A worker of a server has done its work, unless the server has stopped since.
-    WorkDone { server: usize, work: WorkItem, life: u64 },
-    /// A fill reaches its source.
+    /// A worker of a server finishes an item of work. The event is void if the server has stopped
+    /// since the work started, which changes its incarnation.
+    WorkDone { server: usize, work: WorkItem, incarnation: u64 },
+    /// The request for a fill, named by its id, reaches the source of the fill.
     FillArrives(u64),
-    /// A fill of which nothing has come yet is given up.
+    /// The first-byte timeout of a fill, named by its id, expires.
     FillOverdue(u64),
-    /// The capacity of a server that warms up grows.
+    /// The capacity of this server is recalculated, as it grows during the warm-up.
     WarmUpStep(usize),
-    /// A fault of the scenario, by its index, begins or ends.
+    /// A fault of the scenario, named by its index, begins or ends.
     Fault { index: usize, phase: FaultPhase },
-    /// A purge reaches a server.
+    /// A purge reaches a server, which drops the copies that it covers.
     PurgeArrives { server: usize, purge: Purge },
-    /// The next purge is ordered.
+    /// The next purge is issued.
     OrderPurge,
 }
 
-/// The inside of a server.
+/// The internal state of a server: its outgoing link, its cache, its workers and its counters.
 #[derive(Debug)]
 struct ServerRuntime {
-    out: ModelLink,
+    outgoing_link: ModelLink,
     cache: LruCache,
-    /// The nominal rate of its outgoing link.
+    /// The nominal rate of the outgoing link.
     bytes_per_s: f64,
-    /// What a fault leaves of that rate.
+    /// The share of the nominal rate that a `slow` fault leaves; 1 without such a fault.
     slow_factor: f64,
     workers: usize,
     busy_workers: usize,
@@ -89,21 +91,23 @@
     max_fills: usize,
     fills: usize,
     peak_fills: usize,
-    /// Counts its stops: work that was begun in an earlier life ends in nothing.
-    life: u64,
+    /// The number of times that the server has stopped. Work that started in an earlier incarnation
+    /// has no effect when it finishes.
+    incarnation: u64,
     warm_up_load: WarmUpLoad,
-    /// Work done in all, and before accounting started, in microseconds of a worker.
+    /// Work started since the beginning of the run, and the part of it before accounting started;
+    /// both in microseconds of one worker.
     work_done: f64,
-    work_before: f64,
+    work_before_accounting: f64,
     rejected: u64,
 }
 
-/// What a server is made of.
+/// The parameters from which a server is created.
 struct ServerSpec<'a> {
     name: &'a str,
     kind: ServerKind,
     link_flows: f64,
-    /// Bytes a second of one outgoing transfer at most.
+    /// Maximum rate of one outgoing transfer, in bytes per second.
     max_per_transfer: f64,
     cache_bytes: u64,
     cores: f64,
@@ -125,7 +129,7 @@
     fn runtime(&self, flow_bytes_per_s: f64) -> ServerRuntime {
         let bytes_per_s = self.link_flows * flow_bytes_per_s;
         ServerRuntime {
-            out: ModelLink::new(SharedLink::new(bytes_per_s, self.max_per_transfer)),
+            outgoing_link: ModelLink::new(SharedLink::new(bytes_per_s, self.max_per_transfer)),
             cache: LruCache::new(self.cache_bytes),
             bytes_per_s,
             slow_factor: 1.0,
@@ -137,45 +141,47 @@
             max_fills: self.max_fills,
             fills: 0,
             peak_fills: 0,
-            life: 0,
+            incarnation: 0,
             warm_up_load: WarmUpLoad::default(),
             work_done: 0.0,
-            work_before: 0.0,
+            work_before_accounting: 0.0,
             rejected: 0,
         }
     }
 }
 
-/// The servers of a scenario. The origin is the last of them.
+/// All servers of a scenario, in the order edge caches by site, parent caches, origin.
 #[derive(Debug)]
 pub struct ServerModel {
     scenario: Scenario,
     now: Time,
     rng: Pcg64Mcg,
-    /// The servers, as the endpoint list names them.
+    /// The servers as the endpoint list describes them. A server is referred to by its index here,
+    /// and the origin is the last.
     pub servers: Vec<Server>,
     runtimes: Vec<ServerRuntime>,
-    /// The incoming link of each site.
+    /// The incoming link of each site, by the site's index.
     site_links: Vec<ModelLink>,
     timed_events: EventQueue<TimedEvent>,
     requests: HashMap<u64, PendingRequest>,
     fills: HashMap<u64, Fill>,
-    /// The latest fill of each chunk at each server.
+    /// The id of the latest fill of each chunk at each server.
     running_fills: HashMap<(usize, ChunkKey), u64>,
     transfers: HashMap<TransferId, TransferOwner>,
-    /// Ids of fills and transfers.
+    /// The next id of a fill or a transfer.
     next_id: u64,
     origin_admission: OriginAdmission,
-    /// Non-idempotent requests that have run, by their id.
+    /// Ids of the non-idempotent requests that have been executed, to detect a second execution.
     executed: BTreeSet<u64>,
-    /// Objects requested lately, as candidates for purges.
+    /// The objects of recent requests; purges pick from them.
     recent_objects: VecDeque<RecentObject>,
     purges: Vec<Purge>,
-    /// Draining servers, and when all routers knew of it.
+    /// The servers that drain, with the time at which all routers know it; `Time::MAX` until the
+    /// driver reports that time.
     draining: BTreeMap<usize, Time>,
-    /// When all routers knew of the latest start of each server.
+    /// The time at which all routers know of the latest start of each server.
     start_known_at: BTreeMap<usize, Time>,
-    /// What the driver has not taken yet.
+    /// Events that the driver has not taken yet, oldest first.
     pub events: Vec<ModelEvent>,
     violations: Violations,
     falls_before_known: u64,
@@ -184,7 +190,7 @@
     final_use: Option<FinalUse>,
 }
 
-/// An object that was requested lately.
+/// An object that was requested recently, as a candidate for a purge.
 #[derive(Clone, Copy, Debug)]
 struct RecentObject {
     object: u64,
@@ -192,7 +198,8 @@
 }
 
 impl ServerModel {
-    /// The servers of a scenario that starts then, all warmed up, with empty caches.
+    /// Creates the servers of a scenario that starts at `start`: all of them warm, with empty
+    /// caches.
     pub fn new(scenario: &Scenario, start: Time, seed: u64) -> ServerModel {
         let flow = scenario.flow_bytes_per_s;
         let names = edge_cache_names(scenario);
@@ -230,7 +237,7 @@
         model
     }
 
-    /// Schedules what the scenario has happen.
+    /// Schedules the scenario's faults and the first purge.
     fn schedule_scenario(&mut self, start: Time) {
         for step in self.scenario.fault_timeline() {
             let event = TimedEvent::Fault { index: step.index, phase: step.phase };
@@ -251,12 +258,12 @@
         id
     }
 
-    /// When something happens by itself next.
+    /// The time of the next internal event; `None` if no event is scheduled.
     pub fn due(&self) -> Option<Time> {
         self.timed_events.due()
     }
 
-    /// Lets time pass up to then.
+    /// Processes all internal events up to and including `now`.
     pub fn advance(&mut self, now: Time) {
         while let Some((at, event)) = self.timed_events.pop_due(now) {
             self.now = self.now.max(at);
@@ -268,8 +275,8 @@
     fn on_timed_event(&mut self, event: TimedEvent) {
         match event {
             TimedEvent::LinkDue { link, generation } => self.on_link_due(link, generation),
-            TimedEvent::WorkDone { server, work, life } => {
-                if self.runtimes[server].life == life {
+            TimedEvent::WorkDone { server, work, incarnation } => {
+                if self.runtimes[server].incarnation == incarnation {
                     self.on_work_done(server, work);
                 }
             }
@@ -282,7 +289,7 @@
         }
     }
 
-    /// The index of the origin.
+    /// The index of the origin, which is the last server.
     fn origin(&self) -> usize {
         self.servers.len() - 1
     }
@@ -295,40 +302,41 @@
         *self.violations.entry(rule).or_default() += 1;
     }
 
-    /// Rules that were violated so far.
+    /// The violations detected so far; empty if every rule held.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// Servers that fell over while warming up before routers could know of their start. That
-    /// violates no rule.
+    /// The number of servers that were overloaded while they warmed up, mainly by load that was
+    /// sent before all routers knew of their start. Routers could not prevent that, so it violates
+    /// no rule.
     pub fn falls_before_known(&self) -> u64 {
         self.falls_before_known
     }
 
-    /// Load on servers that warm up, relative to what all routers together may send them: the peak
-    /// over any window, and the mean of samples taken four times a second at each such server.
+    /// The load on servers that warm up, relative to what all routers together may send them: the
+    /// peak over all windows, and the mean of samples taken every 250 ms at each such server.
     pub fn warm_up_use(&self) -> PerTier<Samples> {
         self.warm_up_use
     }
 
-    /// Requests that reached the origin.
+    /// The number of requests that reached the origin, rejected ones included.
     pub fn origin_requests(&self) -> u64 {
         self.origin_admission.requests
     }
 
-    /// How often the origin stopped because far too much was requested of it.
+    /// How often the origin stopped for a while because far too many requests reached it.
     pub fn origin_falls(&self) -> u64 {
         self.origin_admission.falls
     }
 }
 
-/// The names of each site's edge caches.
+/// The names of the edge caches, by site.
 fn edge_cache_names(scenario: &Scenario) -> Vec<Vec<String>> {
     (0..scenario.sites.len()).map(|site| scenario.edge_cache_names(site).collect()).collect()
 }
 
-/// All servers: edge caches site by site, parent caches, the origin.
+/// The parameters of all servers: edge caches site by site, then parent caches, then the origin.
 fn server_specs<'a>(scenario: &'a Scenario, edge_caches: &'a [Vec<String>]) -> Vec<ServerSpec<'a>> {
     let flow = scenario.flow_bytes_per_s;
     let mut specs = Vec::new();
--- a/crates/simulation/src/model/requests.rs
+++ b/crates/simulation/src/model/requests.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers: admission, work, lookup, answer.
+//! Attempts at servers: admission, processing, lookup and answer.
 
 use super::fills::FillRequest;
 use super::links::{LinkId, Transfer, TransferOwner};
@@ -9,44 +9,45 @@
 use crate::{Time, MS};
 use rand::Rng;
 
-/// A server's mean work for a request besides sending, in microseconds.
+/// Mean processing time of a request at a cache, in microseconds, without the transfer of the
+/// answer.
 const WORK_PER_REQUEST: f64 = 1_500.0;
-/// Work at the origin takes longer by this part for each request that waits for a worker, for each
-/// worker...
-const CROWDED_SLOWDOWN: f64 = 0.25;
-/// ...up to so many that wait.
-const MAX_CROWD: f64 = 4.0;
-/// Attempts may reach a draining server for so long after all routers know of it: they were on
-/// their way.
+/// Relative increase of the origin's processing time for each queued request per worker.
+const SLOWDOWN_PER_QUEUED_REQUEST: f64 = 0.25;
+/// Queued requests per worker above which the origin's processing time does not increase further.
+const MAX_QUEUED_PER_WORKER: f64 = 4.0;
+/// Time for which attempts may still reach a draining server after all routers know that it drains:
+/// they were sent before.
 const DRAIN_GRACE: Time = 550 * MS;
-/// A purge binds attempts that were sent so long after all routers knew of it: 300 ms, and a little
-/// for the way.
+/// Time after which a purge must be respected once all routers know of it: 300 ms, and 50 ms for
+/// the way from the router to the server.
 const PURGE_GRACE: Time = 350 * MS;
-/// So many of the latest objects are candidates for purges.
+/// Number of recently requested objects that are candidates for purges.
 const MAX_RECENT_OBJECTS: usize = 64;
-/// The retention priority of what a parent cache fetches.
+/// Retention priority of the copies that a parent cache fills.
 pub(super) const PARENT_RETENTION: u8 = 1;
 
-/// What a worker of a server works on.
+/// An item of work for one of a server's workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WorkItem {
-    /// Reading a request and looking for its copy.
+    /// Processing a request, named by its id, and looking up its copy.
     Lookup(u64),
-    /// Serving a fill, at the origin.
+    /// Serving a fill, named by its id, at the origin.
     ServeFill(u64),
-    /// Executing a non-idempotent request, at the origin.
+    /// Executing a non-idempotent request, named by its id, at the origin.
     Execute(u64),
 }
 
-/// An attempt that a server has taken and not answered.
+/// An attempt that a server has accepted and not answered yet.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     id: u64,
     pub server: usize,
     attempt: Attempt,
-    /// The date of the copy that is served.
+    /// The date of the copy in the answer.
     pub dated: Time,
-    /// What must still end: its transfer, and the fill behind it.
+    /// The number of steps that must end before the request is answered: its transfer and, if the
+    /// answer is passed on from a fill, that fill.
     steps_left: usize,
     transfer: Option<Transfer>,
     pub fill: Option<u64>,
@@ -54,13 +55,13 @@
 }
 
 impl ServerModel {
-    /// An attempt reaches a server; its answer comes as an event under that id, or never if the
-    /// server is not up.
+    /// Delivers an attempt to a server. Its result is reported as [`ModelEvent::Answered`] with
+    /// this id; if the server is not up, no result is reported.
     pub fn start_attempt(&mut self, now: Time, id: u64, server: usize, attempt: Attempt) {
         self.advance(now);
         self.check_drains(server, &attempt);
         self.add_warm_up_load(server, attempt.class);
-        // What overloaded the server went with it.
+        // The server has stopped if this very attempt overloaded it.
         if self.servers[server].state != ServerState::Up {
             return;
         }
@@ -70,7 +71,7 @@
             return self.reject(id);
         }
         runtime.requests += 1;
-        self.remember_object(&attempt);
+        self.record_recent_object(&attempt);
         let request = PendingRequest {
             id,
             server,
@@ -85,12 +86,13 @@
         self.enqueue_work(server, WorkItem::Lookup(id));
     }
 
-    /// Answers an attempt that no server has taken.
+    /// Reports an attempt as rejected that no server has accepted.
     pub fn reject(&mut self, id: u64) {
         self.events.push(ModelEvent::Answered { id, result: AttemptResult::AtCapacity, bytes: 0 });
     }
 
-    /// Whether the attempt reaches, or is filled from, a server that all routers know to drain.
+    /// Checks that the attempt neither reaches nor is filled from a server of which all routers
+    /// know that it drains.
     fn check_drains(&mut self, server: usize, attempt: &Attempt) {
         let drains = |server: &usize| {
             self.draining.get(server).is_some_and(|known_at| self.now > *known_at + DRAIN_GRACE)
@@ -100,20 +102,21 @@
         }
     }
 
-    fn remember_object(&mut self, attempt: &Attempt) {
+    fn record_recent_object(&mut self, attempt: &Attempt) {
         self.recent_objects.push_back(RecentObject { object: attempt.key.object, group: attempt.group });
         if self.recent_objects.len() > MAX_RECENT_OBJECTS {
             self.recent_objects.pop_front();
         }
     }
 
-    /// The answer to a health probe.
+    /// The answer to a health probe: whether the server is up and can hold another request.
     pub fn is_healthy(&self, server: usize) -> bool {
         let runtime = &self.runtimes[server];
         self.servers[server].state == ServerState::Up && runtime.requests < runtime.max_requests
     }
 
-    /// A router cancels an attempt.
+    /// Cancels an attempt for a router that no longer waits for it. Has no effect if the attempt
+    /// has ended.
     pub fn cancel_attempt(&mut self, now: Time, id: u64) {
         self.advance(now);
         if let Some(request) = self.requests.remove(&id) {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Cancels a request's transfer, and its fill if nobody else waits for that.
+    /// Cancels a request's transfer, and also its fill if nothing else waits for that.
     pub(super) fn release(&mut self, request: PendingRequest) {
         if let Some(transfer) = request.transfer {
             self.cancel_transfer(transfer);
@@ -149,17 +152,17 @@
         self.release(request);
     }
 
-    /// Whether a copy of that date is served although its purge was known when the attempt was
-    /// sent.
+    /// Checks that no copy of this date is served if all routers knew of its purge before the
+    /// attempt arrived.
     fn check_purges(&mut self, request: &PendingRequest, dated: Time) {
         let attempt = &request.attempt;
-        let binds = |purge: &Purge| {
+        let violated = |purge: &Purge| {
             let known_in_time =
                 request.arrived > purge.at + PURGE_GRACE + crate::endpoint_feed::PURGE_FEED_DELAY;
             purge.covers(attempt.key.object, attempt.group, dated) && known_in_time
         };
         let cached = !self.scenario.classes[attempt.class].non_idempotent;
-        if cached && self.purges.iter().any(binds) {
+        if cached && self.purges.iter().any(violated) {
             self.violate("purge");
         }
     }
@@ -184,15 +187,16 @@
         let duration = mean * (0.5 + self.rng.random::<f64>());
         let runtime = &mut self.runtimes[server];
         runtime.work_done += duration;
-        let life = runtime.life;
-        self.schedule(self.now + duration as Time, TimedEvent::WorkDone { server, work, life });
+        let incarnation = runtime.incarnation;
+        self.schedule(self.now + duration as Time, TimedEvent::WorkDone { server, work, incarnation });
     }
 
-    /// The origin's mean work for a request, which grows when it is crowded.
+    /// The origin's mean processing time of a request, in microseconds, which grows with its queue.
     fn origin_work(&self, origin: usize) -> f64 {
         let runtime = &self.runtimes[origin];
-        let crowd = runtime.queue.len() as f64 / runtime.workers as f64;
-        self.scenario.origin.service_ms * 1e3 * (1.0 + CROWDED_SLOWDOWN * crowd.min(MAX_CROWD))
+        let queued_per_worker = runtime.queue.len() as f64 / runtime.workers as f64;
+        let slowdown = 1.0 + SLOWDOWN_PER_QUEUED_REQUEST * queued_per_worker.min(MAX_QUEUED_PER_WORKER);
+        self.scenario.origin.service_ms * 1e3 * slowdown
     }
 
     pub(super) fn on_work_done(&mut self, server: usize, work: WorkItem) {
@@ -209,7 +213,7 @@
 
     // ---- lookup ----
 
-    /// A server has read a request and looks for a copy.
+    /// Looks up the copy for a request that a worker has processed, and answers or fills it.
     fn look_up(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else { return };
         let (server, attempt) = (request.server, request.attempt.clone());
@@ -235,20 +239,22 @@
         }
     }
 
-    /// The date of the oldest copy that may be served.
+    /// The oldest copy that may be served, by the time at which the origin sent it; 0 if any copy
+    /// may.
     fn oldest_acceptable(&self, attempt: &Attempt) -> Time {
         let fresh = from_seconds(self.scenario.classes[attempt.class].fresh_s);
         let max_age = attempt.max_age.or((fresh > 0).then_some(fresh));
         max_age.map_or(0, |age| self.now.saturating_sub(age))
     }
 
-    /// Where a server fills a missing copy from; none if it may not.
+    /// The server from which a missing copy is filled; `None` if the attempt allows no fill.
     fn fill_source(&self, server: usize, attempt: &Attempt) -> Option<usize> {
         let default = self.is_parent_cache(server).then(|| self.origin());
         attempt.fill_source.or(default).filter(|source| *source != server)
     }
 
-    /// Edge caches join a fill under way only when the attempt allows it, parent caches always.
+    /// Returns the id of the fill to wait for; `None` if the server can't start another fill. An
+    /// edge cache joins a running fill only if the attempt allows it, a parent cache always.
     fn join_or_start_fill(
         &mut self,
         server: usize,
@@ -285,18 +291,18 @@
         }
     }
 
-    /// A non-idempotent request runs at the origin, where it goes through a parent cache or
-    /// straight.
+    /// Has the origin execute a non-idempotent request, which reaches it directly or through a
+    /// parent cache.
     fn forward_non_idempotent(&mut self, id: u64, server: usize, attempt: &Attempt) {
-        let leads_on = |server: usize| !matches!(self.servers[server].kind, ServerKind::EdgeCache(_));
+        let reaches_origin = |server: usize| !matches!(self.servers[server].kind, ServerKind::EdgeCache(_));
         let origin = self.origin();
-        if server != origin && !attempt.fill_source.is_some_and(leads_on) {
+        if server != origin && !attempt.fill_source.is_some_and(reaches_origin) {
             return self.answer(id, AttemptResult::Miss);
         }
         if !self.origin_admits() {
             return self.answer(id, AttemptResult::AtCapacity);
         }
-        // From here on it runs, whoever still waits for it.
+        // From here on the request is executed, even if nothing waits for its answer any more.
         if !self.executed.insert(attempt.rid) {
             self.violate("filing run twice");
         }
@@ -305,7 +311,7 @@
 
     // ---- answer ----
 
-    /// Sends a copy that a server has.
+    /// Starts the transfer of a copy that the server has.
     fn send_copy(&mut self, id: u64, dated: Time) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.dated = dated;
@@ -317,7 +323,7 @@
         }
     }
 
-    /// Sends what is being filled, as it comes.
+    /// Starts the transfer of a copy that is still being filled.
     pub(super) fn pass_on_fill(&mut self, id: u64) {
         self.send_copy(id, 0);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -325,7 +331,7 @@
         }
     }
 
-    /// A request's transfer has ended.
+    /// Records the end of a request's transfer.
     pub(super) fn on_answer_sent(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.transfer = None;
@@ -333,7 +339,7 @@
         self.on_request_step(id);
     }
 
-    /// A request's transfer, or the fill behind it, has ended.
+    /// Answers a request when its transfer and the fill that it depends on have ended.
     pub(super) fn on_request_step(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.steps_left -= 1;
--- a/crates/simulation/src/model/types.rs
+++ b/crates/simulation/src/model/types.rs
@@ -1,98 +1,102 @@
-//! What goes into the server model and what comes out of it.
+//! Types of the server model's inputs and outputs.
 
 use crate::objects::{ChunkKey, Purge};
 use crate::Time;
 
-/// The role of a server.
+/// The role of a server in the cache network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerKind {
-    /// An edge cache of the site of this index.
+    /// An edge cache, at the site with this index.
     EdgeCache(usize),
-    /// The parent cache of this index.
+    /// The parent cache with this index.
     ParentCache(usize),
-    /// The origin.
+    /// The origin, of which a scenario has exactly one.
     Origin,
 }
 
-/// The state of a server.
+/// Whether a server can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It runs.
+    /// The server runs and can be reached.
     Up,
-    /// Its process is gone: connections are reset and refused.
+    /// The server's process has ended: its connections are reset, and new ones are refused.
     Down,
-    /// Nothing reaches it or comes from it: connections stay open and silent.
+    /// The server runs, but nothing is sent to it or received from it: its connections stay open
+    /// and silent.
     Unreachable,
 }
 
-/// A server as the endpoint list names it.
+/// A server as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name in the scenario.
+    /// The server's name in the scenario.
     pub name: String,
-    /// Its id in the endpoint list; new with each replacement.
+    /// The server's uid in the endpoint list; a replacement gets a new one.
     pub uid: String,
-    /// Its role.
+    /// The server's role in the cache network.
     pub kind: ServerKind,
-    /// Its state.
+    /// Whether the server can be reached.
     pub state: ServerState,
-    /// Its listed capacity, in flows.
+    /// The capacity that the endpoint list states, in flows.
     pub flows: f64,
-    /// When it last started; 0: before the scenario.
+    /// The time of the latest start during the run; 0 if the server runs since before the run.
     pub started: Time,
 }
 
-/// A router's attempt as it reaches a server.
+/// An attempt of a router as it reaches a server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The class, by its index in the scenario.
+    /// The index of the request's class in the scenario.
     pub class: usize,
-    /// What is requested.
+    /// The requested chunk.
     pub key: ChunkKey,
-    /// The object's group.
+    /// The object's group, for purges of whole groups.
     pub group: u32,
-    /// The size of the chunk.
+    /// The size of the chunk, in bytes.
     pub bytes: u64,
-    /// The request's id, by which a non-idempotent request that runs twice is found.
+    /// The request id, which reveals a second execution of a non-idempotent request.
     pub rid: u64,
-    /// The maximum age of the copy; none: the class's time of freshness.
+    /// The maximum age of an acceptable copy; `None` stands for the time for which copies of the
+    /// class are fresh.
     pub max_age: Option<Time>,
-    /// The retention priority of the copy.
+    /// The retention priority for the copy; 0 does not cache a new copy and leaves an existing one
+    /// as it is.
     pub retention: u8,
-    /// The server from which a missing copy is filled.
+    /// The server from which a missing copy is filled. With `None`, a parent cache fills from the
+    /// origin, and an edge cache answers with a miss.
     pub fill_source: Option<usize>,
-    /// It may wait for a fill that is already under way.
+    /// Whether the request may wait for a running fill of the same chunk.
     pub coalesce: bool,
-    /// The source of the fill may serve from its cache only.
+    /// Whether the source of the fill may answer from its cache only.
     pub only_if_cached: bool,
 }
 
-/// A server's answer to an attempt.
+/// The result of an attempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Served with a copy that the origin gave out at this time.
+    /// The server answers with a copy that the origin sent at this time.
     Served(Time),
-    /// There is no copy, and no source to fill from.
+    /// The server has no copy and must not or cannot fill one.
     Miss,
-    /// Rejected for lack of capacity.
+    /// The server rejects the attempt for lack of capacity.
     AtCapacity,
-    /// An error after processing had begun.
+    /// The server fails after it has begun to process the attempt.
     Failed,
 }
 
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It takes no new requests and is about to go.
+    /// The server must not get new requests and will stop soon.
     Draining,
-    /// It is gone.
+    /// The server has stopped and is removed from the list.
     Gone,
 }
 
 impl ListedState {
-    /// The word of the endpoint feed.
+    /// The value of `state` in events of the endpoint feed.
     pub fn wire_word(self) -> &'static str {
         match self {
             ListedState::Ready => "ready",
@@ -102,34 +106,35 @@
     }
 }
 
-/// What the model reports to the driver that plays it.
+/// An event that the model reports to its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ModelEvent {
-    /// An attempt is answered.
+    /// An attempt has its final result.
     Answered {
-        /// The attempt's id.
+        /// The id under which the driver started the attempt.
         id: u64,
-        /// The answer.
+        /// The result of the attempt.
         result: AttemptResult,
-        /// Bytes of the answer's body.
+        /// The size of the answer's body, in bytes; 0 unless the attempt was served.
         bytes: u64,
     },
-    /// A server changed its state; attempts at one that is down are lost.
+    /// The state of a server changed. Attempts at a server that goes down are lost: they get no
+    /// `Answered` event.
     StateChanged {
-        /// Which server.
+        /// The server's index.
         server: usize,
-        /// Its new state.
+        /// The server's new state.
         state: ServerState,
     },
-    /// The endpoint feed is to carry this server, as it was at that moment.
+    /// The endpoint feed has to announce a change of a server.
     EndpointChanged {
-        /// Which server.
+        /// The server's index.
         server: usize,
-        /// How it was then.
+        /// The server as it was at the time of the change.
         listed: Box<Server>,
-        /// Its state in the list.
+        /// The server's new state in the endpoint list.
         state: ListedState,
     },
-    /// The endpoint feed is to carry this purge.
+    /// The endpoint feed has to announce a purge.
     Purged(Purge),
 }
--- a/crates/simulation/src/model/warm_up.rs
+++ b/crates/simulation/src/model/warm_up.rs
@@ -1,61 +1,62 @@
-//! Servers that have just started: their reduced capacity, how much load reaches them, and what
-//! overloads them.
+//! The warm-up of servers that have just started: their reduced capacity, the load that reaches
+//! them, and their overload.
 
 use super::{ServerKind, ServerModel, ServerState, TimedEvent};
 use crate::statistics::Samples;
 use crate::{Time, MS};
 use std::collections::VecDeque;
 
-/// How servers of one kind warm up after a start.
+/// How the capacity of a tier of caches recovers after a start.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// The share of its capacity that a server has when it starts.
+    /// The share of its full capacity that a server has right after its start.
     pub initial_share: f64,
-    /// The time until it has all of it; the share grows linearly.
+    /// The time after which the server has its full capacity; until then the share grows linearly.
     pub duration: Time,
-    /// Load above this multiple of its present capacity makes it fall over.
+    /// A server stops when its load exceeds this multiple of its present capacity.
     pub overload_multiple: f64,
 }
 
-/// The warm-up of edge caches.
+/// Warm-up of edge caches.
 pub const EDGE_CACHE_WARM_UP: WarmUp =
     WarmUp { initial_share: 0.18, duration: 17_000 * MS, overload_multiple: 2.5 };
-/// The warm-up of parent caches.
+/// Warm-up of parent caches.
 pub const PARENT_CACHE_WARM_UP: WarmUp =
     WarmUp { initial_share: 0.07, duration: 18_000 * MS, overload_multiple: 2.0 };
-/// The window over which load on a server that warms up is added up.
+/// Window over which the load on a server that warms up is summed.
 pub const OVERLOAD_WINDOW: Time = 1_500 * MS;
-/// What all routers together may send to a server that warms up, as a multiple of its present
+/// Load that all routers together may put on a server that warms up, as a multiple of its present
 /// capacity (docs/design.md).
 const BUDGET_MULTIPLE: f64 = 1.2;
-/// The routers are to blame for a fall if this part of the load came from after they all knew of
-/// the start.
-const BLAMED_PART: f64 = 2.0 / 3.0;
-/// The capacity of a server that warms up is adjusted this often.
+/// An overload counts as a violation by the routers if at least this share of the load arrived
+/// after all routers knew of the server's start.
+const BLAMED_SHARE: f64 = 2.0 / 3.0;
+/// Interval at which the capacity of a server that warms up is recalculated.
 const WARM_UP_STEP: Time = 250 * MS;
-/// So many requests of the mean size are never an overload by themselves.
+/// Requests of the mean size that a server tolerates above its overload threshold: a few requests
+/// alone are never an overload, however small its capacity is.
 const TOLERATED_REQUESTS: f64 = 2.0;
 
-/// Caches by the level they stand at.
+/// The tier of a cache: it serves routers' requests or fills other caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheTier {
-    /// Edge caches.
+    /// The tier of edge caches.
     Edge,
-    /// Parent caches.
+    /// The tier of parent caches.
     Parent,
 }
 
-/// One value for each tier of caches.
+/// One value for edge caches and one for parent caches.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PerTier<T> {
-    /// That of edge caches.
+    /// The value for edge caches.
     pub edge: T,
-    /// That of parent caches.
+    /// The value for parent caches.
     pub parent: T,
 }
 
 impl<T> PerTier<T> {
-    /// The value of one tier.
+    /// The value for a tier.
     pub fn get_mut(&mut self, tier: CacheTier) -> &mut T {
         match tier {
             CacheTier::Edge => &mut self.edge,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Load that reached a server while it warmed up.
+/// The recent load on a server that warms up.
 #[derive(Debug, Default)]
 pub(super) struct WarmUpLoad {
     arrivals: VecDeque<LoadArrival>,
@@ -77,7 +78,7 @@
 }
 
 impl WarmUpLoad {
-    /// Adds an arrival and forgets those that have left the window.
+    /// Records an arrival and drops those that are older than the window.
     fn add(&mut self, now: Time, bytes: f64) {
         self.arrivals.push_back(LoadArrival { at: now, bytes });
         while self.arrivals.front().is_some_and(|arrival| arrival.at + OVERLOAD_WINDOW < now) {
@@ -85,44 +86,45 @@
         }
     }
 
-    /// Bytes that arrived at that time or later.
+    /// Bytes that arrived at `from` or later.
     fn since(&self, from: Time) -> f64 {
         self.arrivals.iter().filter(|arrival| arrival.at >= from).map(|arrival| arrival.bytes).sum()
     }
 
-    /// Bytes that arrived within the window.
-    fn lately(&self, now: Time) -> f64 {
+    /// Bytes that arrived within the window that ends now.
+    fn within_window(&self, now: Time) -> f64 {
         let within = |arrival: &&LoadArrival| arrival.at + OVERLOAD_WINDOW >= now;
         self.arrivals.iter().filter(within).map(|arrival| arrival.bytes).sum()
     }
 
-    /// Forgets everything, as at a new start.
+    /// Drops all arrivals, as at a new start.
     pub(super) fn clear(&mut self) {
         self.arrivals.clear();
     }
 }
 
-/// A server's present warm-up.
+/// The state of a server's warm-up at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WarmUpProgress {
-    /// The share of its capacity that it has now.
+    /// The share of its full capacity that the server has now.
     share: f64,
     overload_multiple: f64,
     tier: CacheTier,
 }
 
-/// Bytes within a window that all routers together may send to a server of that capacity.
+/// Bytes that all routers together may send within one window to a server with this share of its
+/// capacity.
 fn window_budget(share: f64, bytes_per_s: f64) -> f64 {
     window_bytes(BUDGET_MULTIPLE * share, bytes_per_s)
 }
 
-/// Bytes within a window at that multiple of a rate.
+/// Bytes within one window at a multiple of a rate.
 fn window_bytes(multiple: f64, bytes_per_s: f64) -> f64 {
     multiple * bytes_per_s * OVERLOAD_WINDOW as f64 / 1e6
 }
 
 impl ServerModel {
-    /// How far a server has warmed up; none if it is warm.
+    /// The state of a server's warm-up; `None` if it is warm. The origin is always warm.
     fn warm_up_progress(&self, server: usize) -> Option<WarmUpProgress> {
         let listed = &self.servers[server];
         let (warm_up, tier) = match listed.kind {
@@ -139,7 +141,8 @@
         Some(WarmUpProgress { share, overload_multiple: warm_up.overload_multiple, tier })
     }
 
-    /// Counts a request that reaches a server; too many make one that warms up fall over.
+    /// Adds a request to the load of a server that warms up, and stops the server if that overloads
+    /// it.
     pub(super) fn add_warm_up_load(&mut self, server: usize, class: usize) {
         let Some(progress) = self.warm_up_progress(server) else { return };
         if self.servers[server].state != ServerState::Up {
@@ -151,19 +154,20 @@
         runtime.warm_up_load.add(now, request_bytes);
         let load = runtime.warm_up_load.since(0);
         let capacity = runtime.bytes_per_s;
-        let bearable = window_bytes(progress.overload_multiple * progress.share, capacity);
+        let overload_threshold = window_bytes(progress.overload_multiple * progress.share, capacity);
         let relative_load = load / window_budget(progress.share, capacity);
         self.warm_up_use.get_mut(progress.tier).raise_peak(relative_load);
-        if load > bearable + TOLERATED_REQUESTS * request_bytes {
-            self.overload_fall(server, load);
+        if load > overload_threshold + TOLERATED_REQUESTS * request_bytes {
+            self.stop_overloaded(server, load);
         }
     }
 
-    /// A server that warms up falls over under so much load.
-    fn overload_fall(&mut self, server: usize, load: f64) {
+    /// Stops a server that was overloaded while it warmed up, and records whether the routers
+    /// caused it.
+    fn stop_overloaded(&mut self, server: usize, load: f64) {
         let known_from = self.start_known_at.get(&server).copied().unwrap_or(Time::MAX);
-        let load_of_knowing = self.runtimes[server].warm_up_load.since(known_from);
-        if load_of_knowing >= BLAMED_PART * load {
+        let load_after_known = self.runtimes[server].warm_up_load.since(known_from);
+        if load_after_known >= BLAMED_SHARE * load {
             self.violate("cold server pushed over");
         } else {
             self.falls_before_known += 1;
@@ -171,13 +175,13 @@
         self.stop(server, ServerState::Down);
     }
 
-    /// Adjusts a server's capacity to its warm-up and slowness.
+    /// Sets the rate of a server's outgoing link by its warm-up and by `slow` faults.
     pub(super) fn adjust_capacity(&mut self, server: usize) {
         let share = self.warm_up_progress(server).map_or(1.0, |progress| progress.share);
         let now = self.now;
         let runtime = &mut self.runtimes[server];
         let capacity = runtime.bytes_per_s * runtime.slow_factor * share;
-        runtime.out.link.set_capacity(now, capacity);
+        runtime.outgoing_link.link.set_capacity(now, capacity);
         self.reschedule_link(super::LinkId::ServerOut(server));
         if share < 1.0 {
             self.sample_warm_up_load(server, share);
@@ -185,11 +189,11 @@
         }
     }
 
-    /// Takes a sample of how much of its budget is sent to a server that warms up.
+    /// Samples the load on a server that warms up, relative to its budget.
     fn sample_warm_up_load(&mut self, server: usize, share: f64) {
         let runtime = &self.runtimes[server];
         let budget = window_budget(share, runtime.bytes_per_s);
-        let relative_load = runtime.warm_up_load.lately(self.now) / budget;
+        let relative_load = runtime.warm_up_load.within_window(self.now) / budget;
         let tier = match self.servers[server].kind {
             ServerKind::ParentCache(_) => CacheTier::Parent,
             ServerKind::EdgeCache(_) | ServerKind::Origin => CacheTier::Edge,
