--- a/crates/simulation/src/load/catalogue.rs
+++ b/crates/simulation/src/load/catalogue.rs
@@ -1,4 +1,4 @@
-//! The objects of a scenario: their ids, groups and sizes.
+//! The objects that clients request: their ids, groups and sizes.
 
 use crate::objects::ChunkKey;
 use crate::scenario::{FaultKind, RequestClass, Scenario};
@@ -7,39 +7,39 @@
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A chunk holds at most so many bytes on the sockets.
+/// Largest size of a chunk, in bytes; it is also the limit of the decoders on the sockets.
 pub const MAX_CHUNK_BYTES: u32 = 240_000;
-/// A chunk holds at least so many bytes.
+/// Smallest size of a chunk, in bytes.
 const MIN_CHUNK_BYTES: f64 = 64.0;
-/// Groups of objects.
+/// Number of object groups.
 const GROUPS: u64 = 256;
-/// The bits of an object's id that hold its [`ObjectSize`].
+/// The bits of an object id that encode its [`ObjectSize`].
 const SIZE_MASK: u64 = 0xff;
 
-/// How large an object is, in the lowest byte of its id.
+/// The size of an object relative to its class, encoded in the lowest byte of its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ObjectSize {
-    /// Of the usual size of its class.
+    /// The object's chunks have the usual size of the class.
     Usual = 0,
-    /// Many times as large, by a fault of the scenario.
+    /// The object's chunks are larger by the factor of a `large` fault.
     Large = 1,
 }
 
-/// Who requests an object.
+/// The clients that may request an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Audience {
-    /// All sites.
+    /// Clients of all sites.
     AllSites,
-    /// One site, by index.
+    /// Clients of the site with this index only.
     Site(usize),
-    /// Everybody, during a fault.
+    /// Clients of all sites, while a `crowd` fault is active.
     Hot,
-    /// One request only.
+    /// One client, once.
     SingleUse,
 }
 
 impl Audience {
-    /// Its number in the names from which ids are made.
+    /// The number that stands for the audience in the hash input of object ids.
     fn code(self) -> u64 {
         match self {
             Audience::AllSites => 0,
@@ -50,17 +50,19 @@
     }
 }
 
-/// The objects of a scenario. Ids and sizes follow from the seed alone.
+/// The objects of a scenario. Ids and sizes depend only on the catalogue's seed, so that every run
+/// requests the same objects.
 #[derive(Clone, Debug)]
 pub struct ObjectCatalogue {
     classes: Vec<RequestClass>,
     seed: u64,
-    /// How many times the usual size large objects of each class have.
+    /// For each class, the size of its large objects as a multiple of the usual size; 1 if no fault
+    /// makes objects large.
     size_factors: Vec<f64>,
 }
 
 impl ObjectCatalogue {
-    /// The objects of a scenario.
+    /// Creates the catalogue of a scenario's classes and faults.
     pub fn new(scenario: &Scenario) -> ObjectCatalogue {
         let mut size_factors = vec![1.0; scenario.classes.len()];
         for fault in &scenario.faults {
@@ -72,18 +74,20 @@
         ObjectCatalogue { classes: scenario.classes.clone(), seed: scenario.catalogue_seed, size_factors }
     }
 
-    /// The id of a class's object, by its popularity rank or number within its audience.
+    /// The id of an object of a class: a hash of its class, its audience and its rank within that
+    /// audience.
     pub(super) fn object_id(&self, class: usize, audience: Audience, rank: u64, size: ObjectSize) -> u64 {
-        let name = [class as u64, audience.code(), rank].map(u64::to_le_bytes).concat();
-        xxh3_64_with_seed(&name, self.seed) & !SIZE_MASK | size as u64
+        let hash_input = [class as u64, audience.code(), rank].map(u64::to_le_bytes).concat();
+        xxh3_64_with_seed(&hash_input, self.seed) & !SIZE_MASK | size as u64
     }
 
-    /// An object's group.
+    /// The group of an object, which is derived from its id.
     pub fn group(object: u64) -> u32 {
         ((object >> 8) % GROUPS) as u32
     }
 
-    /// The bytes of a chunk: drawn by its id from the class's distribution.
+    /// The size of a chunk in bytes, drawn from the class's distribution with the chunk's key as
+    /// the seed, so that every draw gives the same size.
     pub fn chunk_bytes(&self, class: usize, key: ChunkKey) -> u64 {
         let seed = key.object ^ self.seed ^ u64::from(key.chunk).rotate_left(40);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/simulation/src/load/mod.rs
+++ b/crates/simulation/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! Clients: what they request and when, how they retry, and what their answers earn. Arrivals don't
-//! wait for answers, and latency counts from when the first attempt was due, whatever happened
-//! since.
+//! Simulated clients: what they request and when, how they retry, and what their answers earn.
+//! Arrivals do not wait for answers (an open-loop load), and latency counts from when the first
+//! attempt was due, so that a slow system can't hide its own delays.
 
 mod catalogue;
 
@@ -17,88 +17,91 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// Retries of a client after its first attempt.
+/// Maximum number of retries that a client makes after its first attempt.
 const MAX_RETRIES: u32 = 2;
-/// A client waits this long before a retry, and up to twice as long, unless it was told when to
-/// come back.
+/// Shortest delay before a retry; the delay is drawn between this and twice this, but is never
+/// shorter than the retry-after time of a rejection.
 const MIN_RETRY_DELAY: Time = 300 * MS;
-/// The rate of arrivals changes this often, if they come in bursts.
+/// Interval at which the arrival rate changes if arrivals come in bursts.
 const BURST_INTERVAL: Time = 2_000 * MS;
-/// The bounds of the factor by which the rate changes.
+/// Smallest and largest factor by which the arrival rate changes.
 const BURST_FACTORS: (f64, f64) = (0.2, 4.0);
-/// An answer at the very end of a client's timeout may be on its way for so long.
+/// Time that a client waits beyond its timeout, for an answer that was sent at the very end of it.
 const TIMEOUT_SLACK: Time = 60 * MS;
-/// The part of its weight that a stale answer earns.
+/// Share of its weight that a stale answer earns.
 pub(crate) const STALE_WEIGHT: f64 = 0.5;
-/// Of a site's routers, every so many-th receives more requests than the others, if load is skewed.
+/// With a skewed load, the first router of a site and every router at this distance after it
+/// receive more requests than the others.
 const SKEWED_ROUTER_STEP: usize = 4;
-/// Keeps a rate of 0 from having no next arrival.
+/// Smallest arrival rate per second: with a rate of 0 the gap to the next arrival would be
+/// infinite.
 const MIN_RATE: f64 = 1e-9;
-/// Tells the clients' random numbers from those of the servers under the same seed.
+/// Separates the clients' random numbers from those of the servers, which have the same seed.
 const SEED_SALT: u64 = 0x6c6f_6164;
 
-/// One attempt of a client.
+/// One attempt of a client's request.
 #[derive(Clone, Debug)]
 pub struct ClientAttempt {
-    /// Its number: what answers are given by.
+    /// The id of the client's request, under which the driver reports the outcome.
     pub id: u64,
-    /// The client's site, by index.
+    /// The index of the client's site.
     pub site: usize,
-    /// Which of the site's routers it goes to.
+    /// The index, among the routers of the site, of the router that gets the attempt.
     pub router: usize,
-    /// Its class, by index.
+    /// The index of the request's class.
     pub class: usize,
-    /// What it requests.
+    /// The requested chunk.
     pub key: ChunkKey,
-    /// The object's group.
+    /// The group of the requested object.
     pub group: u32,
-    /// The id on the wire, new with every attempt.
+    /// The request id on the wire, which is new for every attempt.
     pub rid: u64,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for an answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// How an attempt of a client ended.
+/// The outcome of a client's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// It was served.
+    /// The request was served.
     Served {
-        /// The age of the copy.
+        /// The age of the copy, in microseconds since the origin sent it; 0 if the answer does not
+        /// tell.
         age: Time,
     },
-    /// It was rejected.
+    /// The router rejected the request.
     Rejected {
-        /// When to come back; 0: as the client likes.
+        /// The time that the router asks the client to wait before a retry; 0 if it names none.
         retry_after: Time,
     },
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// Nothing came in time.
+    /// No answer arrived within the client's timeout.
     TimedOut,
-    /// No connection could be made, or it broke.
+    /// The connection to the router could not be opened, or it broke.
     ConnectionLost,
 }
 
-/// What became of a client's request, with all its attempts.
+/// A client's request after its last attempt.
 #[derive(Clone, Debug)]
 pub struct CompletedRequest {
-    /// Its class, by index.
+    /// The index of the request's class.
     pub class: usize,
-    /// When the first attempt was due.
+    /// The time at which the first attempt was due.
     pub due: Time,
-    /// How long it took, if it was served.
+    /// The time from `due` to the final answer; `None` if the request was not served.
     pub latency: Option<Time>,
-    /// Its priority weight: what it can earn at most.
+    /// The priority weight, which is the most that the request can earn.
     pub weight: f64,
-    /// What it earned.
+    /// The part of the weight that the request earned; 0 if it was not served.
     pub earned: f64,
-    /// It was served within its latency objective.
+    /// Whether the request was served within its latency objective.
     pub in_time: bool,
-    /// Bytes served.
+    /// The bytes served; 0 if the request was not served.
     pub bytes: u64,
-    /// Attempts of the client.
+    /// The number of attempts that the client made.
     pub attempts: u32,
-    /// How the last of them ended.
+    /// The outcome of the last attempt.
     pub outcome: ClientOutcome,
 }
 
@@ -106,28 +109,30 @@
 enum TimedEvent {
     /// A client of a site requests an object of a class.
     Arrival { site: usize, class: usize },
-    /// A client requests the next chunk of what it plays.
+    /// A client requests the next chunk of its playback.
     NextChunk { playback: u64 },
-    /// A client retries.
+    /// A client retries its request.
     Retry { request: u64 },
-    /// An attempt times out, unless another step has been taken since.
+    /// The timeout of an attempt expires. The event is void if the request has moved to another
+    /// step.
     Timeout { request: u64, step: u32 },
-    /// The rate of arrivals changes.
+    /// The arrival rate changes.
     RateChange,
 }
 
-/// A request that has no final answer yet.
+/// A request without a final answer.
 #[derive(Debug)]
 struct OpenRequest {
     attempt: ClientAttempt,
     due: Time,
     attempts: u32,
-    /// Attempts and answers so far: the time-out of another step is void.
+    /// The number of attempts sent and answers received so far; a scheduled timeout is valid only
+    /// for the step that it names.
     step: u32,
     bytes: u64,
 }
 
-/// A client that requests an object chunk by chunk.
+/// A client that requests the chunks of an object one after another.
 #[derive(Clone, Copy, Debug)]
 struct Playback {
     site: usize,
@@ -137,42 +142,44 @@
     chunks: u32,
 }
 
-/// An object that a fault has a client request in place of a usual one.
+/// An object that a client requests because of an active fault, instead of a usual one.
 #[derive(Clone, Copy, Debug)]
 enum FaultObject {
-    /// One of so many that everybody requests.
+    /// One of `objects` new objects that clients of all sites request.
     Hot { objects: u64 },
-    /// A new one of many times the usual size.
+    /// A new object whose chunks are much larger than usual.
     Large,
 }
 
-/// The clients of a scenario.
+/// All clients of a scenario, as a source of attempts. The driver sends the attempts and reports
+/// their outcomes.
 #[derive(Debug)]
 pub struct Clients {
     scenario: Scenario,
-    /// What they request.
+    /// The objects that the clients request.
     pub catalogue: ObjectCatalogue,
     start: Time,
     end: Time,
     now: Time,
     rng: Pcg64Mcg,
     timed_events: EventQueue<TimedEvent>,
-    /// Ids of requests and playbacks, and numbers of objects that are requested once.
+    /// The next id of a request or a playback; also numbers the objects that are requested only
+    /// once.
     next_id: u64,
     open: HashMap<u64, OpenRequest>,
     playbacks: HashMap<u64, Playback>,
-    /// By how much the rate of arrivals differs from the scenario's now.
+    /// The present arrival rate as a multiple of the scenario's.
     rate_factor: f64,
-    /// Attempts that the driver is to send now.
+    /// Attempts that the driver has to send now.
     pub to_send: Vec<ClientAttempt>,
-    /// Attempts whose client stopped waiting, by id: the driver is to cancel them.
+    /// Request ids of attempts whose clients stopped waiting: the driver has to cancel them.
     pub to_cancel: Vec<u64>,
-    /// Requests that are finished.
+    /// The requests that have their final answer.
     pub completed: Vec<CompletedRequest>,
 }
 
 impl Clients {
-    /// The clients of a scenario that starts then.
+    /// Creates the clients of a scenario that starts at `start`.
     pub fn new(scenario: &Scenario, start: Time, seed: u64) -> Clients {
         let mut clients = Clients {
             catalogue: ObjectCatalogue::new(scenario),
@@ -211,17 +218,18 @@
         id
     }
 
-    /// When something happens by itself next.
+    /// The time of the next arrival, retry, timeout or other internal event; `None` if there is
+    /// none.
     pub fn due(&self) -> Option<Time> {
         self.timed_events.due()
     }
 
-    /// Whether any request has no final answer yet.
+    /// Whether any request is still without its final answer.
     pub fn waiting(&self) -> bool {
         !self.open.is_empty()
     }
 
-    /// Lets time pass up to then.
+    /// Processes all internal events up to and including `now`.
     pub fn advance(&mut self, now: Time) {
         while let Some((at, event)) = self.timed_events.pop_due(now) {
             self.now = self.now.max(at);
@@ -255,22 +263,22 @@
         self.schedule(now + BURST_INTERVAL, TimedEvent::RateChange);
     }
 
-    /// Faults that are active now.
+    /// The faults that are active now.
     fn active_faults(&self) -> impl Iterator<Item = &FaultKind> {
         self.scenario.faults_at(as_seconds(self.now.saturating_sub(self.start)))
     }
 
     fn schedule_arrival(&mut self, site: usize, class: usize) {
-        let surge_of = |fault: &FaultKind| match fault {
+        let surge_factor = |fault: &FaultKind| match fault {
             FaultKind::Surge { factor } => *factor,
             _ => 1.0,
         };
-        let surge: f64 = self.active_faults().map(surge_of).product();
+        let surge: f64 = self.active_faults().map(surge_factor).product();
         let classes = &self.scenario.classes;
         let total_weight: f64 = classes.iter().map(|class| class.load_weight).sum();
-        let class_of_site = self.scenario.rate_per_s * self.scenario.load_share(site);
-        let chunks = class_of_site * classes[class].load_weight / total_weight;
-        let rate = chunks / classes[class].chunks as f64;
+        let site_rate = self.scenario.rate_per_s * self.scenario.load_share(site);
+        let chunk_rate = site_rate * classes[class].load_weight / total_weight;
+        let rate = chunk_rate / classes[class].chunks as f64;
         let gap: f64 = Exp1.sample(&mut self.rng);
         let gap_s = gap / (rate * surge * self.rate_factor).max(MIN_RATE);
         self.schedule(self.now + from_seconds(gap_s), TimedEvent::Arrival { site, class });
@@ -307,7 +315,7 @@
 
     // ---- objects ----
 
-    /// What a client requests.
+    /// Draws the object that a client requests.
     fn draw_object(&mut self, site: usize, class: usize) -> u64 {
         let draw: f64 = self.rng.random();
         let fault_object = self.fault_object(class, draw);
@@ -324,12 +332,12 @@
         self.draw_usual_object(site, class)
     }
 
-    /// The object that an active fault puts in place of a usual one, if the draw is in the fault's
-    /// part.
+    /// The object that an active fault puts in the place of a usual one, if `draw`, a random number
+    /// from 0 to 1, falls into the fault's share.
     fn fault_object(&self, class: usize, draw: f64) -> Option<FaultObject> {
         let class_name = &self.scenario.classes[class].name;
-        // The faults' parts lie one after another.
-        let mut begin = 0.0;
+        // The shares of the active faults are adjacent ranges of the draw that start at 0.
+        let mut range_start = 0.0;
         for fault in self.active_faults() {
             let (share, object) = match fault {
                 FaultKind::HotObjects { share, objects } => (share, FaultObject::Hot { objects: *objects }),
@@ -338,10 +346,10 @@
                 }
                 _ => continue,
             };
-            if (begin..begin + share).contains(&draw) {
+            if (range_start..range_start + share).contains(&draw) {
                 return Some(object);
             }
-            begin += share;
+            range_start += share;
         }
         None
     }
@@ -381,7 +389,7 @@
         open.attempts += 1;
         open.step += 1;
         let attempt = &mut open.attempt;
-        // A client waits for half of the class's timeout or more.
+        // Clients differ in patience: each waits for half to all of the class's timeout.
         let timeout_ms = self.scenario.classes[attempt.class].timeout_ms;
         attempt.timeout_ms = (timeout_ms * (0.5 + 0.5 * self.rng.random::<f64>())) as u64;
         attempt.rid = self.rng.random();
@@ -393,11 +401,13 @@
         self.schedule(times_out_at, timeout);
     }
 
-    /// An attempt has ended.
+    /// Processes the outcome of an attempt: schedules a retry or completes the request. Has no
+    /// effect if the request is already complete.
     pub fn on_answer(&mut self, now: Time, id: u64, outcome: ClientOutcome) {
         self.now = self.now.max(now);
         let Some(open) = self.open.get_mut(&id) else { return };
-        // What may have run and must not run twice is never retried.
+        // A non-idempotent request that may have been executed must not be executed again, so it is
+        // not retried.
         let retry_allowed = match outcome {
             ClientOutcome::Served { .. } => false,
             ClientOutcome::Rejected { .. } => true,
@@ -415,16 +425,16 @@
     }
 
     fn schedule_retry(&mut self, now: Time, id: u64, outcome: ClientOutcome) {
-        let further = (MIN_RETRY_DELAY as f64 * self.rng.random::<f64>()) as Time;
+        let jitter = (MIN_RETRY_DELAY as f64 * self.rng.random::<f64>()) as Time;
         let retry_after = match outcome {
             ClientOutcome::Rejected { retry_after } => retry_after,
             _ => 0,
         };
-        let delay = (MIN_RETRY_DELAY + further).max(retry_after);
+        let delay = (MIN_RETRY_DELAY + jitter).max(retry_after);
         self.schedule(now + delay, TimedEvent::Retry { request: id });
     }
 
-    /// A request has its final answer.
+    /// Completes a request and computes what it earned.
     fn complete(&mut self, now: Time, open: &OpenRequest, outcome: ClientOutcome) {
         let class = &self.scenario.classes[open.attempt.class];
         let latency = now.saturating_sub(open.due);
@@ -455,8 +465,8 @@
     }
 }
 
-/// Which of a site's routers a client uses: the first, and every fourth after it, `skew` times as
-/// often.
+/// Draws the index of the site's router that gets an attempt. The first router and every fourth one
+/// after it are drawn `skew` times as often as the others.
 fn draw_router(rng: &mut impl Rng, routers: usize, skew: f64) -> usize {
     if skew <= 1.0 {
         return rng.random_range(0..routers);
