--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,20 +1,20 @@
-//! A queue of events in virtual time.
+//! A queue of future events, ordered by time.
 
 use crate::Time;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events by time; those of one instant come in the order in which they were scheduled.
+/// Events ordered by time; events of the same time keep the order in which they were pushed.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
-    scheduled: u64,
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
 struct Scheduled<E> {
     at: Time,
-    /// The how manyth event of the queue it is: decides among events of one instant.
+    /// The position in the order of pushes, which decides among events of the same time.
     sequence: u64,
     event: E,
 }
@@ -47,23 +47,23 @@
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { heap: BinaryHeap::new(), scheduled: 0 }
+        EventQueue { heap: BinaryHeap::new(), last_sequence: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Schedules an event.
+    /// Schedules an event at a time.
     pub fn push(&mut self, at: Time, event: E) {
-        self.scheduled += 1;
-        self.heap.push(Reverse(Scheduled { at, sequence: self.scheduled, event }));
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Scheduled { at, sequence: self.last_sequence, event }));
     }
 
-    /// When the next event is due.
+    /// The time of the next event; `None` if the queue is empty.
     pub fn due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse(next)| next.at)
     }
 
-    /// How many events are scheduled.
+    /// The number of scheduled events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
@@ -73,7 +73,8 @@
         self.heap.is_empty()
     }
 
-    /// Takes the next event with its time, if it is due by then.
+    /// Removes and returns the next event with its time; `None` if it is due after `now` or the
+    /// queue is empty.
     pub fn pop_due(&mut self, now: Time) -> Option<(Time, E)> {
         if self.due()? > now {
             return None;
@@ -81,7 +82,7 @@
         self.heap.pop().map(|Reverse(next)| (next.at, next.event))
     }
 
-    /// Drops the events for which `keep` does not hold.
+    /// Removes the events for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&E) -> bool) {
         self.heap.retain(|Reverse(scheduled)| keep(&scheduled.event));
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Simulation of a cache network round the request router: stand-in servers, load and faults. One
-//! model of the servers ([`model`]) and one of the clients ([`load`]) are played in two ways: on
-//! real sockets against real router processes ([`multi_process`]), and in virtual time round the
-//! routers' sans-I/O cores ([`virtual_time`]). The package shares nothing with the capacity planner
-//! but file formats.
+//! Simulation of a cache network around the request router: stand-in servers, load and faults. One
+//! model of the servers ([`model`]) and one of the clients ([`load`]) are used by two drivers: one
+//! on real sockets with real router processes ([`multi_process`]), one in virtual time with the
+//! routers' sans-I/O cores ([`virtual_time`]). The package shares only file formats with the
+//! capacity planner, no code.
 
 pub mod cluster;
 pub mod cluster_benchmark;
--- a/crates/simulation/src/link_fault.rs
+++ b/crates/simulation/src/link_fault.rs
@@ -1,31 +1,32 @@
-//! What a faulty directed link between two routers does to datagrams.
+//! Faults of a directed link between two routers, applied to its datagrams.
 
 use crate::Time;
 use rand::Rng;
 
-/// Faults of a directed link; the default is a sound link.
+/// The faults of a directed link. The default has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// Nothing gets through.
+    /// Whether all datagrams are dropped.
     pub cut: bool,
-    /// The part of datagrams that is lost.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The part that comes twice.
+    /// The probability that a datagram is duplicated.
     pub duplication: f64,
-    /// The part that comes with a bit flipped.
+    /// The probability that a datagram arrives with one bit flipped.
     pub corruption: f64,
-    /// How much later each comes.
+    /// The delay that the fault adds to every datagram.
     pub delay: Time,
-    /// Up to so much later still, which has them overtake each other.
+    /// The maximum of a further random delay, which reorders datagrams.
     pub jitter: Time,
 }
 
 impl LinkFault {
-    /// A link on which nothing gets through.
+    /// A link that drops all datagrams.
     pub const CUT: LinkFault =
         LinkFault { cut: true, loss: 0.0, duplication: 0.0, corruption: 0.0, delay: 0, jitter: 0 };
 
-    /// Damages a datagram, perhaps, and tells how many copies of it get through: 0, 1 or 2.
+    /// Corrupts the datagram if the draw says so, and returns how many copies of it are delivered:
+    /// 0, 1 or 2.
     pub fn apply(&self, rng: &mut impl Rng, datagram: &mut [u8]) -> usize {
         if self.cut || rng.random::<f64>() < self.loss {
             return 0;
@@ -38,23 +39,23 @@
         copies
     }
 
-    /// The delay of one copy.
+    /// Draws the delay of one copy of a datagram.
     pub fn draw_delay(&self, rng: &mut impl Rng) -> Time {
         self.delay + rng.random_range(0..=self.jitter)
     }
 }
 
-/// Datagrams and bytes that were sent.
+/// The number and the total size of the datagrams sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
-    /// Datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The total size of their payloads, in bytes.
     pub bytes: u64,
 }
 
 impl TrafficCounters {
-    /// Counts one datagram.
+    /// Counts one datagram of this size in bytes.
     pub fn count(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.bytes += bytes as u64;
--- a/crates/simulation/src/lru_cache.rs
+++ b/crates/simulation/src/lru_cache.rs
@@ -1,11 +1,11 @@
-//! A bounded cache: copies by retention priority, and within a priority by when they were used
-//! last.
+//! A size-bounded cache that evicts copies by retention priority, and within one priority the least
+//! recently used first.
 
 use crate::objects::{ChunkKey, Purge};
 use crate::Time;
 use std::collections::{BTreeMap, HashMap};
 
-/// Where a copy stands in the order of eviction: the first in this order goes first.
+/// The position of a copy in the order of eviction; the smallest is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     retention: u8,
@@ -20,39 +20,41 @@
     group: u32,
 }
 
-/// What is stored of a copy beside its key.
+/// The properties of a copy that the cache stores with its key.
 #[derive(Clone, Copy, Debug)]
 pub struct CopyInfo {
-    /// Its size.
+    /// The size in bytes, which counts against the cache's capacity.
     pub bytes: u64,
-    /// How long it is kept: a lower priority is evicted first, and never evicts a higher one.
+    /// The retention priority: a lower one is evicted first, and a copy is never evicted for one of
+    /// a lower priority.
     pub retention: u8,
-    /// When the origin gave it out.
+    /// The time at which the origin sent the copy.
     pub dated: Time,
-    /// The object's group, by which it can be purged.
+    /// The group of the object, for purges of whole groups.
     pub group: u32,
 }
 
-/// A bounded cache.
+/// A cache with a capacity in bytes.
 #[derive(Debug)]
 pub struct LruCache {
     capacity: u64,
     used: u64,
-    /// Counts uses, in place of a clock.
+    /// The number of uses so far, which orders copies by their last use.
     uses: u64,
     copies: HashMap<ChunkKey, CachedCopy>,
     by_order: BTreeMap<EvictionOrder, ChunkKey>,
 }
 
 impl LruCache {
-    /// An empty cache of so many bytes.
+    /// Creates an empty cache with a capacity in bytes.
     pub fn new(capacity: u64) -> LruCache {
         LruCache { capacity, used: 0, uses: 0, copies: HashMap::new(), by_order: BTreeMap::new() }
     }
 
-    /// The date of a copy, if there is one that the origin gave out no earlier than `oldest`.
+    /// Returns the date of a copy; `None` if there is no copy or the origin sent it before
+    /// `oldest`.
     ///
-    /// A hit counts as a use and sets the retention priority, unless that is 0.
+    /// A hit counts as a use. It also sets the copy's retention priority, unless `retention` is 0.
     pub fn find(&mut self, key: ChunkKey, oldest: Time, retention: u8) -> Option<Time> {
         let last_use = self.uses;
         let copy = self.copies.get_mut(&key).filter(|copy| copy.dated >= oldest)?;
@@ -64,8 +66,8 @@
         Some(copy.dated)
     }
 
-    /// Stores a copy, if there is space or evicting copies of its priority or a lower one makes
-    /// enough.
+    /// Stores a copy and evicts copies of the same or a lower priority until it fits. If that does
+    /// not free enough space, the copy is not stored, but the evicted copies stay evicted.
     pub fn insert(&mut self, key: ChunkKey, copy: CopyInfo) {
         self.remove(key);
         while self.used + copy.bytes > self.capacity {
--- a/crates/simulation/src/router_config.rs
+++ b/crates/simulation/src/router_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a scenario's routers, as the platform would give it to them.
+//! The configuration of a scenario's routers, in the form in which the platform provides it.
 
 use crate::endpoint_feed::endpoint_line;
 use crate::model::{ListedState, ServerModel, EDGE_CACHE_WARM_UP, OVERLOAD_WINDOW};
@@ -8,20 +8,21 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Spreads the routers' seeds: 2^64 over the golden ratio.
+/// Increment between the seeds of successive routers: 2^64 divided by the golden ratio, which
+/// spreads them evenly.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A router's place in the scenario.
+/// Identifies a router of the scenario by its site and its index.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterSlot {
-    /// Its site, by index.
+    /// The index of the router's site.
     pub site: usize,
-    /// Its index among all routers.
+    /// The index among all routers, which are counted site by site.
     pub index: usize,
 }
 
 impl RouterSlot {
-    /// The router's name.
+    /// The name of the router: `n1`, `n2` and so on.
     pub fn name(self) -> String {
         format!("n{}", self.index + 1)
     }
@@ -34,7 +35,8 @@
     of_routers.enumerate().map(|(index, site)| RouterSlot { site, index }).collect()
 }
 
-/// The configuration of one router; `endpoints` are the addresses of the servers.
+/// The configuration of one router. `feed` is the address of its endpoint feed, and `endpoints` are
+/// the addresses of the servers in the model's order.
 pub fn router_config(
     scenario: &Scenario,
     model: &ServerModel,
@@ -61,9 +63,10 @@
     })
 }
 
-/// The settings that all routers share, but for the zone.
+/// The settings of a router; they differ between routers only in the zone.
 fn settings(scenario: &Scenario, slot: RouterSlot) -> Value {
-    // Zones are the parent caches', then the sites'.
+    // Zones are listed in the order of their indices: first one per parent cache, then one per
+    // site.
     let parents = scenario.parent_caches.iter().map(|parent| &parent.name);
     let zones: Vec<&String> = parents.chain(scenario.sites.iter().map(|site| &site.name)).collect();
     let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
--- a/crates/simulation/src/router_faults.rs
+++ b/crates/simulation/src/router_faults.rs
@@ -1,26 +1,26 @@
-//! Faults of a scenario between and in routers.
+//! The scenario's faults that affect routers or the links between them.
 
 use crate::link_fault::LinkFault;
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::MS;
 
-/// Indices of routers that a scenario numbers from 1.
+/// Converts the routers' numbers in a scenario, which start at 1, to indices.
 pub fn router_indices(numbers: &[usize]) -> Vec<usize> {
     numbers.iter().map(|number| number.saturating_sub(1)).collect()
 }
 
-/// The same fault on every link from one group of routers to another.
+/// One fault on every link from one group of routers to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupFault {
-    /// The senders, by index.
+    /// The indices of the sending routers.
     pub from: Vec<usize>,
-    /// The receivers, by index.
+    /// The indices of the receiving routers.
     pub to: Vec<usize>,
-    /// What the links do.
+    /// The fault of each link.
     pub fault: LinkFault,
 }
 
-/// What a fault does to the links between routers, if anything.
+/// The link faults between routers that a fault of the scenario causes; empty if it causes none.
 pub fn link_faults(scenario: &Scenario, kind: &FaultKind) -> Vec<GroupFault> {
     match kind {
         FaultKind::Partition { routers } => partition(scenario, &router_indices(routers)),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Cuts some routers off from all others, both ways.
+/// Cuts the routers of one side off from all others, in both directions.
 fn partition(scenario: &Scenario, side: &[usize]) -> Vec<GroupFault> {
     let rest: Vec<usize> = (0..scenario.router_count()).filter(|router| !side.contains(router)).collect();
     vec![
@@ -49,7 +49,7 @@
     ]
 }
 
-/// The routers that a fault concerns, by index.
+/// The indices of the routers that a fault affects; a router may occur more than once.
 pub fn affected_routers(scenario: &Scenario, kind: &FaultKind) -> Vec<usize> {
     match kind {
         FaultKind::Kill { routers } | FaultKind::Pause { routers } => router_indices(routers),
@@ -60,9 +60,11 @@
     }
 }
 
-/// When the last fault between or in routers ends, in seconds since the start.
+/// The end of the last fault that affects routers or the links between them, in seconds since the
+/// start of the run; 0 without such a fault. For a fault that lasts until the end of the run, its
+/// beginning counts.
 pub fn last_router_fault_end(scenario: &Scenario) -> f64 {
     let end = |fault: &Fault| fault.at_s + fault.for_s.unwrap_or(0.0);
-    let concerning = scenario.faults.iter().filter(|f| !affected_routers(scenario, &f.kind).is_empty());
-    concerning.map(end).fold(0.0, f64::max)
+    let affecting = scenario.faults.iter().filter(|f| !affected_routers(scenario, &f.kind).is_empty());
+    affecting.map(end).fold(0.0, f64::max)
 }
--- a/crates/simulation/src/run_result.rs
+++ b/crates/simulation/src/run_result.rs
@@ -1,4 +1,4 @@
-//! What a driver hands back after it has played a scenario.
+//! The raw result of a run, which the report is computed from.
 
 use crate::cluster_report::ClusterReport;
 use crate::load::CompletedRequest;
@@ -6,30 +6,31 @@
 use crate::statistics::Samples;
 use crate::Time;
 
-/// A scenario that was played to its end.
+/// The result of a completed run of a scenario.
 #[derive(Debug)]
 pub struct RunResult {
-    /// When it started, in microseconds of Unix time.
+    /// The start of the run, in microseconds of Unix time.
     pub start: Time,
-    /// What became of each request of a client.
+    /// The clients' requests that have their final answer.
     pub completed: Vec<CompletedRequest>,
-    /// The servers.
+    /// The servers, with their violations, counters and resource use.
     pub model: ServerModel,
-    /// What the driver counted beside.
+    /// The figures that only the driver can count.
     pub counters: DriverCounters,
 }
 
-/// What a driver counts.
+/// Figures that the driver of a run counts, beside those of the clients and the servers.
 #[derive(Clone, Debug, Default)]
 pub struct DriverCounters {
-    /// Attempts that reached servers.
+    /// The number of attempts that reached servers.
     pub attempts: u64,
-    /// Answers to clients beyond the one final answer to each attempt.
+    /// The number of answers to clients beyond the one final answer to each attempt.
     pub surplus_answers: u64,
-    /// What the routers' views came to, where routers form a cluster.
+    /// What the routers' views of their cluster show; `None` if the routers form no cluster.
     pub cluster: Option<ClusterReport>,
-    /// Parts of the quotas of servers that warm up which all routers together had used within a
-    /// window, by their own accounts: the peak once all know of the start, and the mean while more
-    /// was wanted than there is. Only in virtual time.
+    /// Use of the quotas of servers that warm up by all routers together within a window, by the
+    /// routers' own accounts, as a share of the quota. The peak counts once all routers know that
+    /// the server warms up; the mean counts while demand is at least the whole quota. Only measured
+    /// in virtual time.
     pub quota_use: PerTier<Samples>,
 }
--- a/crates/simulation/src/shared_link.rs
+++ b/crates/simulation/src/shared_link.rs
@@ -1,38 +1,39 @@
-//! A link whose capacity its transfers share evenly, each at its own maximum rate at most.
+//! A link whose capacity is divided evenly among its transfers, up to a maximum rate of each.
 
 use crate::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-/// A transfer on a link.
+/// The id of a transfer, chosen by the caller and unique on its link.
 pub type TransferId = u64;
 
-/// Bytes are compared in thousandths, so that the order does not depend on the last bits of a
-/// float.
+/// Resolution in which the ends of transfers are compared: thousandths of a byte. The order of ends
+/// must not depend on rounding in the last bits of a float.
 const UNITS_PER_BYTE: f64 = 1_000.0;
 
-/// A link. Every active transfer progresses at the same rate at any moment, so the link keeps one
-/// count of bytes per transfer, and each transfer ends when that count reaches a value which is
-/// known when it starts.
+/// A link with its active transfers. At any moment all of them progress at the same rate, so the
+/// link keeps one count of the bytes moved per transfer. Each transfer ends when that count reaches
+/// a value that is known when the transfer starts.
 #[derive(Debug)]
 pub struct SharedLink {
-    /// Bytes a microsecond that the link carries.
+    /// The capacity of the link, in bytes per microsecond.
     capacity: f64,
-    /// Bytes a microsecond of one transfer at most.
+    /// The maximum rate of one transfer, in bytes per microsecond.
     max_per_transfer: f64,
-    /// Bytes that a transfer which has been on the link all the time has moved.
+    /// The bytes moved by a transfer that has been active since the link was created.
     moved_per_transfer: f64,
     now: Time,
-    /// The value of `moved_per_transfer` in [`UNITS_PER_BYTE`] at which each transfer ends.
+    /// The value of `moved_per_transfer`, in units of 1 / [`UNITS_PER_BYTE`] bytes, at which each
+    /// transfer ends.
     ends: BinaryHeap<Reverse<(u64, TransferId)>>,
-    /// Removed transfers that are still in `ends`.
+    /// Cancelled transfers whose entries are still in `ends`.
     removed: BTreeSet<TransferId>,
     active: usize,
     carried: f64,
 }
 
 impl SharedLink {
-    /// A link of so many bytes a second, of which one transfer takes so many at most.
+    /// Creates a link with a capacity and a maximum rate of one transfer, both in bytes per second.
     pub fn new(bytes_per_s: f64, max_per_transfer_s: f64) -> SharedLink {
         SharedLink {
             capacity: bytes_per_s / 1e6,
@@ -46,17 +47,18 @@
         }
     }
 
-    /// Bytes carried in all, up to the latest call of any method with a time.
+    /// The bytes carried until the latest call of a method that takes the time.
     pub fn carried(&self) -> f64 {
         self.carried
     }
 
-    /// The rate of each transfer now, in bytes a microsecond.
+    /// The present rate of each transfer, in bytes per microsecond.
     fn rate_per_transfer(&self) -> f64 {
         self.max_per_transfer.min(self.capacity / self.active.max(1) as f64)
     }
 
-    /// Lets time pass up to then.
+    /// Advances the transfers to `now`. Transfers that have ended stay until
+    /// [`SharedLink::pop_finished`].
     pub fn advance(&mut self, now: Time) {
         let moved = now.saturating_sub(self.now) as f64 * self.rate_per_transfer();
         self.now = self.now.max(now);
@@ -66,13 +68,13 @@
         }
     }
 
-    /// Changes the capacity.
+    /// Changes the capacity of the link from `now` on.
     pub fn set_capacity(&mut self, now: Time, bytes_per_s: f64) {
         self.advance(now);
         self.capacity = bytes_per_s / 1e6;
     }
 
-    /// Starts a transfer.
+    /// Starts a transfer at `now`.
     pub fn start(&mut self, now: Time, transfer: TransferId, bytes: f64) {
         self.advance(now);
         let end = ((self.moved_per_transfer + bytes) * UNITS_PER_BYTE) as u64;
@@ -88,7 +90,8 @@
         }
     }
 
-    /// When the next transfer ends, if nothing changes before.
+    /// The time at which the next transfer ends if nothing changes before; `None` if there is no
+    /// transfer.
     pub fn due(&mut self) -> Option<Time> {
         self.drop_cancelled();
         let Reverse((end, _)) = self.ends.peek()?;
@@ -96,7 +99,7 @@
         Some(self.now + (left / self.rate_per_transfer()).ceil() as Time)
     }
 
-    /// Takes one transfer that has ended by then.
+    /// Removes and returns one transfer that has ended by `now`; `None` if there is none.
     pub fn pop_finished(&mut self, now: Time) -> Option<TransferId> {
         self.advance(now);
         self.drop_cancelled();
@@ -109,7 +112,7 @@
         Some(transfer)
     }
 
-    /// Removes cancelled transfers from the front of `ends`.
+    /// Removes the entries of cancelled transfers at the front of `ends`.
     fn drop_cancelled(&mut self) {
         while let Some(Reverse((_, transfer))) = self.ends.peek() {
             if !self.removed.remove(transfer) {
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -1,18 +1,19 @@
-//! Time of simulations: whole microseconds.
+//! The time type of simulations, in whole microseconds.
 
-/// Microseconds: a point in time on the clock of whoever gives it, or a span of time.
+/// A point in time or a duration, in microseconds. The epoch depends on the clock that a value
+/// comes from.
 pub type Time = u64;
-/// A millisecond as a [`Time`].
+/// One millisecond.
 pub const MS: Time = 1_000;
-/// A second as a [`Time`].
+/// One second.
 pub const SEC: Time = 1_000_000;
 
-/// Seconds as a time; fractions of a microsecond are cut off.
+/// Converts seconds to a [`Time`], truncating fractions of a microsecond.
 pub fn from_seconds(seconds: f64) -> Time {
     (seconds * 1e6) as Time
 }
 
-/// A time in seconds.
+/// Converts a [`Time`] to seconds.
 pub fn as_seconds(time: Time) -> f64 {
     time as f64 / 1e6
 }
