--- a/crates/simulation/src/report/mod.rs
+++ b/crates/simulation/src/report/mod.rs
@@ -1,6 +1,6 @@
-//! What a run came to: figures for people, JSON for programs, a page with plots.
+//! The report of a run: text for people, JSON for programs, and an HTML page with plots.
 //!
-//! The keys of the JSON are older than the terms of the code and stay as they are.
+//! The keys of the JSON keep older terms than the code, because programs read them.
 
 mod page;
 mod text;
@@ -20,20 +20,20 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The longest latency that a histogram tells from longer ones, in microseconds.
+/// Longest latency that the histogram distinguishes; longer ones count as this.
 const MAX_LATENCY: u64 = 120 * SEC;
-/// Significant figures of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Keeps a rate finite where nothing is counted.
+/// Smallest time by which counts are divided, so that rates stay finite.
 const MIN_SECONDS: f64 = 1e-9;
 
-/// A value with a name; an array of both in JSON.
+/// A named value, serialized as an array of its name and its value.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(into = "(String, T)", bound = "T: Clone + Serialize")]
 pub struct Named<T> {
-    /// The name.
+    /// The name of the resource, link or server.
     pub name: String,
-    /// The value.
+    /// The value for it.
     pub value: T,
 }
 
@@ -43,13 +43,13 @@
     }
 }
 
-/// Priority weight within one second of the run; an array of both in JSON.
+/// The priority weights of one second of the run, serialized as an array of both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct SecondWeights {
-    /// What requests earned that were due in this second.
+    /// The weight earned by the requests whose first attempt was due in this second.
     pub earned: f64,
-    /// What they could earn at most.
+    /// The most that these requests could earn.
     pub offered: f64,
 }
 
@@ -59,110 +59,118 @@
     }
 }
 
-/// Figures of one class.
+/// The figures of one class, over the requests that were due after the warm-up.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
-    /// Its name.
+    /// The name of the class in the scenario.
     pub name: String,
-    /// Requests of clients.
+    /// The number of clients' requests.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Those served within the latency objective.
+    /// The number of requests served within the latency objective.
     pub in_time: u64,
-    /// Those served later.
+    /// The number of requests served after the latency objective.
     pub late: u64,
-    /// Those whose last attempt was rejected.
+    /// The number of requests whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Those whose last attempt failed.
+    /// The number of requests whose last attempt failed or lost its connection.
     pub failed: u64,
-    /// Those whose last attempt timed out.
+    /// The number of requests whose last attempt timed out.
     #[serde(rename = "unanswered")]
     pub timed_out: u64,
-    /// The weight earned over the weight offered.
+    /// The weight earned over the weight offered, from 0 to 1.
     #[serde(rename = "served_worth")]
     pub earned_share: f64,
-    /// Milliseconds from when the first attempt was due, of what was served: 50, 90, 99, 99.9 per
-    /// cent.
+    /// The 50th, 90th, 99th and 99.9th percentiles of the latency of served requests, in
+    /// milliseconds since the first attempt was due.
     pub percentiles_ms: [f64; 4],
 }
 
-/// Figures of a run.
+/// The figures of a run. Figures of requests cover the time after the warm-up unless they say
+/// otherwise.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The weight earned over the weight offered.
+    /// The weight earned over the weight offered, from 0 to 1.
     #[serde(rename = "served_worth")]
     pub earned_share: f64,
-    /// The part of the weight offered that was served in time, fresh or stale.
+    /// The share of the weight offered whose requests were served in time, with fresh or stale
+    /// copies.
     #[serde(rename = "in_time_worth")]
     pub in_time_share: f64,
-    /// Requests of clients a second.
+    /// Clients' requests per second.
     #[serde(rename = "asked_per_s")]
     pub requests_per_s: f64,
-    /// Attempts of clients for each request.
+    /// Attempts of clients per request.
     #[serde(rename = "tries")]
     pub client_attempts: f64,
-    /// Attempts that reached servers, for each request of a client.
+    /// Attempts that reached servers, per request of a client; both are counted over the whole run.
     pub attempts: f64,
-    /// Bytes that came in through the sites' links, for each byte served.
+    /// Bytes that the sites' incoming links carried, per byte served.
     #[serde(rename = "filled")]
     pub filled_per_served: f64,
-    /// Requests of the origin a second.
+    /// Requests that reached the origin per second, over the whole run.
     #[serde(rename = "library_per_s")]
     pub origin_requests_per_s: f64,
-    /// How often the origin stopped because far too much was requested of it.
+    /// How often the origin stopped because far too many requests reached it.
     #[serde(rename = "library_fell")]
     pub origin_falls: u64,
-    /// By class.
+    /// The figures of each class, in the scenario's order.
     pub classes: Vec<ClassReport>,
-    /// How much each resource was used, the most used first.
+    /// The share of each resource that was used, the most used first.
     #[serde(rename = "used")]
     pub resource_use: Vec<Named<f64>>,
-    /// Bytes that each link carried after the warm-up.
+    /// The bytes that each link carried between the end of the warm-up and the end of the load.
     #[serde(rename = "carried")]
     pub carried_bytes: Vec<Named<f64>>,
-    /// Why routers served requests no bytes, by class, end and reason; from their recordings.
+    /// The number of requests to which routers sent no bytes, by class, end and reason. The counts
+    /// come from the routers' recordings; [`Report::new`] leaves them empty.
     pub reasons: BTreeMap<String, u64>,
-    /// Requests rejected, by server.
+    /// The number of rejected requests, by server; servers that rejected none are left out.
     #[serde(rename = "turned_away")]
     pub rejected_by_server: Vec<Named<u64>>,
-    /// Rules violated, and how often.
+    /// The number of violations by rule; empty if every rule held.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<String, u64>,
-    /// Servers that fell over while warming up before routers could know of their start.
+    /// The number of servers that were overloaded while they warmed up, mainly by load that was
+    /// sent before all routers knew of their start.
     #[serde(rename = "fell_untold")]
     pub falls_before_known: u64,
-    /// How much was sent to servers that warm up, by kind of server.
+    /// The load on servers that warm up, by the tier of the server.
     #[serde(rename = "limits")]
     pub warm_up_quotas: BTreeMap<String, QuotaReport>,
-    /// What the routers' views came to; none where routers form no cluster.
+    /// The figures of the routers' views of each other; `None` if the routers form no cluster.
     #[serde(rename = "fleet")]
     pub cluster: Option<ClusterReport>,
-    /// By second of the run.
+    /// The weights offered and earned in each second of the run, warm-up included.
     pub seconds: Vec<SecondWeights>,
 }
 
-/// What all routers together sent to servers that warm up within a window, as parts of what they
-/// may.
+/// The load that all routers together put on the servers of one tier while they warm up. Every
+/// figure is a share of what the routers may send within a window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct QuotaReport {
-    /// The whole.
+    /// The quota itself, which is always 1.
     pub bound: f64,
-    /// The most in any window by the routers' accounts, once all of them know that the server warms
-    /// up; they count a class's mean work, waits included.
+    /// The peak of the quota used within a window, by the routers' own accounts and once all of
+    /// them know that the server warms up. They charge each request the mean work of its class,
+    /// waits included.
     #[serde(rename = "worst")]
     pub used_peak: f64,
-    /// On average while more was wanted than there is; none on sockets, or if it never was.
+    /// The mean of the quota used while demand was at least the whole quota; `None` on sockets, or
+    /// if demand was never that high.
     pub used_mean: Option<f64>,
-    /// The most that reached such a server, by its size.
+    /// The peak of the load that reached such a server within a window. Each request counts with
+    /// the mean size of its class.
     #[serde(rename = "came_worst")]
     pub arrived_peak: f64,
-    /// On average while it warmed up; none: none did.
+    /// The mean of the load that reached such servers while they warmed up; `None` if none warmed
+    /// up.
     #[serde(rename = "came_mean")]
     pub arrived_mean: Option<f64>,
 }
 
-/// Requests that count, with sums over them.
+/// A selection of requests, with counts and sums over them.
 struct Selection<'a>(Vec<&'a CompletedRequest>);
 
 impl Selection<'_> {
@@ -188,7 +196,7 @@
     }
 }
 
-/// A quotient; 0 where there is nothing to divide by.
+/// The quotient of two numbers; 0 if the divisor is 0.
 fn ratio(dividend: f64, divisor: f64) -> f64 {
     if divisor > 0.0 {
         dividend / divisor
@@ -198,7 +206,8 @@
 }
 
 impl Report {
-    /// Adds up what clients saw after the warm-up and what the servers counted.
+    /// Computes the figures of a run from the clients' requests, the servers' counters and those of
+    /// the driver.
     pub fn new(scenario: &Scenario, run: &RunResult) -> Report {
         let counted_from = run.start + from_seconds(scenario.warm_up_s);
         let counted_s = (scenario.seconds - scenario.warm_up_s).max(MIN_SECONDS);
@@ -229,18 +238,18 @@
         }
     }
 
-    /// The figures as JSON.
+    /// Serializes the report as JSON, which ends with a line feed.
     pub fn json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("keys of a report are strings") + "\n"
+        serde_json::to_string_pretty(self).expect("all map keys of a report are strings") + "\n"
     }
 }
 
 fn class_reports(scenario: &Scenario, counted: &Selection<'_>) -> Vec<ClassReport> {
-    let of_class = |index: usize| {
+    let requests_of = |index: usize| {
         Selection(counted.0.iter().copied().filter(|request| request.class == index).collect())
     };
     let classes = scenario.classes.iter().enumerate();
-    classes.map(|(index, class)| class_report(class, &of_class(index))).collect()
+    classes.map(|(index, class)| class_report(class, &requests_of(index))).collect()
 }
 
 fn class_report(class: &RequestClass, requests: &Selection<'_>) -> ClassReport {
@@ -261,17 +270,17 @@
 
 fn percentiles_ms(latencies: impl Iterator<Item = Time>) -> [f64; 4] {
     let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS)
-        .expect("the bounds are ordered and the digits at most 5");
+        .expect("histogram bounds and significant digits are within the limits of the library");
     latencies.for_each(|latency| histogram.saturating_record(latency.max(1)));
     [0.5, 0.9, 0.99, 0.999].map(|quantile| histogram.value_at_quantile(quantile) as f64 / 1e3)
 }
 
 fn resource_use(model: &ServerModel) -> Vec<Named<f64>> {
     let resources = model.resource_use().into_iter();
-    let mut used: Vec<Named<f64>> =
+    let mut resources_by_use: Vec<Named<f64>> =
         resources.map(|resource| Named { name: resource.name, value: resource.part }).collect();
-    used.sort_by(|one, other| other.value.total_cmp(&one.value).then(one.name.cmp(&other.name)));
-    used
+    resources_by_use.sort_by(|one, other| other.value.total_cmp(&one.value).then(one.name.cmp(&other.name)));
+    resources_by_use
 }
 
 fn carried_bytes(model: &ServerModel) -> Vec<Named<f64>> {
--- a/crates/simulation/src/report/page.rs
+++ b/crates/simulation/src/report/page.rs
@@ -1,36 +1,38 @@
-//! The figures of a report as a page with plots, which needs nothing beside it.
+//! The report as a self-contained HTML page with plots.
 
 use super::{Named, Report, SecondWeights};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// The width of a plot, in pixels.
+/// Width of every plot, in pixels.
 const PLOT_WIDTH: u32 = 900;
-/// The height of the plot over time.
+/// Height of the plot over time, in pixels.
 const TIME_PLOT_HEIGHT: u32 = 280;
-/// The height of a bar, and of what stands round the bars.
+/// Height of one bar, in pixels.
 const BAR_HEIGHT: u32 = 24;
+/// Height of a bar plot without its bars, in pixels: the title, the axis and the margins.
 const BAR_PLOT_FRAME: u32 = 60;
-/// So many of the most used resources are shown.
+/// Number of the most used resources that the page shows.
 const MAX_BARS: usize = 12;
 
-/// A plot could not be drawn.
+/// The error of a plot that could not be drawn.
 #[derive(Debug, thiserror::Error)]
-#[error("the plot of {plot} can't be drawn: {reason}")]
+#[error("could not draw the plot \"{plot}\": {reason}")]
 pub struct PageError {
-    /// What it shows.
+    /// The title of the plot.
     plot: &'static str,
-    /// The plotting library's error.
+    /// The text of the plotting library's error.
     reason: String,
 }
 
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 impl Report {
-    /// A page with the figures and plots.
+    /// Renders a page with the text of the report and two plots: the share of the weight that was
+    /// earned in each second, and the use of the most used resources.
     ///
     /// # Errors
-    /// A plot can't be drawn.
+    /// The plotting library fails to draw a plot.
     pub fn html(&self) -> Result<String, PageError> {
         let shares = earned_shares(&self.seconds);
         let bars = &self.resource_use[..self.resource_use.len().min(MAX_BARS)];
@@ -44,7 +46,8 @@
     }
 }
 
-/// The part of the weight that was earned, by second; seconds without requests are left out.
+/// The share of the offered weight that was earned, by second; seconds in which nothing was offered
+/// are left out.
 fn earned_shares(seconds: &[SecondWeights]) -> Vec<(f64, f64)> {
     let numbered = (0..).zip(seconds).filter(|(_, second)| second.offered > 0.0);
     numbered.map(|(number, second)| (f64::from(number), second.earned / second.offered)).collect()
--- a/crates/simulation/src/report/text.rs
+++ b/crates/simulation/src/report/text.rs
@@ -1,19 +1,18 @@
-//! The figures of a report as text. Its words are older than the terms of the code: scripts may
-//! read them.
+//! The report as text. It keeps older terms than the code, because scripts may read it.
 
 use super::{ClassReport, QuotaReport, Report};
 use crate::cluster_report::ClusterReport;
 use std::collections::BTreeMap;
 
-/// The key of edge caches among the quotas of servers that warm up.
+/// The key of edge caches in [`Report::warm_up_quotas`].
 pub(crate) const COLD_EDGE_CACHE: &str = "cold box";
-/// The key of parent caches there.
+/// The key of parent caches in [`Report::warm_up_quotas`].
 pub(crate) const COLD_PARENT_CACHE: &str = "cold hub";
-/// So many of the most used resources are named.
+/// Number of the most used resources that the text names.
 const MAX_RESOURCES: usize = 6;
 
 impl Report {
-    /// The figures as text.
+    /// Renders the report as text, which ends with a line feed.
     pub fn text(&self) -> String {
         let mut lines = vec![self.summary_line(), CLASS_HEADER.to_string()];
         lines.extend(self.classes.iter().map(class_line));
@@ -77,7 +76,7 @@
     }
 }
 
-/// The columns of [`class_line`].
+/// The column heads of the lines that [`class_line`] renders.
 const CLASS_HEADER: &str =
     "class              asked  in time   late  refused  failed   silent   worth   50% ms   90% ms   99% ms";
 
@@ -96,7 +95,7 @@
     )
 }
 
-/// Names with their counts, one after another; none if there are none.
+/// The names with their counts, separated by commas; `None` if the map is empty.
 fn counts(counts: &BTreeMap<String, u64>) -> Option<String> {
     let all: Vec<String> = counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
     (!all.is_empty()).then(|| all.join(", "))
@@ -114,7 +113,7 @@
     )
 }
 
-/// None if no such server warmed up.
+/// The line for the quotas of one tier; `None` if no server of the tier warmed up.
 fn quota_line(name: &str, quota: &QuotaReport) -> Option<String> {
     let arrived_mean = quota.arrived_mean?;
     let used_mean = quota.used_mean.map_or("-".into(), |mean| format!("{mean:.2}"));
--- a/crates/simulation/src/sweep/mod.rs
+++ b/crates/simulation/src/sweep/mod.rs
@@ -1,5 +1,5 @@
-//! A matrix of outages in virtual time: every combination of what is lost, for how long, under how
-//! much load, with how many routers. Scenarios are played side by side on all cores; the same file
+//! A sweep over outages in virtual time: it runs every combination of outage, duration, load and
+//! number of routers, among others. The runs are spread over all processor cores; the same file
 //! gives the same figures.
 
 mod table;
@@ -15,74 +15,77 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// More combinations than this are a mistake.
+/// Largest number of combinations; more are assumed to be a mistake in the file.
 const MAX_SCENARIOS: usize = 20_000;
-/// Service has recovered when so much of what was earned before is earned again...
+/// Service counts as recovered when the share of the weight that is earned reaches this part of the
+/// share earned before the outage.
 const RECOVERED_PART: f64 = 0.95;
-/// ...over this many seconds.
+/// Number of seconds over which that share must be reached.
 const RECOVERY_WINDOW_S: usize = 2;
-/// Seconds before the outage that the time after it is compared with.
+/// Number of seconds before the outage that provide the baseline for recovery.
 const BASELINE_S: usize = 5;
-/// A rolling replacement takes so many seconds in all.
+/// Duration of a rolling replacement, in seconds.
 const REPLACEMENT_S: f64 = 7.0;
-/// Of so many edge caches...
+/// A rolling replacement takes `REPLACED` of every this many edge caches.
 const REPLACED_OF: usize = 5;
-/// ...so many are replaced.
+/// Number of edge caches replaced out of every `REPLACED_OF`.
 const REPLACED: usize = 3;
 
-/// The combinations that are played.
+/// The dimensions of the sweep; every combination of their values is run once.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// The scenario that all are made from; its rate is what `loads` are parts of.
+    /// The base scenario of all runs. It must contain no faults.
     #[serde(rename = "day")]
     pub scenario: Scenario,
-    /// When the outage begins.
+    /// When the outage begins, in seconds since the start of the run.
     pub at_s: f64,
-    /// What is lost.
+    /// The outages.
     #[serde(rename = "lost")]
     pub outages: Vec<Outage>,
-    /// For how long.
+    /// The durations of the outage, in seconds.
     #[serde(rename = "for_s")]
     pub durations_s: Vec<f64>,
-    /// Load, as parts of the scenario's.
+    /// The loads, as multiples of the base scenario's `rate_per_s`.
     pub loads: Vec<f64>,
-    /// Routers in all, spread over the sites by their edge caches; no site has none.
+    /// The numbers of routers in all. They are spread over the sites in proportion to their edge
+    /// caches, at least one each; with fewer routers than sites, the last sites are left out.
     pub routers: Vec<usize>,
-    /// How uneven their load is.
+    /// The skews of the load between routers, as in the scenario's `uneven`. Default: 1.
     #[serde(rename = "uneven", default = "default_skews")]
     pub router_skews: Vec<f64>,
-    /// How long changes of the endpoint list take to reach routers.
+    /// The times until a change of the endpoint list reaches the routers, in milliseconds. Default:
+    /// 1000.
     #[serde(rename = "news_ms", default = "default_feed_delays_ms")]
     pub feed_delays_ms: Vec<f64>,
-    /// Seeds.
+    /// The seeds of the runs. Default: 1.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
 }
 
-/// What is lost at once.
+/// The servers that fail in an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
 pub enum Outage {
-    /// The first parent cache.
+    /// The first parent cache crashes.
     #[default]
     #[serde(rename = "hub")]
     ParentCache,
-    /// All parent caches.
+    /// All parent caches crash.
     #[serde(rename = "hubs")]
     AllParentCaches,
-    /// The first site's first edge cache.
+    /// The first edge cache of the first site crashes.
     #[serde(rename = "box")]
     EdgeCache,
-    /// Half of the first site's edge caches.
+    /// Half of the first site's edge caches crash, rounded up.
     #[serde(rename = "half_office")]
     HalfSite,
-    /// The first site's edge caches.
+    /// All edge caches of the first site crash.
     #[serde(rename = "office")]
     Site,
-    /// The origin.
+    /// The origin crashes.
     #[serde(rename = "library")]
     Origin,
-    /// Six in ten of all edge caches are replaced, one after another, in 7 s, whatever the
+    /// Three of every five edge caches are replaced one after another within 7 s, whatever the
     /// duration.
     #[serde(rename = "replaced")]
     RollingReplacement,
@@ -123,56 +126,58 @@
     }
 }
 
-/// What one scenario came to.
+/// The parameters and the results of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SweepRow {
-    /// What was lost.
+    /// The outage of the run.
     #[serde(rename = "lost")]
     pub outage: Outage,
-    /// For how long.
+    /// The duration of the outage, in seconds.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// Load, as a part of the scenario's.
+    /// The load, as a multiple of the base scenario's.
     pub load: f64,
-    /// Routers in all.
+    /// The number of routers in all.
     pub routers: usize,
-    /// How uneven their load was.
+    /// The skew of the load between routers; 1 is even.
     #[serde(rename = "uneven")]
     pub router_skew: f64,
-    /// How long changes of the endpoint list took.
+    /// The time until a change of the endpoint list reached the routers, in milliseconds.
     #[serde(rename = "news_ms")]
     pub feed_delay_ms: f64,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Rules violated, and how often.
+    /// The number of violations by rule; empty if every rule held.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<String, u64>,
-    /// Servers that fell over while warming up before routers could know of their start.
+    /// The number of servers that were overloaded while they warmed up, mainly by load that was
+    /// sent before all routers knew of their start.
     #[serde(rename = "fell_untold")]
     pub falls_before_known: u64,
-    /// The weight earned over the weight offered.
+    /// The weight earned over the weight offered, from 0 to 1.
     #[serde(rename = "served_worth")]
     pub earned_share: f64,
-    /// From the outage's end until 95% of the weight of before is earned; none: not before the
-    /// scenario's end.
+    /// The seconds from the end of the outage until 95% of the earlier share of the weight is
+    /// earned again; `None` if that does not happen before the end of the run.
     #[serde(rename = "back_s")]
     pub recovery_s: Option<f64>,
-    /// The most that was sent to an edge cache and to a parent cache that warmed up within a
-    /// window, by the routers' accounts, as parts of what may be.
+    /// The peak use of the quotas of an edge cache and of a parent cache that warm up, within a
+    /// window and by the routers' own accounts, as a share of the quota.
     #[serde(rename = "cold_worst")]
     pub quota_peaks: [f64; 2],
-    /// The same on average while more was wanted.
+    /// The mean use of the same quotas while demand was at least the whole quota; `None` if it
+    /// never was.
     #[serde(rename = "cold_used")]
     pub quota_means: [Option<f64>; 2],
-    /// Requests of the origin a second.
+    /// Requests that reached the origin, per second.
     #[serde(rename = "library_per_s")]
     pub origin_requests_per_s: f64,
-    /// Attempts that reached servers, for each request of a client.
+    /// Attempts that reached servers, per request of a client.
     pub attempts: f64,
 }
 
 impl Sweep {
-    /// The number of combinations; the largest number if it is larger.
+    /// The number of combinations, saturating at `usize::MAX`.
     fn scenario_count(&self) -> usize {
         let lengths = [
             self.outages.len(),
@@ -186,7 +191,8 @@
         lengths.into_iter().try_fold(1usize, usize::checked_mul).unwrap_or(usize::MAX)
     }
 
-    /// The scenarios, in the order of the lists, with rows that hold only what they are.
+    /// The scenarios in the order of the lists, each with a row that holds its parameters and no
+    /// results yet.
     fn scenarios(&self) -> Vec<(SweepRow, Scenario)> {
         let rows = vec![SweepRow::default()];
         let rows = combine(rows, &self.outages, |row, outage| row.outage = outage);
@@ -228,7 +234,7 @@
     }
 }
 
-/// Each row once with each of the values.
+/// Repeats each row once for each value, with the value set.
 fn combine<T: Copy>(rows: Vec<SweepRow>, values: &[T], set: impl Fn(&mut SweepRow, T)) -> Vec<SweepRow> {
     let mut combined = Vec::with_capacity(rows.len() * values.len());
     for row in &rows {
@@ -241,8 +247,8 @@
     combined
 }
 
-/// Each site has a router as long as there are enough; the rest goes by edge caches, as evenly as
-/// numbers allow. Sites for which there is no router are left out.
+/// Gives each site a router and spreads the rest in proportion to the edge caches. If there are
+/// fewer routers than sites, the last sites are removed.
 fn spread_routers(sites: &mut Vec<Site>, routers: usize) {
     sites.iter_mut().for_each(|site| site.routers = 1);
     for _ in sites.len()..routers {
@@ -255,7 +261,7 @@
     sites.truncate(routers);
 }
 
-/// The names of the servers that an outage takes.
+/// The names of the servers that an outage affects.
 fn lost_servers(scenario: &Scenario, outage: Outage) -> Vec<String> {
     let parents = scenario.parent_caches.iter().map(|parent| parent.name.clone());
     let first_site: Vec<String> = scenario.edge_cache_names(0).collect();
@@ -274,10 +280,10 @@
     }
 }
 
-/// Plays all scenarios and gives their rows in order.
+/// Runs all scenarios of a sweep and returns their rows in order.
 ///
 /// # Errors
-/// A router can't work under one of the scenarios.
+/// A router rejects its configuration or its settings.
 pub fn run(sweep: &Sweep) -> Result<Vec<SweepRow>, VirtualTimeError> {
     let scenarios = sweep.scenarios().into_par_iter();
     scenarios.map(|(row, scenario)| play_row(sweep.at_s, row, &scenario)).collect()
@@ -304,7 +310,8 @@
     })
 }
 
-/// Seconds from an outage's end until as much is earned as before it.
+/// The seconds from the end of an outage until the share of the weight that is earned has
+/// recovered; `None` if it does not.
 fn recovery_seconds(seconds: &[SecondWeights], begin_s: f64, end_s: f64) -> Option<f64> {
     let begin = (begin_s as usize).min(seconds.len());
     let before = earned_share(&seconds[begin.saturating_sub(BASELINE_S)..begin]);
@@ -316,7 +323,7 @@
     (first..last).find(recovered).map(|second| second as f64 - end_s)
 }
 
-/// The part of the weight that was earned; all of it where nothing was offered.
+/// The weight earned over the weight offered; 1 if nothing was offered.
 fn earned_share(seconds: &[SecondWeights]) -> f64 {
     let earned: f64 = seconds.iter().fold(0.0, |sum, second| sum + second.earned);
     let offered: f64 = seconds.iter().fold(0.0, |sum, second| sum + second.offered);
--- a/crates/simulation/src/sweep/table.rs
+++ b/crates/simulation/src/sweep/table.rs
@@ -1,5 +1,5 @@
-//! The rows of a sweep as a table in Markdown. Its words are older than the terms of the code:
-//! scripts may read them.
+//! The rows of a sweep as a Markdown table. Its column heads keep older terms than the code,
+//! because scripts may read them.
 
 use super::{Outage, SweepRow};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
     | attempts, most |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// What one line of the table is about.
+/// The parameters that one line of the table summarizes runs by.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LineKey {
     outage: Outage,
@@ -17,8 +17,8 @@
     routers: usize,
 }
 
-/// The rows as a table: one line for what is lost, how long and how many routers, over all the
-/// rest.
+/// Renders the rows as a table with one line per outage, duration and number of routers, which
+/// summarizes the runs over all other parameters.
 pub fn table(rows: &[SweepRow]) -> String {
     let mut lines: BTreeMap<LineKey, Vec<&SweepRow>> = BTreeMap::new();
     for row in rows {
@@ -59,9 +59,9 @@
     )
 }
 
-/// The outage's name in the file of the sweep.
+/// The name of an outage in the sweep file.
 fn outage_name(outage: Outage) -> String {
-    let json = serde_json::to_string(&outage).expect("an outage is a word");
+    let json = serde_json::to_string(&outage).expect("an outage serializes to a JSON string");
     json.trim_matches('"').to_string()
 }
 
