--- a/crates/simulation/src/virtual_time/cluster.rs
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -1,4 +1,5 @@
-//! The routers' views of each other in virtual time, and faults between and in routers.
+//! The routers' cluster in virtual time: membership views, leased quotas, and the faults that
+//! affect routers or the links between them.
 
 use super::{Simulation, START};
 use crate::cluster::{router_at, ObservedChange, RouterCluster, CLOCK_START};
@@ -13,13 +14,15 @@
 use hollymux_decision::time::whole_micros;
 use hollymux_decision::Timestamp;
 
-/// A time of the cluster's monotonic clocks on the clock of the simulation, which shows Unix time.
+/// Converts a time of the cluster's monotonic clocks to the simulation's clock, which shows Unix
+/// time.
 fn from_cluster_clock(at: Time) -> Time {
     at - CLOCK_START + START
 }
 
 impl Simulation<'_> {
-    /// Starts the routers' views, where they form a cluster.
+    /// Starts the membership views and leased quotas of all routers; does nothing if they form no
+    /// cluster.
     pub(super) fn start_cluster(&mut self) {
         let Some(cluster) = &mut self.cluster else { return };
         for router in &self.routers {
@@ -37,17 +40,18 @@
         }
     }
 
-    /// When anything happens among the views next.
+    /// The time of the cluster's next event; `None` if the routers form no cluster.
     pub(super) fn cluster_due(&self) -> Option<Time> {
         self.cluster.as_ref().and_then(RouterCluster::due).map(from_cluster_clock)
     }
 
-    /// Lets the views come up to now, and gives the routers what follows from them.
+    /// Advances the cluster to the present and passes the changes of views and leases to the
+    /// routers.
     pub(super) fn advance_cluster(&mut self) {
         let Some(mut cluster) = self.cluster.take() else { return };
         let quotas_due = cluster.due().is_some_and(|due| from_cluster_clock(due) <= self.now);
         if self.scenario.leased_quotas && quotas_due {
-            self.give_demands(&mut cluster);
+            self.update_demands(&mut cluster);
         }
         let cluster_now = self.now - START + CLOCK_START;
         cluster.run(cluster_now.saturating_sub(cluster.now));
@@ -62,15 +66,16 @@
         self.cluster = Some(cluster);
     }
 
-    /// Tells the views what the routers want of servers that warm up.
-    fn give_demands(&self, cluster: &mut RouterCluster) {
+    /// Updates the cluster's quotas with the routers' demand for servers that warm up.
+    fn update_demands(&self, cluster: &mut RouterCluster) {
         let now = Timestamp::from_micros(self.now);
         for router in self.routers.iter().filter(|router| router.is_running()) {
             cluster.set_demands(router.slot.index, router.core.warm_up_demands(now));
         }
     }
 
-    /// Records a lost router, and tells the router whose view changed how many may be active.
+    /// Records a router that was reported failed, and updates the number of possibly active routers
+    /// of the router whose view changed.
     fn on_view_change(&mut self, cluster: &RouterCluster, observed: &ObservedChange) {
         let by = observed.by;
         if let MembershipChange::Updated { address, record, .. } = &observed.change {
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Gives a router its leases as they are now.
+    /// Passes its present leases to a router.
     fn apply_leases(&mut self, cluster: &RouterCluster, router: usize) {
         let router_state = &mut self.routers[router];
         let Some(quotas) = cluster.quotas(router).filter(|_| router_state.is_running()) else { return };
@@ -99,7 +104,7 @@
         router_state.core.lease(shares, allocation.endpoints);
     }
 
-    /// After the last fault: whether all that run hold one view by now.
+    /// Records when all running routers first hold the same view after the last fault.
     fn observe_convergence(&mut self, cluster: &RouterCluster) {
         let now_s = as_seconds(self.now - START);
         let faults_over = now_s > last_router_fault_end(&self.scenario);
@@ -108,7 +113,7 @@
         }
     }
 
-    /// A fault between or in routers begins or ends.
+    /// Applies the beginning or the end of a fault that affects routers or the links between them.
     pub(super) fn on_fault(&mut self, index: usize, phase: FaultPhase) {
         let kind = self.scenario.faults[index].kind.clone();
         if let Some(cluster) = &mut self.cluster {
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario in virtual time: the servers and clients of the model round the routers' sans-I/O
-//! cores, without sockets. The same seed gives the same run, to the byte.
+//! Runs a scenario in virtual time: the models of the servers and the clients, and the routers'
+//! sans-I/O cores, without sockets. The same seed gives the same run, to the byte.
 
 mod cluster;
 mod quotas;
@@ -27,82 +27,86 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// When a run starts, in microseconds of Unix time.
+/// Start of every run, in microseconds of Unix time.
 pub const START: Time = 1_760_000_000 * SEC;
-/// A message takes this long from one party to another.
+/// Delay of a message between a router and a server.
 const MESSAGE_DELAY: Time = 300;
-/// Buffers of a router, as many as a small machine's.
+/// Buffers in the pool for request and response bodies, as many as a router on a small machine has.
 const BUFFERS: usize = 4_096;
-/// The port that stands for the first server; the others follow.
+/// Port that stands for the first server in the routers' configuration; the other servers have the
+/// ports that follow.
 const FIRST_SERVER_PORT: u16 = 10_000;
 
-/// Why a scenario can't be played in virtual time.
+/// The error of a scenario that can't be run in virtual time.
 #[derive(Debug, thiserror::Error)]
 pub enum VirtualTimeError {
-    /// A router's configuration can't be used.
-    #[error("the configuration of router {router} can't be used: {source}")]
+    /// A router's configuration is invalid.
+    #[error("the configuration of router {router} is invalid: {source}")]
     Config {
-        /// The router's name.
+        /// The name of the router.
         router: String,
-        /// What is wrong with it.
+        /// What is wrong with the configuration.
         source: ConfigError,
     },
-    /// A router can't work under its settings.
-    #[error("router {router} can't work under its settings: {source}")]
+    /// A router's core rejects its settings.
+    #[error("router {router} rejects its settings: {source}")]
     Settings {
-        /// The router's name.
+        /// The name of the router.
         router: String,
-        /// What is wrong with them.
+        /// What is wrong with the settings.
         source: SettingsError,
     },
 }
 
-/// What a recording of a router holds: the requests that it ended, and what its endpoint feed
-/// carried.
+/// An entry for a router's traffic recording: a request that ended, or an event of the endpoint
+/// feed.
 pub enum RouterRecord<'a> {
     /// A request ended.
     RequestEnded(&'a RequestSummary),
     /// The endpoint list changed.
     EndpointsChanged {
-        /// When.
+        /// When the router learned of the change.
         at: Time,
-        /// The lines that changed, or all.
+        /// The changed entries, or the whole list at the router's start.
         lines: &'a [ListedEndpoint],
     },
-    /// Something was purged.
+    /// An object or a group of objects was purged.
     Purged {
-        /// When the router learnt of it.
+        /// When the router learned of the purge.
         at: Time,
-        /// The object; none: the whole group.
+        /// The id of the purged object; `None` if the whole group was purged.
         object: Option<u64>,
-        /// The group.
+        /// The group of the object, or the purged group.
         group: u32,
     },
 }
 
-/// Takes what recordings of routers are to hold, as it happens.
+/// Receives the entries for the routers' recordings as they occur.
 pub type RecordSink<'a> = dyn FnMut(RouterSlot, &RouterRecord<'_>) + 'a;
 
-/// Something that happens at a point in virtual time.
+/// A future event of the simulation.
 enum TimedEvent {
-    /// A router's timer is due.
+    /// A timer that a router has set is due.
     RouterWake { router: usize, wake: Wake },
     /// An attempt reaches a server.
     AttemptArrives { router: usize, request: Box<AttemptRequest> },
-    /// An answer reaches a router.
+    /// The answer to the attempt with this id in the model reaches a router.
     AnswerArrives { id: u64, result: AttemptResult, bytes: u64 },
-    /// A router sees that an attempt failed.
+    /// A router notices that an attempt failed.
     AttemptFails { router: usize, attempt: AttemptId, failure: AttemptFailure },
-    /// A probe is answered, or not.
+    /// A probe ends; `healthy` is `None` if it was not answered.
     ProbeEnds { router: usize, endpoint: EndpointId, healthy: Option<bool> },
-    /// An event of the endpoint feed reaches a router; the text is that of the sockets.
+    /// An event of the endpoint feed reaches a router, with the text that the feed would send on a
+    /// socket.
     FeedEvent { router: usize, text: String },
-    /// A fault between or in routers begins or ends.
+    /// A fault of the scenario begins or ends; here it only affects routers and the links between
+    /// them.
     Fault { index: usize, phase: FaultPhase },
 }
 
 impl TimedEvent {
-    /// The router whose process it concerns: it means nothing to that router's next process.
+    /// The router whose process the event is for; the event is dropped when that process is killed.
+    /// `None` for events that outlive a router's process.
     fn process(&self) -> Option<usize> {
         match self {
             TimedEvent::RouterWake { router, .. }
@@ -116,10 +120,10 @@
     }
 }
 
-/// A client's attempt that is open at a router.
+/// A client's attempt that waits for the router's answer.
 struct OpenAttempt {
     router: usize,
-    /// Its id on the wire.
+    /// The request id on the wire.
     rid: u64,
 }
 
@@ -131,23 +135,24 @@
     routers: Vec<SimulatedRouter>,
     pool: BufferPool,
     timed_events: EventQueue<TimedEvent>,
-    /// Routers' attempts at servers, by the id that the model knows them by.
+    /// The routers' attempts at servers, by the id that the model uses.
     attempts: BTreeMap<u64, AttemptInFlight>,
-    /// The same ids by router and the router's own id.
+    /// The ids of the same attempts in the model, by router and by the router's own id.
     attempt_ids: HashMap<(usize, AttemptId), u64>,
     next_attempt_id: u64,
-    /// Clients' attempts, by the id of the client's request.
+    /// The clients' open attempts, by the id of the client's request.
     open: BTreeMap<u64, OpenAttempt>,
-    /// Events of the endpoint feed so far.
+    /// The number of events in the endpoint feed so far.
     feed_events: u64,
-    /// The routers' views of each other, where they form a cluster.
+    /// The routers' membership views and leased quotas; `None` if the routers form no cluster.
     cluster: Option<RouterCluster>,
-    /// Attempts whose client stopped waiting while the router stood still, by their id on the wire.
-    given_up: BTreeSet<u64>,
+    /// Request ids on the wire of attempts that were cancelled while the router was paused: it
+    /// still answers them when it resumes.
+    cancelled_while_paused: BTreeSet<u64>,
     views: ViewObservations,
     counters: DriverCounters,
     next_quota_sample: Time,
-    /// Since when all routers concerned know that a server warms up.
+    /// The time since which all routers that share the quota know that a server warms up.
     warm_up_known_since: BTreeMap<EndpointId, Time>,
     records: &'a mut RecordSink<'a>,
 }
@@ -161,7 +166,7 @@
     usize::from(address.port() - FIRST_SERVER_PORT)
 }
 
-/// The configuration of one router as things are now.
+/// The configuration of one router, with the endpoint list of the present moment.
 fn read_config(
     scenario: &Scenario,
     model: &ServerModel,
@@ -169,26 +174,27 @@
     seed: u64,
 ) -> Result<Config, VirtualTimeError> {
     let endpoints: Vec<SocketAddr> = (0..model.servers.len()).map(server_address).collect();
-    // Nothing connects to the feed here.
+    // No router connects to its feed in virtual time, so any address will do.
     let feed = server_address(0);
     let text = router_config(scenario, model, slot, seed, feed, &endpoints).to_string();
     Config::read(&text).map_err(|source| VirtualTimeError::Config { router: slot.name(), source })
 }
 
-/// The configurations of a scenario's routers.
+/// The configurations of a scenario's routers at the start of a run.
 ///
 /// # Errors
-/// One can't be used.
+/// A router's configuration is invalid.
 pub fn router_configs(scenario: &Scenario, seed: u64) -> Result<Vec<Config>, VirtualTimeError> {
     let model = ServerModel::new(scenario, START, seed);
     let slots = router_slots(scenario).into_iter();
     slots.map(|slot| read_config(scenario, &model, slot, seed)).collect()
 }
 
-/// A router's events of the endpoint feed that its configuration holds.
+/// The events of the endpoint feed that a router's configuration contains: its initial endpoint
+/// list.
 type InitialList = Vec<FeedEvent>;
 
-/// Starts all routers.
+/// Creates all routers, each with its initial endpoint list.
 fn start_routers(
     scenario: &Scenario,
     seed: u64,
@@ -198,10 +204,10 @@
     slots.zip(configs).map(|(slot, config)| SimulatedRouter::start(slot, config)).collect()
 }
 
-/// Plays a scenario. What recordings of routers are to hold goes to `records` as it happens.
+/// Runs a scenario. Entries for the routers' recordings are passed to `records` as they occur.
 ///
 /// # Errors
-/// A router can't work under the scenario's settings.
+/// A router's configuration or its settings are invalid.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -220,11 +226,11 @@
         attempt_ids: HashMap::new(),
         next_attempt_id: 1,
         open: BTreeMap::new(),
-        // The first event is the list that the configuration holds.
+        // The first event is the initial list in the routers' configuration.
         feed_events: 1,
         cluster: scenario.clustered.then(|| RouterCluster::new(routers.len(), seed)),
         routers,
-        given_up: BTreeSet::new(),
+        cancelled_while_paused: BTreeSet::new(),
         views: ViewObservations::default(),
         counters: DriverCounters::default(),
         next_quota_sample: START,
@@ -262,7 +268,7 @@
                 self.model.start_accounting(accounting_start);
             }
             if self.now < end && next >= end {
-                // The use of resources counts while load is offered.
+                // Resource use is only counted while clients send requests.
                 self.model.advance(end);
                 self.model.stop_accounting();
             }
@@ -271,13 +277,13 @@
         }
     }
 
-    /// When anything happens next.
+    /// The time of the next event in any part of the simulation; `None` if there is none.
     fn next_due(&self) -> Option<Time> {
         let due = [self.timed_events.due(), self.model.due(), self.clients.due(), self.cluster_due()];
         due.into_iter().flatten().min()
     }
 
-    /// Does all that is due now.
+    /// Processes everything that is due now.
     fn step(&mut self) {
         self.model.advance(self.now);
         self.clients.advance(self.now);
@@ -285,28 +291,28 @@
         while let Some((_, event)) = self.timed_events.pop_due(self.now) {
             self.on_timed_event(event);
         }
-        self.settle();
+        self.drain_outputs();
         self.sample_quota_use();
     }
 
     fn on_timed_event(&mut self, event: TimedEvent) {
         match event {
-            TimedEvent::RouterWake { router, wake } => self.feed_router(router, Input::Wake(wake)),
+            TimedEvent::RouterWake { router, wake } => self.deliver_input(router, Input::Wake(wake)),
             TimedEvent::AttemptArrives { router, request } => self.on_attempt_arrives(router, &request),
             TimedEvent::AnswerArrives { id, result, bytes } => self.on_answer_arrives(id, result, bytes),
             TimedEvent::AttemptFails { router, attempt, failure } => {
-                self.feed_router(router, Input::Failed(attempt, failure));
+                self.deliver_input(router, Input::Failed(attempt, failure));
             }
             TimedEvent::ProbeEnds { router, endpoint, healthy } => {
-                self.feed_router(router, Input::Probed(endpoint, healthy));
+                self.deliver_input(router, Input::Probed(endpoint, healthy));
             }
             TimedEvent::FeedEvent { router, text } => self.on_feed_event(router, &text),
             TimedEvent::Fault { index, phase } => self.on_fault(index, phase),
         }
     }
 
-    /// Passes on what the model and the clients want, until they want nothing more.
-    fn settle(&mut self) {
+    /// Passes on the outputs of the model and of the clients until neither has any more.
+    fn drain_outputs(&mut self) {
         loop {
             let events = std::mem::take(&mut self.model.events);
             let to_send = std::mem::take(&mut self.clients.to_send);
@@ -327,7 +333,7 @@
         }
     }
 
-    /// Hands a router an event of its endpoint feed, and records it.
+    /// Records an event of the endpoint feed for a router and hands it to the router.
     fn apply_feed_event(&mut self, router: usize, event: FeedEvent) {
         let at = self.now;
         let record = match &event {
@@ -337,7 +343,7 @@
             }
         };
         (self.records)(self.routers[router].slot, &record);
-        self.feed_router(router, Input::Feed(event));
+        self.deliver_input(router, Input::Feed(event));
     }
 
     fn into_result(mut self) -> RunResult {
--- a/crates/simulation/src/virtual_time/quotas.rs
+++ b/crates/simulation/src/virtual_time/quotas.rs
@@ -1,4 +1,5 @@
-//! How much of the quotas of servers that warm up all routers together use, by their own accounts.
+//! Measures how much of the quotas of servers that warm up all routers together use, by the
+//! routers' own accounts.
 
 use super::routers::{ProcessState, SimulatedRouter};
 use super::Simulation;
@@ -7,22 +8,22 @@
 use hollymux_decision::{EndpointId, QuotaScope, Timestamp};
 use std::collections::BTreeMap;
 
-/// From one sample of the routers' accounts to the next.
+/// Interval between two samples of the routers' accounts.
 const SAMPLE_INTERVAL: Time = 250 * MS;
-/// A mean is taken over samples at which at least the whole quota was wanted.
+/// Demand from which a sample counts in the mean use: the whole quota.
 const WHOLE_QUOTA: f64 = 1.0;
 
-/// What all routers together use of one server's quota.
+/// The use of one server's quota, summed over all routers that share it.
 struct QuotaSum {
     tier: CacheTier,
     used: f64,
     wanted: f64,
-    /// Routers that share the quota and do not know yet that the server warms up.
+    /// The number of routers that share the quota and do not know yet that the server warms up.
     unaware: i64,
 }
 
 impl Simulation<'_> {
-    /// Takes a sample of the routers' accounts, if it is due.
+    /// Takes a sample of the routers' accounts, if one is due.
     pub(super) fn sample_quota_use(&mut self) {
         if self.now < self.next_quota_sample {
             return;
@@ -43,7 +44,8 @@
             for demand in demands.filter(|demand| demand.sharers != QuotaScope::Elsewhere) {
                 let shared_by_all = demand.sharers == QuotaScope::All;
                 let sum = sums.entry(demand.endpoint).or_insert_with(|| QuotaSum {
-                    // Edge caches are shared by a site's routers, parent caches by all.
+                    // The quota of an edge cache is shared by the routers of its site, that of a
+                    // parent cache by all routers.
                     tier: if shared_by_all { CacheTier::Parent } else { CacheTier::Edge },
                     used: 0.0,
                     wanted: 0.0,
@@ -57,11 +59,11 @@
         sums
     }
 
-    /// How many routers that are not dead share a quota with this one.
+    /// The number of routers, except killed ones, that share a quota with this router.
     fn count_sharers(&self, with: &SimulatedRouter, shared_by_all: bool) -> usize {
         let shares = |router: &&SimulatedRouter| {
-            let concerned = shared_by_all || router.slot.site == with.slot.site;
-            concerned && !matches!(router.process, ProcessState::Dead)
+            let shares_quota = shared_by_all || router.slot.site == with.slot.site;
+            shares_quota && !matches!(router.process, ProcessState::Dead)
         };
         self.routers.iter().filter(shares).count()
     }
@@ -71,7 +73,8 @@
             self.warm_up_known_since.remove(&endpoint);
             return;
         }
-        // What was sent before all knew broke no limit, and counts for a window.
+        // Load that was sent before all routers knew of the warm-up violates no quota, but stays in
+        // their accounts for one window. The peak counts only after that.
         let known_since = *self.warm_up_known_since.entry(endpoint).or_insert(self.now);
         let quota_use = self.counters.quota_use.get_mut(sum.tier);
         if self.now >= known_since + OVERLOAD_WINDOW {
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -1,4 +1,5 @@
-//! The routers' cores in virtual time: their processes, their inputs and their commands.
+//! The routers in virtual time: their processes, the inputs of their cores and the execution of the
+//! cores' commands.
 
 use super::MESSAGE_DELAY;
 use super::{read_config, server_at, OpenAttempt, RouterRecord, Simulation, TimedEvent, VirtualTimeError};
@@ -16,21 +17,21 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A connection that nothing answers is given up after this.
+/// Time after which a router gives up a connection to an unreachable server.
 const CONNECT_TIMEOUT: Time = 400 * MS;
 
 /// The state of a router's process.
 #[derive(Debug)]
 pub(super) enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running,
-    /// It was killed.
+    /// A fault has killed the process.
     Dead,
-    /// It stands still; what came meanwhile waits.
+    /// A fault has paused the process; the inputs since then are processed when it resumes.
     Paused(VecDeque<Input>),
 }
 
-/// A router: its core, the configuration of its latest start, and its process.
+/// A router: its core, the configuration of its latest start, and the state of its process.
 pub(super) struct SimulatedRouter {
     pub slot: RouterSlot,
     pub core: Router,
@@ -39,7 +40,7 @@
 }
 
 impl SimulatedRouter {
-    /// Starts a router; gives also the events of the endpoint feed that its configuration holds.
+    /// Creates a router's core and returns it with the initial endpoint list of its configuration.
     pub fn start(
         slot: RouterSlot,
         mut config: Config,
@@ -59,7 +60,8 @@
 impl Simulation<'_> {
     // ---- processes ----
 
-    /// A router's process ends: what was open there is lost, and its attempts are given up.
+    /// Kills a router's process: its clients lose their connections, and its attempts at servers
+    /// are cancelled.
     pub(super) fn kill_router(&mut self, router: usize) {
         self.routers[router].process = ProcessState::Dead;
         if let Some(cluster) = &mut self.cluster {
@@ -81,10 +83,10 @@
         self.timed_events.retain(|event| event.process() != Some(router));
     }
 
-    /// A router starts anew, knowing nothing but its configuration as it is now.
+    /// Starts a killed router with its present configuration and without any other state.
     pub(super) fn restart_router(&mut self, router: usize) {
         let slot = self.routers[router].slot;
-        // What could be read at the start of the run can be read now.
+        // These errors can't occur: the same configuration was valid at the start of the run.
         let Ok(config) = read_config(&self.scenario, &self.model, slot, self.now) else { return };
         let Ok((restarted, initial_list)) = SimulatedRouter::start(slot, config) else { return };
         self.routers[router] = restarted;
@@ -103,12 +105,12 @@
 
     pub(super) fn resume_router(&mut self, router: usize) {
         let process = &mut self.routers[router].process;
-        let before = std::mem::replace(process, ProcessState::Running);
+        let previous = std::mem::replace(process, ProcessState::Running);
         if let Some(cluster) = &mut self.cluster {
             cluster.resume(router);
         }
-        if let ProcessState::Paused(waiting) = before {
-            waiting.into_iter().for_each(|input| self.feed_router(router, input));
+        if let ProcessState::Paused(waiting) = previous {
+            waiting.into_iter().for_each(|input| self.deliver_input(router, input));
         }
     }
 
@@ -130,21 +132,22 @@
         };
         self.open.insert(attempt.id, OpenAttempt { router, rid: attempt.rid });
         let client = ClientHandle { conn: attempt.rid, tag: attempt.id };
-        self.feed_router(router, Input::Request(client, request));
+        self.deliver_input(router, Input::Request(client, request));
     }
 
     pub(super) fn cancel_client_attempt(&mut self, id: u64) {
         let Some(OpenAttempt { router, rid }) = self.open.remove(&id) else { return };
         if matches!(self.routers[router].process, ProcessState::Paused(_)) {
-            self.given_up.insert(rid);
+            self.cancelled_while_paused.insert(rid);
         }
-        self.feed_router(router, Input::Cancel(ClientHandle { conn: rid, tag: id }));
+        self.deliver_input(router, Input::Cancel(ClientHandle { conn: rid, tag: id }));
     }
 
-    /// A router answers a client.
+    /// Passes a router's answer to the client that waits for it.
     fn on_reply(&mut self, client: ClientHandle, reply: Reply) {
-        // Who gave up while the router stood still is still answered: it has not read that yet.
-        if self.given_up.remove(&client.conn) {
+        // The client cancelled while the router was paused. The router answers before it reads the
+        // cancellation, so this answer is no surplus one.
+        if self.cancelled_while_paused.remove(&client.conn) {
             return;
         }
         let is_open = self.open.get(&client.tag).is_some_and(|open| open.rid == client.conn);
@@ -164,8 +167,9 @@
 
     // ---- inputs and commands ----
 
-    /// Hands a router one input and executes its commands, as the driver on sockets does.
-    pub(super) fn feed_router(&mut self, router: usize, input: Input) {
+    /// Passes an input to a router and executes the resulting commands, as the driver on sockets
+    /// does.
+    pub(super) fn deliver_input(&mut self, router: usize, input: Input) {
         match &mut self.routers[router].process {
             ProcessState::Running => {}
             ProcessState::Paused(waiting) => return waiting.push_back(input),
@@ -182,7 +186,8 @@
         }
     }
 
-    /// A dead router can't be reached.
+    /// Handles an input for a router that has been killed: clients can't connect to it, and
+    /// everything else is lost.
     fn refuse_input(&mut self, input: Input) {
         if let Input::Request(client, _) = input {
             self.open.remove(&client.tag);
@@ -203,7 +208,7 @@
             }
             Command::Probe(endpoint, address) => self.probe(router, endpoint, address),
             Command::CloseConnections(endpoint) => {
-                self.lose_attempts(router, endpoint, inputs);
+                self.fail_attempts_at(router, endpoint, inputs);
             }
             Command::RequestEnded(summary) => {
                 (self.records)(self.routers[router].slot, &RouterRecord::RequestEnded(&summary));
@@ -230,14 +235,14 @@
         self.schedule(self.now + after, TimedEvent::ProbeEnds { router, endpoint, healthy });
     }
 
-    /// A router closes its connections to an endpoint: the attempts there are lost.
-    fn lose_attempts(&mut self, router: usize, endpoint: EndpointId, inputs: &mut VecDeque<Input>) {
+    /// Fails a router's attempts at an endpoint to which it closes its connections.
+    fn fail_attempts_at(&mut self, router: usize, endpoint: EndpointId, inputs: &mut VecDeque<Input>) {
         let is_endpoint = |uid: &str| hollymux_router::endpoint_id(uid) == endpoint;
         let server = self.model.servers.iter().position(|server| is_endpoint(&server.uid));
         let Some(server) = server else { return };
-        let here =
+        let at_server =
             self.attempts.iter().filter(|(_, attempt)| attempt.router == router && attempt.server == server);
-        let lost: Vec<u64> = here.map(|(id, _)| *id).collect();
+        let lost: Vec<u64> = at_server.map(|(id, _)| *id).collect();
         for id in lost {
             if let Some(in_flight) = self.attempts.remove(&id) {
                 self.attempt_ids.remove(&(router, in_flight.attempt));
--- a/crates/simulation/src/virtual_time/servers.rs
+++ b/crates/simulation/src/virtual_time/servers.rs
@@ -1,5 +1,5 @@
-//! Between the routers and the model of the servers: attempts, answers and events of the endpoint
-//! feed.
+//! The connection between the routers and the model of the servers: attempts, answers and events of
+//! the endpoint feed.
 
 use super::{server_address, server_at, Simulation, TimedEvent, MESSAGE_DELAY, START};
 use crate::endpoint_feed::PURGE_FEED_DELAY;
@@ -10,20 +10,21 @@
 use hollymux_decision::time::whole_micros;
 use hollymux_router::{AttemptFailure, AttemptId, AttemptRequest, AttemptResponse, Input};
 
-/// Bytes that are written to a body at once.
-const BODY_PIECE: [u8; 4_096] = [0; 4_096];
+/// Bytes that are appended to a body at a time.
+const BODY_BLOCK: [u8; 4_096] = [0; 4_096];
 
-/// A router's attempt that is at a server.
+/// A router's attempt that a server is processing.
 pub(super) struct AttemptInFlight {
     pub router: usize,
     pub attempt: AttemptId,
     pub server: usize,
-    /// Its answer carries no digest.
+    /// Whether the request is non-idempotent, so that its answer carries no version tag.
     non_idempotent: bool,
 }
 
 impl Simulation<'_> {
-    /// An attempt reaches a server, if that is up.
+    /// Delivers an attempt to a server. It fails if the server is down and gets no answer if the
+    /// server is unreachable.
     pub(super) fn on_attempt_arrives(&mut self, router: usize, request: &AttemptRequest) {
         let server = server_at(request.target.addr);
         match self.model.servers[server].state {
@@ -46,7 +47,7 @@
         let fill_source =
             source_uid.and_then(|uid| self.model.servers.iter().position(|server| server.uid == **uid));
         if source_uid.is_some() && fill_source.is_none() {
-            // It names a source that is gone.
+            // The attempt names a fill source that has left the endpoint list.
             return self.model.reject(id);
         }
         let attempt = self.model_attempt(request, fill_source);
@@ -71,21 +72,22 @@
         }
     }
 
-    /// A router will see that an attempt failed.
+    /// Schedules the moment at which a router notices that an attempt failed.
     fn fail_attempt(&mut self, router: usize, attempt: AttemptId, failure: AttemptFailure) {
         let event = TimedEvent::AttemptFails { router, attempt, failure };
         self.schedule(self.now + MESSAGE_DELAY, event);
     }
 
-    /// An answer reaches a router.
+    /// Delivers the answer to an attempt to its router. Does nothing if the attempt has been
+    /// cancelled.
     pub(super) fn on_answer_arrives(&mut self, id: u64, result: AttemptResult, bytes: u64) {
         let Some(in_flight) = self.attempts.remove(&id) else { return };
         self.attempt_ids.remove(&(in_flight.router, in_flight.attempt));
         let response = self.response(result, bytes, in_flight.non_idempotent);
-        self.feed_router(in_flight.router, Input::Responded(in_flight.attempt, response, None));
+        self.deliver_input(in_flight.router, Input::Responded(in_flight.attempt, response, None));
     }
 
-    /// An answer as a router reads it.
+    /// Converts the model's result of an attempt to the response that a router reads.
     fn response(&self, result: AttemptResult, bytes: u64, non_idempotent: bool) -> AttemptResponse {
         let dated = match result {
             AttemptResult::Served(dated) => dated,
@@ -96,10 +98,10 @@
         let mut body = self.pool.chain();
         let mut left = bytes as usize;
         while left > 0 {
-            let length = left.min(BODY_PIECE.len());
-            // A body that the buffers can't hold is cut short, as by a driver that is out of
+            let length = left.min(BODY_BLOCK.len());
+            // A body that the buffer pool can't hold is truncated, as in a driver that runs out of
             // memory.
-            if body.extend(&BODY_PIECE[..length]).is_err() {
+            if body.extend(&BODY_BLOCK[..length]).is_err() {
                 break;
             }
             left -= length;
@@ -127,10 +129,10 @@
         }
     }
 
-    /// What is at a server that goes down is lost.
+    /// Fails the attempts at a server that goes down.
     fn on_server_down(&mut self, server: usize) {
-        let here = self.attempts.iter().filter(|(_, attempt)| attempt.server == server);
-        let lost: Vec<u64> = here.map(|(id, _)| *id).collect();
+        let at_server = self.attempts.iter().filter(|(_, attempt)| attempt.server == server);
+        let lost: Vec<u64> = at_server.map(|(id, _)| *id).collect();
         for id in lost {
             if let Some(in_flight) = self.attempts.remove(&id) {
                 self.attempt_ids.remove(&(in_flight.router, in_flight.attempt));
@@ -148,7 +150,7 @@
         self.publish(at, &text);
     }
 
-    /// Sends an event of the endpoint feed to all routers.
+    /// Schedules the delivery of an event of the endpoint feed to all routers.
     fn publish(&mut self, at: Time, text: &str) {
         for router in 0..self.routers.len() {
             self.schedule(at, TimedEvent::FeedEvent { router, text: text.to_string() });
