--- a/crates/simulation/src/cluster/mod.rs
+++ b/crates/simulation/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster of routers' membership views in virtual time: routers that are started, killed, paused
-//! and restarted, and a fault on each directed link between them. The same seed gives the same run,
-//! to the byte.
+//! A cluster of routers' membership views and leased quotas in virtual time: routers can be
+//! started, killed, paused and restarted, and every directed link between them can have a fault.
+//! The same seed gives the same run, to the byte.
 
 mod observe;
 mod process;
@@ -20,70 +20,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// When a run starts, in microseconds of the routers' monotonic clocks.
+/// Start of a run, in microseconds of the routers' monotonic clocks.
 pub const CLOCK_START: Time = 1_000 * SEC;
-/// When a run's monotonic clocks are at 0, in microseconds of Unix time.
+/// Zero of the monotonic clocks, in microseconds of Unix time.
 const UNIX_AT_CLOCK_ZERO: i64 = 1_760_000_000 * SEC as i64;
-/// A datagram takes this long at least.
+/// Shortest delay of a datagram.
 const MIN_NETWORK_DELAY: Time = 300;
-/// And up to this much longer.
+/// Longest random delay that is added to the shortest one.
 const MAX_NETWORK_JITTER: Time = 700;
-/// A condition over the whole cluster is evaluated this often.
+/// Interval at which a condition over the whole cluster is evaluated.
 const CONDITION_INTERVAL: Time = 100 * MS;
-/// So many routers are everybody's seeds, if no others are named.
+/// Number of routers that serve as seeds unless others are set.
 pub const DEFAULT_SEEDS: usize = 3;
-/// The port of all simulated routers.
+/// Port of all simulated routers.
 const ROUTER_PORT: u16 = 7_946;
-/// Tells the cluster's random numbers from others under the same seed.
+/// Separates the cluster's random numbers from others that have the same seed.
 const SEED_SALT: u64 = 0x666c_6565;
 
 enum TimedEvent {
-    /// A view or its quotas are due, unless something else has happened there since.
+    /// A timeout of a router's view or quotas is due. The event is void if the router's generation
+    /// has changed.
     Tick { router: usize, generation: u64 },
-    /// A datagram reaches a router.
+    /// A datagram arrives at a router.
     Datagram { router: usize, bytes: Vec<u8> },
 }
 
 /// A change that a router's view reported.
 #[derive(Clone, Debug)]
 pub struct ObservedChange {
-    /// When, on the monotonic clocks.
+    /// The time of the change, on the monotonic clocks.
     pub at: Time,
-    /// Whose view it was.
+    /// The index of the router whose view reported the change.
     pub by: usize,
-    /// The change.
+    /// The reported change.
     pub change: MembershipChange,
 }
 
-/// Routers and the links between them.
+/// Routers in virtual time with the links between them. A router is referred to by its index.
 pub struct RouterCluster {
-    /// The present, as all monotonic clocks show it.
+    /// The present on the routers' monotonic clocks, which all show the same time.
     pub now: Time,
     rng: Pcg64Mcg,
     seed: u64,
     processes: Vec<RouterProcess>,
-    /// Faults by directed link: sender and receiver.
+    /// Faults of directed links, by the indices of sender and receiver.
     pub links: BTreeMap<(usize, usize), LinkFault>,
-    /// What every link does that has no fault of its own.
+    /// The fault of every link that has none in `links`.
     pub default_link: LinkFault,
     timed_events: EventQueue<TimedEvent>,
     seeds: Vec<SocketAddr>,
-    /// The times of leases, for those that start from now on; none: quotas are not leased.
+    /// The timings of leases for routers that start from now on; with `None`, quotas are not
+    /// leased.
     pub lease_timings: Option<LeaseTimings>,
-    /// Routers whose leases may have changed.
+    /// The routers whose leases may have changed; the caller empties the set.
     pub lease_changes: BTreeSet<usize>,
-    /// What the views have reported.
+    /// The changes that the views reported, oldest first; the caller empties the list.
     pub changes: Vec<ObservedChange>,
-    /// What all routers together have sent.
+    /// The traffic of all routers together, including datagrams that were lost.
     pub sent: TrafficCounters,
 }
 
-/// The address of a router.
+/// The address of the router with this index.
 pub fn router_address(router: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (router >> 8) as u8, router as u8], ROUTER_PORT))
 }
 
-/// The router at an address.
+/// The index of the router at an address; `None` for an IPv6 address, which no simulated router
+/// has.
 pub fn router_at(address: SocketAddr) -> Option<usize> {
     match address.ip() {
         IpAddr::V4(ip) => Some(usize::from(ip.octets()[2]) << 8 | usize::from(ip.octets()[3])),
@@ -92,7 +95,7 @@
 }
 
 impl RouterCluster {
-    /// So many routers, none of them started; the first three are everybody's seeds.
+    /// Creates a cluster of routers that are not started yet. The first three are the seeds of all.
     pub fn new(routers: usize, seed: u64) -> RouterCluster {
         RouterCluster {
             now: CLOCK_START,
@@ -117,8 +120,8 @@
         self.seeds = seeds.iter().map(|seed| router_address(*seed)).collect();
     }
 
-    /// Sets how far a router's wall clock is off, in microseconds. Only the numbers of its starts
-    /// come from it.
+    /// Sets the offset of a router's wall clock from the true time, in microseconds. Only the
+    /// generation of a start is taken from this clock.
     pub fn set_clock_offset(&mut self, router: usize, offset: i64) {
         self.processes[router].clock_offset = offset;
     }
@@ -135,19 +138,20 @@
         self.processes[router].zone = Some(zone.to_string());
     }
 
-    /// Sets how many routers a router's settings name, in all and in its zone.
+    /// Sets the numbers of routers, in all and in the router's zone, that a router's settings
+    /// state.
     pub fn set_router_counts(&mut self, router: usize, counts: RouterCounts) {
         self.processes[router].configured = counts;
     }
 
-    /// Sets what is requested now of the servers that warm up, as a router knows them.
+    /// Sets a router's present demand for servers that warm up.
     pub fn set_demands(&mut self, router: usize, demands: Vec<WarmUpDemand>) {
         self.processes[router].demands = demands;
     }
 
     // ---- processes ----
 
-    /// Starts a router, or starts it anew.
+    /// Starts a router, or restarts a running one without its state.
     pub fn start(&mut self, router: usize) {
         let options = self.membership_options(router);
         let quota_options = self.lease_timings.map(|timings| QuotaOptions {
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Kills a router: what its socket holds is gone.
+    /// Kills a router; datagrams waiting at its socket are lost.
     pub fn kill(&mut self, router: usize) {
         let process = &mut self.processes[router];
         process.view = None;
@@ -189,7 +193,7 @@
         process.backlog.clear();
     }
 
-    /// Shuts a router down, which announces that it leaves.
+    /// Shuts a router down in an orderly way: it announces that it leaves, and then stops.
     pub fn leave(&mut self, router: usize) {
         let now = self.now;
         if let Some(view) = &mut self.processes[router].view {
@@ -200,17 +204,17 @@
         self.kill(router);
     }
 
-    /// Stops a process where it is, as SIGSTOP does; its socket goes on holding what comes, up to a
-    /// bound.
+    /// Pauses a router's process, as SIGSTOP does. Its socket still receives datagrams, up to 256.
     pub fn pause(&mut self, router: usize) {
         self.processes[router].paused = true;
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&mut self, router: usize) {
         let backlog = std::mem::take(&mut self.processes[router].backlog);
         self.processes[router].paused = false;
-        // The driver looks at its timers and its socket in one turn.
+        // Like the real driver, the process handles expired timers and waiting datagrams in one
+        // turn before it sends anything.
         let now = self.now;
         if let Some(view) = &mut self.processes[router].view {
             view.handle_timeout(now);
@@ -221,7 +225,8 @@
 
     // ---- links ----
 
-    /// Sets one fault on every link from one group to another; the default mends them.
+    /// Sets one fault on every link from one group of routers to another; the default fault clears
+    /// them.
     pub fn set_link_fault(&mut self, from: &[usize], to: &[usize], fault: LinkFault) {
         for sender in from {
             for receiver in to.iter().filter(|receiver| *receiver != sender) {
@@ -234,42 +239,44 @@
         }
     }
 
-    /// Cuts two groups off from each other, both ways.
+    /// Cuts two groups of routers off from each other, in both directions.
     pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         self.set_link_fault(one, other, LinkFault::CUT);
         self.set_link_fault(other, one, LinkFault::CUT);
     }
 
-    /// Mends all links.
+    /// Clears the faults of all links, except the default one.
     pub fn heal(&mut self) {
         self.links.clear();
     }
 
-    /// Hands a router a datagram that no router sent.
+    /// Delivers a datagram to a router that no router has sent.
     pub fn inject_datagram(&mut self, router: usize, bytes: Vec<u8>) {
         self.timed_events.push(self.now, TimedEvent::Datagram { router, bytes });
     }
 
     // ---- time ----
 
-    /// When something happens next.
+    /// The time of the next event; `None` if no event is scheduled.
     pub fn due(&self) -> Option<Time> {
         self.timed_events.due()
     }
 
-    /// Lets time pass.
+    /// Lets virtual time advance by a duration.
     pub fn run(&mut self, duration: Time) {
         let until = self.now + duration;
         self.run_while_not(until, |_| false);
     }
 
-    /// Lets time pass until a condition holds; how long that took, or none if it did not in time.
+    /// Lets virtual time advance until a condition holds and returns how long that took; `None` if
+    /// the timeout came first. The condition is evaluated every 100 ms.
     pub fn run_until(&mut self, timeout: Time, condition: impl Fn(&RouterCluster) -> bool) -> Option<Time> {
         let from = self.now;
         self.run_while_not(from + timeout, condition).then(|| self.now - from)
     }
 
-    /// Lets time pass up to `until`, or until the condition holds: whether it does.
+    /// Lets virtual time advance to `until`, or until the condition holds; returns whether it
+    /// holds.
     fn run_while_not(&mut self, until: Time, condition: impl Fn(&RouterCluster) -> bool) -> bool {
         let mut next_check = self.now;
         loop {
@@ -315,7 +322,8 @@
         }
     }
 
-    /// Takes what a router's view and quotas want, and plans their next tick.
+    /// Takes the outputs of a router's view and quotas, sends its datagrams and schedules its next
+    /// timeout.
     fn drain_outputs(&mut self, router: usize) {
         let Some(outputs) = self.processes[router].take_outputs(self.now) else { return };
         let (at, by) = (self.now, router);
--- a/crates/simulation/src/cluster/observe.rs
+++ b/crates/simulation/src/cluster/observe.rs
@@ -1,4 +1,4 @@
-//! What is observed of a cluster's views.
+//! Observation of the views and quotas of a cluster's routers.
 
 use super::{router_address, ObservedChange, RouterCluster};
 use crate::Time;
@@ -6,12 +6,12 @@
 use hollymux_cluster::quota::QuotaManager;
 
 impl RouterCluster {
-    /// A router's view, if it runs.
+    /// A router's view; `None` if the router does not run.
     pub fn view(&self, router: usize) -> Option<&Membership> {
         self.processes[router].view.as_ref()
     }
 
-    /// A router's leased quotas, if it runs and quotas are leased.
+    /// A router's leased quotas; `None` if the router does not run or quotas are not leased.
     pub fn quotas(&self, router: usize) -> Option<&QuotaManager> {
         self.processes[router].quotas.as_ref()
     }
@@ -25,19 +25,21 @@
         (0..self.processes.len()).filter(runs).collect()
     }
 
-    /// The state of a router in the view of another one.
+    /// The state of the router `of` in the view of the router `by`; `None` if `by` does not run or
+    /// does not know `of`.
     pub fn state(&self, of: usize, by: usize) -> Option<MemberState> {
         Some(self.view(by)?.record_of(router_address(of))?.state)
     }
 
-    /// The part of some routers in whose views another one has that state.
+    /// The share of the routers in `by`, without `of` itself, whose views show `of` in a state.
     pub fn share_agreeing(&self, by: &[usize], of: usize, state: MemberState) -> f64 {
         let others = || by.iter().filter(|by| **by != of);
         let agreeing = others().filter(|by| self.state(of, **by) == Some(state)).count();
         agreeing as f64 / others().count().max(1) as f64
     }
 
-    /// Whether some routers all hold the same view, in which all of them are alive or suspect.
+    /// Whether the given routers all run and hold the same view, in which all of them are alive or
+    /// suspect.
     pub fn converged(&self, routers: &[usize]) -> bool {
         let mut digests = routers.iter().map(|router| self.view(*router).map(Membership::digest));
         let Some(first_digest) = digests.next().flatten() else { return false };
@@ -47,14 +49,15 @@
         digests.all(|digest| digest == Some(first_digest)) && rest.iter().all(is_member)
     }
 
-    /// The smallest number of routers that any of these takes for possibly active.
+    /// The smallest number of possibly active routers in the views of the given routers; 0 if none
+    /// of them runs.
     pub fn min_possibly_active(&self, routers: &[usize]) -> u32 {
         let counts =
             routers.iter().filter_map(|router| Some(self.view(*router)?.possibly_active_count(None)));
         counts.min().unwrap_or(0)
     }
 
-    /// How often any router was reported lost since then, by anybody.
+    /// The number of reports by any router since `since` that a router failed.
     pub fn lost_reports(&self, since: Time) -> usize {
         let lost = |observed: &&ObservedChange| {
             let is_lost = matches!(
--- a/crates/simulation/src/cluster/process.rs
+++ b/crates/simulation/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One router's process in a simulated cluster: its membership view, its leased quotas and its
+//! The process of one router in a simulated cluster: its membership view, its leased quotas and its
 //! socket.
 
 use crate::Time;
@@ -8,42 +8,45 @@
 use hollymux_decision::WarmUpDemand;
 use std::collections::VecDeque;
 
-/// Datagrams that the socket of a paused process holds: a socket's buffer holds some hundred.
+/// Maximum number of datagrams that the socket of a paused process holds; a real socket's buffer
+/// holds a few hundred.
 pub(super) const MAX_SOCKET_BACKLOG: usize = 256;
 
-/// A router's process, or the place of one that does not run.
+/// The process of a router, with what is kept between its starts.
 pub(super) struct RouterProcess {
     pub view: Option<Membership>,
-    /// Its leased quotas, if quotas are leased.
+    /// The leased quotas; `None` if the process does not run or quotas are not leased.
     pub quotas: Option<QuotaManager>,
-    /// What is requested of the servers that warm up.
+    /// The router's present demand for servers that warm up.
     pub demands: Vec<WarmUpDemand>,
-    /// How many routers its settings name, in all and in its zone.
+    /// The numbers of routers, in all and in the router's zone, that the settings state.
     pub configured: RouterCounts,
     pub paused: bool,
-    /// What waits in the socket of a paused process.
+    /// Datagrams that wait in the socket of a paused process.
     pub backlog: VecDeque<Vec<u8>>,
-    /// Ticks that were planned in an earlier generation are void.
+    /// The number of times that the outputs were taken or the process was killed. A scheduled tick
+    /// is valid only for the generation that it names.
     pub generation: u64,
-    /// How far its wall clock is off, in microseconds.
+    /// The offset of the wall clock from the true time, in microseconds.
     pub clock_offset: i64,
-    /// Its name, the name of its cluster and its zone, if not those that its index gives.
+    /// The router's name, its cluster's name and its zone; with `None`, they derive from the
+    /// router's index or, for the cluster, are the default.
     pub name: Option<String>,
     pub cluster: Option<String>,
     pub zone: Option<String>,
 }
 
-/// What a process wants after it has worked.
+/// The outputs of a process after it has handled its inputs.
 pub(super) struct Outputs {
     pub datagrams: Vec<Transmit>,
     pub changes: Vec<MembershipChange>,
-    /// When it is to be ticked next, and the generation of that tick.
+    /// The time of the next tick, and the generation that the tick is valid for.
     pub due: Time,
     pub generation: u64,
 }
 
 impl RouterProcess {
-    /// A place in a cluster of so many routers, where nothing runs yet.
+    /// Creates the process of a router, not started yet, in a cluster of `routers` routers.
     pub fn new(routers: usize) -> RouterProcess {
         RouterProcess {
             view: None,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Reads a datagram, as the driver of a router does.
+    /// Handles a datagram, as the real driver does.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) {
         if !QuotaManager::is_quota_datagram(bytes) {
             if let Some(view) = &mut self.view {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Does what is due, unless the tick is void: whether it did.
+    /// Handles the timeouts that are due and returns whether it did; a void tick does nothing.
     pub fn tick(&mut self, now: Time, generation: u64) -> bool {
         if self.paused || self.generation != generation {
             return false;
@@ -86,7 +89,8 @@
         true
     }
 
-    /// Takes what the process wants, and begins a new generation; none if nothing runs.
+    /// Takes the outputs of the process and begins a new generation; `None` if the process does not
+    /// run.
     pub fn take_outputs(&mut self, now: Time) -> Option<Outputs> {
         let view = self.view.as_mut()?;
         let mut datagrams: Vec<Transmit> = std::iter::from_fn(|| view.poll_transmit()).collect();
--- a/crates/simulation/src/cluster_benchmark.rs
+++ b/crates/simulation/src/cluster_benchmark.rs
@@ -1,6 +1,7 @@
-//! What routers' views come to, by the size of the cluster and loss: how soon a crash, a start and
-//! a heal are known, who is falsely reported lost, and what it costs. All in virtual time; only the
-//! processor time is the machine's.
+//! Benchmark of the routers' membership views by cluster size and datagram loss: how soon a crash,
+//! a start and the end of a partition are known, how many routers are falsely reported failed, and
+//! what the protocol costs. Everything runs in virtual time, so only the processor time depends on
+//! the machine.
 
 use crate::cluster::RouterCluster;
 use crate::link_fault::LinkFault;
@@ -11,30 +12,33 @@
 use serde::Serialize;
 use std::time::Instant;
 
-/// The crashes that are played, one after another; the worst counts.
+/// Number of crashes in one benchmark; the slowest of them is reported.
 const CRASHES: usize = 3;
-/// Nothing takes longer, or it counts as not known.
+/// Longest time that the benchmark waits for routers to learn something; after that it counts as
+/// unknown.
 const MAX_WAIT: Time = 120 * SEC;
-/// From convergence to what is measured first.
+/// Time between the first convergence and the first measurement.
 const SETTLING_TIME: Time = 30 * SEC;
-/// Time without faults in which traffic and cost are counted.
-const CALM_TIME: Time = 60 * SEC;
-/// A partition in halves lasts this long.
+/// Time without faults over which traffic and cost are measured.
+const IDLE_TIME: Time = 60 * SEC;
+/// Duration of the partition of the cluster into two halves.
 const PARTITION_TIME: Time = 30 * SEC;
-/// From a restart to the next crash.
+/// Time between the restart of a crashed router and the next crash.
 const RESTART_GAP: Time = 10 * SEC;
-/// What the views reported is counted and dropped this often: it would outgrow the cluster itself.
+/// Interval at which the reported changes are counted and dropped, as they would otherwise need
+/// more memory than the cluster itself.
 const COUNT_INTERVAL: Time = 60 * SEC;
 
-/// When something was known to parts of the routers, in seconds; none: not within 120 s.
+/// The seconds until shares of the routers knew something; `None` if it took longer than 120 s.
+/// Serialized as an array in the order of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[Option<f64>; 3]")]
 pub struct KnownTimes {
-    /// By half of them.
+    /// The time until half of the routers knew.
     pub half: Option<f64>,
-    /// By 99 in 100.
+    /// The time until 99% of the routers knew.
     pub most: Option<f64>,
-    /// By all.
+    /// The time until all routers knew.
     pub all: Option<f64>,
 }
 
@@ -45,9 +49,9 @@
 }
 
 impl KnownTimes {
-    const AT_ONCE: KnownTimes = KnownTimes { half: Some(0.0), most: Some(0.0), all: Some(0.0) };
+    const ZERO: KnownTimes = KnownTimes { half: Some(0.0), most: Some(0.0), all: Some(0.0) };
 
-    /// The later times of both.
+    /// The later of the two times for each share; `None` if either of them is.
     fn worst(self, other: KnownTimes) -> KnownTimes {
         let later = |one: Option<f64>, other: Option<f64>| Some(one?.max(other?));
         KnownTimes {
@@ -62,13 +66,13 @@
     }
 }
 
-/// Routers that were falsely reported lost; an array of both in JSON.
+/// Routers that were falsely reported failed, serialized as an array of both numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(usize, f64)")]
 pub struct FalseReports {
-    /// How many, each by how many others.
+    /// The number of reports, counted once per reporting router.
     pub reports: usize,
-    /// Within so many minutes.
+    /// The length of the observation, in minutes.
     pub minutes: f64,
 }
 
@@ -78,60 +82,65 @@
     }
 }
 
-/// One row of the table.
+/// The figures of one cluster size at one loss; a row of the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct BenchmarkRow {
-    /// Routers.
+    /// The number of routers.
     pub routers: usize,
-    /// Loss on every link.
+    /// The share of datagrams lost on every link, from 0 to 1.
     pub loss: f64,
-    /// All started at once hold one view, in seconds.
+    /// The seconds until all routers, started at the same time, hold the same view; `None` after
+    /// 120 s.
     pub joined_s: Option<f64>,
-    /// A crash is known to be one (the worst of three).
+    /// The time until a crashed router is known to have failed; the worst of three crashes.
     pub crash: KnownTimes,
-    /// A router that starts is known.
+    /// The time until a restarted router is known to be alive; the worst of three restarts.
     pub join: KnownTimes,
-    /// After a partition in halves all are known to all.
+    /// The time after a partition into halves until each half knows that a router of the other one
+    /// is alive.
     pub heal: KnownTimes,
-    /// All hold one view after that, in seconds.
+    /// The seconds after the same partition until all routers hold the same view; `None` after 120
+    /// s.
     pub healed_s: Option<f64>,
-    /// Routers falsely reported lost while there is no fault but loss.
+    /// Routers falsely reported failed while the only fault is datagram loss.
     pub falsely_lost: FalseReports,
-    /// Datagrams a router a second while nothing happens.
+    /// Datagrams that a router sends per second while nothing happens.
     pub datagrams_s: f64,
-    /// Their bytes.
+    /// Bytes that a router sends per second while nothing happens.
     pub bytes_s: f64,
-    /// Bytes a router in the second of the heal that had the most.
+    /// Bytes per router in the busiest second after the partition.
     #[serde(rename = "bytes_s_most")]
     pub max_bytes_s: f64,
-    /// Memory that a router's view takes, in KB.
+    /// The memory of a router's membership view, in units of 1000 bytes.
     pub memory_kb: f64,
-    /// Processor time a router a second, in microseconds, with that of the simulation.
+    /// Processor time per router and simulated second, in microseconds, including that of the
+    /// simulation.
     pub cpu_us_s: f64,
 }
 
-/// Plays every size at every loss, side by side on all cores, and gives the rows in that order.
+/// Runs the benchmark for every combination of cluster size and loss, in parallel on all cores, and
+/// returns the rows in that order.
 pub fn run(routers: &[usize], loss: &[f64], seed: u64, minutes: f64) -> Vec<BenchmarkRow> {
     let cases = routers.iter().flat_map(|routers| loss.iter().map(|loss| (*routers, *loss)));
     let cases: Vec<(usize, f64)> = cases.collect();
     cases.into_par_iter().map(|(routers, loss)| Benchmark::new(routers, loss, seed).run(minutes)).collect()
 }
 
-/// One case.
+/// The benchmark of one cluster size at one loss.
 struct Benchmark {
     cluster: RouterCluster,
     all: Vec<usize>,
     loss: f64,
 }
 
-/// What a cluster costs while nothing happens.
-struct CalmCost {
+/// The cost of a cluster in which nothing happens.
+struct IdleCost {
     datagrams_s: f64,
     bytes_s: f64,
     cpu_us_s: f64,
 }
 
-/// How a cluster heals.
+/// The recovery of a cluster from a partition.
 struct Healing {
     known: KnownTimes,
     healed_s: Option<f64>,
@@ -145,13 +154,13 @@
         Benchmark { cluster, all: (0..routers).collect(), loss }
     }
 
-    /// Runs all parts, one after another in the same cluster.
+    /// Runs all measurements one after another on the same cluster.
     fn run(mut self, minutes: f64) -> BenchmarkRow {
         let joined_s = self.join_all();
         self.cluster.run(SETTLING_TIME);
-        let calm_since = self.cluster.now;
-        let cost = self.measure_calm();
-        let falsely_lost = self.count_false_reports(calm_since, minutes);
+        let idle_since = self.cluster.now;
+        let cost = self.measure_idle_cost();
+        let falsely_lost = self.count_false_reports(idle_since, minutes);
         let memory_kb = self.memory_kb();
         let (crash, join) = self.crash_and_restart();
         let healing = self.partition_and_heal();
@@ -178,20 +187,21 @@
         joined.map(as_seconds)
     }
 
-    fn measure_calm(&mut self) -> CalmCost {
+    fn measure_idle_cost(&mut self) -> IdleCost {
         let before = self.cluster.sent;
         let clock = Instant::now();
-        self.cluster.run(CALM_TIME);
-        let per_router_second = 1.0 / self.all.len() as f64 / as_seconds(CALM_TIME);
+        self.cluster.run(IDLE_TIME);
+        let per_router_second = 1.0 / self.all.len() as f64 / as_seconds(IDLE_TIME);
         let sent = self.cluster.sent;
-        CalmCost {
+        IdleCost {
             cpu_us_s: clock.elapsed().as_micros() as f64 * per_router_second,
             datagrams_s: (sent.datagrams - before.datagrams) as f64 * per_router_second,
             bytes_s: (sent.bytes - before.bytes) as f64 * per_router_second,
         }
     }
 
-    /// Lets so many minutes pass and counts who was reported lost since then: nobody is.
+    /// Waits for so many minutes and counts the reports of failed routers since `since`; all of
+    /// them are false, because no router fails.
     fn count_false_reports(&mut self, since: Time, minutes: f64) -> FalseReports {
         let until = self.cluster.now + (minutes * 60e6) as Time;
         let mut reports = 0;
@@ -212,10 +222,10 @@
         bytes / self.all.len() as f64 / 1e3
     }
 
-    /// How soon crashes and restarts are known.
+    /// Measures how soon crashes and restarts are known to the other routers.
     fn crash_and_restart(&mut self) -> (KnownTimes, KnownTimes) {
-        let mut crash = KnownTimes::AT_ONCE;
-        let mut join = KnownTimes::AT_ONCE;
+        let mut crash = KnownTimes::ZERO;
+        let mut join = KnownTimes::ZERO;
         let routers = self.all.len();
         for number in 0..CRASHES {
             let crashed = routers - 1 - number * routers / 7 % routers;
@@ -238,10 +248,10 @@
         self.cluster.heal();
         let from = self.cluster.now;
         let mut sent = self.cluster.sent.bytes;
-        let first_of_other = *other.first().unwrap_or(&0);
+        let router_of_other = *other.first().unwrap_or(&0);
         let known = self.known(|cluster| {
-            let by_one = cluster.share_agreeing(one, first_of_other, MemberState::Alive);
-            by_one.min(cluster.share_agreeing(other, 0, MemberState::Alive))
+            let share_of_one = cluster.share_agreeing(one, router_of_other, MemberState::Alive);
+            share_of_one.min(cluster.share_agreeing(other, 0, MemberState::Alive))
         });
         let mut healed_s = None;
         let mut max_bytes_s = 0.0f64;
@@ -255,13 +265,13 @@
         Healing { known, healed_s, max_bytes_s }
     }
 
-    /// How long until a router has a state in the views of others.
+    /// The time until the routers in `by` see the router `of` in a state.
     fn state_known(&mut self, by: &[usize], of: usize, state: MemberState) -> KnownTimes {
         self.known(|cluster| cluster.share_agreeing(by, of, state))
     }
 
-    /// How long until half, 99 in 100 and all of the routers know something, of which `share` gives
-    /// the part.
+    /// The time until half, 99% and all of the routers know something; `share` returns the share of
+    /// them that knows it.
     fn known(&mut self, share: impl Fn(&RouterCluster) -> f64) -> KnownTimes {
         let from = self.cluster.now;
         let [half, most, all] = [0.5, 0.99, 1.0].map(|part| {
@@ -282,7 +292,7 @@
     | healed, s | falsely lost | datagrams/s | bytes/s | at most | KB | CPU us/s |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// The rows as a table in Markdown.
+/// Renders the rows as a Markdown table.
 pub fn table(rows: &[BenchmarkRow]) -> String {
     TABLE_HEADER.to_string() + &rows.iter().map(table_line).collect::<String>()
 }
--- a/crates/simulation/src/cluster_report.rs
+++ b/crates/simulation/src/cluster_report.rs
@@ -1,55 +1,58 @@
-//! What the routers' views of their cluster came to in a scenario.
+//! Figures of the routers' views of their cluster in a run.
 
 use crate::router_faults::{affected_routers, last_router_fault_end, router_indices};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use serde::Serialize;
 
-/// A fault counts for the views until this long after its end: whoever was lost has been found
-/// again by then. And so long a router has to be down for the others to have to notice it.
+/// Time after the end of a fault, in seconds, until which it still counts as affecting routers: a
+/// router reported failed has been found again by then. A router must also be down for this long
+/// before the others have to report it failed.
 const SETTLING_S: f64 = 12.0;
 
-/// What the views came to.
+/// The figures of the routers' views of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ClusterReport {
-    /// From the end of the last fault between or in routers until all that run held one view; none:
-    /// they did not.
+    /// The seconds from the end of the last fault that affects routers until all running routers
+    /// held the same view; `None` if they never did.
     #[serde(rename = "settled_s")]
     pub converged_s: Option<f64>,
-    /// Routers reported lost, by how many others, that no fault had concerned for 12 s.
+    /// The number of reports that a router failed, counted once per reporting router, although no
+    /// fault had affected either of the two within the 12 s before.
     #[serde(rename = "false_lost")]
     pub false_positives: u64,
-    /// Routers that were killed or stood still for 12 s and that others, whom no fault concerned,
-    /// never reported lost.
+    /// The number of missing reports: a router was killed or paused for at least 12 s, and a router
+    /// that no fault affected did not report it failed within 12 s. Each pair of the two counts
+    /// once.
     #[serde(rename = "missed_lost")]
     pub missed: u64,
-    /// Bytes that each router sent in a second.
+    /// The mean number of bytes that a router sent to other routers, per second.
     pub bytes_per_router_s: f64,
 }
 
-/// A router reported another one lost.
+/// A report by one router that another one failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LostReport {
-    /// When, in seconds since the start.
+    /// When the router was reported failed, in seconds since the start of the run.
     pub at_s: f64,
-    /// Who reported it, by index.
+    /// The index of the reporting router.
     pub by: usize,
-    /// Who was reported lost.
+    /// The index of the router that was reported failed.
     pub of: usize,
 }
 
-/// What was observed of the views.
+/// The observations of the routers' views during a run.
 #[derive(Clone, Debug, Default)]
 pub struct ViewObservations {
-    /// Reports of lost routers.
+    /// The reports of failed routers.
     pub lost: Vec<LostReport>,
-    /// When all that ran were first seen to hold one view after the last fault, in seconds since
-    /// the start.
+    /// When all running routers were first seen to hold the same view after the last fault, in
+    /// seconds since the start of the run; `None` if they never were.
     pub converged_at_s: Option<f64>,
-    /// Bytes that all routers sent.
+    /// The total size of all datagrams between routers, in bytes.
     pub bytes: u64,
 }
 
-/// Adds up what was observed.
+/// Computes the figures from the observations of a run.
 pub fn summarize_views(scenario: &Scenario, observed: &ViewObservations) -> ClusterReport {
     let fault_end_s = last_router_fault_end(scenario);
     let unfounded = |report: &&LostReport| {
@@ -65,7 +68,8 @@
     }
 }
 
-/// Whether a fault, or what it left behind, concerned a router within that time.
+/// Whether a fault, or the time that routers need to recover from it, affected a router between the
+/// two times.
 fn is_affected(scenario: &Scenario, router: usize, from_s: f64, to_s: f64) -> bool {
     scenario.faults.iter().any(|fault| {
         let settled_s = fault.for_s.map_or(f64::INFINITY, |seconds| fault.at_s + seconds + SETTLING_S);
@@ -74,7 +78,8 @@
     })
 }
 
-/// How often an unaffected router did not notice that a router was down under this fault.
+/// The number of missing reports under this fault. It is 0 for faults that take no router down for
+/// long enough.
 fn missed_losses(scenario: &Scenario, observed: &ViewObservations, fault: &Fault) -> u64 {
     let (FaultKind::Kill { routers } | FaultKind::Pause { routers }) = &fault.kind else { return 0 };
     let (from_s, to_s) = (fault.at_s, fault.at_s + SETTLING_S);
--- a/crates/simulation/src/relay.rs
+++ b/crates/simulation/src/relay.rs
@@ -1,6 +1,6 @@
-//! A relay for routers' datagrams on loopback: each router advertises one of the relay's addresses,
-//! and every directed link has the faults of a [`LinkFault`]. The sender of a datagram is known by
-//! the address that it came from.
+//! A relay for datagrams between routers on loopback. Each router advertises one of the relay's
+//! addresses, and every directed link has the faults of a [`LinkFault`]. The relay recognizes the
+//! sender of a datagram by its source address.
 
 use crate::event_queue::EventQueue;
 use crate::link_fault::{LinkFault, TrafficCounters};
@@ -16,32 +16,35 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const WAKE: Token = Token(usize::MAX);
-/// Delayed datagrams that are held; more are lost, as on a network.
+const WAKER_TOKEN: Token = Token(usize::MAX);
+/// Maximum number of delayed datagrams that the relay holds; further ones are dropped, as on a
+/// network.
 const MAX_DELAYED: usize = 100_000;
-/// The relay looks this often whether it is to end, also if it was not woken.
+/// Longest wait for sockets, after which the relay checks whether it has been stopped even if it
+/// was not woken.
 const MAX_WAIT: Duration = Duration::from_millis(100);
-/// No UDP datagram is larger.
+/// Read buffer size, which is larger than any UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Events taken in one turn.
+/// Maximum number of events taken from one poll.
 const MAX_EVENTS_PER_WAIT: usize = 64;
 
-/// What the relay's thread and its owner both use.
+/// State shared by the relay's thread and its owner.
 #[derive(Default)]
 struct Shared {
-    /// Where each router really listens, once that is known.
+    /// The address on which each router listens, by the router's index; absent until the router has
+    /// started.
     destinations: BTreeMap<usize, SocketAddr>,
-    /// Faults by sender and receiver; other links are sound.
+    /// The faults of directed links, by sender and receiver; other links have none.
     links: BTreeMap<(usize, usize), LinkFault>,
     sent: BTreeMap<usize, TrafficCounters>,
-    /// The latest datagram by sender and receiver, for replays.
+    /// The latest datagram on each directed link, by sender and receiver, for replays.
     latest: BTreeMap<(usize, usize), Vec<u8>>,
     stopped: bool,
 }
 
-/// The relay; it ends when it is dropped.
+/// A running relay, which stops when it is dropped.
 pub struct Relay {
-    /// What each router is to advertise.
+    /// The address that each router has to advertise, by the router's index.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Mutex<Shared>>,
     waker: Waker,
@@ -49,13 +52,13 @@
 }
 
 impl Relay {
-    /// One address for each of so many routers, at ports of the system's choice.
+    /// Starts a relay with one address per router, at free ports of the loopback interface.
     ///
     /// # Errors
-    /// The system gives no socket or thread.
+    /// The operating system provides no further socket or thread.
     pub fn start(routers: usize, seed: u64) -> io::Result<Relay> {
         let poll = Poll::new()?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
+        let waker = Waker::new(poll.registry(), WAKER_TOKEN)?;
         let mut sockets = Vec::new();
         for router in 0..routers {
             let mut socket = UdpSocket::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
@@ -80,12 +83,14 @@
         use_shared(&mut self.shared.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// That router listens there.
+    /// Sets the address on which a router listens. Datagrams for the router are dropped before
+    /// that, and so are those that it sends.
     pub fn set_destination(&self, router: usize, address: SocketAddr) {
         self.with_shared(|shared| shared.destinations.insert(router, address));
     }
 
-    /// One fault on every link from one group to another; the default mends them.
+    /// Sets one fault on every link from one group of routers to another; the default fault clears
+    /// them.
     pub fn set_link_fault(&self, from: &[usize], to: &[usize], fault: LinkFault) {
         self.with_shared(|shared| {
             for sender in from {
@@ -95,23 +100,23 @@
         });
     }
 
-    /// Cuts two groups off from each other, both ways.
+    /// Cuts two groups of routers off from each other, in both directions.
     pub fn partition(&self, one: &[usize], other: &[usize]) {
         self.set_link_fault(one, other, LinkFault::CUT);
         self.set_link_fault(other, one, LinkFault::CUT);
     }
 
-    /// Mends all links.
+    /// Clears the faults of all links.
     pub fn heal(&self) {
         self.with_shared(|shared| shared.links.clear());
     }
 
-    /// What a router has sent so far.
+    /// The datagrams that a router has sent so far, including those that the relay dropped.
     pub fn sent_by(&self, router: usize) -> TrafficCounters {
         self.with_shared(|shared| shared.sent.get(&router).copied().unwrap_or_default())
     }
 
-    /// The latest datagram from one router to another.
+    /// The latest datagram from one router to another, as it was sent; `None` if there was none.
     pub fn latest_datagram(&self, from: usize, to: usize) -> Option<Vec<u8>> {
         self.with_shared(|shared| shared.latest.get(&(from, to)).cloned())
     }
@@ -120,7 +125,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.with_shared(|shared| shared.stopped = true);
-        // A thread that can't be woken looks by itself within its wait.
+        // If waking fails, the thread notices the flag within `MAX_WAIT`.
         let _ = self.waker.wake();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -128,13 +133,13 @@
     }
 }
 
-/// A datagram that is delayed on its way to a router.
+/// A datagram that is held for a later delivery.
 struct Delayed {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// The relay's thread.
+/// The state of the relay's thread.
 struct RelayWorker {
     poll: Poll,
     sockets: Vec<UdpSocket>,
@@ -145,19 +150,19 @@
 }
 
 impl RelayWorker {
-    /// Relays until it is stopped, or waiting for sockets fails.
+    /// Relays datagrams until the owner stops the relay or polling the sockets fails.
     fn run(&mut self) {
         let mut events = Events::with_capacity(MAX_EVENTS_PER_WAIT);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let polled = self.poll.poll(&mut events, Some(self.wait()));
-            if polled.is_err_and(|error| error.kind() != io::ErrorKind::Interrupted) {
+            let poll_result = self.poll.poll(&mut events, Some(self.wait()));
+            if poll_result.is_err_and(|error| error.kind() != io::ErrorKind::Interrupted) {
                 return;
             }
             if self.shared().stopped {
                 return;
             }
-            for event in events.iter().filter(|event| event.token() != WAKE) {
+            for event in events.iter().filter(|event| event.token() != WAKER_TOKEN) {
                 self.read(event.token().0, &mut buffer);
             }
             while let Some((_, delayed)) = self.delayed.pop_due(self.now()) {
@@ -170,12 +175,13 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the start.
+    /// The time since the relay started.
     fn now(&self) -> Time {
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(Time::MAX)
     }
 
-    /// How long to wait for sockets: until the next delayed datagram is due.
+    /// The time to wait for sockets: until the next delayed datagram is due, but at most
+    /// `MAX_WAIT`.
     fn wait(&self) -> Duration {
         let due = self.delayed.due().map(|due| Duration::from_micros(due.saturating_sub(self.now())));
         due.unwrap_or(MAX_WAIT).min(MAX_WAIT)
@@ -187,9 +193,9 @@
         }
     }
 
-    /// Takes a datagram to a router and applies the faults of its link.
+    /// Applies the faults of its link to a datagram for a router and delivers or delays it.
     fn relay(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
-        let Some(fault) = self.record(from, to, bytes) else { return };
+        let Some(fault) = self.record_datagram(from, to, bytes) else { return };
         let mut bytes = bytes.to_vec();
         for _ in 0..fault.apply(&mut self.rng, &mut bytes) {
             let delay = fault.draw_delay(&mut self.rng);
@@ -201,8 +207,8 @@
         }
     }
 
-    /// Records a datagram and gives the fault of its link; none if its sender is no router.
-    fn record(&self, from: SocketAddr, to: usize, bytes: &[u8]) -> Option<LinkFault> {
+    /// Counts a datagram and returns the fault of its link; `None` if its sender is no router.
+    fn record_datagram(&self, from: SocketAddr, to: usize, bytes: &[u8]) -> Option<LinkFault> {
         let mut shared = self.shared();
         let sender = shared.destinations.iter().find(|(_, address)| **address == from)?;
         let sender = *sender.0;
@@ -214,7 +220,7 @@
     fn forward(&self, to: usize, bytes: &[u8]) {
         let destination = self.shared().destinations.get(&to).copied();
         if let Some(destination) = destination {
-            // What can't be sent is lost, as on a network.
+            // A datagram that can't be sent is lost, as on a network.
             let _ = self.sockets[to].send_to(bytes, destination);
         }
     }
