--- a/crates/simulation/src/multi_process/clients.rs
+++ b/crates/simulation/src/multi_process/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections to routers.
+//! Clients' connections to the routers, and the client protocol on them.
 
 use super::connections::{Connection, ConnectionRole};
 use super::{Driver, MultiProcessError};
@@ -9,17 +9,18 @@
 use mio::net::TcpStream;
 use std::collections::BTreeMap;
 
-/// Attempts open on one connection.
+/// Maximum number of open attempts on one connection.
 const MAX_OPEN_PER_CONNECTION: usize = 24;
-/// Connections to one router.
+/// Number of connections to one router from which on attempts share connections; more are opened
+/// only when all of them are full.
 const MAX_CONNECTIONS_PER_ROUTER: usize = 24;
 
-/// A client's attempt that is open at a router.
+/// A client's attempt that waits for the router's answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenAttempt {
-    /// The connection.
+    /// The token of the connection that the attempt was sent on.
     token: usize,
-    /// What it is called there.
+    /// The tag that identifies the attempt on its connection.
     tag: u64,
 }
 
@@ -44,7 +45,9 @@
         Ok(())
     }
 
-    /// The least loaded connection to a router; none if another one is to be opened.
+    /// Chooses the connection to a router that has the fewest open attempts; `None` if a new
+    /// connection should be opened instead. Connections are only shared by attempts once their
+    /// maximum number is open.
     fn usable_connection(&self, router: usize) -> Option<usize> {
         let load = |token: &usize| match self.connections.get(token).map(|connection| &connection.role) {
             Some(ConnectionRole::Client { open, .. }) => open.len(),
@@ -69,7 +72,8 @@
         Ok(token)
     }
 
-    /// Notes an attempt as open on a connection, under the tag that it gets there.
+    /// Records an attempt as open on a connection and returns its tag; `None` if the connection no
+    /// longer exists.
     fn open_on_connection(&mut self, token: usize, id: u64) -> Option<u64> {
         let Connection { role, .. } = self.connections.get_mut(&token)?;
         let ConnectionRole::Client { open, next_tag, .. } = role else { return None };
@@ -94,7 +98,7 @@
         push_bulk_string(out, b"");
     }
 
-    /// A client stops waiting.
+    /// Sends UNDO for an attempt whose client stopped waiting.
     pub(super) fn cancel_client_attempt(&mut self, id: u64) {
         let Some(OpenAttempt { token, tag }) = self.open.remove(&id) else { return };
         if let Some(Connection { role: ConnectionRole::Client { open, .. }, .. }) =
@@ -109,14 +113,14 @@
         self.write(token, &out);
     }
 
-    /// A router answers a client.
+    /// Processes a router's answer to a client.
     pub(super) fn on_client_frame(&mut self, token: usize, frame: &Frame) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let ConnectionRole::Client { open, .. } = &mut connection.role else { return };
         let word = |index: usize| frame.words.get(index).map_or(&[][..], Vec::as_slice);
         let Some(id) = parse_decimal(word(0)).and_then(|tag| open.remove(&tag)) else {
-            // The client has stopped waiting, of which UNDO tells the router; or it is a second
-            // answer.
+            // Either the client stopped waiting before the router read its UNDO, or this is a
+            // second answer; the two can't be told apart here.
             return;
         };
         self.open.remove(&id);
--- a/crates/simulation/src/multi_process/connections.rs
+++ b/crates/simulation/src/multi_process/connections.rs
@@ -1,5 +1,5 @@
-//! The driver's sockets: listeners, connections of routers to servers and feeds, connections of
-//! clients to routers.
+//! The driver's sockets: listeners, routers' connections to servers and feeds, and clients'
+//! connections to routers.
 
 use super::error::Operation;
 use super::{Driver, MultiProcessError};
@@ -11,40 +11,43 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
 
-/// Elements of an array that the decoders take at most.
+/// Maximum number of elements of an array that the decoders accept.
 const MAX_ARRAY_ELEMENTS: usize = 3;
-/// Bytes read at once.
+/// Size of the buffer for one read, in bytes.
 const READ_BUFFER_BYTES: usize = 65_536;
 
-/// What a socket is for.
+/// The purpose of a socket, with its state.
 pub(super) enum ConnectionRole {
     /// Accepts routers' connections to a server.
     ServerListener { listener: TcpListener, server: usize },
     /// Accepts a router's connections to its endpoint feed.
     FeedListener { listener: TcpListener, router: usize },
-    /// A router's connection to a server, with the attempts that are open there, by their id on the
-    /// wire.
+    /// A router's connection to a server. `open` maps the wire ids of the attempts on it to their
+    /// ids in the model.
     Server { server: usize, open: HashMap<Vec<u8>, u64> },
-    /// A router's endpoint feed, with the head of its request so far.
+    /// A router's connection to its endpoint feed. `head` is the part of the request's head that
+    /// has arrived.
     Feed { router: usize, opened: bool, head: Vec<u8> },
-    /// A client's connection to a router, with the attempts that are open there, by their tag.
+    /// A client's connection to a router. `open` maps the tags of the attempts on it to the ids of
+    /// the clients' requests.
     Client { router: usize, open: BTreeMap<u64, u64>, next_tag: u64 },
 }
 
-/// A socket.
+/// A socket with its buffers.
 pub(super) struct Connection {
     pub role: ConnectionRole,
-    /// None for listeners.
+    /// The stream; `None` for listeners, which are in the role.
     stream: Option<TcpStream>,
     decoder: Decoder,
     out: Vec<u8>,
-    /// Bytes of `out` that are written.
+    /// The number of bytes of `out` that have been written.
     written: usize,
-    /// Nothing is read or written any more, and nothing closed.
+    /// Whether the connection belongs to an unreachable server: it stays open, but nothing is read
+    /// or written.
     pub silent: bool,
 }
 
-/// What a read brought.
+/// The result of a read.
 enum ReadResult {
     Bytes(usize),
     Nothing,
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Writes as much as the socket takes: whether the connection is still there.
+    /// Writes as much of the output as the socket accepts, and returns whether the connection is
+    /// still usable.
     fn write_out(&mut self) -> bool {
         let Some(stream) = &mut self.stream else { return false };
         while self.written < self.out.len() {
@@ -82,7 +86,8 @@
         true
     }
 
-    /// Decodes bytes: the frames, and whether the bytes broke the protocol behind them.
+    /// Decodes bytes into frames, and returns whether the bytes after the last frame violate the
+    /// protocol.
     fn decode(&mut self, mut bytes: &[u8]) -> (Vec<Frame>, bool) {
         let mut frames = Vec::new();
         loop {
@@ -100,7 +105,7 @@
 }
 
 impl Driver {
-    /// Registers a socket under a new token.
+    /// Registers a socket for polling under a new token.
     pub(super) fn add_connection(
         &mut self,
         mut role: ConnectionRole,
@@ -116,7 +121,7 @@
                 _,
             ) => registry.register(listener, Token(token), Interest::READABLE),
             (_, Some(stream)) => {
-                // It works without, only later.
+                // Without TCP_NODELAY the connection still works, but with longer delays.
                 let _ = stream.set_nodelay(true);
                 registry.register(stream, Token(token), Interest::READABLE | Interest::WRITABLE)
             }
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Closes a connection: what was open on it is lost.
+    /// Closes a connection; the attempts that are open on it are lost.
     pub(super) fn close(&mut self, token: usize) {
         let Some(connection) = self.connections.remove(&token) else { return };
         match connection.role {
--- a/crates/simulation/src/multi_process/endpoint_feed.rs
+++ b/crates/simulation/src/multi_process/endpoint_feed.rs
@@ -1,5 +1,4 @@
-//! The endpoint feeds of the routers: server-sent events, in the order in which they were
-//! published.
+//! The endpoint feeds of the routers: server-sent events in the order in which they were published.
 
 use super::connections::ConnectionRole;
 use super::Driver;
@@ -7,22 +6,22 @@
 use crate::{Time, SEC};
 use std::net::SocketAddr;
 
-/// A comment keeps the feeds alive this often.
+/// Interval of the comments that keep the feeds' connections alive.
 const HEARTBEAT_INTERVAL: Time = SEC;
-/// The number of the first event: the list that the routers' configuration holds.
+/// Number of the first event, the initial endpoint list, which the routers' configuration contains.
 const INITIAL_EVENT: usize = 1;
 
-/// The events of the feed, which all routers receive.
+/// The state of the endpoint feed; all routers receive the same events.
 pub(super) struct EndpointFeed {
-    /// Where each router's feed is.
+    /// The address of each router's feed, by the router's index.
     pub addresses: Vec<SocketAddr>,
-    /// The connection of each router's feed, by token.
+    /// The token of each router's feed connection; `None` while it has none.
     connections: Vec<Option<usize>>,
-    /// All events as text, from the second on.
+    /// The text of all published events except the initial one, oldest first.
     events: Vec<String>,
-    /// How many of them are due when.
+    /// The times at which events become due; the value is the number of events due by then.
     due: EventQueue<usize>,
-    /// How many have been sent.
+    /// The number of events that were sent.
     sent: usize,
     heartbeat_sent: Time,
 }
@@ -43,21 +42,22 @@
         self.due.due()
     }
 
-    /// Adds an event, made from its number, that is to be sent at that time.
+    /// Publishes an event, made from its number, that is sent at the given time.
     pub fn publish(&mut self, at: Time, event: impl FnOnce(u64) -> String) {
         let number = (self.events.len() + 1 + INITIAL_EVENT) as u64;
         self.events.push(format!("id: {number}\ndata: {}\n\n", event(number)));
         self.due.push(at, self.events.len());
     }
 
-    /// A router's feed was closed.
+    /// Records that a router's feed connection was closed.
     pub fn on_closed(&mut self, router: usize, token: usize) {
         if self.connections[router] == Some(token) {
             self.connections[router] = None;
         }
     }
 
-    /// The text that is due now. Events keep their order: a late one holds up those behind it.
+    /// Returns the text of the events that are due. Events keep their order: an event that becomes
+    /// due also releases all events before it.
     fn take_due(&mut self, now: Time) -> String {
         let from = self.sent;
         while let Some((_, count)) = self.due.pop_due(now) {
@@ -68,7 +68,8 @@
 }
 
 impl Driver {
-    /// Reads the head of a router's request for its feed, and answers it once it is complete.
+    /// Collects the head of a router's request for its feed, and answers the request once the head
+    /// is complete.
     pub(super) fn on_feed_bytes(&mut self, token: usize, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let ConnectionRole::Feed { router, opened, head } = &mut connection.role else { return };
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Answers a feed's request with the events that the router has not seen.
+    /// Answers a router's request for its feed with the events that it has not received yet.
     fn open_feed(&mut self, token: usize, router: usize, head: &str) {
         let last_event = head.lines().find_map(|line| line.strip_prefix("Last-Event-ID: "));
         let last_event = last_event.and_then(|id| id.trim().parse::<usize>().ok());
@@ -94,7 +95,7 @@
         self.write(token, &answer);
     }
 
-    /// Sends events that are due, and heartbeats.
+    /// Sends the events that are due, and heartbeats.
     pub(super) fn send_feed(&mut self) {
         let text = self.feed.take_due(self.now);
         if !text.is_empty() {
--- a/crates/simulation/src/multi_process/error.rs
+++ b/crates/simulation/src/multi_process/error.rs
@@ -1,35 +1,35 @@
-//! Why a scenario can't be played on sockets.
+//! Errors of runs on sockets.
 
 use std::io;
 
-/// Why a scenario can't be played on sockets.
+/// The error of a scenario that can't be run on sockets.
 #[derive(Debug, thiserror::Error)]
 pub enum MultiProcessError {
-    /// The system refused an operation.
+    /// A system call failed.
     #[error("could not {operation}: {source}")]
     System {
-        /// What was tried.
+        /// The operation that failed, as a verb phrase such as "wait for sockets".
         operation: &'static str,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
     /// A router's process could not be started.
     #[error("could not start the process of router {router}: {source}")]
     RouterStart {
-        /// The router's name.
+        /// The name of the router.
         router: String,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A router did not say in time where it listens.
-    #[error("router {router} did not start")]
+    /// A router did not log its listening address in time.
+    #[error("router {router} did not log its listening address in time")]
     RouterSilent {
-        /// The router's name.
+        /// The name of the router.
         router: String,
     },
 }
 
-/// Names the operation of an I/O error.
+/// Adds the name of the failed operation to an I/O error.
 pub(super) trait Operation<T> {
     fn during(self, operation: &'static str) -> Result<T, MultiProcessError>;
 }
--- a/crates/simulation/src/multi_process/mod.rs
+++ b/crates/simulation/src/multi_process/mod.rs
@@ -1,6 +1,6 @@
-//! A scenario on real sockets: stand-in servers and endpoint feeds on loopback, real router
-//! processes, clients whose arrivals wait for nothing. One thread plays all of it and ends it by
-//! itself.
+//! Runs a scenario on real sockets: stand-in servers and endpoint feeds on loopback, real router
+//! processes, and clients whose arrivals do not wait for answers. One thread drives everything and
+//! stops the router processes at the end.
 
 mod clients;
 mod connections;
@@ -30,7 +30,7 @@
 use hollymux_router::buffers::BufferPool;
 use mio::net::TcpListener;
 use mio::{Events, Poll};
-use router_process::{LostLog, RouterProcess};
+use router_process::{FailureLog, RouterProcess};
 use servers::AttemptInFlight;
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -38,27 +38,27 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What is open when no more load is offered has this long.
+/// Time that open requests have to end after clients have stopped sending.
 const DRAIN_TIMEOUT: Time = 8 * SEC;
-/// The longest wait for sockets: faults and views are looked at in between.
+/// Longest wait for sockets; due faults and the routers' views are checked in between.
 const MAX_WAIT: Time = 50 * MS;
-/// Events taken in one turn.
+/// Maximum number of events taken from one poll.
 const MAX_EVENTS_PER_WAIT: usize = 1_024;
-/// Buffers of the decoders.
+/// Buffers in the pool of the decoders.
 const BUFFERS: usize = 4_096;
 
-/// How routers are started.
+/// Options for starting the router processes.
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
-    /// The program.
+    /// The path of the hollymux program.
     pub program: PathBuf,
-    /// Where configurations and logs are put.
+    /// The directory for the routers' configuration files and logs.
     pub dir: PathBuf,
-    /// Where the routers record their load.
+    /// The directory for the routers' traffic recordings.
     pub record: PathBuf,
 }
 
-/// Everything that the thread plays with.
+/// The state of the driving thread.
 struct Driver {
     scenario: Scenario,
     seed: u64,
@@ -74,33 +74,34 @@
     model: ServerModel,
     clients: Clients,
     routers: Vec<RouterProcess>,
-    /// The addresses of the servers.
+    /// The addresses of the servers, by index.
     endpoints: Vec<SocketAddr>,
-    /// Routers' attempts at servers, by the id that the model knows them by.
+    /// The routers' attempts at servers, by the id that the model uses.
     attempts: HashMap<u64, AttemptInFlight>,
     next_attempt_id: u64,
-    /// Clients' attempts, by the id of the client's request.
+    /// The clients' open attempts, by the id of the client's request.
     open: HashMap<u64, OpenAttempt>,
     feed: EndpointFeed,
     counters: DriverCounters,
-    /// What is between routers that form a cluster.
+    /// The relay between the routers; `None` if they form no cluster.
     relay: Option<Relay>,
-    lost_log: LostLog,
+    failure_log: FailureLog,
     views: ViewObservations,
     views_checked: Time,
-    /// Faults between and in routers that are still to begin or end.
+    /// Beginnings and ends of the scenario's faults that have not been applied yet. Those that only
+    /// affect servers or clients are applied by the models.
     faults: EventQueue<crate::scenario::FaultStep>,
 }
 
-/// Plays a scenario. Ends within the scenario's length and twenty seconds.
+/// Runs a scenario. It takes at most twenty seconds longer than the scenario's length.
 ///
 /// # Errors
-/// A socket can't be had, or a router doesn't start.
+/// A socket can't be created, or a router does not start.
 pub fn play(scenario: &Scenario, seed: u64, options: &RouterOptions) -> Result<RunResult, MultiProcessError> {
     let mut driver = Driver::new(scenario, seed, options)?;
     driver.open_servers()?;
     driver.start_routers()?;
-    driver.begin();
+    driver.start_scenario();
     driver.run()?;
     Ok(driver.finish())
 }
@@ -143,14 +144,14 @@
             feed: EndpointFeed::new(routers),
             counters: DriverCounters::default(),
             relay,
-            lost_log: LostLog::default(),
+            failure_log: FailureLog::default(),
             views: ViewObservations::default(),
             views_checked: 0,
             faults: EventQueue::default(),
         })
     }
 
-    /// Listens for every server.
+    /// Opens a listening socket for every server.
     fn open_servers(&mut self) -> Result<(), MultiProcessError> {
         for server in 0..self.model.servers.len() {
             let listener = TcpListener::bind(any_loopback_port()).during("listen for a server")?;
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// Listens for every router's endpoint feed, and starts the router.
+    /// Opens a listening socket for every router's endpoint feed, and starts the router.
     fn start_routers(&mut self) -> Result<(), MultiProcessError> {
         for slot in router_slots(&self.scenario) {
             let listener = TcpListener::bind(any_loopback_port()).during("listen for a feed")?;
@@ -173,8 +174,8 @@
         Ok(())
     }
 
-    /// The scenario starts once the routers run.
-    fn begin(&mut self) {
+    /// Starts the scenario's time, after all routers have started.
+    fn start_scenario(&mut self) {
         self.start = self.clock();
         self.started = Instant::now();
         self.model = ServerModel::new(&self.scenario, self.start, self.seed);
@@ -207,18 +208,18 @@
             if self.now >= end && (!self.clients.waiting() || self.now >= end + DRAIN_TIMEOUT) {
                 return Ok(());
             }
-            self.do_what_is_due()?;
+            self.process_due_events()?;
             self.wait_for_sockets(&mut events)?;
         }
     }
 
-    fn do_what_is_due(&mut self) -> Result<(), MultiProcessError> {
+    fn process_due_events(&mut self) -> Result<(), MultiProcessError> {
         self.apply_due_faults()?;
         self.check_convergence();
         self.model.advance(self.now);
         self.clients.advance(self.now);
         self.send_feed();
-        self.settle()
+        self.drain_outputs()
     }
 
     fn wait_for_sockets(&mut self, events: &mut Events) -> Result<(), MultiProcessError> {
@@ -239,8 +240,8 @@
         Ok(())
     }
 
-    /// Passes on what the model and the clients want, until they want nothing more.
-    fn settle(&mut self) -> Result<(), MultiProcessError> {
+    /// Passes on the outputs of the model and of the clients until neither has any more.
+    fn drain_outputs(&mut self) -> Result<(), MultiProcessError> {
         loop {
             let events = std::mem::take(&mut self.model.events);
             let to_send = std::mem::take(&mut self.clients.to_send);
@@ -267,13 +268,13 @@
 
     fn stop_accounting(&mut self) {
         self.model.stop_accounting();
-        let counted_s = self.scenario.seconds - self.scenario.warm_up_s;
+        let accounted_s = self.scenario.seconds - self.scenario.warm_up_s;
         let routers = self.routers.iter().enumerate();
-        let cores = routers.map(|(index, router)| router.core_use(index, counted_s)).collect();
+        let cores = routers.map(|(index, router)| router.core_use(index, accounted_s)).collect();
         self.model.add_resource_use(cores);
     }
 
-    /// Ends the routers and hands over what was counted.
+    /// Shuts the routers down and returns the result of the run.
     fn finish(mut self) -> RunResult {
         if self.relay.is_some() {
             self.collect_view_observations();
--- a/crates/simulation/src/multi_process/router_process.rs
+++ b/crates/simulation/src/multi_process/router_process.rs
@@ -1,4 +1,4 @@
-//! One router's process: its start, its log, its signals and its use of the processor.
+//! The process of one router: its start, its log, its signals and its processor time.
 
 use super::{any_loopback_port, MultiProcessError, RouterOptions};
 use crate::model::ResourceUse;
@@ -11,90 +11,95 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A router says where it listens within this, and ends within this, or it counts as failed.
+/// Time in which a router must log its listening address after its start, and must exit after
+/// SIGTERM.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The admin endpoint of a router on this machine answers within this.
+/// Time in which the admin endpoint of a router must accept a connection and send each part of its
+/// answer.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(200);
-/// From one look whether routers have ended to the next.
+/// Interval at which routers are checked for their exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Positions of the user and system time among the fields of `/proc/PID/stat` behind the process's
+/// Positions of user and system time among the fields of `/proc/PID/stat` that follow the process's
 /// name.
 const STAT_USER_TIME: usize = 11;
 const STAT_SYSTEM_TIME: usize = 12;
 
-/// What a router's log names its addresses by.
+/// The log texts that precede a router's addresses.
 const LISTENING_LOG: &str = "listening on ";
 const ADMIN_LOG: &str = "admin endpoint listening address=";
 const CLUSTER_LOG: &str = "cluster socket listening address=";
-/// What a router's log says of a lost router; its address follows.
-const LOST_LOG: &str = "cluster: router failed";
+/// The log text of a router that reports another one failed. The line also contains the address of
+/// that one.
+const ROUTER_FAILED_LOG: &str = "cluster: router failed";
 
-/// A line of a router's log that says that another router is lost.
-pub(super) struct LostLogLine {
+/// A line of a router's log that reports another router failed.
+pub(super) struct FailureLogLine {
     pub at: Instant,
-    /// Whose log it is.
+    /// The index of the router that wrote the line.
     pub by: usize,
     line: String,
 }
 
-impl LostLogLine {
-    /// Whether it is the router at this address that is lost.
+impl FailureLogLine {
+    /// Whether the line reports the router at this address.
     pub fn names(&self, address: SocketAddr) -> bool {
         self.line.contains(&format!(" address={address} "))
     }
 }
 
-/// Lines that the routers' logs had of lost routers, filled by the threads that read the logs.
+/// The log lines that report failed routers, collected by the threads that read the routers' logs.
 #[derive(Clone, Default)]
-pub(super) struct LostLog(Arc<Mutex<Vec<LostLogLine>>>);
+pub(super) struct FailureLog(Arc<Mutex<Vec<FailureLogLine>>>);
 
-impl LostLog {
-    fn push(&self, line: LostLogLine) {
+impl FailureLog {
+    fn push(&self, line: FailureLogLine) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).push(line);
     }
 
-    /// Takes all lines so far.
-    pub fn take(&self) -> Vec<LostLogLine> {
+    /// Removes and returns the lines collected so far.
+    pub fn take(&self) -> Vec<FailureLogLine> {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// Where a router listens, as its log says.
+/// The addresses that a router logs before the one for clients; `None` for those that it has not
+/// logged.
 #[derive(Clone, Copy, Default)]
 struct RouterAddresses {
     admin: Option<SocketAddr>,
     cluster: Option<SocketAddr>,
 }
 
-/// A router process; it ends with this value.
+/// A running router process, which is killed when this value is dropped.
 pub(super) struct RouterProcess {
     child: Child,
-    /// Where clients are served.
+    /// The address on which the router serves clients.
     pub address: SocketAddr,
-    /// The admin endpoint, and where datagrams of other routers are received, if configured.
+    /// The addresses of the admin endpoint and of the cluster socket; `None` if they are not
+    /// configured.
     pub admin: Option<SocketAddr>,
     pub cluster: Option<SocketAddr>,
-    /// It was killed by a fault.
-    pub dead: bool,
-    /// Connections of clients to it, by token.
+    /// Whether a fault has killed the process.
+    pub killed: bool,
+    /// Tokens of the clients' connections to the router.
     pub connections: Vec<usize>,
-    /// Ticks of processor time that it had used when accounting started.
-    ticks_before: u64,
+    /// Processor time of the process when accounting started, in clock ticks.
+    ticks_at_accounting_start: u64,
 }
 
 impl Drop for RouterProcess {
     fn drop(&mut self) {
-        // One that has ended by itself needs neither.
+        // Both fail without harm if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The files and sections that a router is started with.
+/// The contents of the files that a router is started with.
 pub(super) struct RouterFiles {
     pub index: usize,
     pub config: String,
-    /// The cluster section of the operator's file; null for none.
+    /// The cluster section of the operator's file; null if the routers form no cluster.
     pub cluster_section: serde_json::Value,
 }
 
@@ -105,61 +110,62 @@
 }
 
 impl RouterProcess {
-    /// Starts a router and waits until it listens.
+    /// Starts a router and waits until it listens for clients.
     pub fn start(
         options: &RouterOptions,
         files: &RouterFiles,
-        lost_log: LostLog,
+        failure_log: FailureLog,
     ) -> Result<RouterProcess, MultiProcessError> {
-        let failed = |source| MultiProcessError::RouterStart { router: files.name(), source };
-        let mut child = spawn(options, files).map_err(failed)?;
-        let stderr = child.stderr.take().ok_or_else(|| failed(ErrorKind::BrokenPipe.into()))?;
-        // The child ends with this value, also if it never comes up.
+        let start_error = |source| MultiProcessError::RouterStart { router: files.name(), source };
+        let mut child = spawn(options, files).map_err(start_error)?;
+        let stderr = child.stderr.take().ok_or_else(|| start_error(ErrorKind::BrokenPipe.into()))?;
+        // From here on an error drops this value, which kills the child process.
         let mut process = RouterProcess {
             child,
             address: any_loopback_port(),
             admin: None,
             cluster: None,
-            dead: false,
+            killed: false,
             connections: Vec::new(),
-            ticks_before: 0,
+            ticks_at_accounting_start: 0,
         };
         let log_path = options.dir.join(format!("{}.log", files.name()));
-        let log = File::options().create(true).append(true).open(log_path).map_err(failed)?;
+        let log = File::options().create(true).append(true).open(log_path).map_err(start_error)?;
         let (listening, started) = channel();
-        let reader = LogReader { router: files.index, log, listening, lost_log };
+        let reader = LogReader { router: files.index, log, listening, failure_log };
         std::thread::Builder::new()
             .name(format!("log of {}", files.name()))
             .spawn(move || reader.run(stderr))
-            .map_err(failed)?;
-        let (address, others) = started
+            .map_err(start_error)?;
+        let (address, other_addresses) = started
             .recv_timeout(ROUTER_TIMEOUT)
             .map_err(|_| MultiProcessError::RouterSilent { router: files.name() })?;
         process.address = address;
-        process.admin = others.admin;
-        process.cluster = others.cluster;
+        process.admin = other_addresses.admin;
+        process.cluster = other_addresses.cluster;
         Ok(process)
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(rustix::process::Pid::from_raw);
         if let Some(id) = id {
-            // One that has ended needs none.
+            // The signal may fail because the process has already ended.
             let _ = rustix::process::kill_process(id, signal);
         }
     }
 
-    /// From now on its use of the processor counts.
+    /// Starts accounting: processor time from now on counts.
     pub fn start_accounting(&mut self) {
-        self.ticks_before = processor_ticks(self.child.id());
+        self.ticks_at_accounting_start = processor_ticks(self.child.id());
     }
 
-    /// How much of a core it used in the seconds that count.
-    pub fn core_use(&self, index: usize, counted_s: f64) -> ResourceUse {
-        let ticks = processor_ticks(self.child.id()).saturating_sub(self.ticks_before);
+    /// The share of one core that the process has used since accounting started, over `accounted_s`
+    /// seconds.
+    pub fn core_use(&self, index: usize, accounted_s: f64) -> ResourceUse {
+        let ticks = processor_ticks(self.child.id()).saturating_sub(self.ticks_at_accounting_start);
         let ticks_per_s = rustix::param::clock_ticks_per_second() as f64;
-        let part = ticks as f64 / ticks_per_s / counted_s;
+        let part = ticks as f64 / ticks_per_s / accounted_s;
         ResourceUse { name: format!("n{} core", index + 1), part, bytes: None }
     }
 
@@ -178,7 +184,7 @@
         .arg("serve")
         .arg("--config")
         .arg(&config)
-        // Its end follows that of this process, however that ends.
+        // The router exits when this process does, in whatever way that ends.
         .arg("--with-parent")
         .arg("--operator")
         .arg(&operator)
@@ -188,39 +194,40 @@
         .spawn()
 }
 
-/// The thread that reads a router's log.
+/// The state of the thread that reads a router's log.
 struct LogReader {
     router: usize,
     log: File,
-    /// Where it reports that the router listens.
+    /// Receives the router's addresses when it listens for clients.
     listening: Sender<(SocketAddr, RouterAddresses)>,
-    lost_log: LostLog,
+    failure_log: FailureLog,
 }
 
 impl LogReader {
     fn run(mut self, stderr: ChildStderr) {
-        let mut others = RouterAddresses::default();
+        let mut addresses = RouterAddresses::default();
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-            // A log that can't be written is no reason to end the run.
+            // A copy of the log that can't be written does not end the run.
             let _ = writeln!(self.log, "{line}");
-            others.admin = others.admin.or_else(|| address_after(&line, ADMIN_LOG));
-            others.cluster = others.cluster.or_else(|| address_after(&line, CLUSTER_LOG));
+            addresses.admin = addresses.admin.or_else(|| address_after(&line, ADMIN_LOG));
+            addresses.cluster = addresses.cluster.or_else(|| address_after(&line, CLUSTER_LOG));
             if let Some(address) = address_after(&line, LISTENING_LOG) {
-                // Nobody waits any more if it comes too late.
-                let _ = self.listening.send((address, others));
+                // Sending fails if the driver has stopped waiting for the start.
+                let _ = self.listening.send((address, addresses));
             }
-            if line.contains(LOST_LOG) {
-                self.lost_log.push(LostLogLine { at: Instant::now(), by: self.router, line });
+            if line.contains(ROUTER_FAILED_LOG) {
+                self.failure_log.push(FailureLogLine { at: Instant::now(), by: self.router, line });
             }
         }
     }
 }
 
-fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
-    line.split_once(words)?.1.trim().parse().ok()
+fn address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
+    line.split_once(prefix)?.1.trim().parse().ok()
 }
 
-/// The status of the cluster from a router's admin endpoint; none if it does not answer in time.
+/// The cluster status from a router's admin endpoint; `None` if it does not answer in time or not
+/// with JSON.
 pub(super) fn cluster_status(admin: SocketAddr) -> Option<serde_json::Value> {
     let mut socket = TcpStream::connect_timeout(&admin, STATUS_TIMEOUT).ok()?;
     socket.set_read_timeout(Some(STATUS_TIMEOUT)).ok()?;
@@ -231,11 +238,11 @@
     serde_json::from_str(body).ok()
 }
 
-/// Lets routers end by themselves, so that their recordings are complete; those that take too long
-/// are killed.
+/// Shuts routers down in an orderly way, so that their recordings are complete. Those that take
+/// longer than the timeout are killed.
 pub(super) fn shut_down(mut routers: Vec<RouterProcess>) {
     for router in &routers {
-        // One that is paused can't act on SIGTERM.
+        // A paused process can't handle SIGTERM.
         router.signal(Signal::CONT);
         router.signal(Signal::TERM);
     }
@@ -245,12 +252,12 @@
     }
 }
 
-/// Ticks of processor time that a process has used; 0 if it is gone.
+/// The processor time that a process has used, in clock ticks; 0 if the process has ended.
 fn processor_ticks(process_id: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).unwrap_or_default();
-    // The process's name stands in brackets and may hold spaces.
-    let behind_name = stat.rsplit(") ").next().unwrap_or_default();
-    let fields: Vec<u64> = behind_name.split(' ').map(|field| field.parse().unwrap_or(0)).collect();
+    // The process's name is in brackets and may contain spaces.
+    let after_name = stat.rsplit(") ").next().unwrap_or_default();
+    let fields: Vec<u64> = after_name.split(' ').map(|field| field.parse().unwrap_or(0)).collect();
     let field = |position: usize| fields.get(position).copied().unwrap_or(0);
     field(STAT_USER_TIME) + field(STAT_SYSTEM_TIME)
 }
--- a/crates/simulation/src/multi_process/routers.rs
+++ b/crates/simulation/src/multi_process/routers.rs
@@ -1,4 +1,5 @@
-//! The routers' processes, faults between and in them, and their views of each other.
+//! The router processes of a run: their configuration, the faults that affect them, and their views
+//! of each other.
 
 use super::router_process::{cluster_status, RouterFiles, RouterProcess};
 use super::{Driver, MultiProcessError};
@@ -13,11 +14,11 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// From one comparison of the routers' views to the next.
+/// Interval between two comparisons of the routers' views.
 const VIEW_CHECK_INTERVAL: Time = 200 * MS;
 
 impl Driver {
-    /// Starts a router's process with its configuration as it is now.
+    /// Starts a router's process with its present configuration.
     pub(super) fn start_router(&self, index: usize) -> Result<RouterProcess, MultiProcessError> {
         let slot = router_slots(&self.scenario)[index];
         let feed = self.feed.addresses[index];
@@ -27,14 +28,14 @@
         }
         let cluster_section = self.cluster_section(index);
         let files = RouterFiles { index, config: config.to_string(), cluster_section };
-        let router = RouterProcess::start(&self.options, &files, self.lost_log.clone())?;
+        let router = RouterProcess::start(&self.options, &files, self.failure_log.clone())?;
         if let (Some(relay), Some(address)) = (&self.relay, router.cluster) {
             relay.set_destination(index, address);
         }
         Ok(router)
     }
 
-    /// The cluster section of a router's operator's file; null where routers form no cluster.
+    /// The cluster section of a router's operator's file; null if the routers form no cluster.
     fn cluster_section(&self, index: usize) -> Value {
         let Some(relay) = &self.relay else { return Value::Null };
         let seeds: Vec<String> =
@@ -67,7 +68,7 @@
         match (kind, step.phase) {
             (FaultKind::Kill { routers }, FaultPhase::Begin) => {
                 for router in router_indices(&routers) {
-                    self.routers[router].dead = true;
+                    self.routers[router].killed = true;
                     self.routers[router].signal(Signal::KILL);
                 }
             }
@@ -83,12 +84,12 @@
         Ok(())
     }
 
-    /// Sends a signal to routers by their numbers in the scenario.
+    /// Sends a signal to the routers with these numbers in the scenario.
     fn signal(&self, routers: &[usize], signal: Signal) {
         router_indices(routers).into_iter().for_each(|router| self.routers[router].signal(signal));
     }
 
-    /// After the last fault: whether all that run hold one view by now.
+    /// Records when all running routers first hold the same view after the last fault.
     pub(super) fn check_convergence(&mut self) {
         let since_start_s = as_seconds(self.now - self.start);
         let faults_over = since_start_s > last_router_fault_end(&self.scenario);
@@ -102,9 +103,10 @@
         }
     }
 
-    /// Whether all running routers hold the same view, in which all of them can be reached.
+    /// Whether the admin endpoints of all running routers answer with the same view, in which as
+    /// many routers as run are reachable.
     fn routers_agree(&self) -> bool {
-        let running = self.routers.iter().filter(|router| !router.dead);
+        let running = self.routers.iter().filter(|router| !router.killed);
         let admins: Vec<SocketAddr> = running.filter_map(|router| router.admin).collect();
         let statuses: Option<Vec<Value>> = admins.iter().map(|admin| cluster_status(*admin)).collect();
         let Some(statuses) = statuses else { return false };
@@ -113,10 +115,11 @@
         statuses.iter().all(is_complete) && statuses.windows(2).all(same_view)
     }
 
-    /// Takes what the logs had of lost routers, and what routers sent each other.
+    /// Collects the failed routers that the logs report, and the bytes that the routers sent to
+    /// each other.
     pub(super) fn collect_view_observations(&mut self) {
         let Some(relay) = &self.relay else { return };
-        for line in self.lost_log.take() {
+        for line in self.failure_log.take() {
             let at_s = line.at.saturating_duration_since(self.started).as_secs_f64();
             let lost = relay.addresses.iter().position(|address| line.names(*address));
             self.views.lost.extend(lost.map(|of| LostReport { at_s, by: line.by, of }));
--- a/crates/simulation/src/multi_process/servers.rs
+++ b/crates/simulation/src/multi_process/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers: routers' requests on the wire, and the model's answers.
+//! The stand-in servers' side of the endpoint protocol: routers' requests, and the model's answers.
 
 use super::connections::{Connection, ConnectionRole};
 use super::error::Operation;
@@ -11,19 +11,20 @@
 use hollymux_protocol::resp::{find_field, push_array_header, push_bulk_length, push_bulk_string, Frame};
 use mio::net::TcpListener;
 
-/// A router's attempt that is at a server.
+/// A router's attempt that a server is processing.
 pub(super) struct AttemptInFlight {
-    /// The connection.
+    /// The token of the connection that the attempt arrived on.
     token: usize,
-    /// What it is called there.
+    /// The id of the attempt on the wire.
     wire_id: Vec<u8>,
 }
 
-/// The fields of a request on the wire.
+/// The fields of a request on the wire, as text `name=value,...`.
 struct RequestFields<'a>(&'a [u8]);
 
 impl<'a> RequestFields<'a> {
-    /// A field's text, if it is there.
+    /// The text of a field; `None` if the request lacks it. A value that is not UTF-8 counts as
+    /// empty.
     fn get(&self, name: &str) -> Option<&'a str> {
         find_field(self.0, name).map(|value| std::str::from_utf8(value).unwrap_or_default())
     }
@@ -42,7 +43,7 @@
 }
 
 impl Driver {
-    /// A router's frame to a server.
+    /// Processes a frame that a router sent to a server.
     pub(super) fn on_server_frame(&mut self, token: usize, server: usize, frame: &Frame) {
         let word = |index: usize| frame.words.get(index).map_or(&[][..], Vec::as_slice);
         let wire_id = word(1);
@@ -81,7 +82,7 @@
         let fill_source =
             source_uid.and_then(|uid| self.model.servers.iter().position(|server| server.uid == uid));
         if source_uid.is_some() && fill_source.is_none() {
-            // It names a source that is gone.
+            // The attempt names a fill source that has left the endpoint list.
             return self.model.reject(id);
         }
         let attempt = self.model_attempt(wire_id, fields, fill_source);
@@ -121,7 +122,8 @@
         self.model.cancel_attempt(self.now, id);
     }
 
-    /// An attempt is no longer open on a connection; gives its id, if it was.
+    /// Removes an attempt from those that are open on a connection, and returns its id in the
+    /// model; `None` if it was not open.
     fn remove_open(&mut self, token: usize, wire_id: &[u8]) -> Option<u64> {
         match &mut self.connections.get_mut(&token)?.role {
             ConnectionRole::Server { open, .. } => open.remove(wire_id),
@@ -170,12 +172,12 @@
         self.feed.publish(at, |number| endpoint_event(number, &line));
     }
 
-    /// A server's connections follow its state.
+    /// Opens, closes or silences the connections of a server when its state changes.
     fn on_server_state(&mut self, server: usize, state: ServerState) -> Result<(), MultiProcessError> {
         match state {
             ServerState::Down => {
                 self.close_server_connections(server, |_| true);
-                // Connections are refused from here on.
+                // Without a listener, new connections are refused.
                 if let Some(listener) = self.server_listener(server) {
                     self.connections.remove(&listener);
                 }
@@ -188,7 +190,7 @@
                 }
             }
             ServerState::Up => {
-                // What was silent is reset when the machine is back.
+                // Connections that were silent are reset when the server is reachable again.
                 self.close_server_connections(server, |connection| connection.silent);
                 if self.server_listener(server).is_none() {
                     let listener = TcpListener::bind(self.endpoints[server]);
