--- a/crates/simulation/examples/foca.rs
+++ b/crates/simulation/examples/foca.rs
@@ -1,6 +1,7 @@
-//! `foca`, the library that was weighed against an own membership protocol (docs/cluster.md), on the
-//! same links in virtual time: the figures of `hollymux simulate cluster` for it, by its own settings
-//! for a site and by those of `hollymux_cluster::membership::MembershipTimings`.
+//! The figures of `hollymux simulate cluster` for `foca`, a membership library that was considered
+//! instead of an own protocol (docs/cluster.md). It runs on the same links in virtual time, once
+//! with its own settings for a LAN and twice with the timings of
+//! `hollymux_cluster::membership::MembershipTimings`.
 //!
 //!     cargo run --release -p hollymux-simulation --example foca -- 100 0.01 60
 
@@ -18,22 +19,22 @@
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
-/// When a run starts.
+/// Start of a run, in microseconds of its clock.
 const CLOCK_START: Time = 1_000 * SEC;
-/// The delay of a datagram.
+/// Range of a datagram's delay, in microseconds.
 const NETWORK_DELAY: RangeInclusive<Time> = 300..=1_000;
-/// A condition is evaluated this often.
+/// Interval at which a condition over the whole cluster is evaluated.
 const CONDITION_INTERVAL: Time = 100 * MS;
-/// So many routers are everybody's seeds.
+/// Number of routers that serve as seeds.
 const SEEDS: usize = 3;
-/// Nothing but a heal takes longer.
+/// Longest wait for anything except the end of a partition to be known.
 const MAX_WAIT: Time = 120 * SEC;
-/// A heal takes at most so long.
+/// Longest wait until the cluster has healed after a partition.
 const MAX_HEAL: Time = 300 * SEC;
-/// Time in which traffic and cost are counted.
-const CALM_TIME: Time = 60 * SEC;
+/// Time without faults over which traffic and cost are measured.
+const IDLE_TIME: Time = 60 * SEC;
 
-/// A router: its index and the time of its start.
+/// The identity of a router: its index and the time of its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RouterId {
     index: u16,
@@ -59,7 +60,7 @@
 type Core = Foca<RouterId, PostcardCodec, rand_pcg10::Pcg64Mcg, NoCustomBroadcast>;
 
 enum TimedEvent {
-    /// A timer of a router's start of that number.
+    /// A timer that a router set after the given number of starts and kills.
     Timer {
         router: usize,
         starts: u32,
@@ -71,12 +72,12 @@
     },
 }
 
-/// What a core wants after an input.
+/// The outputs of a core after one input.
 #[derive(Default)]
 struct Outputs {
     datagrams: Vec<(RouterId, Vec<u8>)>,
     timers: Vec<(Timer<RouterId>, Duration)>,
-    /// Routers that it reported down.
+    /// The number of routers that the core reported down.
     down: usize,
 }
 
@@ -99,11 +100,13 @@
     rng: rand_pcg::Pcg64Mcg,
     config: Config,
     loss: f64,
-    /// Routers below this index are cut off from the others.
+    /// The partition of the cluster: routers below this index are cut off from the others. `None`
+    /// without a partition.
     partitioned_at: Option<usize>,
-    /// None where no router runs.
+    /// The core of each router; `None` while the router does not run.
     cores: Vec<Option<Core>>,
-    /// How often each router was started or killed: timers of an earlier start are void.
+    /// The number of times that each router was started or killed; timers from before the latest
+    /// start are void.
     starts: Vec<u32>,
     timed_events: EventQueue<TimedEvent>,
     sent: TrafficCounters,
@@ -135,7 +138,7 @@
         let mut core = Foca::new(id, self.config.clone(), rng, PostcardCodec);
         let mut outputs = Outputs::default();
         for seed in (0..SEEDS).filter(|seed| *seed != router) {
-            // The start of a seed isn't known: an announcement goes by address.
+            // The start time of a seed is unknown, and an announcement only uses the index.
             let _ = core.announce(RouterId { index: seed as u16, start: 0 }, &mut outputs);
         }
         self.cores[router] = Some(core);
@@ -168,12 +171,13 @@
         }
     }
 
-    /// Lets time pass.
+    /// Lets virtual time advance by a duration.
     fn run(&mut self, duration: Time) {
         self.run_until(duration, |_| false);
     }
 
-    /// Lets time pass until a condition holds; how many seconds that took, or none if it did not in time.
+    /// Lets virtual time advance until a condition holds and returns how many seconds that took;
+    /// `None` if the timeout came first.
     fn run_until(&mut self, timeout: Time, condition: impl Fn(&Cluster) -> bool) -> Option<f64> {
         let from = self.now;
         let mut next_check = self.now;
@@ -212,7 +216,7 @@
         self.apply(router, outputs);
     }
 
-    /// The part of the other routers that hold one to be there.
+    /// The share of the other running routers that list a router as a member.
     fn share_seeing(&self, of: usize) -> f64 {
         let others = || {
             let others = (0..self.cores.len()).filter(|other| *other != of);
@@ -222,13 +226,14 @@
         others().filter(sees).count() as f64 / others().count().max(1) as f64
     }
 
-    /// Whether every router holds all others to be there.
+    /// Whether every running router lists all others as members.
     fn is_complete(&self) -> bool {
         self.cores.iter().flatten().all(|core| core.num_members() + 1 == self.cores.len())
     }
 }
 
-/// What is measured.
+/// The parameters of a measurement: cluster size, datagram loss, and the time in which false
+/// reports are counted.
 struct Case {
     routers: usize,
     loss: f64,
@@ -241,38 +246,39 @@
         let Case { routers, loss, minutes } = *self;
         let mut cluster = Cluster::new(routers, loss, config);
         (0..routers).for_each(|router| cluster.start(router));
-        let joined = cluster.run_until(MAX_WAIT, Cluster::is_complete);
+        let joined_s = cluster.run_until(MAX_WAIT, Cluster::is_complete);
         cluster.run(30 * SEC);
         let before = cluster.sent;
         let clock = Instant::now();
-        cluster.run(CALM_TIME);
+        cluster.run(IDLE_TIME);
         let per_router_second = 1.0 / routers as f64 / 60.0;
         let bytes = (cluster.sent.bytes - before.bytes) as f64 * per_router_second;
         let datagrams = (cluster.sent.datagrams - before.datagrams) as f64 * per_router_second;
         let cpu = clock.elapsed().as_micros() as f64 * per_router_second;
         cluster.reported_down = 0;
         cluster.run((minutes * 60e6) as Time);
-        let falsely = cluster.reported_down;
+        let false_reports = cluster.reported_down;
         let crashed = routers - 1;
         cluster.kill(crashed);
-        let crash = cluster.run_until(MAX_WAIT, |cluster| cluster.share_seeing(crashed) <= 0.01);
+        let crash_s = cluster.run_until(MAX_WAIT, |cluster| cluster.share_seeing(crashed) <= 0.01);
         cluster.start(crashed);
-        let start = cluster.run_until(MAX_WAIT, |cluster| cluster.share_seeing(crashed) >= 0.99);
+        let start_s = cluster.run_until(MAX_WAIT, |cluster| cluster.share_seeing(crashed) >= 0.99);
         cluster.run(10 * SEC);
         cluster.partitioned_at = Some(routers / 2);
         cluster.run(30 * SEC);
         cluster.partitioned_at = None;
-        let healed = cluster.run_until(MAX_HEAL, Cluster::is_complete);
+        let healed_s = cluster.run_until(MAX_HEAL, Cluster::is_complete);
         println!(
-            "{routers} routers, loss {loss}, {name}: joined {joined:?} crash {crash:?} start {start:?} \
-             healed {healed:?} falsely down {falsely} in {minutes} min, {datagrams:.1} datagrams/s \
+            "{routers} routers, loss {loss}, {name}: joined {joined_s:?} crash {crash_s:?} start {start_s:?} \
+             healed {healed_s:?} falsely down {false_reports} in {minutes} min, {datagrams:.1} datagrams/s \
              {bytes:.0} bytes/s {cpu:.0} us/s, errors {}, in all {} bytes",
             cluster.errors, cluster.sent.bytes
         );
     }
 }
 
-/// The library's settings for a site, with the times of hollymux's own protocol.
+/// The library's settings for a LAN, changed to the timings of hollymux's own protocol and to the
+/// given time from suspicion to failure.
 fn own_timings(site: &Config, down_ms: u64) -> Config {
     Config {
         probe_period: Duration::from_millis(500),
@@ -290,9 +296,11 @@
 fn main() {
     let numbers: Vec<f64> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     let [routers, loss, minutes] = numbers[..] else {
-        return eprintln!("routers, loss and minutes are wanted");
+        return eprintln!("usage: foca ROUTERS LOSS MINUTES, all of them numbers");
+    };
+    let Some(size) = NonZeroU32::new(routers as u32) else {
+        return eprintln!("the number of routers must be at least 1");
     };
-    let Some(size) = NonZeroU32::new(routers as u32) else { return eprintln!("a router is wanted") };
     let case = Case { routers: routers as usize, loss, minutes };
     let site = Config::new_lan(size);
     case.run("its own for a LAN", site.clone());
--- a/crates/simulation/tests/lru_cache.rs
+++ b/crates/simulation/tests/lru_cache.rs
@@ -18,12 +18,12 @@
     cache.insert(key(2), copy(10, 1, 5, 0));
     cache.insert(key(3), copy(10, 1, 5, 1));
     assert_eq!(cache.find(key(2), 0, 0), Some(5));
-    // The least recently used of the lowest priority goes.
+    // The least recently used copy of the lowest priority is evicted.
     cache.insert(key(4), copy(10, 1, 6, 1));
     assert_eq!((cache.find(key(3), 0, 0), cache.find(key(2), 0, 2)), (None, Some(5)));
-    assert_eq!(cache.find(key(1), 6, 0), None, "too old");
+    assert_eq!(cache.find(key(1), 6, 0), None, "the copy is older than requested");
     cache.insert(key(5), copy(30, 1, 6, 1));
-    assert!(cache.find(key(5), 0, 0).is_none(), "it would need priority 2");
+    assert!(cache.find(key(5), 0, 0).is_none(), "only a copy of priority 2 could be evicted");
     assert!(cache.find(key(1), 0, 0).is_some());
     cache.purge(&Purge { at: 6, object: Some(1), group: 0 });
     assert!(cache.find(key(1), 0, 0).is_none());
