--- a/crates/simulation/src/model/faults.rs
+++ b/crates/simulation/src/model/faults.rs
@@ -69,7 +69,7 @@
     /// Stops a server, or makes it unreachable.
     pub(super) fn stop(&mut self, server: usize, state: ServerState) {
         self.set_state(server, state);
-        // An unreachable server goes on processing what it has accepted.
+        // An unreachable server continues to process the requests that it has accepted.
         if state != ServerState::Unreachable {
             self.drop_all_work(server);
         }
@@ -80,8 +80,8 @@
         self.runtimes[server].incarnation += 1;
         // The ids are sorted because the order of a `HashMap` differs from run to run, and the same
         // seed must give the same run.
-        let here = self.requests.iter().filter(|(_, request)| request.server == server);
-        let mut requests: Vec<u64> = here.map(|(id, _)| *id).collect();
+        let at_server = self.requests.iter().filter(|(_, request)| request.server == server);
+        let mut requests: Vec<u64> = at_server.map(|(id, _)| *id).collect();
         requests.sort_unstable();
         for id in requests {
             if let Some(request) = self.requests.remove(&id) {
--- a/crates/simulation/src/model/fills.rs
+++ b/crates/simulation/src/model/fills.rs
@@ -206,7 +206,8 @@
         links
     }
 
-    /// Completes a fill when its last transfer or its upstream fill has ended.
+    /// Records the end of one of a fill's transfers or of its upstream fill, and completes the fill
+    /// after the last of them.
     pub(super) fn on_fill_step(&mut self, id: u64) {
         let Some(fill) = self.fills.get_mut(&id) else { return };
         fill.steps_left -= 1;
--- a/crates/simulation/src/model/requests.rs
+++ b/crates/simulation/src/model/requests.rs
@@ -339,7 +339,8 @@
         self.on_request_step(id);
     }
 
-    /// Answers a request when its transfer and the fill that it depends on have ended.
+    /// Records the end of a request's transfer or of the fill that it depends on, and answers the
+    /// request after the last of them.
     pub(super) fn on_request_step(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.steps_left -= 1;
--- a/crates/simulation/src/model/types.rs
+++ b/crates/simulation/src/model/types.rs
@@ -60,7 +60,7 @@
     /// class are fresh.
     pub max_age: Option<Time>,
     /// The retention priority for the copy; 0 does not cache a new copy and leaves an existing one
-    /// as it is.
+    /// as it is. Parent caches store new copies with a fixed priority instead.
     pub retention: u8,
     /// The server from which a missing copy is filled. With `None`, a parent cache fills from the
     /// origin, and an edge cache answers with a miss.
--- a/crates/simulation/src/multi_process/connections.rs
+++ b/crates/simulation/src/multi_process/connections.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{ErrorKind, Read, Write};
 
-/// Maximum number of elements of an array that the decoders accept.
-const MAX_ARRAY_ELEMENTS: usize = 3;
+/// Index of the body among the elements of a frame; the decoders accept no elements after it.
+const BODY_INDEX: usize = 3;
 /// Size of the buffer for one read, in bytes.
 const READ_BUFFER_BYTES: usize = 65_536;
 
@@ -128,7 +128,7 @@
             (_, None) => Ok(()),
         };
         registered.during("register a socket")?;
-        let decoder = Decoder::new(&self.pool, MAX_ARRAY_ELEMENTS, MAX_CHUNK_BYTES as usize);
+        let decoder = Decoder::new(&self.pool, BODY_INDEX, MAX_CHUNK_BYTES as usize);
         let connection = Connection { role, stream, decoder, out: Vec::new(), written: 0, silent: false };
         self.connections.insert(token, connection);
         Ok(token)
--- a/crates/simulation/src/multi_process/routers.rs
+++ b/crates/simulation/src/multi_process/routers.rs
@@ -93,8 +93,8 @@
     pub(super) fn check_convergence(&mut self) {
         let since_start_s = as_seconds(self.now - self.start);
         let faults_over = since_start_s > last_router_fault_end(&self.scenario);
-        let wanted = self.relay.is_some() && faults_over && self.views.converged_at_s.is_none();
-        if !wanted || self.now < self.views_checked + VIEW_CHECK_INTERVAL {
+        let check_pending = self.relay.is_some() && faults_over && self.views.converged_at_s.is_none();
+        if !check_pending || self.now < self.views_checked + VIEW_CHECK_INTERVAL {
             return;
         }
         self.views_checked = self.now;
--- a/crates/simulation/src/multi_process/servers.rs
+++ b/crates/simulation/src/multi_process/servers.rs
@@ -212,12 +212,12 @@
     }
 
     fn server_connections(&self, server: usize, which: impl Fn(&Connection) -> bool) -> Vec<usize> {
-        let is_concerned = |connection: &Connection| {
+        let belongs = |connection: &Connection| {
             matches!(&connection.role, ConnectionRole::Server { server: of, .. } if *of == server)
                 && which(connection)
         };
-        let concerned = self.connections.iter().filter(|(_, connection)| is_concerned(connection));
-        concerned.map(|(token, _)| *token).collect()
+        let connections = self.connections.iter().filter(|(_, connection)| belongs(connection));
+        connections.map(|(token, _)| *token).collect()
     }
 
     fn close_server_connections(&mut self, server: usize, which: impl Fn(&Connection) -> bool) {
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -31,7 +31,8 @@
 pub const START: Time = 1_760_000_000 * SEC;
 /// Delay of a message between a router and a server.
 const MESSAGE_DELAY: Time = 300;
-/// Buffers in the pool for request and response bodies, as many as a router on a small machine has.
+/// Buffers in the pool for bodies, which all simulated routers share; as many as one router on a
+/// small machine has.
 const BUFFERS: usize = 4_096;
 /// Port that stands for the first server in the routers' configuration; the other servers have the
 /// ports that follow.
--- a/crates/simulation/src/virtual_time/quotas.rs
+++ b/crates/simulation/src/virtual_time/quotas.rs
@@ -63,7 +63,7 @@
     fn count_sharers(&self, with: &SimulatedRouter, shared_by_all: bool) -> usize {
         let shares = |router: &&SimulatedRouter| {
             let shares_quota = shared_by_all || router.slot.site == with.slot.site;
-            shares_quota && !matches!(router.process, ProcessState::Dead)
+            shares_quota && !matches!(router.process, ProcessState::Killed)
         };
         self.routers.iter().filter(shares).count()
     }
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -26,7 +26,7 @@
     /// The process runs.
     Running,
     /// A fault has killed the process.
-    Dead,
+    Killed,
     /// A fault has paused the process; the inputs since then are processed when it resumes.
     Paused(VecDeque<Input>),
 }
@@ -63,7 +63,7 @@
     /// Kills a router's process: its clients lose their connections, and its attempts at servers
     /// are cancelled.
     pub(super) fn kill_router(&mut self, router: usize) {
-        self.routers[router].process = ProcessState::Dead;
+        self.routers[router].process = ProcessState::Killed;
         if let Some(cluster) = &mut self.cluster {
             cluster.kill(router);
         }
@@ -173,7 +173,7 @@
         match &mut self.routers[router].process {
             ProcessState::Running => {}
             ProcessState::Paused(waiting) => return waiting.push_back(input),
-            ProcessState::Dead => return self.refuse_input(input),
+            ProcessState::Killed => return self.refuse_input(input),
         }
         let mut inputs = VecDeque::from([input]);
         let mut commands = Vec::new();
