--- a/crates/simulation/src/load/mod.rs
+++ b/crates/simulation/src/load/mod.rs
@@ -389,7 +389,7 @@
         open.attempts += 1;
         open.step += 1;
         let attempt = &mut open.attempt;
-        // Clients differ in patience: each waits for half to all of the class's timeout.
+        // Each client waits for a random time between half and all of the class's timeout.
         let timeout_ms = self.scenario.classes[attempt.class].timeout_ms;
         attempt.timeout_ms = (timeout_ms * (0.5 + 0.5 * self.rng.random::<f64>())) as u64;
         attempt.rid = self.rng.random();
--- a/crates/simulation/src/sweep/mod.rs
+++ b/crates/simulation/src/sweep/mod.rs
@@ -1,6 +1,6 @@
-//! A sweep over outages in virtual time: it runs every combination of outage, duration, load and
-//! number of routers, among others. The runs are spread over all processor cores; the same file
-//! gives the same figures.
+//! A sweep over outages in virtual time: it runs every combination of the outages, durations,
+//! loads, numbers of routers and other parameters in a file. The runs are spread over all processor
+//! cores; the same file gives the same figures.
 
 mod table;
 
@@ -19,7 +19,7 @@
 const MAX_SCENARIOS: usize = 20_000;
 /// Service counts as recovered when the share of the weight that is earned reaches this part of the
 /// share earned before the outage.
-const RECOVERED_PART: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 /// Number of seconds over which that share must be reached.
 const RECOVERY_WINDOW_S: usize = 2;
 /// Number of seconds before the outage that provide the baseline for recovery.
@@ -318,7 +318,7 @@
     let first = end_s.ceil() as usize;
     let last = (seconds.len() + 1).saturating_sub(RECOVERY_WINDOW_S);
     let recovered = |second: &usize| {
-        earned_share(&seconds[*second..second + RECOVERY_WINDOW_S]) >= RECOVERED_PART * before
+        earned_share(&seconds[*second..second + RECOVERY_WINDOW_S]) >= RECOVERED_SHARE * before
     };
     (first..last).find(recovered).map(|second| second as f64 - end_s)
 }
