--- a/crates/registry/src/endpoint.rs
+++ b/crates/registry/src/endpoint.rs
@@ -1,112 +1,118 @@
-//! One endpoint of the registry: its status, and the transitions that health signals and time
-//! cause.
+//! One endpoint of the registry: its status, and the status transitions caused by health signals
+//! and by the passing of time.
 
 use hollymux_decision::{EndpointState, Timestamp};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Consecutive errors that eject an endpoint.
+/// Number of consecutive unhealthy signals that ejects an endpoint.
 const MAX_CONSECUTIVE_ERRORS: u32 = 3;
-/// The time from an ejection to readmission. It doubles with each ejection that follows soon.
+/// Time from an ejection until readmission is due. It doubles with every ejection until the
+/// endpoint has stayed in rotation for [`EJECTION_COUNT_RESET`].
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
-/// Most doublings of [`BASE_EJECTION_TIME`].
+/// Upper bound on the doublings of [`BASE_EJECTION_TIME`].
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// An endpoint that stays in rotation for this long is ejected for the base time again.
+/// Time in rotation after which an endpoint's ejection count returns to zero, so that its next
+/// ejection lasts for the base time.
 const EJECTION_COUNT_RESET: Duration = Duration::from_secs(60);
 
-/// What an endpoint is for.
+/// The part that an endpoint has in the site. The order of the variants is the sort order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointRole {
-    /// A cache of the site itself.
+    /// A cache of the site itself, which serves client requests.
     EdgeCache,
-    /// A cache that edge caches fill from.
+    /// A cache from which edge caches fill their misses.
     ParentCache,
-    /// The origin, where non-idempotent requests run.
+    /// The origin, which executes non-idempotent requests.
     Origin,
 }
 
-/// The status of an endpoint.
+/// The status of an endpoint, which decides whether it gets new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Added, and not heard of yet.
+    /// The endpoint was added, and no healthy signal has been received from it.
     Joining,
-    /// It takes requests, with an empty cache.
+    /// The endpoint takes requests, but its cache is assumed to be mostly empty.
     WarmingUp {
-        /// When it began to.
+        /// When the endpoint started to warm up.
         since: Timestamp,
     },
-    /// It takes requests.
+    /// The endpoint takes requests and its cache is warm.
     Ready,
-    /// It takes requests, but the last signals were errors.
+    /// The endpoint takes requests, but its last health signals were unhealthy.
     Suspect {
-        /// How many, without a healthy signal between.
+        /// Unhealthy signals since the last healthy one; less than the number that ejects.
         consecutive_errors: u32,
     },
-    /// It takes no requests.
+    /// The endpoint failed and takes no requests until a healthy signal readmits it.
     Ejected {
-        /// When it may be tried again.
+        /// When the endpoint may be tried again. A healthy signal readmits it at any time.
         readmission_due: Timestamp,
     },
-    /// It takes no new requests by an operator's command, and finishes those it has.
+    /// An operator's command drains the endpoint: it takes no new requests, and finishes those in
+    /// flight.
     Draining {
-        /// When the command was executed.
+        /// When the drain command was executed.
         since: Timestamp,
     },
-    /// It was removed or replaced.
+    /// The endpoint was removed or replaced. It is kept so that its id isn't used again.
     Removed {
-        /// When.
+        /// When the endpoint was removed or replaced.
         at: Timestamp,
     },
 }
 
-/// An endpoint as an operator adds it.
+/// The properties of an endpoint that an operator gives when adding it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSpec {
-    /// Its unique id, never to be used for another one.
+    /// The endpoint's unique id. It must not be the id of a present or a remembered removed
+    /// endpoint.
     pub uid: String,
-    /// Where it listens.
+    /// The address and port on which the endpoint listens.
     pub addr: SocketAddr,
-    /// What it is for.
+    /// The endpoint's part in the site.
     pub role: EndpointRole,
 }
 
-/// What an attempt or a probe says of an endpoint's health.
+/// What the result of an attempt or a probe says about an endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// It answered a probe well, or served a request.
+    /// The endpoint answered a probe successfully, or served a request.
     Healthy,
-    /// It answered a probe with an error, or nothing came back in time.
+    /// The endpoint answered a probe with an error, or did not answer in time.
     Unhealthy,
-    /// It refused a connection: its process has ended.
+    /// The endpoint's address refused a connection, which means that the process has ended.
     ConnectionRefused,
 }
 
-/// Whether an attempt may be repeated.
+/// Whether an attempt may be retried at another endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// It may be repeated.
+    /// The request may be executed more than once, so the attempt may be retried.
     Idempotent,
-    /// It must not be repeated; what became of it is known at the endpoint alone.
+    /// The request must not be executed twice. Only the endpoint of the attempt knows whether it
+    /// was executed.
     NonIdempotent,
 }
 
-/// An endpoint of the registry.
+/// An endpoint as the registry keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisteredEndpoint {
-    /// As it was added.
+    /// The properties that the operator gave when adding the endpoint.
     pub spec: EndpointSpec,
-    /// Its status.
+    /// The endpoint's current status.
     pub status: EndpointStatus,
-    /// Attempts in flight.
+    /// Number of attempts in flight at the endpoint, idempotent ones included.
     pub in_flight: u32,
-    /// Those of them that are not idempotent.
+    /// Number of non-idempotent attempts in flight, which are also counted in `in_flight`.
     pub non_idempotent_in_flight: u32,
-    /// When its cache was empty last; none: it is warm.
+    /// When the endpoint last started to warm up; `None` before its first warm-up and after a
+    /// completed one.
     warm_up_started: Option<Timestamp>,
-    /// Ejections since it last stayed in rotation for long.
+    /// Ejections since the endpoint last stayed in rotation for [`EJECTION_COUNT_RESET`].
     ejections: u32,
-    /// When it was added or returned to rotation last.
-    returned: Timestamp,
+    /// When the endpoint was added or last returned to rotation.
+    in_rotation_since: Timestamp,
 }
 
 impl RegisteredEndpoint {
@@ -118,11 +124,11 @@
             non_idempotent_in_flight: 0,
             warm_up_started: None,
             ejections: 0,
-            returned: now,
+            in_rotation_since: now,
         }
     }
 
-    /// Whether new requests may go to it.
+    /// Whether the router may send new requests to the endpoint.
     pub fn takes_requests(&self) -> bool {
         matches!(
             self.status,
@@ -130,13 +136,14 @@
         )
     }
 
-    /// Whether it was removed or replaced, and is only remembered.
+    /// Whether the endpoint was removed or replaced and is kept only so that its id isn't used
+    /// again.
     pub fn is_removed(&self) -> bool {
         matches!(self.status, EndpointStatus::Removed { .. })
     }
 
-    /// Its state in the endpoint list. One that is ejected is listed as ready, since the decision
-    /// module probes it by rules of its own.
+    /// The endpoint's state in the endpoint list for the decision module. An ejected endpoint is
+    /// listed as ready, since the decision module sends recovery probes by its own rules.
     pub fn listed_state(&self) -> EndpointState {
         match self.status {
             EndpointStatus::Draining { .. } => EndpointState::Draining,
@@ -159,7 +166,8 @@
 
     fn on_healthy(&mut self, now: Timestamp, warm_up: Duration) {
         match self.status {
-            // It may have restarted while nothing was heard of it, so its cache may be empty.
+            // The endpoint may have restarted while no signals came from it, so its cache may be
+            // empty.
             EndpointStatus::Joining | EndpointStatus::Ejected { .. } => self.begin_warm_up(now),
             EndpointStatus::Suspect { .. } => {
                 self.status = match self.warm_up_started {
@@ -167,7 +175,7 @@
                     _ => EndpointStatus::Ready,
                 };
             }
-            // Only a command ends a drain or undoes a removal.
+            // Only a command ends a drain, and nothing brings a removed endpoint back.
             EndpointStatus::WarmingUp { .. }
             | EndpointStatus::Ready
             | EndpointStatus::Draining { .. }
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Silence and errors must repeat before they eject an endpoint.
+    /// Errors and timeouts must be consecutive before they eject an endpoint.
     fn on_unhealthy(&mut self, now: Timestamp) {
         match self.status {
             EndpointStatus::WarmingUp { .. } | EndpointStatus::Ready => {
@@ -194,7 +202,7 @@
         }
     }
 
-    /// A refused connection shows that the process has ended, so it ejects at once.
+    /// A refused connection ejects the endpoint at once, since it shows that the process has ended.
     fn on_connection_refused(&mut self, now: Timestamp) {
         match self.status {
             EndpointStatus::WarmingUp { .. } | EndpointStatus::Ready | EndpointStatus::Suspect { .. } => {
@@ -216,10 +224,10 @@
         self.status = EndpointStatus::Ejected { readmission_due };
     }
 
-    /// Takes requests as an endpoint with an empty cache.
+    /// Puts the endpoint into rotation, with a cache that is assumed to be empty.
     pub(crate) fn begin_warm_up(&mut self, now: Timestamp) {
         self.warm_up_started = Some(now);
-        self.returned = now;
+        self.in_rotation_since = now;
         self.status = EndpointStatus::WarmingUp { since: now };
     }
 
@@ -230,7 +238,7 @@
                 self.warm_up_started = None;
             }
         }
-        if self.takes_requests() && now >= self.returned + EJECTION_COUNT_RESET {
+        if self.takes_requests() && now >= self.in_rotation_since + EJECTION_COUNT_RESET {
             self.ejections = 0;
         }
     }
--- a/crates/registry/src/error.rs
+++ b/crates/registry/src/error.rs
@@ -1,4 +1,5 @@
-//! Why a command is not executed. The texts are complete sentences for the operator's console.
+//! The reasons why the registry does not execute a command. The messages are written for the
+//! operator's console.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,92 +7,99 @@
 
 use crate::registry::{MAX_ENDPOINTS, MAX_OPEN_PURGES};
 
-/// Why a command is not executed. The registry is unchanged.
+/// Why a command is not executed. The registry is left unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It was based on an older revision of the registry.
-    #[error("based on revision {based_on}, the registry is at {current}: {}", .changes.join("; "))]
+    /// The command was based on an older revision of the registry.
+    #[error("command based on revision {based_on}, but the registry is at revision {current}: {}", .changes.join("; "))]
     StaleRevision {
-        /// The revision it was based on.
+        /// The revision on which the command was based.
         based_on: u64,
-        /// The registry's.
+        /// The current revision of the registry.
         current: u64,
-        /// The changes since, as far as they are remembered.
+        /// Descriptions of the commands executed since `based_on`, oldest first. Older ones may be
+        /// missing, since the registry remembers only a limited number.
         changes: Vec<String>,
     },
-    /// A rule forbids it, whether the operator insists or not.
+    /// A rule forbids the command, whether the operator insists or not.
     #[error(transparent)]
     Forbidden(#[from] Prohibition),
-    /// It would do harm, and the operator does not insist.
+    /// The command would do harm, and the operator did not insist on it.
     #[error(transparent)]
     Harmful(#[from] Harm),
-    /// There is nothing to do.
+    /// The command would change nothing.
     #[error(transparent)]
     NoEffect(#[from] NoEffect),
 }
 
-/// A rule that a command would break.
+/// A rule that the command would break. It holds even if the operator insists.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Prohibition {
-    /// Late responses and cached copies under a removed endpoint's id are still about.
+    /// The id belongs to a present or a removed endpoint. Late responses and cached copies may
+    /// still carry the id of a removed endpoint.
     #[error("{uid} is or was in the registry; a new endpoint needs a new id")]
     UidInUse {
-        /// The id.
+        /// The id that was given for the new endpoint.
         uid: String,
     },
-    /// No further endpoint is kept.
+    /// The registry already holds [`MAX_ENDPOINTS`] endpoints, removed ones included.
     #[error("the registry holds {MAX_ENDPOINTS} endpoints, which is its limit")]
     RegistryFull,
-    /// The endpoint to replace has requests of which only it knows whether they ran.
-    #[error("{uid} at {addr} has {count} non-idempotent requests in flight; whether they ran is known there alone")]
+    /// The endpoint at the new endpoint's address has non-idempotent requests in flight, and only
+    /// that endpoint knows whether they were executed.
+    #[error("{uid} at {addr} has {count} non-idempotent requests in flight; only it knows whether they were executed")]
     ReplacesPendingWrites {
-        /// The endpoint at the address.
+        /// The id of the endpoint at the address.
         uid: String,
-        /// The address.
+        /// The address that both endpoints would have.
         addr: SocketAddr,
-        /// How many.
+        /// Number of non-idempotent requests in flight.
         count: u32,
     },
-    /// The endpoint to remove has requests of which only it knows whether they ran.
-    #[error("{count} non-idempotent requests are in flight at {uid}; whether they ran is known there alone")]
+    /// The endpoint to remove has non-idempotent requests in flight, and only that endpoint knows
+    /// whether they were executed.
+    #[error(
+        "{count} non-idempotent requests are in flight at {uid}; only it knows whether they were executed"
+    )]
     RemovesPendingWrites {
-        /// The endpoint.
+        /// The id of the endpoint to remove.
         uid: String,
-        /// How many.
+        /// Number of non-idempotent requests in flight.
         count: u32,
     },
-    /// Routers may not know yet that the endpoint is draining.
-    #[error("{uid} is draining; new requests may still be on their way for {}", Readable(*.remaining))]
+    /// The drain started so recently that some routers may not know of it yet.
+    #[error("{uid} is draining; routers may still send it new requests for {}", Readable(*.remaining))]
     DrainUnderWay {
-        /// The endpoint.
+        /// The id of the draining endpoint.
         uid: String,
-        /// The time left.
+        /// Time until every router knows of the drain.
         remaining: Duration,
     },
-    /// A purge must not be forgotten before it is complete.
+    /// [`MAX_OPEN_PURGES`] purges are open, and none of them may be forgotten before it is
+    /// complete.
     #[error("{MAX_OPEN_PURGES} purges are open, which is the limit")]
     TooManyPurges,
 }
 
-/// The harm a command would do.
+/// The harm that a command would do.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Harm {
-    /// Another endpoint has the address, and would be removed.
+    /// Another endpoint is registered at the new endpoint's address and would be removed.
     #[error("{uid} is at {addr}; it would be removed, with {in_flight} attempts in flight")]
     ReplacesEndpoint {
-        /// The endpoint at the address.
+        /// The id of the endpoint at the address.
         uid: String,
-        /// The address.
+        /// The address that both endpoints would have.
         addr: SocketAddr,
-        /// Its attempts in flight.
+        /// Attempts in flight at the endpoint that would be removed.
         in_flight: u32,
     },
     /// No other edge cache takes requests.
     #[error("{uid} is the last edge cache that takes requests{}: requests would be rejected", AlsoEjected(*.ejected))]
     LastEdgeCache {
-        /// The endpoint.
+        /// The id of the edge cache.
         uid: String,
-        /// Other edge caches that are ejected.
+        /// Number of other edge caches that are ejected and may recover.
         ejected: usize,
     },
     /// No other parent cache takes requests.
@@ -100,79 +108,79 @@
         AlsoEjected(*.ejected)
     )]
     OnlyParentCache {
-        /// The endpoint.
+        /// The id of the parent cache.
         uid: String,
-        /// Its fills in flight.
+        /// Fills in flight at the parent cache.
         in_flight: u32,
-        /// Other parent caches that are ejected.
+        /// Number of other parent caches that are ejected and may recover.
         ejected: usize,
     },
     /// No other origin takes requests.
     #[error("{uid} is the origin{}: non-idempotent requests would be rejected", AlsoEjected(*.ejected))]
     Origin {
-        /// The endpoint.
+        /// The id of the origin.
         uid: String,
-        /// Other origins that are ejected.
+        /// Number of other origins that are ejected and may recover.
         ejected: usize,
     },
-    /// The endpoint drains, but has not finished its requests.
+    /// The endpoint to remove is draining and still has attempts in flight.
     #[error("{uid} is draining and has {in_flight} attempts in flight; they would be retried")]
     DrainIncomplete {
-        /// The endpoint.
+        /// The id of the draining endpoint.
         uid: String,
-        /// Its attempts in flight.
+        /// Attempts in flight at the endpoint.
         in_flight: u32,
     },
-    /// The endpoint has not been drained.
+    /// The endpoint to remove has not been drained.
     #[error("{uid} has not been drained and has {in_flight} attempts in flight")]
     NotDrained {
-        /// The endpoint.
+        /// The id of the endpoint to remove.
         uid: String,
-        /// Its attempts in flight.
+        /// Attempts in flight at the endpoint.
         in_flight: u32,
     },
-    /// The purge is part of one that is still under way.
-    #[error("a purge ordered {} ago covers it and is complete in {}", Readable(*.age), Readable(*.remaining))]
+    /// An open purge covers the target of this one.
+    #[error("a purge ordered {} ago covers this target and will be complete in {}", Readable(*.age), Readable(*.remaining))]
     CoveredByPurge {
-        /// How long ago that purge was ordered.
+        /// Time since the covering purge was ordered.
         age: Duration,
-        /// The time until it is complete.
+        /// Time until the covering purge is complete.
         remaining: Duration,
     },
 }
 
-/// Why there is nothing to do.
+/// Why a command would change nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoEffect {
-    /// The endpoint is draining already.
+    /// The endpoint to drain is draining already.
     #[error("{uid} has been draining for {}", Readable(*.draining_for))]
     AlreadyDraining {
-        /// The endpoint.
+        /// The id of the draining endpoint.
         uid: String,
-        /// For how long.
+        /// Time since the drain command was executed.
         draining_for: Duration,
     },
-    /// The endpoint is not draining.
+    /// The endpoint of an undrain command is not draining.
     #[error("{uid} is not draining")]
     NotDraining {
-        /// The endpoint.
+        /// The id of the endpoint.
         uid: String,
     },
-    /// The endpoint was removed.
+    /// The endpoint of the command was removed or replaced.
     #[error("{uid} was removed")]
     Removed {
-        /// The endpoint.
+        /// The id of the removed endpoint.
         uid: String,
     },
-    /// The registry has no such endpoint.
+    /// The registry has no endpoint of this id.
     #[error("{uid} is not in the registry")]
     Unknown {
-        /// The endpoint.
+        /// The id that was given in the command.
         uid: String,
     },
 }
 
-/// A duration for people: milliseconds below 10 s, whole seconds above.
+/// Formats a duration for an operator: milliseconds below 10 s, whole seconds from there.
 struct Readable(Duration);
 
 impl fmt::Display for Readable {
@@ -187,7 +195,7 @@
     }
 }
 
-/// A mention of other endpoints of the role that are ejected, if there are any.
+/// Formats the number of ejected endpoints of the same role as a clause; nothing if it is zero.
 struct AlsoEjected(usize);
 
 impl fmt::Display for AlsoEjected {
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,11 +1,12 @@
-//! The endpoint registry of a small site, which has no platform that lists its endpoints. It is not
-//! in use yet: persistence, admin endpoint and console are to come on top of it.
+//! The endpoint registry of a small site that has no platform to list its endpoints. No program
+//! uses it yet: persistence, an admin endpoint and a console are to be built on it.
 //!
-//! It decides two things. *Transitions*: what health signals, attempts and time make of an
-//! endpoint. *Preconditions*: whether an operator's command may be executed, and if not, why. A
-//! harmful command is executed if the operator insists; a forbidden one never is. It has no I/O and
-//! no clock, and does not decide where requests go: that is the decision module's part, which is
-//! given the endpoint list. `docs/small-site.md` has the options weighed and the state machine.
+//! The registry decides two things. *Transitions*: how health signals, attempts and time change the
+//! status of an endpoint. *Preconditions*: whether an operator's command may be executed, and the
+//! reason if it may not. A harmful command is executed if the operator insists; a forbidden one
+//! never is. The registry has no I/O and no clock. It does not route requests: the decision module
+//! does that, with the endpoint list as an input. `docs/small-site.md` compares the design options
+//! and describes the state machine.
 
 mod command;
 mod endpoint;
--- a/crates/registry/src/purge.rs
+++ b/crates/registry/src/purge.rs
@@ -1,27 +1,27 @@
-//! Purges that may still be under way.
+//! Purges: their targets, and the record of those that may not be complete yet.
 
 use hollymux_decision::Timestamp;
 use std::fmt;
 
-/// What is purged.
+/// The cached copies that a purge deletes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PurgeTarget {
-    /// One object.
+    /// The copies of one object.
     Object {
-        /// The object.
+        /// The object's number.
         object: u64,
-        /// Its group.
+        /// The number of the object's group.
         group: u32,
     },
-    /// All objects of a group.
+    /// The copies of all objects of a group.
     Group {
-        /// The group.
+        /// The group's number.
         group: u32,
     },
 }
 
 impl PurgeTarget {
-    /// Whether purging this purges the other target too.
+    /// Whether a purge of this target deletes all copies that a purge of `other` would.
     pub(crate) fn covers(self, other: PurgeTarget) -> bool {
         match (self, other) {
             (
@@ -45,11 +45,11 @@
     }
 }
 
-/// A purge that was ordered.
+/// A purge that was ordered and may not be complete yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// When it was ordered.
+    /// When the purge command was executed.
     pub at: Timestamp,
-    /// What is purged.
+    /// The cached copies that the purge deletes.
     pub target: PurgeTarget,
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: endpoints by id, open purges, and the commands that change them.
+//! The endpoint registry: endpoints by id, open purges, and the execution of commands.
 
 use crate::command::{Command, HarmfulCommands};
 use crate::endpoint::{
@@ -10,88 +10,90 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Most endpoints kept, those that were removed included.
+/// Most endpoints that a registry holds, removed endpoints included.
 pub const MAX_ENDPOINTS: usize = 256;
-/// How long a removed endpoint is remembered: its id must not come back as another's.
+/// How long a removed endpoint is remembered, so that its id isn't used for another endpoint.
 pub const REMOVED_RETENTION: Duration = Duration::from_secs(3_600);
-/// Most purges open at a time.
+/// Most purges that may be open at a time.
 pub const MAX_OPEN_PURGES: usize = 1_024;
-/// By this time after a drain every router knows of it and sends no new requests.
+/// Time from a drain command until every router knows of it and sends no new requests to the
+/// endpoint.
 pub const DRAIN_DURATION: Duration = Duration::from_millis(500);
-/// Most changes remembered for the error of a command that was based on an older revision.
+/// Most executed commands that are remembered for [`CommandError::StaleRevision`].
 const MAX_CHANGES: usize = 16;
 
-/// An executed command.
+/// A command that was executed.
 #[derive(Clone, Debug)]
 struct Change {
-    /// The registry's revision after it.
+    /// The registry's revision after the command.
     revision: u64,
     description: String,
 }
 
-/// The endpoint registry.
+/// The endpoints of a small site and its open purges.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRegistry {
     endpoints: BTreeMap<String, RegisteredEndpoint>,
     revision: u64,
-    /// The last changes, the oldest first.
+    /// The last executed commands, oldest first.
     changes: VecDeque<Change>,
-    /// In the order of time.
+    /// Open purges, oldest first.
     purges: Vec<Purge>,
     warm_up: Duration,
     purge_duration: Duration,
 }
 
 impl EndpointRegistry {
-    /// An empty registry. An endpoint's cache is warm `warm_up` after its start; a purged copy is
-    /// gone from everywhere `purge_duration` after the purge.
+    /// Creates an empty registry. An endpoint's cache counts as warm `warm_up` after the endpoint
+    /// started with an empty one. A purge is complete in all caches `purge_duration` after its
+    /// command.
     pub fn new(warm_up: Duration, purge_duration: Duration) -> EndpointRegistry {
         EndpointRegistry { warm_up, purge_duration, ..EndpointRegistry::default() }
     }
 
-    /// The registry's revision, which rises by one with every command that is executed.
+    /// The registry's revision. It starts at 0 and increases by one with every executed command.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All endpoints, those that were removed included while they are remembered.
+    /// All endpoints in the order of their ids, including removed ones that are still remembered.
     pub fn endpoints(&self) -> impl Iterator<Item = &RegisteredEndpoint> {
         self.endpoints.values()
     }
 
-    /// An endpoint by its id.
+    /// Looks up an endpoint by its id; `None` if it was never added or is no longer remembered.
     pub fn endpoint(&self, uid: &str) -> Option<&RegisteredEndpoint> {
         self.endpoints.get(uid)
     }
 
-    /// Purges that may not be complete yet.
+    /// Purges that may not be complete yet, oldest first.
     pub fn purges(&self) -> &[Purge] {
         &self.purges
     }
 
-    /// Takes a health signal of an endpoint.
+    /// Applies a health signal of an endpoint. Signals of unknown endpoints are ignored.
     pub fn on_health_signal(&mut self, now: Timestamp, uid: &str, signal: HealthSignal) {
         if let Some(endpoint) = self.endpoints.get_mut(uid) {
             endpoint.on_signal(now, signal, self.warm_up);
         }
     }
 
-    /// Counts an attempt that was sent to an endpoint.
+    /// Counts an attempt that was sent to an endpoint. Unknown endpoints are ignored.
     pub fn attempt_started(&mut self, uid: &str, kind: AttemptKind) {
         if let Some(endpoint) = self.endpoints.get_mut(uid) {
             endpoint.attempt_started(kind);
         }
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts the end of an attempt that [`EndpointRegistry::attempt_started`] counted.
     pub fn attempt_ended(&mut self, uid: &str, kind: AttemptKind) {
         if let Some(endpoint) = self.endpoints.get_mut(uid) {
             endpoint.attempt_ended(kind);
         }
     }
 
-    /// Applies the passing of time: caches become warm, purges complete, removed endpoints are
-    /// forgotten.
+    /// Applies the transitions that are due at `now`: warm-ups end, ejection counts are reset,
+    /// purges become complete and removed endpoints are forgotten.
     pub fn on_time(&mut self, now: Timestamp) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.on_time(now, self.warm_up);
@@ -104,11 +106,11 @@
         self.purges.retain(|purge| now < purge.at + purge_duration);
     }
 
-    /// Executes a command that was based on the revision `based_on`, and describes in one sentence
-    /// what was done.
+    /// Executes a command that the operator based on the revision `based_on`. Returns a sentence
+    /// that describes the change.
     ///
     /// # Errors
-    /// The command is not executed, and the registry is unchanged.
+    /// The reason why the command is not executed. The registry is left unchanged.
     pub fn execute(
         &mut self,
         now: Timestamp,
@@ -139,11 +141,11 @@
         Err(CommandError::StaleRevision { based_on, current: self.revision, changes })
     }
 
-    /// Whether a command may be executed now. A console calls this before it asks the operator to
-    /// confirm.
+    /// Checks whether a command may be executed now. A console calls this before it asks the
+    /// operator to confirm.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why the command would not be executed.
     pub fn check(&self, now: Timestamp, command: &Command) -> Result<(), CommandError> {
         match command {
             Command::Add(spec) => self.check_add(spec),
@@ -194,7 +196,7 @@
         self.check_others_take_requests(endpoint)
     }
 
-    /// Rejects the loss of the last endpoint of a role that takes requests.
+    /// Returns the harm done if `endpoint` is the last of its role that takes requests.
     fn check_others_take_requests(&self, endpoint: &RegisteredEndpoint) -> Result<(), CommandError> {
         let is_other_of_role = |other: &&RegisteredEndpoint| {
             other.spec.role == endpoint.spec.role && other.spec.uid != endpoint.spec.uid
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Applies a command that was checked, and describes what was done.
+    /// Applies a command that was checked, and returns a description of the change.
     fn apply(&mut self, now: Timestamp, command: Command) -> String {
         match command {
             Command::Add(spec) => self.add(now, spec),
@@ -242,7 +244,7 @@
                 format!("{uid} is draining")
             }
             Command::Undrain { uid } => {
-                // It may have restarted while it was draining, so its cache may be empty.
+                // The endpoint may have restarted while it was draining, so its cache may be empty.
                 if let Some(endpoint) = self.endpoints.get_mut(&uid) {
                     endpoint.begin_warm_up(now);
                 }
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Adds an endpoint and removes the one at its address.
+    /// Adds an endpoint, and removes the endpoint that has the same address.
     fn add(&mut self, now: Timestamp, spec: EndpointSpec) -> String {
         let mut description = format!("{} added at {}", spec.uid, spec.addr);
         let mut present = self.endpoints.values_mut().filter(|endpoint| !endpoint.is_removed());
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,5 +1,5 @@
-//! The registry's preconditions: no sequence of signals and commands leads to a state that they
-//! forbid, and each error says why.
+//! Preconditions of the registry's commands: no sequence of signals and commands leads to a state
+//! that they forbid, and each error message names the reason.
 
 use hollymux_decision::{EndpointState, Timestamp};
 use hollymux_registry::{
@@ -17,7 +17,7 @@
 
 const START: Timestamp = Timestamp::ZERO;
 
-/// A point in time that many microseconds after the start.
+/// The timestamp that is `micros` microseconds after the start of a test.
 fn micros(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
@@ -26,7 +26,8 @@
     EndpointSpec { uid: uid.into(), addr: ([127, 0, 0, 1], port).into(), role }
 }
 
-/// Two edge caches `a` and `b`, a parent cache `h` and an origin `l`, all of them heard of.
+/// A site of two edge caches `a` and `b`, a parent cache `h` and an origin `l`. Each has sent a
+/// healthy signal and is warming up.
 fn small_site() -> EndpointRegistry {
     let mut registry = EndpointRegistry::new(WARM_UP, PURGE_DURATION);
     let endpoints = [
@@ -43,7 +44,7 @@
     registry
 }
 
-/// Expects that a command is not executed; returns the error's text.
+/// Asserts that a command is rejected and leaves the revision unchanged; returns the error message.
 fn rejected(
     registry: &mut EndpointRegistry,
     now: Timestamp,
@@ -52,11 +53,11 @@
 ) -> String {
     let revision = registry.revision();
     let error = registry.execute(now, command, revision, harmful).unwrap_err().to_string();
-    assert_eq!(registry.revision(), revision, "a rejected command changes nothing");
+    assert_eq!(registry.revision(), revision, "a rejected command changed the revision");
     error
 }
 
-/// Expects that a command is executed.
+/// Asserts that a command is executed; returns its description.
 fn executed(
     registry: &mut EndpointRegistry,
     now: Timestamp,
@@ -95,7 +96,7 @@
     assert_eq!(registry.endpoint("b").unwrap().listed_state(), EndpointState::Draining);
     let undrain = Command::Undrain { uid: "a".into() };
     executed(&mut registry, micros(13), undrain, HarmfulCommands::Reject);
-    // Its cache may be empty: it is not known what it did meanwhile.
+    // The cache of `a` may be empty, since it may have restarted while it was draining.
     assert_eq!(status(&registry, "a"), EndpointStatus::WarmingUp { since: micros(13) });
 }
 
@@ -104,9 +105,12 @@
     let mut registry = small_site();
     let revision = registry.revision();
     registry.execute(micros(5), drain("a"), revision, HarmfulCommands::Reject).unwrap();
-    let late = registry.execute(micros(5), drain("b"), revision, HarmfulCommands::Execute);
-    let error = late.unwrap_err().to_string();
-    assert!(error.contains("based on revision 4, the registry is at 5: a is draining"), "{error}");
+    let second = registry.execute(micros(5), drain("b"), revision, HarmfulCommands::Execute);
+    let error = second.unwrap_err().to_string();
+    assert!(
+        error.contains("based on revision 4, but the registry is at revision 5: a is draining"),
+        "{error}"
+    );
     assert!(registry.endpoint("b").unwrap().takes_requests());
 }
 
@@ -126,10 +130,10 @@
     let drained = micros(5);
     executed(&mut registry, drained, drain("a"), HarmfulCommands::Reject);
     let error = rejected(&mut registry, micros(6), remove("a"), HarmfulCommands::Execute);
-    assert!(error.contains("may still be on their way for 499 ms"), "{error}");
+    assert!(error.contains("routers may still send it new requests for 499 ms"), "{error}");
     let removed = drained + DRAIN_DURATION;
     executed(&mut registry, removed, remove("a"), HarmfulCommands::Execute);
-    // Its id is not another's while it is remembered.
+    // A new endpoint can't get the id of a removed one while that is remembered.
     let again = Command::Add(spec("a", 9, EndpointRole::EdgeCache));
     let error = rejected(&mut registry, START + SECOND * 6, again.clone(), HarmfulCommands::Execute);
     assert!(error.contains("needs a new id"), "{error}");
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn an_endpoint_that_flaps_is_readmitted_ever_later_and_warms_up_again() {
+fn each_ejection_of_a_flapping_endpoint_lasts_longer_and_it_warms_up_again() {
     let mut registry = small_site();
     let mut now = START + WARM_UP + Duration::from_micros(1);
     registry.on_time(now);
@@ -148,17 +152,17 @@
     for _ in 0..8 {
         registry.on_health_signal(now, "a", HealthSignal::ConnectionRefused);
         let EndpointStatus::Ejected { readmission_due } = status(&registry, "a") else {
-            panic!("a refused connection ejects the endpoint")
+            panic!("a refused connection did not eject the endpoint")
         };
         ejection_seconds.push(readmission_due.duration_since(now).as_micros() / SECOND.as_micros());
-        let returned = now + SECOND;
-        registry.on_health_signal(returned, "a", HealthSignal::Healthy);
-        assert_eq!(status(&registry, "a"), EndpointStatus::WarmingUp { since: returned });
+        let readmitted = now + SECOND;
+        registry.on_health_signal(readmitted, "a", HealthSignal::Healthy);
+        assert_eq!(status(&registry, "a"), EndpointStatus::WarmingUp { since: readmitted });
         now += SECOND * 2;
         registry.on_time(now);
     }
     assert_eq!(ejection_seconds, [1, 2, 4, 8, 16, 32, 32, 32]);
-    // Silence has to repeat itself, and one healthy signal clears it.
+    // Timeouts must be consecutive to eject an endpoint: a healthy signal resets their count.
     let signals = [
         HealthSignal::Unhealthy,
         HealthSignal::Unhealthy,
@@ -175,14 +179,17 @@
 }
 
 #[test]
-fn a_purge_that_an_open_one_covers_is_rejected_until_that_is_complete() {
+fn a_purge_is_rejected_while_an_open_purge_covers_it() {
     let mut registry = small_site();
     let at_second = |seconds: u32| START + SECOND * seconds;
     let group = Command::Purge(PurgeTarget::Group { group: 7 });
     executed(&mut registry, at_second(1), group, HarmfulCommands::Reject);
     let object = Command::Purge(PurgeTarget::Object { object: 1, group: 7 });
     let error = rejected(&mut registry, at_second(2), object.clone(), HarmfulCommands::Reject);
-    assert!(error.contains("ordered 1000 ms ago covers it and is complete in 5000 ms"), "{error}");
+    assert!(
+        error.contains("ordered 1000 ms ago covers this target and will be complete in 5000 ms"),
+        "{error}"
+    );
     executed(&mut registry, at_second(2), object.clone(), HarmfulCommands::Execute);
     let other = Command::Purge(PurgeTarget::Object { object: 1, group: 8 });
     executed(&mut registry, at_second(2), other, HarmfulCommands::Execute);
@@ -238,7 +245,8 @@
     ]
 }
 
-/// Executes a command and checks its result against the registry before.
+/// Executes a command, and checks its result and the registry after it against the registry
+/// `before` it.
 fn check_command(
     registry: &mut EndpointRegistry,
     before: &EndpointRegistry,
@@ -251,15 +259,15 @@
     let checked = registry.check(now, command);
     let result = registry.execute(now, command.clone(), based_on, harmful);
     prop_assert_eq!(registry.revision(), before.revision() + u64::from(result.is_ok()));
-    prop_assert!(is_fresh || result.is_err(), "a command based on another revision is executed");
-    // A check says what happens, except for harm that the operator insists on.
+    prop_assert!(is_fresh || result.is_err(), "a command based on another revision was executed");
+    // The check predicts the result, except for a harmful command on which the operator insists.
     if is_fresh {
         let is_harm = matches!(checked, Err(CommandError::Harmful(_)));
         let insisted = is_harm && harmful == HarmfulCommands::Execute;
         prop_assert_eq!(result.is_ok(), checked.is_ok() || insisted);
     }
     if result.is_err() {
-        prop_assert!(registry.endpoints().eq(before.endpoints()), "a rejected command changes nothing");
+        prop_assert!(registry.endpoints().eq(before.endpoints()), "a rejected command changed the registry");
     }
     let taking_requests = |registry: &EndpointRegistry, role| {
         let of_role = registry.endpoints().filter(|endpoint| endpoint.spec.role == role);
@@ -268,12 +276,16 @@
     for role in [EndpointRole::EdgeCache, EndpointRole::ParentCache, EndpointRole::Origin] {
         let lost_last = taking_requests(before, role) > 0 && taking_requests(registry, role) == 0;
         let insisted = harmful == HarmfulCommands::Execute;
-        prop_assert!(!lost_last || insisted, "the last of its role was lost unasked by {:?}", command);
+        prop_assert!(
+            !lost_last || insisted,
+            "{:?} took the last endpoint of a role without insistence",
+            command
+        );
     }
     Ok(())
 }
 
-/// Checks what holds for an endpoint whatever the step was.
+/// Checks the invariants of an endpoint that hold after every kind of step.
 fn check_endpoint(
     endpoint: &RegisteredEndpoint,
     before: &EndpointRegistry,
@@ -288,7 +300,7 @@
         }
         if endpoint.is_removed() && previous.status != endpoint.status {
             let lost = previous.non_idempotent_in_flight;
-            prop_assert_eq!(lost, 0, "non-idempotent requests were lost sight of");
+            prop_assert_eq!(lost, 0, "an endpoint was removed with non-idempotent requests in flight");
         }
     }
     prop_assert!(endpoint.takes_requests() <= (endpoint.listed_state() == EndpointState::Ready));
@@ -300,7 +312,7 @@
         registry.endpoints().filter(|endpoint| endpoint.listed_state() != EndpointState::Gone).collect();
     for (index, endpoint) in present.iter().enumerate() {
         let is_unique = present[..index].iter().all(|other| other.spec.addr != endpoint.spec.addr);
-        prop_assert!(is_unique, "two endpoints at one address");
+        prop_assert!(is_unique, "two endpoints have the same address");
     }
     Ok(())
 }
