--- a/crates/capture/src/block_reader.rs
+++ b/crates/capture/src/block_reader.rs
@@ -1,45 +1,45 @@
-//! Reading the blocks of one file: up to and past damage, with a count of what was lost.
+//! Decodes the blocks of one file. Damaged parts are skipped, and what they held is counted as
+//! lost.
 
-use crate::format::{Block, BLOCK_MARK, MAGIC, MAX_BLOCK_BYTES, MAX_DECOMPRESSED_BYTES, VERSION};
-
-/// Bytes of a block before its content: the mark, the length and the checksum.
-const BLOCK_HEADER_BYTES: usize = BLOCK_MARK.len() + 8;
+use crate::format::{
+    Block, BLOCK_HEADER_BYTES, BLOCK_MARK, MAGIC, MAX_BLOCK_BYTES, MAX_DECOMPRESSED_BYTES, VERSION,
+};
 
 /// Why a file can't be read at all.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ReadError {
-    /// It can't be opened.
+    /// Opening or reading the file failed with this error message.
     #[error("{0}")]
     Io(String),
-    /// It is something else.
-    #[error("is no recording of load")]
+    /// The file does not start with [`MAGIC`] and a version.
+    #[error("is not a traffic recording")]
     NotARecording,
-    /// It is of another version.
-    #[error("is of version {0} of the format; this program reads version {VERSION}")]
+    /// The file has this version of the format, which differs from [`VERSION`].
+    #[error("has format version {0}, but this program reads only version {VERSION}")]
     UnknownVersion(u16),
-    /// No block with a header can be read.
-    #[error("holds no block that can be read")]
+    /// No readable block of the file carries a [`RecordingHeader`](crate::RecordingHeader).
+    #[error("contains no readable block with a header")]
     NoHeader,
 }
 
-/// What is missing from a recording.
+/// The amount of data that is missing from a recording.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Loss {
-    /// Bytes that could not be read.
+    /// Bytes of the files that could not be decoded.
     pub bytes: u64,
-    /// Blocks missing, as far as their numbers show.
+    /// Blocks missing between readable ones, which show as gaps in the block numbers.
     pub blocks: u64,
-    /// Entries that the router had to drop.
+    /// Entries that the router dropped since its queue was full or a block could not be written.
     pub dropped: u64,
 }
 
 impl Loss {
-    /// Whether nothing is missing.
+    /// Whether no loss is known.
     pub fn is_empty(&self) -> bool {
         *self == Loss::default()
     }
 
-    /// Adds what is missing from another file.
+    /// Adds the loss of another file.
     pub fn add(&mut self, other: Loss) {
         self.bytes += other.bytes;
         self.blocks += other.blocks;
@@ -47,19 +47,20 @@
     }
 }
 
-/// The readable content of one file.
+/// The blocks that could be decoded from one file, and the loss.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FileBlocks {
-    /// The blocks that could be read, in the order of the file.
+    /// The readable blocks, in the order of the file.
     pub blocks: Vec<Block>,
-    /// What is missing.
+    /// The data of the file that is missing.
     pub loss: Loss,
 }
 
-/// Reads the bytes of one file.
+/// Decodes the bytes of one file.
 ///
 /// # Errors
-/// It is no recording, or of another version. Damage inside is no error but a [`Loss`].
+/// The file is not a recording, or has another version of the format. Damage after the file header
+/// is not an error: it is counted in the [`Loss`].
 pub fn read_blocks(bytes: &[u8]) -> Result<FileBlocks, ReadError> {
     let mut rest = check_file_header(bytes)?;
     let mut file = FileBlocks::default();
@@ -80,7 +81,7 @@
     Ok(file)
 }
 
-/// Returns what follows a file's header.
+/// Checks the magic bytes and the version of a file, and returns the bytes after them.
 fn check_file_header(bytes: &[u8]) -> Result<&[u8], ReadError> {
     let rest = bytes.strip_prefix(&MAGIC).ok_or(ReadError::NotARecording)?;
     let (version, blocks) = rest.split_first_chunk::<2>().ok_or(ReadError::NotARecording)?;
@@ -101,26 +102,27 @@
     }
 }
 
-/// The length from an unreadable block to the next mark, or to the end.
+/// The number of bytes from the start of an unreadable block to the next block mark, or to the end
+/// of the file.
 fn distance_to_next_mark(bytes: &[u8]) -> usize {
     let mut windows = bytes.windows(BLOCK_MARK.len()).enumerate().skip(1);
     let next_mark = windows.find(|(_, window)| *window == BLOCK_MARK);
     next_mark.map_or(bytes.len(), |(position, _)| position)
 }
 
-/// A block with its length in the file.
+/// A decoded block, and the number of bytes that it takes in the file.
 struct ReadBlock {
     block: Block,
     length: usize,
 }
 
-/// Reads the block at the front; none if it is damaged.
+/// Decodes the block at the start of `bytes`; `None` if it is damaged or incomplete.
 fn read_block(bytes: &[u8]) -> Option<ReadBlock> {
     let rest = bytes.strip_prefix(&BLOCK_MARK)?;
     let (length, rest) = rest.split_first_chunk::<4>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = usize::try_from(u32::from_le_bytes(*length)).ok()?;
-    // Rejected before anything is allocated for it.
+    // A length beyond the limit is damage; rejecting it here avoids a large allocation.
     if length > MAX_BLOCK_BYTES {
         return None;
     }
--- a/crates/capture/src/block_writer.rs
+++ b/crates/capture/src/block_writer.rs
@@ -1,16 +1,18 @@
-//! Writing blocks into the files of a directory, of which the oldest are removed.
+//! Encodes blocks and appends them to the files of a directory, of which the oldest are removed.
 
-use crate::format::{Block, Entry, Micros, RecordingHeader, BLOCK_MARK, MAGIC, MAX_BLOCK_BYTES, VERSION};
+use crate::format::{
+    Block, Entry, Micros, RecordingHeader, BLOCK_HEADER_BYTES, BLOCK_MARK, MAGIC, MAX_BLOCK_BYTES, VERSION,
+};
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The zstd level of blocks: the fastest one that compresses well.
+/// The zstd compression level of blocks. Level 1 is the fastest one that compresses well.
 const COMPRESSION_LEVEL: i32 = 1;
-/// The extension of the files' names.
+/// The extension of recording file names.
 const FILE_EXTENSION: &str = "hmxload";
 
-/// Writes a router's recording as files of bounded number and size in a directory.
+/// Writes a router's recording to a directory, as files of bounded number and size.
 #[derive(Debug)]
 pub struct RecordingWriter {
     directory: PathBuf,
@@ -18,7 +20,7 @@
     max_file_bytes: u64,
     max_files: usize,
     open_file: Option<OpenFile>,
-    /// The files there are, the oldest first.
+    /// The router's files in the directory, oldest first.
     paths: Vec<PathBuf>,
     next_block_number: u64,
 }
@@ -26,13 +28,14 @@
 #[derive(Debug)]
 struct OpenFile {
     file: File,
-    /// Bytes of the blocks written.
+    /// Bytes of the blocks written to the file, without the file header.
     size: u64,
 }
 
 impl RecordingWriter {
-    /// A writer for a directory, which is created if need be. A file ends with the block that
-    /// reaches `max_file_bytes`. Files of earlier runs of the same router count to `max_files`.
+    /// Creates a writer for a directory, which is created if it doesn't exist. A file ends with the
+    /// block that reaches `max_file_bytes`. At most `max_files` are kept, files of earlier runs of
+    /// the same router included.
     ///
     /// # Errors
     /// The directory can't be created or read.
@@ -50,7 +53,7 @@
         };
         let entries = std::fs::read_dir(directory)?.filter_map(Result::ok);
         let mut paths: Vec<PathBuf> = entries.map(|entry| entry.path()).filter(is_ours).collect();
-        // The time in the name has a fixed width, so this is the order of time.
+        // The names contain the start time in a fixed width, so sorting by name is sorting by time.
         paths.sort();
         Ok(RecordingWriter {
             directory: directory.to_path_buf(),
@@ -63,10 +66,10 @@
         })
     }
 
-    /// Writes a block. After an error the next one begins a new file.
+    /// Writes a block. After an error, the next block starts a new file.
     ///
     /// # Errors
-    /// The disk does not take it; the entries are lost.
+    /// The block can't be encoded or written, for instance to a full disk. Its entries are lost.
     pub fn write_block(
         &mut self,
         now: Micros,
@@ -97,12 +100,12 @@
 
     fn begin_file(&mut self, now: Micros) -> io::Result<()> {
         while self.paths.len() >= self.max_files.max(1) {
-            // A file that somebody else has removed needs no removal.
+            // The removal fails if the file is already gone, which has the wanted effect.
             let _removed = std::fs::remove_file(self.paths.remove(0));
         }
         let prefix = file_name_prefix(&self.header.router);
         let millis = now / 1_000;
-        // The number keeps two files of one millisecond apart.
+        // The block number makes the names of two files started in the same millisecond differ.
         let next_block = self.next_block_number;
         let name = format!("{prefix}{millis:016}-{next_block:06}.{FILE_EXTENSION}");
         let path = self.directory.join(name);
@@ -114,29 +117,33 @@
         Ok(())
     }
 
-    /// The files there are, the oldest first.
+    /// The router's files in the directory, oldest first.
     pub fn files(&self) -> &[PathBuf] {
         &self.paths
     }
 }
 
-/// What all files of a router begin their names with.
+/// The common start of the names of a router's files. Other characters than ASCII letters and
+/// digits are replaced, since the router's name may contain path separators.
 fn file_name_prefix(router: &str) -> String {
     let safe = |char: char| if char.is_ascii_alphanumeric() { char } else { '_' };
     let router: String = router.chars().map(safe).collect();
     format!("{router}-")
 }
 
-/// A block with its mark, length and checksum.
+/// Encodes a block, preceded by its mark, length and checksum.
 fn encode_block(block: &Block) -> io::Result<Vec<u8>> {
     let encoded = postcard::to_stdvec(block).map_err(io::Error::other)?;
     let compressed = zstd::bulk::compress(&encoded, COMPRESSION_LEVEL)?;
     if compressed.len() > MAX_BLOCK_BYTES {
-        return Err(io::Error::other("block exceeds the format's bound"));
+        return Err(io::Error::other(format!(
+            "block has {} bytes after compression, the limit is {MAX_BLOCK_BYTES}",
+            compressed.len()
+        )));
     }
     let length = compressed.len() as u32;
     let checksum = crc32c::crc32c(&compressed);
-    let mut bytes = Vec::with_capacity(BLOCK_MARK.len() + 8 + compressed.len());
+    let mut bytes = Vec::with_capacity(BLOCK_HEADER_BYTES + compressed.len());
     bytes.extend_from_slice(&BLOCK_MARK);
     bytes.extend_from_slice(&length.to_le_bytes());
     bytes.extend_from_slice(&checksum.to_le_bytes());
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,5 +1,5 @@
-//! The types of a block. postcard writes fields in order and variants by number, so their order and
-//! types are the format; names are free.
+//! The types of a block. postcard writes fields in order and variants by number, so the order and
+//! the types of fields and variants are the format. Their names are not part of it.
 
 use crate::result::{RecordedReason, RecordedResult};
 use hollymux_decision::time::whole_micros;
@@ -7,46 +7,49 @@
 use hollymux_router::{ListedEndpoint, RequestSummary};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds: an instant on the clock of whoever gives it, or a duration.
+/// Microseconds: a time on the recording router's clock, which starts from the Unix time, or a
+/// duration.
 pub type Micros = u64;
 
-/// The first bytes of a file.
+/// The bytes at the start of every file.
 pub const MAGIC: [u8; 8] = *b"hmxload\0";
-/// The version of the format that is written, and the only one that is read.
+/// The version of the format that is written, and the only one that can be read.
 pub const VERSION: u16 = 1;
-/// The first bytes of a block.
+/// The bytes at the start of every block.
 pub const BLOCK_MARK: [u8; 4] = *b"hmxB";
-/// Largest block as it is in the file, in bytes.
+/// Bytes of a block before its compressed content: the mark, the length and the checksum.
+pub(crate) const BLOCK_HEADER_BYTES: usize = BLOCK_MARK.len() + 8;
+/// Largest compressed content of a block, in bytes.
 pub const MAX_BLOCK_BYTES: usize = 4 << 20;
-/// Largest block after decompression, in bytes.
+/// Largest content of a block after decompression, in bytes.
 pub const MAX_DECOMPRESSED_BYTES: usize = 32 << 20;
-/// Most entries of a block.
+/// Most entries in a block.
 pub const MAX_BLOCK_ENTRIES: usize = 2_048;
 
-/// A request class, as far as a plan needs it.
+/// The settings of a request class that capacity planning needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedClass {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The time within which a response is wanted, apart from the transfer of its bytes.
+    /// Latency objective, without the transfer time of the response's bytes.
     pub latency_objective: Micros,
-    /// Multiples of the transfer's own duration that are added to the objective.
+    /// The multiple of the transfer time that is added to the latency objective.
     pub latency_objective_stretch: f64,
-    /// Requests are given up after this.
+    /// Time after which a request of the class is given up.
     pub deadline: Micros,
-    /// The weight of a response in time.
+    /// Priority weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that a late response has.
+    /// Share of the priority weight that a response has after the latency objective.
     pub late_weight: f64,
-    /// Requests run at the origin, and nothing is cached.
+    /// Whether requests of the class are executed at the origin and their responses aren't cached.
     pub is_write: bool,
-    /// Requests may be retried.
+    /// Whether requests of the class are idempotent and may be retried.
     pub is_idempotent: bool,
-    /// How long a cached copy is fresh; 0: until it is purged.
+    /// How long a cached copy is fresh; 0 if it is fresh until it is purged.
     pub fresh_for: Micros,
-    /// How much longer it may be served stale.
+    /// How long after `fresh_for` a cached copy may be served stale.
     pub stale_for: Micros,
-    /// The share of the weight that a stale response has.
+    /// Share of the priority weight that a stale response has.
     pub stale_weight: f64,
 }
 
@@ -68,33 +71,34 @@
     }
 }
 
-/// Which router recorded, and the settings needed to read its entries.
+/// The router that made a recording, and the settings needed to interpret its entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecordingHeader {
     /// The router's name.
     pub router: String,
-    /// The name of the router's zone.
+    /// The name of the router's zone; empty if the zone number has no name.
     pub zone: String,
-    /// The request classes, by number.
+    /// The request classes. Entries refer to them by index.
     pub classes: Vec<RecordedClass>,
-    /// Names of kinds of endpoint, by number.
+    /// The names of the endpoint kinds. Entries refer to them by index.
     pub kinds: Vec<String>,
-    /// The kind that is a parent cache.
+    /// The index in `kinds` of parent caches; `None` if there are no parent caches.
     pub parent_kind: Option<u16>,
-    /// The kind that is the origin.
+    /// The index in `kinds` of origins; `None` if no kind is an origin.
     pub origin_kind: Option<u16>,
-    /// Names of zones, by number.
+    /// The names of the zones. Entries refer to them by index.
     pub zones: Vec<String>,
-    /// The rate of one transfer to a client; 0 if it is not known.
+    /// Rate of one transfer to a client, in bytes per second; 0 if it is not known.
     pub transfer_bytes_per_s: f64,
-    /// Routers in all, as the settings say.
+    /// Number of routers in the cluster according to the settings.
     pub router_count: u32,
-    /// When this file was begun.
+    /// When the file of this header was started.
     pub started: Micros,
 }
 
 impl RecordingHeader {
-    /// The header of a router's recordings; the writer sets when each file was begun.
+    /// Builds the header of a router's recording from its settings. The writer sets `started` for
+    /// each file.
     pub fn new(
         router: &str,
         zones: &[String],
@@ -118,39 +122,42 @@
     }
 }
 
-/// A request that was closed.
+/// A request that the router closed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestEntry {
-    /// When it arrived.
+    /// When the router received the request.
     pub arrived: Micros,
-    /// Its class, by number.
+    /// The index of the request's class in [`RecordingHeader::classes`].
     pub class: u16,
-    /// The object.
+    /// The number of the requested object.
     pub object: u64,
-    /// The chunk of the object.
+    /// The number of the requested chunk within the object.
     pub chunk: u32,
-    /// The object's group.
+    /// The number of the object's group.
     pub group: u32,
     /// How long the client was willing to wait.
     pub timeout: Micros,
-    /// The result.
+    /// How the request ended.
     pub result: RecordedResult,
-    /// Why it has that result.
+    /// The reason for `result`; [`RecordedReason::None`] for a request that was answered.
     pub reason: RecordedReason,
-    /// Bytes of the response.
+    /// Size of the response's body in bytes.
     pub bytes: u64,
-    /// How long it was open.
+    /// Time from the request's arrival until it was closed.
     pub duration: Micros,
-    /// Attempts at endpoints.
+    /// Number of attempts made at endpoints.
     pub attempts: u16,
-    /// The endpoint of the last attempt, as an index of [`Block::names`].
+    /// The endpoint of the last attempt, as an index into [`Block::names`]; `None` if there was no
+    /// attempt or the name was dropped.
     pub endpoint: Option<u32>,
-    /// The fill source named in that attempt, as an index of [`Block::names`].
+    /// The fill source given in the last attempt, as an index into [`Block::names`]; `None` if the
+    /// attempt had no source or the name was dropped.
     pub source: Option<u32>,
 }
 
 impl RequestEntry {
-    /// The entry of a closed request, whose endpoint and source have the given indices.
+    /// Builds the entry of a closed request. `endpoint` and `source` are the numbers of the names
+    /// in the summary.
     pub fn new(summary: &RequestSummary, endpoint: Option<u32>, source: Option<u32>) -> RequestEntry {
         RequestEntry {
             arrived: summary.arrived.as_micros(),
@@ -170,34 +177,34 @@
     }
 }
 
-/// A change of the endpoint list.
+/// A change of one endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// When the router received it.
+    /// When the router received the change.
     pub at: Micros,
-    /// The endpoint's name, as an index of [`Block::names`] or of [`crate::Recording::names`].
+    /// The endpoint's name, as an index into [`Block::names`] or [`crate::Recording::names`].
     pub name: u32,
-    /// Its zone, by number.
+    /// The endpoint's zone, as an index into [`RecordingHeader::zones`].
     pub zone: u16,
-    /// Its kind, by number.
+    /// The endpoint's kind, as an index into [`RecordingHeader::kinds`].
     pub kind: u16,
-    /// Its weight in the list.
+    /// The endpoint's weight in the endpoint list.
     pub weight: f64,
-    /// When it started; 0: long ago.
+    /// When the endpoint last started; 0 if that was too long ago to matter.
     pub started: Micros,
-    /// One of the `STATE_` constants.
+    /// The endpoint's state after the change: one of the `STATE_` constants.
     pub state: u8,
 }
 
 impl EndpointUpdate {
-    /// The endpoint takes requests.
+    /// State of an endpoint that takes requests.
     pub const STATE_READY: u8 = 0;
-    /// The endpoint is draining.
+    /// State of an endpoint that takes no new requests and finishes those in flight.
     pub const STATE_DRAINING: u8 = 1;
-    /// The endpoint has left the list.
+    /// State of an endpoint that was removed from the endpoint list.
     pub const STATE_GONE: u8 = 2;
 
-    /// The entry of an update, whose endpoint's name has the given index.
+    /// Builds the entry of a change. `name` is the number of the endpoint's name.
     pub fn new(at: Micros, endpoint: &ListedEndpoint, name: u32) -> EndpointUpdate {
         let entry = &endpoint.entry;
         let state = match entry.state {
@@ -217,39 +224,40 @@
     }
 }
 
-/// A purge.
+/// A purge that the router received.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PurgeEntry {
-    /// When the router received it.
+    /// When the router received the purge.
     pub at: Micros,
-    /// The object; none: the whole group.
+    /// The purged object; `None` if the whole group was purged.
     pub object: Option<u64>,
-    /// The group.
+    /// The number of the purged group, or of the purged object's group.
     pub group: u32,
 }
 
-/// One thing recorded.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
     /// A request was closed.
     Request(RequestEntry),
-    /// The endpoint list changed.
+    /// An endpoint in the endpoint list changed.
     EndpointUpdate(EndpointUpdate),
-    /// Something was purged.
+    /// A purge was received.
     Purge(PurgeEntry),
 }
 
-/// The content of a block.
+/// The decoded content of a block.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Block {
-    /// Its number in the router's recording, from 0: a gap is a loss.
+    /// The block's number in the router's recording, from 0. A gap in the numbers shows lost
+    /// blocks.
     pub number: u64,
-    /// Entries that had to be dropped before it.
+    /// Entries dropped between the previous block and this one.
     pub dropped: u64,
-    /// The header, in the first block of a file.
+    /// The header of the file; present only in the file's first block.
     pub header: Option<RecordingHeader>,
-    /// The names that its entries refer to by index.
+    /// The endpoint names to which the entries of this block refer by index.
     pub names: Vec<String>,
-    /// The entries.
+    /// The recorded events, in the order of recording.
     pub entries: Vec<Entry>,
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,12 +1,13 @@
-//! Recorded traffic: the requests a router closed, with their results, and the endpoint updates and
-//! purges it received. It holds no bodies, request ids or client addresses.
+//! Recordings of traffic: the requests that a router closed, with their results, and the endpoint
+//! updates and purges that it received. A recording holds no bodies, request ids or client
+//! addresses.
 //!
-//! `docs/capture.md` has the format. A file is self-contained: a header that names the router and
-//! its request classes, then blocks, each with a mark, a length and a checksum, so that damage
-//! costs the blocks it touches and no more.
+//! `docs/capture.md` describes the format. Each file is self-contained. It starts with a header
+//! that names the router and its request classes, followed by blocks. Each block has a mark, a
+//! length and a checksum, so that damage loses only the blocks that it touches.
 //!
-//! - [`format`](mod@format): the types of a block, which are the format.
-//! - [`RecordingWriter`] and [`Recorder`]: writing, by a thread of its own.
+//! - [`format`](mod@format): the types that a block is encoded from.
+//! - [`RecordingWriter`] and [`Recorder`]: writing files, on a separate thread.
 //! - [`read_blocks`] and [`load`]: reading one file, and merging several into a [`Recording`].
 
 mod block_reader;
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,6 +1,6 @@
-//! Recording beside serving: entries go through a bounded queue to a thread that writes them. The
-//! serving thread never waits for the disk; what the queue does not take is dropped and counted,
-//! and the next block says how much.
+//! Records traffic without delaying the thread that serves requests. Entries go through a bounded
+//! queue to a thread that writes them. Entries that don't fit into the queue are dropped, and the
+//! next block has their number.
 
 use crate::block_writer::RecordingWriter;
 use crate::format::{EndpointUpdate, Entry, Micros, PurgeEntry, RequestEntry, MAX_BLOCK_ENTRIES};
@@ -13,14 +13,15 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Entries are written after this time at the latest, which bounds what a crash loses.
+/// Longest time that an entry waits in memory before it is written. It bounds what a crash loses.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
-/// Most endpoint names that are remembered; at one more all are sent anew.
+/// Most endpoint names that are kept. When it is exceeded, all names are forgotten and sent to the
+/// writing thread again.
 const MAX_NAMES: usize = 20_000;
 
-/// A message to the writing thread.
+/// A message from the serving thread to the writing thread.
 enum Message {
-    /// Entries from now on mean that name by that number.
+    /// Assigns a name to a number, which the entries after this message use.
     Name {
         number: u32,
         name: String,
@@ -28,30 +29,32 @@
     Entry(Box<Entry>),
 }
 
-/// What to do when the queue is full.
+/// What a recorder does with a message when the queue is full.
 #[derive(Clone, Copy, Debug)]
 enum QueueFull {
+    /// Drop the message.
     Drop,
-    /// For callers that no client waits for.
+    /// Wait for the writing thread. Only for callers outside of request handling.
     Wait,
 }
 
-/// The serving side of recording. Dropping it waits until everything queued is written.
+/// Queues entries for the writing thread. Dropping a recorder waits until all queued entries are
+/// written.
 #[derive(Debug)]
 pub struct Recorder {
-    /// None only while being dropped.
+    /// The sender of the queue; `None` only while the recorder is being dropped.
     queue: Option<SyncSender<Message>>,
     when_full: QueueFull,
-    /// The numbers of the names that the thread knows.
+    /// The numbers of the names that were sent to the writing thread.
     names: HashMap<String, u32>,
-    /// Entries dropped since the last block.
+    /// Number of entries dropped since the last block was written, shared with the writing thread.
     dropped: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Recorder {
-    /// Starts the thread, with a queue of that many entries. Entries that it does not take are
-    /// dropped.
+    /// Starts the writing thread with a queue of `queue_length` messages. Entries are dropped while
+    /// the queue is full.
     ///
     /// # Errors
     /// The thread can't be started.
@@ -59,7 +62,8 @@
         Recorder::spawn(writer, queue_length, QueueFull::Drop)
     }
 
-    /// Starts the thread for a caller that may wait for the disk, so that nothing is dropped.
+    /// Starts the writing thread for a caller that may wait for the disk. No entries are dropped
+    /// while the queue is full.
     ///
     /// # Errors
     /// The thread can't be started.
@@ -77,14 +81,14 @@
         Ok(Recorder { queue: Some(sender), when_full, names: HashMap::new(), dropped, thread: Some(thread) })
     }
 
-    /// Records a closed request.
+    /// Records a request that the router closed.
     pub fn request(&mut self, summary: &RequestSummary) {
         let endpoint = summary.endpoint.as_deref().and_then(|name| self.name_number(name));
         let source = summary.source.as_deref().and_then(|name| self.name_number(name));
         self.entry(Entry::Request(RequestEntry::new(summary, endpoint, source)));
     }
 
-    /// Records changes of the endpoint list.
+    /// Records changes of the endpoint list that the router received at `now`.
     pub fn endpoint_updates(&mut self, now: Micros, endpoints: &[ListedEndpoint]) {
         for endpoint in endpoints {
             match self.name_number(&endpoint.uid) {
@@ -97,12 +101,13 @@
         }
     }
 
-    /// Records a purge; without an object of the whole group.
+    /// Records a purge of one object, or of the whole group if `object` is `None`.
     pub fn purge(&mut self, now: Micros, object: Option<u64>, group: u32) {
         self.entry(Entry::Purge(PurgeEntry { at: now, object, group }));
     }
 
-    /// The number of a name, sent to the thread if it is new; none if the queue is full.
+    /// Returns the number of a name, after sending a new name to the writing thread. Returns `None`
+    /// if the queue is full.
     fn name_number(&mut self, name: &str) -> Option<u32> {
         if let Some(number) = self.names.get(name) {
             return Some(*number);
@@ -128,7 +133,7 @@
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether the thread's queue took the message.
+    /// Sends a message to the writing thread. Returns whether the queue accepted it.
     fn send(&self, message: Message) -> bool {
         let Some(queue) = &self.queue else { return false };
         match self.when_full {
@@ -136,7 +141,7 @@
             QueueFull::Drop => {
                 let sent = queue.try_send(message);
                 let thread_ended = matches!(sent, Err(TrySendError::Disconnected(_)));
-                debug_assert!(!thread_ended, "the thread runs until the queue is dropped");
+                debug_assert!(!thread_ended, "the writing thread ended before the recorder was dropped");
                 sent.is_ok()
             }
         }
@@ -145,7 +150,7 @@
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        // The thread ends when the queue does, after writing what is in it.
+        // Closing the queue ends the thread after it has written the remaining entries.
         self.queue = None;
         if let Some(thread) = self.thread.take() {
             let _result = thread.join();
@@ -153,13 +158,13 @@
     }
 }
 
-/// The state of the writing thread.
+/// The writing thread, which collects entries into blocks.
 struct WriterThread {
     writer: RecordingWriter,
     dropped: Arc<AtomicU64>,
-    /// The names that entries use, by number.
+    /// The names to which entries refer, by number.
     names: HashMap<u32, String>,
-    /// Entries not written yet.
+    /// Entries that are not written yet.
     pending: Vec<Entry>,
     last_flush: Instant,
     /// Whether the last block could not be written.
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Gathers entries and writes them, until the queue ends.
+    /// Collects entries and writes them in blocks, until the queue is closed and empty.
     fn run(mut self, queue: &Receiver<Message>) {
         loop {
             let until_flush = FLUSH_INTERVAL.saturating_sub(self.last_flush.elapsed());
@@ -202,7 +207,7 @@
         match message {
             Message::Entry(entry) => self.pending.push(*entry),
             Message::Name { number, name } => {
-                // Pending entries may mean another name by that number.
+                // Pending entries may still use this number for another name.
                 if self.names.contains_key(&number) {
                     self.flush();
                 }
@@ -228,17 +233,17 @@
         }
     }
 
-    /// Logs the first failure only, not one for each block on a full disk.
+    /// Logs the first failed block and not the ones that follow it, for instance on a full disk.
     fn report_failure(&mut self, error: &io::Error) {
         if !self.failing {
             self.failing = true;
-            tracing::warn!(%error, "recorded traffic can't be written");
+            tracing::warn!(%error, "traffic recording can't be written to disk; entries are dropped until it can");
         }
     }
 }
 
-/// Replaces the numbers of names in the entries by indices of the names that they use, and returns
-/// those names.
+/// Replaces the name numbers in the entries by indices into the returned list, which holds the
+/// names that the entries use.
 fn use_block_indices(entries: &mut [Entry], all_names: &HashMap<u32, String>) -> Vec<String> {
     let mut names = Vec::new();
     let mut indices = HashMap::new();
--- a/crates/capture/src/recording.rs
+++ b/crates/capture/src/recording.rs
@@ -1,4 +1,4 @@
-//! A recording in memory, merged from the files of one router or several.
+//! The in-memory form of a recording, merged from the files of one or several routers.
 
 use crate::block_reader::{read_blocks, FileBlocks, Loss, ReadError};
 use crate::format::{Block, EndpointUpdate, Entry, PurgeEntry, RecordingHeader, RequestEntry};
@@ -6,84 +6,85 @@
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
-/// Why recordings can't be loaded.
+/// Why files can't be loaded into one recording.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A file can't be read.
+    /// One file can't be read.
     #[error("{}: {error}", path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why the file can't be read.
         error: ReadError,
     },
-    /// Two files of one router have different request classes.
-    #[error("{}: the classes of {router} are not those of another file", path.display())]
+    /// Two files of the same router have different request classes.
+    #[error("{}: the request classes of {router} differ from those in its other files", path.display())]
     ClassesChanged {
-        /// The second of the files.
+        /// The path of the file that was read second.
         path: PathBuf,
-        /// The router.
+        /// The name of the router.
         router: String,
     },
-    /// Two routers have different request classes.
-    #[error("{first} and {second} have different classes")]
+    /// Files of two routers have different request classes.
+    #[error("{first} and {second} have different request classes")]
     ClassesDiffer {
-        /// The router of the first file.
+        /// The name of the router of the first file.
         first: String,
-        /// The first router with other classes.
+        /// The name of the first router whose classes differ from those of `first`.
         second: String,
     },
 }
 
-/// An entry and the router that recorded it.
+/// An entry together with the router that recorded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FromRouter<T> {
-    /// The router, as an index of [`Recording::headers`].
+    /// The index in [`Recording::headers`] of the router that recorded the entry.
     pub router: u16,
-    /// The entry.
+    /// The recorded entry.
     pub entry: T,
 }
 
-/// A request as a recording holds it in memory: small, as there may be millions.
+/// A recorded request in memory. Its fields are small, since a recording may hold millions of
+/// requests; values that don't fit are capped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecordedRequest {
-    /// When it arrived, in microseconds.
+    /// When the router received the request, in microseconds.
     pub arrived: u64,
-    /// The object.
+    /// The number of the requested object.
     pub object: u64,
-    /// The chunk of the object.
+    /// The number of the requested chunk within the object.
     pub chunk: u32,
-    /// How long it was open, in microseconds; at most 71 minutes.
+    /// Time from the request's arrival until it was closed, in microseconds; capped at 71 minutes.
     pub duration: u32,
-    /// How long the client was willing to wait, in microseconds; at most 71 minutes.
+    /// How long the client was willing to wait, in microseconds; capped at 71 minutes.
     pub timeout: u32,
-    /// Bytes of the response.
+    /// Size of the response's body in bytes, capped at 4 GiB.
     pub bytes: u32,
-    /// The endpoint of the last attempt, as an index of [`Recording::names`], or
+    /// The endpoint of the last attempt, as an index into [`Recording::names`], or
     /// [`RecordedRequest::NO_NAME`].
     pub endpoint: u16,
-    /// The fill source named in that attempt, as an index of [`Recording::names`], or
+    /// The fill source given in the last attempt, as an index into [`Recording::names`], or
     /// [`RecordedRequest::NO_NAME`].
     pub source: u16,
-    /// The router, as an index of [`Recording::headers`].
+    /// The index in [`Recording::headers`] of the router that recorded the request.
     pub router: u16,
-    /// Its class, by number.
+    /// The index of the request's class in [`RecordingHeader::classes`].
     pub class: u8,
-    /// The object's group.
+    /// The lowest 8 bits of the number of the object's group.
     pub group: u8,
-    /// Attempts at endpoints.
+    /// Number of attempts made at endpoints.
     pub attempts: u8,
-    /// The result.
+    /// How the request ended.
     pub result: RecordedResult,
-    /// Why it has that result.
+    /// The reason for `result`; [`RecordedReason::None`] for a request that was answered.
     pub reason: RecordedReason,
 }
 
 impl RecordedRequest {
-    /// The index that stands for no name.
+    /// The index that is used where there is no name.
     pub const NO_NAME: u16 = u16::MAX;
 
-    /// Values too large for their fields are capped.
+    /// Converts an entry. `endpoint` and `source` are the indices of its names in the recording.
     fn new(router: u16, entry: &RequestEntry, endpoint: u16, source: u16) -> RecordedRequest {
         RecordedRequest {
             arrived: entry.arrived,
@@ -108,27 +109,27 @@
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// Recorded traffic of one router or several.
+/// Recorded traffic of one or several routers.
 #[derive(Clone, Debug, Default)]
 pub struct Recording {
-    /// The headers, one of each router.
+    /// One header per router, taken from the first of its files.
     pub headers: Vec<RecordingHeader>,
-    /// Names of endpoints.
+    /// The endpoint names to which requests and endpoint updates refer by index.
     pub names: Vec<String>,
-    /// Requests, in the order of arrival.
+    /// The requests of all routers, in the order of arrival.
     pub requests: Vec<RecordedRequest>,
-    /// Changes of the endpoint list, in the order of time.
+    /// The changes of the endpoint lists of all routers, in the order of time.
     pub endpoint_updates: Vec<FromRouter<EndpointUpdate>>,
-    /// Purges, in the order of time.
+    /// The purges that the routers received, in the order of time.
     pub purges: Vec<FromRouter<PurgeEntry>>,
-    /// What is missing.
+    /// The data that is missing from the files.
     pub loss: Loss,
-    /// The indices of `names`.
+    /// The index in `names` of each name.
     name_indices: HashMap<String, u32>,
 }
 
 impl Recording {
-    /// The name of an endpoint; empty if the index is none of [`Recording::names`].
+    /// The name of an endpoint; empty if [`Recording::names`] has no such index.
     pub fn endpoint_name(&self, index: u32) -> &str {
         self.names.get(index as usize).map_or("", String::as_str)
     }
@@ -143,10 +144,10 @@
         index
     }
 
-    /// Adds the content of one file.
+    /// Adds the entries and the loss of one file.
     fn add_file(&mut self, path: &Path, file: FileBlocks) -> Result<(), LoadError> {
         self.loss.add(file.loss);
-        // Without a header it is not known whose numbers these are.
+        // The class, zone and kind numbers in the entries have no meaning without a header.
         let header = file.blocks.iter().find_map(|block| block.header.clone());
         let Some(header) = header else {
             return Err(LoadError::File { path: path.to_path_buf(), error: ReadError::NoHeader });
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Returns the index of the header's router.
+    /// Adds the header of a router that is not known yet. Returns the router's index in `headers`.
     fn add_header(&mut self, path: &Path, header: RecordingHeader) -> Result<u16, LoadError> {
         let known = self.headers.iter().position(|known| known.router == header.router);
         let Some(index) = known else {
@@ -214,11 +215,11 @@
     }
 }
 
-/// Loads files into one recording, in any order.
+/// Loads files into one recording. The order of the paths does not matter.
 ///
 /// # Errors
-/// One for each file that can't be read at all, and for classes that differ. Damage inside a file
-/// is no error but a [`Loss`].
+/// One error for each file that can't be read at all, and for request classes that differ. Damage
+/// inside a file is not an error: it is counted in the [`Loss`].
 pub fn load_files(paths: &[impl AsRef<Path>]) -> Result<Recording, Vec<LoadError>> {
     let mut recording = Recording::default();
     let mut errors = Vec::new();
@@ -246,10 +247,10 @@
     read_blocks(&bytes)
 }
 
-/// Loads files into one recording, as [`load_files`] does, for callers that print the errors.
+/// Loads files into one recording like [`load_files`], for callers that print the errors.
 ///
 /// # Errors
-/// The errors of [`load_files`], one line each.
+/// The errors of [`load_files`], formatted as one line each.
 pub fn load(paths: &[impl AsRef<Path>]) -> Result<Recording, Vec<String>> {
     load_files(paths).map_err(|errors| errors.iter().map(LoadError::to_string).collect())
 }
--- a/crates/capture/src/result.rs
+++ b/crates/capture/src/result.rs
@@ -1,28 +1,28 @@
-//! How a recorded request ended, and why.
+//! The results of recorded requests, and the reasons for them.
 
 use hollymux_decision::AttemptStatus;
 use hollymux_router::{RequestResult, ResultReason};
 use serde::{Deserialize, Serialize};
 
-/// How a request ended. The order of the variants is part of the recording's format.
+/// How a recorded request ended. The order of the variants is part of the format of recordings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RecordedResult {
-    /// Served with bytes.
+    /// The client got the bytes of the object.
     Served,
-    /// Served: the client's copy is current.
+    /// The client was told that its copy is current, without bytes of the object.
     NotModified,
-    /// Rejected.
+    /// The router rejected the request without executing it.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// The client stopped waiting.
+    /// The client cancelled the request.
     Cancelled,
-    /// A lookup was answered with an endpoint.
+    /// A lookup was answered with the name of an endpoint.
     Routed,
 }
 
 impl RecordedResult {
-    /// The name in reports, which scripts read.
+    /// The name of the result in printed reports and JSON, where scripts match it.
     pub fn name(self) -> &'static str {
         match self {
             RecordedResult::Served => "served",
@@ -48,42 +48,43 @@
     }
 }
 
-/// Why a request that was not served has its result. The order of the variants is part of the
-/// recording's format.
+/// Why a recorded request ended as it did. The order of the variants is part of the format of
+/// recordings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RecordedReason {
-    /// It was served, or its lookup was answered.
+    /// The request was served, or its lookup was answered.
     None,
-    /// The router's table of open requests was full.
+    /// The router had too many open requests, or its table of pending writes was full.
     TableFull,
-    /// Its fields could not be used.
+    /// The request's id was in use, or its timeout was too long.
     InvalidRequest,
-    /// It may have run before, and is not idempotent.
+    /// A non-idempotent request with the same id may have been executed.
     MayHaveRun,
-    /// No endpoint could take an attempt.
+    /// There was no endpoint to which an attempt could be sent.
     NoEndpoint,
-    /// The last attempt was a cache miss.
+    /// The last attempt was a cache miss that was not filled.
     Miss,
-    /// The last attempt met an endpoint at capacity.
+    /// The endpoint of the last attempt was at capacity, or its fill source was.
     AtCapacity,
     /// The last attempt was not sent.
     NotSent,
-    /// The last attempt got no connection.
+    /// The last attempt got no connection to its endpoint.
     Unreachable,
-    /// The last attempt met an error.
+    /// The endpoint of the last attempt returned an error.
     Error,
-    /// The last attempt timed out.
+    /// The endpoint of the last attempt did not respond in time.
     TimedOut,
-    /// The connection of the last attempt broke.
+    /// The connection of the last attempt was closed before a response.
     ConnectionLost,
     /// The last attempt was cancelled.
     Cancelled,
-    /// The client's connection or the buffer pool held too much.
+    /// Too much data was pending on the client's connection or in the buffer pool, so the request
+    /// was not opened.
     Overloaded,
 }
 
 impl RecordedReason {
-    /// The name in reports, which scripts read.
+    /// The name of the reason in printed reports and JSON, where scripts match it.
     pub fn name(self) -> &'static str {
         match self {
             RecordedReason::None => "none",
--- a/crates/capture/tests/recordings.rs
+++ b/crates/capture/tests/recordings.rs
@@ -1,4 +1,5 @@
-//! Recordings: what is written is read again, and damage loses only the blocks it touches.
+//! Writing and reading of recordings: entries are read as they were written, and damage to a file
+//! loses only the blocks that it touches.
 
 use hollymux_capture::{
     load, read_blocks, PurgeEntry, RecordedRequest, RecordedResult, Recorder, RecordingHeader,
@@ -10,6 +11,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// Bytes of a file before its first block: the magic bytes and the version.
+const FILE_HEADER_BYTES: usize = 10;
+
 fn header(router: &str) -> RecordingHeader {
     let class = hollymux_decision::RequestClass {
         latency_objective: Duration::from_millis(250),
@@ -27,25 +31,25 @@
     )
 }
 
-fn request_summary(n: u64, endpoint: &str) -> RequestSummary {
+fn request_summary(number: u64, endpoint: &str) -> RequestSummary {
     RequestSummary {
-        request: n as u32,
+        request: number as u32,
         requested: RequestedObject {
             class: 0,
-            object: n * 7,
-            chunk: n as u32 % 5,
+            object: number * 7,
+            chunk: number as u32 % 5,
             group: 3,
-            request_id: Some(n),
+            request_id: Some(number),
         },
-        arrived: Timestamp::from_micros(1_000_000 + n * 1_000),
+        arrived: Timestamp::from_micros(1_000_000 + number * 1_000),
         budget: Duration::from_millis(2_500),
-        duration: Duration::from_micros(40_000 + n),
-        result: if n.is_multiple_of(9) { RequestResult::Rejected } else { RequestResult::Served },
-        reason: if n.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
-        bytes: n * 3,
+        duration: Duration::from_micros(40_000 + number),
+        result: if number.is_multiple_of(9) { RequestResult::Rejected } else { RequestResult::Served },
+        reason: if number.is_multiple_of(9) { ResultReason::NoEndpoint } else { ResultReason::Completed },
+        bytes: number * 3,
         attempts: 1,
         endpoint: Some(endpoint.into()),
-        source: n.is_multiple_of(2).then(|| "s-hub".into()),
+        source: number.is_multiple_of(2).then(|| "s-hub".into()),
     }
 }
 
@@ -59,17 +63,21 @@
     ListedEndpoint { entry, uid: uid.to_string(), addr: None }
 }
 
-/// A directory with a recording of that many requests, in files of about that many bytes.
+/// Writes a recording of `requests` requests, an endpoint update and a purge to a new directory.
+/// Returns the directory and the sorted paths of its files.
 fn record(requests: u64, file_bytes: u64, files: usize) -> (tempfile::TempDir, Vec<PathBuf>) {
     let dir = tempfile::tempdir().unwrap();
     let writer = RecordingWriter::new(dir.path(), header("n/1"), file_bytes, files).unwrap();
     let mut recorder = Recorder::start_blocking(writer).unwrap();
     recorder.endpoint_updates(5, &[draining_endpoint("s-a")]);
-    (0..requests)
-        .for_each(|n| recorder.request(&request_summary(n, if n.is_multiple_of(3) { "s-a" } else { "s-b" })));
+    for number in 0..requests {
+        let endpoint = if number.is_multiple_of(3) { "s-a" } else { "s-b" };
+        recorder.request(&request_summary(number, endpoint));
+    }
     recorder.purge(77, Some(4), 3);
     drop(recorder);
-    let mut paths: Vec<PathBuf> = std::fs::read_dir(dir.path()).unwrap().map(|e| e.unwrap().path()).collect();
+    let mut paths: Vec<PathBuf> =
+        std::fs::read_dir(dir.path()).unwrap().map(|entry| entry.unwrap().path()).collect();
     paths.sort();
     (dir, paths)
 }
@@ -112,12 +120,12 @@
 #[test]
 fn files_are_bounded_and_the_oldest_is_removed() {
     let (dir, paths) = record(60_000, 1, 3);
-    // Each block is a file of its own.
+    // With a limit of one byte, each block gets a file of its own.
     assert_eq!(paths.len(), 3, "{paths:?}");
     let recording = load(&paths).unwrap();
     assert!(!recording.requests.is_empty() && recording.requests.len() < 60_000);
-    // A later start takes the files of an earlier one into account, and nobody else's.
-    std::fs::write(dir.path().join("other-1.hmxload"), b"theirs").unwrap();
+    // A new writer counts the files of an earlier run of its router, and no files of other routers.
+    std::fs::write(dir.path().join("other-1.hmxload"), b"another router's file").unwrap();
     let writer = RecordingWriter::new(dir.path(), header("n/1"), 1, 3).unwrap();
     assert_eq!(writer.files(), paths);
 }
@@ -127,71 +135,80 @@
     let dir = tempfile::tempdir().unwrap();
     let writer = RecordingWriter::new(dir.path(), header("n1"), 1 << 20, 4).unwrap();
     let mut recorder = Recorder::start(writer, 1).unwrap();
-    (0..50_000).for_each(|n| recorder.request(&request_summary(n, "s-a")));
+    for number in 0..50_000 {
+        recorder.request(&request_summary(number, "s-a"));
+    }
     drop(recorder);
-    let paths: Vec<PathBuf> = std::fs::read_dir(dir.path()).unwrap().map(|e| e.unwrap().path()).collect();
+    let paths: Vec<PathBuf> =
+        std::fs::read_dir(dir.path()).unwrap().map(|entry| entry.unwrap().path()).collect();
     let recording = load(&paths).unwrap();
     assert!(recording.loss.dropped > 0);
     assert_eq!(recording.requests.len() as u64 + recording.loss.dropped, 50_000);
 }
 
 #[test]
-fn a_file_that_is_no_recording_is_an_error_of_one_line() {
+fn each_unreadable_file_is_reported_as_one_error() {
     let dir = tempfile::tempdir().unwrap();
     let files: [(&str, &[u8]); 4] = [
         ("empty", b""),
         ("text", b"hello, this is no recording"),
-        ("newer", b"hmxload\0\x09\0"),
-        ("bare", b"hmxload\0\x01\0hmxB\xff\xff\xff\xff...."),
+        ("newer version", b"hmxload\0\x09\0"),
+        ("bad block", b"hmxload\0\x01\0hmxB\xff\xff\xff\xff...."),
     ];
-    let paths: Vec<PathBuf> = files
+    let mut paths: Vec<PathBuf> = files
         .map(|(name, bytes)| {
             std::fs::write(dir.path().join(name), bytes).unwrap();
             dir.path().join(name)
         })
         .into();
-    let mut paths = paths;
     paths.push(dir.path().join("absent"));
-    let wrong = load(&paths).unwrap_err();
-    assert_eq!(wrong.len(), 5, "{wrong:?}");
-    assert!(wrong[1].contains("no recording") && wrong[2].contains("version 9"), "{wrong:?}");
-    assert!(wrong.iter().any(|w| w.contains("holds no block")), "{wrong:?}");
+    let errors = load(&paths).unwrap_err();
+    assert_eq!(errors.len(), 5, "{errors:?}");
+    assert!(
+        errors[1].contains("is not a traffic recording") && errors[2].contains("version 9"),
+        "{errors:?}"
+    );
+    assert!(errors.iter().any(|error| error.contains("contains no readable block")), "{errors:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whichever byte is damaged, and wherever the file ends, all other blocks are read and the loss is
-    /// reported.
+    /// A damaged byte loses only its block, a file cut short keeps the blocks before the cut, and the
+    /// lost bytes are reported.
     #[test]
-    fn damage_loses_only_the_blocks_it_touches(at in 10usize..100_000, cut in 0usize..100_000, bits in 1u8..=255) {
+    fn damage_loses_only_the_blocks_it_touches(
+        damaged_at in FILE_HEADER_BYTES..100_000,
+        cut_at in 0usize..100_000,
+        flipped_bits in 1u8..=255,
+    ) {
         thread_local! {
-            static WHOLE: Vec<u8> = {
+            static INTACT_FILE: Vec<u8> = {
                 let (_dir, paths) = record(40_000, 1 << 30, 1);
                 std::fs::read(&paths[0]).unwrap()
             };
         }
-        let whole = WHOLE.with(Clone::clone);
-        let intact = read_blocks(&whole).unwrap();
-        let all = intact.blocks;
-        prop_assert!(all.len() > 4 && intact.loss.is_empty());
-        let mut damaged_bytes = whole.clone();
-        let at = at % damaged_bytes.len();
-        let at = at.max(10);
-        damaged_bytes[at] ^= bits;
+        let intact_bytes = INTACT_FILE.with(Clone::clone);
+        let intact = read_blocks(&intact_bytes).unwrap();
+        let all_blocks = intact.blocks;
+        prop_assert!(all_blocks.len() > 4 && intact.loss.is_empty());
+        let mut damaged_bytes = intact_bytes.clone();
+        let damaged_at = (damaged_at % damaged_bytes.len()).max(FILE_HEADER_BYTES);
+        damaged_bytes[damaged_at] ^= flipped_bits;
         let damaged = read_blocks(&damaged_bytes).unwrap();
         prop_assert!(damaged.loss.bytes > 0);
-        prop_assert_eq!(damaged.blocks.len(), all.len() - 1);
-        prop_assert!(damaged.blocks.iter().all(|b| all.contains(b)));
-        let end = cut % whole.len();
-        let cut_off = read_blocks(&whole[..end.max(10)]).unwrap();
+        prop_assert_eq!(damaged.blocks.len(), all_blocks.len() - 1);
+        prop_assert!(damaged.blocks.iter().all(|block| all_blocks.contains(block)));
+        let end = (cut_at % intact_bytes.len()).max(FILE_HEADER_BYTES);
+        let cut_off = read_blocks(&intact_bytes[..end]).unwrap();
         let read_count = cut_off.blocks.len();
-        prop_assert_eq!(&all[..read_count], &cut_off.blocks[..]);
-        prop_assert!(read_count < all.len());
-        prop_assert!(cut_off.loss.bytes > 0 || end.max(10) < 11 || read_count > 0);
+        prop_assert_eq!(&all_blocks[..read_count], &cut_off.blocks[..]);
+        prop_assert!(read_count < all_blocks.len());
+        prop_assert!(cut_off.loss.bytes > 0 || end < FILE_HEADER_BYTES + 1 || read_count > 0);
     }
 
-    /// Bytes at random never panic and are never taken for entries.
+    /// Random bytes after the file header don't make the reader panic, and are not decoded as
+    /// blocks.
     #[test]
     fn random_bytes_are_no_blocks(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut file = b"hmxload\0\x01\0".to_vec();
--- a/crates/hollymux/tests/plan.rs
+++ b/crates/hollymux/tests/plan.rs
@@ -89,8 +89,8 @@
     let empty = temp_file("load.hmxload", "");
     let (text, empty) = (text.to_str().unwrap(), empty.to_str().unwrap());
     for (args, says) in [
-        (vec!["plan", "--fleet", fleet, "--load", text], "is no recording of load"),
-        (vec!["plan", "--fleet", fleet, "--load", empty], "is no recording of load"),
+        (vec!["plan", "--fleet", fleet, "--load", text], "is not a traffic recording"),
+        (vec!["plan", "--fleet", fleet, "--load", empty], "is not a traffic recording"),
         (
             vec!["plan", "--fleet", bad.to_str().unwrap(), "--load", &load[0]],
             "offices[0].boxes: must lie between",
