--- a/crates/hollymux/src/arguments.rs
+++ b/crates/hollymux/src/arguments.rs
@@ -1,6 +1,6 @@
-//! The command line: sub-commands, and the options that hold for all of them.
+//! The command line: the sub-commands, and the options that all of them accept.
 //!
-//! Earlier names of sub-commands and options (`lab`, `fleet`, `record`, `--door`) stay valid as
+//! Earlier names of sub-commands and options (`lab`, `fleet`, `record`, `--door`) are kept as
 //! hidden aliases, since scripts use them.
 
 use crate::{capture, check, cluster, logging, plan, serve, simulate};
@@ -13,26 +13,26 @@
   hollymux check deploy/operator.json5               report every error in an operator's file
   hollymux simulate run examples/day.json5 --report out
                                                      run a scenario on loopback and plot the results
-  hollymux capture info load/*.hmxload               summarise recorded traffic
+  hollymux capture info load/*.hmxload               summarize recorded traffic
   hollymux plan --load load/*.hmxload --fleet examples/fleet.json5 --scale 1.4
   hollymux cluster --admin 127.0.0.1:5051            show a router's view of the other routers
   hollymux completions bash > hollymux.bash          print completions for a shell
 
 Exit codes: 0 success, 1 the command ran and failed, 2 invalid arguments or invalid input.";
 
-/// A request router for edge caches.
+/// Request router for edge caches
 #[derive(Parser)]
 #[command(name = "hollymux", version, after_help = EXAMPLES)]
 pub struct Arguments {
-    /// Options of the log, which every sub-command accepts.
+    /// Logging options.
     #[command(flatten)]
     pub logging: logging::Options,
-    /// Without one the program serves.
+    /// The sub-command; `None` means [`Command::Serve`] with its defaults.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// The sub-commands.
+/// The sub-commands. Their comments are the help texts.
 #[derive(Subcommand)]
 pub enum Command {
     /// Route requests: the platform's protocol, and what the operator's file enables (the default
@@ -40,29 +40,29 @@
     Serve(serve::Options),
     /// Check an operator's file and report every error in it
     Check(check::Options),
-    /// Run scenarios of load and faults against real routers, with simulated endpoints
+    /// Run scenarios of load and faults against real routers with simulated endpoints
     #[command(alias = "lab")]
     Simulate {
-        /// What to run.
+        /// The kind of simulation.
         #[command(subcommand)]
         command: simulate::Command,
     },
-    /// Capacity planning: what saturates first, how many edge caches a goal needs, the effect of
-    /// losses
+    /// Plan capacity: find the first bottleneck, the number of edge caches for a goal, and the
+    /// effect of outages
     Plan(plan::Options),
     /// Show a running router's view of the other routers
     #[command(alias = "fleet")]
     Cluster(cluster::Options),
-    /// Read recorded traffic
+    /// Summarize recorded traffic
     #[command(alias = "record")]
     Capture {
-        /// What to read from it.
+        /// The report on the recordings.
         #[command(subcommand)]
         command: capture::Command,
     },
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
-        /// The shell
+        /// Shell to print the script for
         shell: clap_complete::Shell,
     },
 }
--- a/crates/hollymux/src/capture/mod.rs
+++ b/crates/hollymux/src/capture/mod.rs
@@ -1,4 +1,4 @@
-//! `hollymux capture`: what recorded traffic holds, and what is missing from it.
+//! `hollymux capture`: reports on recorded traffic.
 
 mod summary;
 mod text;
@@ -8,12 +8,12 @@
 use std::path::PathBuf;
 use summary::CaptureSummary;
 
-/// What to read from recorded traffic.
+/// The sub-commands of `capture`. Their comments are the help texts.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Summarise recordings, and report what is missing from them
+    /// Summarize recordings, and report the data that is missing from them
     Info {
-        /// Recordings, of one router or several
+        /// Recordings of one or several routers
         #[arg(value_name = "FILE", required = true)]
         files: Vec<PathBuf>,
         /// Print the summary as JSON
--- a/crates/hollymux/src/capture/summary.rs
+++ b/crates/hollymux/src/capture/summary.rs
@@ -1,4 +1,4 @@
-//! Figures of a recording: of all its requests, and of each request class.
+//! Counts and rates of a recording, in total and by request class.
 
 use hollymux_capture::{RecordedReason, RecordedRequest, RecordedResult, Recording};
 use serde::Serialize;
@@ -6,67 +6,67 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How often each thing was recorded, by its name.
+/// Number of requests by the name of an endpoint, result or reason.
 pub type Counts = BTreeMap<String, usize>;
 
-/// What recordings hold. Its keys in JSON are a format that scripts read.
+/// The summary of a recording. Scripts read its JSON, so the keys and their order are an interface.
 #[derive(Debug, Serialize)]
 pub struct CaptureSummary {
-    /// The routers that recorded.
+    /// The names of the routers that recorded.
     pub routers: Vec<String>,
-    /// Their zones, each once.
+    /// The names of the routers' zones, sorted and without duplicates.
     #[serde(rename = "offices")]
     pub zones: Vec<String>,
-    /// From the first request's arrival to the last one's.
+    /// Seconds from the arrival of the first request to that of the last one.
     pub seconds: f64,
-    /// Requests in all.
+    /// Number of requests in the recording.
     pub requests: usize,
-    /// Requests a second; 0 if the time is 0.
+    /// Requests per second; 0 if `seconds` is 0.
     pub per_second: f64,
-    /// Attempts of a request on average; 0 if there are no requests.
+    /// Mean number of attempts per request; 0 if there are no requests.
     pub attempts: f64,
-    /// The request classes, in the order of the settings.
+    /// Summaries of the request classes, in the order of the settings.
     pub classes: Vec<ClassSummary>,
-    /// Requests by the last endpoint that they were sent to.
+    /// Number of requests by the endpoint of their last attempt.
     #[serde(rename = "boxes")]
     pub endpoints: Counts,
-    /// Changes of the endpoint list.
+    /// Number of recorded changes of the endpoint list.
     #[serde(rename = "member_lines")]
     pub endpoint_updates: usize,
-    /// Purges.
+    /// Number of recorded purges.
     pub purges: usize,
-    /// Bytes of the files that can't be read.
+    /// Bytes of the files that could not be decoded.
     pub lost_bytes: u64,
-    /// Blocks missing, as far as their numbers show.
+    /// Missing blocks, as far as gaps in the block numbers show them.
     pub lost_blocks: u64,
-    /// Entries that the routers had to drop.
+    /// Number of entries that the routers dropped while recording.
     pub dropped: u64,
 }
 
-/// What recordings hold of one request class.
+/// The summary of one request class. Scripts read its JSON.
 #[derive(Debug, Serialize)]
 pub struct ClassSummary {
-    /// The class.
+    /// The name of the class.
     pub name: String,
-    /// Its requests.
+    /// Number of requests of the class.
     pub requests: usize,
-    /// Those that were served, with bytes or by the client's own copy.
+    /// Number of requests answered with bytes, or by confirming the client's own copy.
     pub served: usize,
-    /// Those that were served within the class's latency objective.
+    /// Number of served requests that met the class's latency objective.
     pub in_time: usize,
-    /// Different objects.
+    /// Number of distinct objects that were requested.
     pub objects: usize,
-    /// Bytes of the answers.
+    /// Total size of the response bodies, in bytes.
     pub bytes: u64,
-    /// Requests by their result.
+    /// Number of requests by result.
     #[serde(rename = "ends")]
     pub results: Counts,
-    /// Requests by why they were not served.
+    /// Number of requests by the reason for not being served.
     pub reasons: Counts,
 }
 
 impl CaptureSummary {
-    /// Summarises the recordings of one router or several.
+    /// Summarizes a recording of one or several routers.
     pub fn of(recording: &Recording) -> CaptureSummary {
         let requests = recording.requests.len();
         let seconds = seconds_recorded(recording);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether anything is missing from the recordings.
+    /// Whether the recording lacks any data.
     pub fn is_incomplete(&self) -> bool {
         self.lost_bytes > 0 || self.lost_blocks > 0 || self.dropped > 0
     }
@@ -117,7 +117,7 @@
     counts
 }
 
-/// Classes are numbered by the first recording's header, as all of its requests are.
+/// Loading fails if classes differ between headers, so the first header holds for all requests.
 fn class_summaries(recording: &Recording) -> Vec<ClassSummary> {
     let Some(header) = recording.headers.first() else { return Vec::new() };
     let summary = |(number, class): (usize, &hollymux_capture::RecordedClass)| {
@@ -151,12 +151,15 @@
     }
 }
 
-/// The time within which a request counts as served in time: it grows with the size of the answer.
+/// The time within which a request must be served to be in time. It grows with the size of the
+/// response.
 struct LatencyObjective {
+    /// The part that does not depend on the response, in microseconds.
     base_us: f64,
-    /// Multiples of the time that the transfer itself takes, which are added.
+    /// The multiple of the transfer time that is added to `base_us`.
     stretch: f64,
-    /// Rate of one transfer to a client; 0 if it is not known, which adds nothing.
+    /// Rate of one transfer to a client, in bytes per second; 0 if it is unknown, and no transfer
+    /// time is added.
     transfer_bytes_per_s: f64,
 }
 
--- a/crates/hollymux/src/capture/text.rs
+++ b/crates/hollymux/src/capture/text.rs
@@ -1,8 +1,9 @@
-//! A summary of recorded traffic, as text.
+//! Formats the summary of recorded traffic as text.
 
 use super::summary::{CaptureSummary, ClassSummary, Counts};
 
-/// A line on all requests, one for each class, one on events, and one on what is missing.
+/// Formats one line on all requests, one for each class, one on endpoints and purges, and one on
+/// missing data.
 pub fn render(summary: &CaptureSummary) -> String {
     let mut lines = vec![requests_line(summary)];
     lines.extend(summary.classes.iter().map(class_line));
--- a/crates/hollymux/src/cluster/members_table.rs
+++ b/crates/hollymux/src/cluster/members_table.rs
@@ -1,30 +1,31 @@
-//! The report of a router's view of its cluster, as text.
+//! Formats a router's view of its cluster as text.
 
 use super::{elements_of, is_true, number_of, text_of};
 use crate::output;
 use serde_json::Value;
 
-/// The router itself, warnings about its view, then a row for each other router.
+/// Formats the router's own state, warnings about its view, and a row for each other router.
 pub fn render(status: &Value) -> String {
     let mut text = summary(status);
     if is_true(&status["deaf"]) {
-        text += "nobody answers this router: what it says of others is old\n";
+        text += "no router answers this one: its view of the others is out of date\n";
     }
     if !is_true(&status["heard"]) {
-        text += "other routers are not heard: the address is not to be had, or another process has it\n";
+        text +=
+            "no cluster datagrams are received: the address is not available or in use by another process\n";
     }
-    let headings = ["router", "address", "office", "state", "for s", "answered s ago", "agrees"];
+    let headings = ["router", "address", "zone", "state", "for (s)", "last answer (s ago)", "agrees"];
     let rows: Vec<_> = elements_of(&status["others"]).map(member_row).collect();
     text + &output::table(&headings, &rows)
 }
 
 fn summary(status: &Value) -> String {
     let own = &status["own"];
-    let converged = if is_true(&status["settled"]) { "settled" } else { "NOT settled" };
+    let converged = if is_true(&status["settled"]) { "converged" } else { "NOT converged" };
     format!(
-        "fleet {}, seen by {} at {}\n\
-         {converged} for {:.1} s, digest {}; {} reachable, {} may be at work; \
-         limits are divided by {}, here by {}\n",
+        "cluster {}, seen by {} at {}\n\
+         {converged} for {:.1} s, digest {}; {} reachable, {} possibly active; \
+         limits are divided by {}, in this zone by {}\n",
         text_of(&status["fleet"]),
         text_of(&own["name"]),
         text_of(&own["address"]),
--- a/crates/hollymux/src/cluster/mod.rs
+++ b/crates/hollymux/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! `hollymux cluster`: shows what a running router knows of the other routers, as its admin
-//! endpoint reports it.
+//! `hollymux cluster`: requests a running router's view of its cluster from its admin endpoint, and
+//! prints it.
 
 mod admin_client;
 mod members_table;
@@ -12,13 +12,13 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Options of the sub-command.
+/// Options of `cluster`. Their comments are the help texts.
 #[derive(clap::Args)]
 pub struct Options {
     /// Address of the router's admin endpoint
     #[arg(long, alias = "door", value_name = "ADDRESS")]
     admin: SocketAddr,
-    /// Print the router's answer as it is, in JSON
+    /// Print the router's JSON response unchanged
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -27,18 +27,18 @@
 
 #[derive(Clone, Copy, clap::Subcommand)]
 enum Report {
-    /// The cluster's limits: their bounds, and who holds which quota lease
+    /// Show the limits of the whole cluster: their bounds, and which router holds which quota lease
     Limits,
 }
 
-/// Prints one report of the router.
+/// Requests one report from the router and prints it.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let path = match options.report {
         None => "/status/fleet",
         Some(Report::Limits) => "/status/fleet/limits",
     };
     let body = admin_client::get(options.admin, path)?;
-    // Also for --json: a router's answer that is no JSON must not be passed on as if it were.
+    // Parsed for --json too, so that a response that isn't JSON is an error and not passed on.
     let status: Value = serde_json::from_str(&body)?;
     if options.json {
         return output::print(&(body + "\n"));
@@ -49,7 +49,7 @@
     })
 }
 
-/// A field's text without quotes; of other values their JSON.
+/// The text of a string field without quotes, or the JSON of any other value.
 fn text_of(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
@@ -58,12 +58,12 @@
     value.as_bool() == Some(true)
 }
 
-/// A field's number, 0 if there is none.
+/// The value of a number field; 0 if it is absent or not a number.
 fn number_of(value: &Value) -> f64 {
     value.as_f64().unwrap_or(0.0)
 }
 
-/// A field's elements, none if it is no list.
+/// The elements of a list field; none if it is absent or not a list.
 fn elements_of(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
--- a/crates/hollymux/src/error.rs
+++ b/crates/hollymux/src/error.rs
@@ -1,68 +1,69 @@
-//! Why a command failed, and the exit code that scripts go by. This is the only place that maps one
-//! to the other.
+//! The errors of the sub-commands, and their mapping to the exit codes that scripts check.
 
 use crate::cluster::AdminError;
 use std::process::ExitCode;
 
-/// Exit code of a command that ran and failed.
+/// Exit code of a command that was started and failed.
 const EXIT_FAILED: u8 = 1;
-/// Exit code for invalid arguments or invalid input.
+/// Exit code for invalid arguments and invalid input files.
 const EXIT_INVALID_INPUT: u8 = 2;
 
-/// An error of another package, of which only the text is needed here.
+/// An error of another package that is only printed, so its type doesn't matter here.
 pub type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a command failed.
+/// Why a sub-command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// Reading, writing or starting something failed while the command ran.
+    /// Reading a file, writing output or starting a server, thread or process failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A system call other than reading or writing failed.
+    /// A system call other than file or socket I/O failed.
     #[error(transparent)]
     System(#[from] rustix::io::Errno),
-    /// The result can't be written as JSON, or an answer is no JSON.
+    /// A result could not be encoded as JSON, or a router's response is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The admin endpoint of a router gave no usable answer.
+    /// The admin endpoint of a router could not be reached or gave no usable response.
     #[error(transparent)]
     Admin(#[from] AdminError),
-    /// Logging could not be started.
+    /// The log output could not be set up.
     #[error(transparent)]
     Logging(#[from] tracing_subscriber::util::TryInitError),
     /// A simulation could not be run to its end.
     #[error("{0}")]
     Simulation(Cause),
-    /// A chart could not be drawn.
+    /// A chart of a report or a plan could not be drawn.
     #[error("{0}")]
     Chart(String),
-    /// Recordings that the program itself has just made can't be read: a line each.
+    /// Recordings written by the simulation itself could not be read. Holds one line per error.
     #[error("{}", .0.join("; "))]
     OwnRecording(Vec<String>),
-    /// A simulation ran to its end, and rules that must always hold were broken; its report names
+    /// A simulation ran to its end and found violations of its invariants. The printed report lists
     /// them.
-    #[error("rules were broken")]
+    #[error("the simulation violated invariants; the report lists them")]
     RulesBroken,
 
-    /// A file that was given has errors: a line each.
+    /// An input file has errors. Holds one line per error, with the file's name.
     #[error("{}", .0.join("; "))]
     InvalidFile(Vec<String>),
-    /// Neither `--config` nor the environment names the platform's configuration.
-    #[error("NODE_CONFIG names no configuration")]
+    /// The platform's configuration is given neither by `--config` nor in the environment.
+    #[error("no configuration file: give one with --config or in NODE_CONFIG")]
     NoConfiguration,
-    /// The platform's configuration can't be used.
+    /// The platform's configuration is not usable.
     #[error(transparent)]
     InvalidConfiguration(#[from] hollymux_server::config::ConfigError),
-    /// No plan can be made from the recorded traffic, the cluster and the question.
+    /// The recorded traffic, the cluster description and the options don't allow a plan.
     #[error("{0}")]
     InvalidPlan(Cause),
-    /// Options of a measurement are out of range.
-    #[error("2 to 2000 routers, a loss of 0 to 1 and 0 to 600 minutes can be measured")]
+    /// An option of `simulate cluster` is out of range.
+    #[error(
+        "out of range: --routers takes 2 to 2000, --loss 0 up to but not including 1, --minutes 0 to 600"
+    )]
     MeasurementOutOfRange,
 }
 
 impl CommandError {
-    /// What to print: one line, or a line for each error of a file.
+    /// The lines to print on standard error: one, or one for each error of an input file.
     pub fn lines(&self) -> Vec<String> {
         match self {
             CommandError::InvalidFile(lines) => lines.clone(),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The exit code that scripts go by.
+    /// The exit code of the program: 2 for invalid input, 1 for other failures.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Io(_)
--- a/crates/hollymux/src/logging.rs
+++ b/crates/hollymux/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: lines of text or JSON on standard error.
+//! Log output: lines of text or JSON on standard error.
 
 use crate::error::CommandError;
 use std::io;
@@ -13,7 +13,7 @@
     Json,
 }
 
-/// Options of the log.
+/// Logging options. Their comments are the help texts.
 #[derive(clap::Args)]
 pub struct Options {
     /// Log level (error, warn, info, debug, trace), or a filter such as
@@ -25,13 +25,13 @@
     log_format: Format,
 }
 
-/// Starts logging. A line that can't be written is lost: it must neither end the program nor be
-/// reported on the same stream, which is why internal errors of the logger are not logged.
+/// Sets up log output. Lines that can't be written are dropped: a failed write must not end the
+/// program. Internal errors of the logger are not logged, since they would go to the same stream.
 pub fn start(options: &Options) -> Result<(), CommandError> {
-    let lines = fmt::layer().with_writer(io::stderr).log_internal_errors(false).with_ansi(false);
+    let output = fmt::layer().with_writer(io::stderr).log_internal_errors(false).with_ansi(false);
     let layer = match options.log_format {
-        Format::Text => lines.with_target(false).boxed(),
-        Format::Json => lines.json().flatten_event(true).boxed(),
+        Format::Text => output.with_target(false).boxed(),
+        Format::Json => output.json().flatten_event(true).boxed(),
     };
     let filtered = layer.with_filter(options.log.clone());
     tracing_subscriber::registry().with(filtered).try_init()?;
--- a/crates/hollymux/src/main.rs
+++ b/crates/hollymux/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: reads its arguments, runs one command, and turns the command's error into an exit
-//! code. What the commands do stands in their modules.
+//! The `hollymux` program: parses the command line, runs one sub-command, and ends with the exit
+//! code of its error. The sub-commands are in their own modules.
 
 mod arguments;
 mod capture;
@@ -28,7 +28,7 @@
 }
 
 fn run(arguments: Arguments) -> Result<(), CommandError> {
-    // The platform starts the program without a sub-command to have it serve.
+    // The platform starts the program without a sub-command to serve requests.
     let command = arguments.command.unwrap_or_else(|| Command::Serve(serve::Options::default()));
     match command {
         Command::Serve(options) => {
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -8,59 +8,59 @@
 use hollymux_capture::{Loss, Recording};
 use std::path::PathBuf;
 
-/// Options of the sub-command.
+/// Options of `plan`. Their comments are the help texts.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Recorded traffic, of one router or several
+    /// Recorded traffic of one or several routers
     #[arg(long, value_name = "FILE", num_args = 1.., required_unless_present = "schema")]
     load: Vec<PathBuf>,
-    /// The cluster: its zones and their links (JSON5)
+    /// Description of the cluster, its zones and links (JSON5)
     #[arg(long, value_name = "FILE", required_unless_present = "schema")]
     fleet: Option<PathBuf>,
-    /// The share of priority weight to be served in time
+    /// Share of the priority weight to serve in time
     #[arg(long, value_name = "PERCENT", default_value = "95%", value_parser = percent)]
     goal: f64,
-    /// The load to plan for, in multiples of the recorded one
+    /// Load to plan for, as a multiple of the recorded load
     #[arg(long, value_name = "TIMES", default_value_t = 1.0)]
     scale: f64,
-    /// Endpoints lost together, beside the losses of single ones: a parent cache or ZONE-N, several
-    /// with commas
+    /// Endpoints that are lost together, judged in addition to the loss of each single endpoint:
+    /// names of parent caches, or ZONE-N for edge cache N of a zone, separated by commas
     #[arg(long, value_name = "NAME,...")]
     lose: Vec<String>,
-    /// Seconds at the start of the recording that fill the caches and are not counted [default: a
-    /// quarter of it]
+    /// Seconds at the start of the recording that only fill the caches and aren't counted [default:
+    /// a quarter of the recording]
     #[arg(long, value_name = "SECONDS")]
     warm: Option<f64>,
     /// Leave out unusually large objects
     #[arg(long)]
     without_large: bool,
-    /// Begin with empty caches, as after the loss of all of them
+    /// Start with empty caches, as after the loss of all of them
     #[arg(long)]
     empty: bool,
-    /// Seed of random numbers
+    /// Seed of the random numbers
     #[arg(long, value_name = "N", default_value_t = 1)]
     seed: u64,
     /// Print the plan as JSON
     #[arg(long)]
     json: bool,
-    /// Plot priority weight against load into this file
+    /// Write a chart of priority weight against load to this file
     #[arg(long, value_name = "FILE.svg")]
     plot: Option<PathBuf>,
-    /// Print the JSON Schema of cluster descriptions instead
+    /// Print the JSON Schema of cluster descriptions and plan nothing
     #[arg(long)]
     schema: bool,
 }
 
-/// Why an option is no share of a whole.
+/// Why the value of `--goal` is invalid.
 #[derive(Debug, thiserror::Error)]
 enum InvalidShare {
-    #[error("{0:?} is no part such as 95%")]
+    #[error("{0:?} is not a percentage such as 95%")]
     NotANumber(String),
-    #[error("a goal lies above 0% and below 100%")]
+    #[error("must be above 0% and below 100%")]
     OutOfRange,
 }
 
-/// Reads `95%`, `95` or `0.95` as 0.95.
+/// Parses `95%`, `95` or `0.95` as 0.95.
 fn percent(text: &str) -> Result<f64, InvalidShare> {
     let digits = text.trim_end_matches('%');
     let value: f64 = digits.parse().map_err(|_| InvalidShare::NotANumber(text.to_string()))?;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Makes a plan and prints it.
+/// Makes a plan and prints it, or prints the schema of cluster descriptions.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let Some(fleet) = options.fleet.as_ref().filter(|_| !options.schema) else {
         return output::print(&(hollymux_config_file::schema::<Fleet>() + "\n"));
@@ -115,7 +115,8 @@
 ) -> Result<CapacityPlan, CommandError> {
     let loss_warning = loss_warning(recording.loss);
     let trace = Trace::new(&recording).map_err(invalid_plan)?;
-    // Planning takes long and the recording much memory; the trace holds what is needed of it.
+    // The trace holds all that planning needs, so the recording's memory is freed for the long
+    // planning run.
     drop(recording);
     let mut capacity_plan = plan(&trace, fleet, plan_options).map_err(invalid_plan)?;
     capacity_plan.quality.caveats.extend(loss_warning);
@@ -126,13 +127,13 @@
     CommandError::InvalidPlan(Box::new(error))
 }
 
-/// What the plan has to say of data missing from the recording, if any is.
+/// A caveat about data that is missing from the recording; `None` if nothing is missing.
 fn loss_warning(loss: Loss) -> Option<String> {
     let Loss { bytes, blocks, dropped } = loss;
     (!loss.is_empty()).then(|| {
         format!(
             "the recording lacks {bytes} bytes, {blocks} blocks and {dropped} entries: \
-             rates are too low by as much"
+             rates are underestimated accordingly"
         )
     })
 }
--- a/crates/hollymux/src/serve.rs
+++ b/crates/hollymux/src/serve.rs
@@ -1,4 +1,4 @@
-//! `hollymux serve`: runs one request router until it is told to stop.
+//! `hollymux serve`: runs one request router until it stops.
 
 use crate::check::load_operator_file;
 use crate::error::CommandError;
@@ -8,27 +8,28 @@
 use std::path::PathBuf;
 use tracing::info;
 
-/// Names the platform's configuration if `--config` does not.
+/// The environment variable with the path of the platform's configuration, used without `--config`.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
 
-/// Options of the sub-command.
+/// Options of `serve`. Their comments are the help texts.
 #[derive(clap::Args, Default)]
 pub struct Options {
-    /// The operator's file (JSON5): features beyond the platform's protocol
+    /// Operator's file (JSON5) with features beyond the platform's protocol
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// The platform's configuration (JSON)
+    /// Platform's configuration (JSON)
     #[arg(long, value_name = "FILE", env = CONFIG_VARIABLE)]
     config: Option<PathBuf>,
-    /// Exit when the process that started this one exits
+    /// Exit when the parent process exits
     #[arg(long, hide = true)]
     with_parent: bool,
 }
 
 impl Options {
-    /// The path of the platform's configuration.
+    /// Returns the path of the platform's configuration, or an error if none was given.
     fn config_path(&self) -> Result<PathBuf, CommandError> {
-        // Without a sub-command no options are parsed, so the variable has to be read here too.
+        // Without a sub-command clap doesn't parse these options, so the variable has to be read
+        // here.
         let from_environment = || std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from);
         self.config.clone().or_else(from_environment).ok_or(CommandError::NoConfiguration)
     }
@@ -38,7 +39,7 @@
     }
 }
 
-/// Serves until the router ends by a signal or by replacement.
+/// Runs the router until a signal stops it or another process takes over from it.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let operator = options.operator_settings()?;
     let config_path = options.config_path()?;
--- a/crates/hollymux/src/simulate/cluster_table.rs
+++ b/crates/hollymux/src/simulate/cluster_table.rs
@@ -1,30 +1,32 @@
-//! `hollymux simulate cluster`: how fast routers learn of changes in their cluster, by its size and
-//! by packet loss.
+//! `hollymux simulate cluster`: measures how fast membership changes spread, by the number of
+//! routers and by packet loss.
 
 use crate::error::CommandError;
 use crate::output;
 use hollymux_simulation::cluster_benchmark;
 use std::ops::{Range, RangeInclusive};
 
-/// One router has no others to learn of; more than this take too long to simulate.
-const ROUTERS: RangeInclusive<usize> = 2..=2_000;
-/// At a loss of 1 nothing arrives.
-const LOSS: Range<f64> = 0.0..1.0;
+/// Valid numbers of routers. A single router has no membership to learn, and larger clusters take
+/// too long to simulate.
+const ROUTER_COUNTS: RangeInclusive<usize> = 2..=2_000;
+/// Valid packet loss rates. At a rate of 1, no datagram arrives.
+const LOSS_RATES: Range<f64> = 0.0..1.0;
+/// Valid simulated time without faults, in minutes.
 const QUIET_MINUTES: RangeInclusive<f64> = 0.0..=600.0;
 
-/// Options of the sub-command.
+/// Options of `simulate cluster`. Their comments are the help texts.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Numbers of routers
+    /// Numbers of routers to simulate, separated by commas
     #[arg(long, value_name = "N", value_delimiter = ',', default_values_t = [5, 30, 100])]
     routers: Vec<usize>,
-    /// Packet loss on every link, as a fraction
+    /// Packet loss rates of all links to simulate, as fractions, separated by commas
     #[arg(long, value_name = "P", value_delimiter = ',', default_values_t = [0.0, 0.01, 0.05, 0.2])]
     loss: Vec<f64>,
-    /// Time without faults in which no router may be declared lost, in minutes
+    /// Minutes without faults to simulate, in which no router may be declared failed
     #[arg(long, value_name = "M", default_value_t = 10.0)]
     minutes: f64,
-    /// Seed of random numbers
+    /// Seed of the random numbers
     #[arg(long, value_name = "N", default_value_t = 1)]
     seed: u64,
     /// Print the rows as JSON
@@ -34,13 +36,13 @@
 
 impl Options {
     fn are_in_range(&self) -> bool {
-        self.routers.iter().all(|routers| ROUTERS.contains(routers))
-            && self.loss.iter().all(|loss| LOSS.contains(loss))
+        self.routers.iter().all(|count| ROUTER_COUNTS.contains(count))
+            && self.loss.iter().all(|loss| LOSS_RATES.contains(loss))
             && QUIET_MINUTES.contains(&self.minutes)
     }
 }
 
-/// Measures and prints a row for each number of routers and each loss.
+/// Runs the measurement and prints a row for each number of routers and each loss rate.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     if !options.are_in_range() {
         return Err(CommandError::MeasurementOutOfRange);
--- a/crates/hollymux/src/simulate/mod.rs
+++ b/crates/hollymux/src/simulate/mod.rs
@@ -1,5 +1,5 @@
-//! `hollymux simulate`: scenarios of load and faults against real routers with simulated endpoints,
-//! on sockets or in virtual time.
+//! `hollymux simulate`: runs scenarios of load and faults against real routers with simulated
+//! endpoints, on sockets or in virtual time.
 
 mod cluster_table;
 mod recorders;
@@ -10,10 +10,10 @@
 use crate::output;
 use hollymux_simulation::scenario::Scenario;
 
-/// What to simulate.
+/// The sub-commands of `simulate`. Their comments are the help texts.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Run a scenario and report its results; it ends by itself
+    /// Run a scenario and report its results
     Run(run::Options),
     /// Print the JSON Schema of scenarios
     Schema,
@@ -24,7 +24,7 @@
     Sweep(sweep::Options),
 }
 
-/// Runs one of the simulations.
+/// Runs one sub-command of `simulate`.
 pub fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Run(options) => run::run(&options),
--- a/crates/hollymux/src/simulate/recorders.rs
+++ b/crates/hollymux/src/simulate/recorders.rs
@@ -1,5 +1,5 @@
-//! What a simulation records: each router's traffic as input for a plan, and why requests were not
-//! served.
+//! Observers of a simulation's routers: recordings of their traffic as input for a plan, and counts
+//! of the requests that were not served.
 
 use crate::error::{Cause, CommandError};
 use hollymux_capture::{
@@ -11,25 +11,25 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Size of one recording's file, in bytes. A scenario in virtual time is short, so that no limit
-/// here is reached.
+/// Size limit of a recording file, in bytes. Scenarios in virtual time are short, so they reach
+/// neither this limit nor [`MAX_FILES`].
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// Files of each router; the oldest is removed for a further one.
+/// Most recording files kept for each router.
 const MAX_FILES: usize = 64;
 
-/// Requests that were not served, counted by `CLASS RESULT REASON`.
+/// Counts of the requests that were not served, by `CLASS RESULT REASON`.
 pub struct UnservedRequests<'a> {
-    day: &'a Scenario,
+    scenario: &'a Scenario,
     counts: BTreeMap<String, u64>,
 }
 
 impl<'a> UnservedRequests<'a> {
-    /// Counts for a scenario, none so far.
-    pub fn new(day: &'a Scenario) -> UnservedRequests<'a> {
-        UnservedRequests { day, counts: BTreeMap::new() }
+    /// Creates empty counts. The scenario supplies the names of the classes.
+    pub fn new(scenario: &'a Scenario) -> UnservedRequests<'a> {
+        UnservedRequests { scenario, counts: BTreeMap::new() }
     }
 
-    /// The counts, as they stand in the report.
+    /// The counts in the form of the report.
     pub fn into_counts(self) -> BTreeMap<String, u64> {
         self.counts
     }
@@ -38,13 +38,14 @@
         if matches!(result, RecordedResult::Served | RecordedResult::NotModified | RecordedResult::Routed) {
             return;
         }
-        let class = self.day.classes.get(class).map_or("", |class| class.name.as_str());
+        let class = self.scenario.classes.get(class).map_or("", |class| class.name.as_str());
         let name = format!("{class} {} {}", result.name(), reason.name());
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Counts what the routers of a scenario on sockets recorded in `dir` since `start`, in
-    /// microseconds of Unix time. The directory may hold recordings of earlier scenarios.
+    /// Counts the requests that arrived since `start`, in microseconds of Unix time, according to
+    /// the recordings in `dir`. Used for scenarios on sockets; the directory may also hold
+    /// recordings of earlier ones.
     pub fn count_recorded(&mut self, dir: &Path, start: u64) -> Result<(), CommandError> {
         let entries = std::fs::read_dir(dir)?.filter_map(Result::ok);
         let files: Vec<PathBuf> = entries.map(|entry| entry.path()).collect();
@@ -56,46 +57,47 @@
     }
 }
 
-/// Listens to the routers of a scenario in virtual time, and records what they do if that is
-/// wanted.
-pub struct VirtualRecorders<'a, 'd> {
-    unserved: &'a mut UnservedRequests<'d>,
-    /// One for each router in the order of their numbers, or none at all.
+/// Receives the events of the routers in virtual time, counts unserved requests and records traffic
+/// if asked to.
+pub struct VirtualRecorders<'a, 's> {
+    unserved: &'a mut UnservedRequests<'s>,
+    /// One recorder for each router, by router index; empty if nothing is recorded.
     recorders: Vec<Recorder>,
 }
 
-impl<'a, 'd> VirtualRecorders<'a, 'd> {
-    /// Counts only; nothing is recorded.
-    pub fn counting(unserved: &'a mut UnservedRequests<'d>) -> VirtualRecorders<'a, 'd> {
+impl<'a, 's> VirtualRecorders<'a, 's> {
+    /// Creates an observer that counts and records nothing.
+    pub fn counting(unserved: &'a mut UnservedRequests<'s>) -> VirtualRecorders<'a, 's> {
         VirtualRecorders { unserved, recorders: Vec::new() }
     }
 
-    /// Records each router's traffic in a file of its own in `dir`, beside counting.
+    /// Creates an observer that counts, and records each router's traffic into files of its own in
+    /// `dir`.
     pub fn recording(
-        unserved: &'a mut UnservedRequests<'d>,
+        unserved: &'a mut UnservedRequests<'s>,
         dir: &Path,
         seed: u64,
-    ) -> Result<VirtualRecorders<'a, 'd>, CommandError> {
+    ) -> Result<VirtualRecorders<'a, 's>, CommandError> {
         let failed = |cause: Cause| CommandError::Simulation(cause);
         let configs =
-            virtual_time::router_configs(unserved.day, seed).map_err(|error| failed(error.into()))?;
+            virtual_time::router_configs(unserved.scenario, seed).map_err(|error| failed(error.into()))?;
         let mut recorders = Vec::new();
         for config in configs {
             let names = &config.names;
-            let head = RecordingHeader::new(
+            let header = RecordingHeader::new(
                 &config.name,
                 &names.zones,
                 &names.kinds,
                 &names.classes,
                 &config.settings,
             );
-            let writer = RecordingWriter::new(dir, head, MAX_FILE_BYTES, MAX_FILES)?;
+            let writer = RecordingWriter::new(dir, header, MAX_FILE_BYTES, MAX_FILES)?;
             recorders.push(Recorder::start_blocking(writer)?);
         }
         Ok(VirtualRecorders { unserved, recorders })
     }
 
-    /// Takes what a router did.
+    /// Counts and records one event of a router.
     pub fn on_event(&mut self, router: RouterSlot, event: &RouterRecord<'_>) {
         if let RouterRecord::RequestEnded(summary) = event {
             let request = RequestEntry::new(summary, None, None);
--- a/crates/hollymux/src/simulate/sweep.rs
+++ b/crates/hollymux/src/simulate/sweep.rs
@@ -1,22 +1,23 @@
-//! `hollymux simulate sweep`: a matrix of outages.
+//! `hollymux simulate sweep`: runs one scenario with every combination of outage, load and number
+//! of routers.
 
 use crate::error::CommandError;
 use crate::output;
 use hollymux_simulation::sweep;
 use std::path::PathBuf;
 
-/// Options of the sub-command.
+/// Options of `simulate sweep`. Their comments are the help texts.
 #[derive(clap::Args)]
 pub struct Options {
-    /// The combinations to run (JSON5)
+    /// Scenario and the combinations to run (JSON5)
     #[arg(value_name = "FILE")]
     file: PathBuf,
-    /// Print the row of each scenario as JSON
+    /// Print a row for each combination as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Runs every combination and prints a row for each; fails if a rule was broken in any.
+/// Runs every combination and prints a row for each. Fails if any of them violated an invariant.
 pub fn run(options: &Options) -> Result<(), CommandError> {
     let combinations: sweep::Sweep =
         hollymux_config_file::load(&options.file).map_err(CommandError::InvalidFile)?;
