--- a/crates/hollymux/examples/ask.rs
+++ b/crates/hollymux/examples/ask.rs
@@ -18,5 +18,5 @@
     let object = arguments.get(1).map_or("7f3a9c21e0b4d655", String::as_str);
     let mut client = stubs::Client::connect(router);
     client.send_request(1, class, request_id, &format!(",obj={object}"));
-    println!("{}", client.answer());
+    println!("{}", client.read_response());
 }
--- a/crates/hollymux/tests/admin_endpoint.rs
+++ b/crates/hollymux/tests/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint, as operators use it: metrics, standby, new settings.
+//! The admin endpoint as operators use it: metrics, standby, and reloading the configuration.
 
 mod common;
 
@@ -9,275 +9,302 @@
 
 struct Setup {
     feed: StubFeed,
-    node: RouterProcess,
-    door: SocketAddr,
+    router: RouterProcess,
+    admin: SocketAddr,
     endpoints: [StubEndpoint; 3],
 }
 
-fn setup(does: StubBehavior) -> Setup {
+fn setup(behavior: StubBehavior) -> Setup {
     let feed = StubFeed::start();
-    let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
+    let endpoints = [behavior.clone(), behavior.clone(), behavior].map(StubEndpoint::start);
     feed.publish_endpoints(true, &endpoint_lines(&endpoints));
-    let node = RouterProcess::with_config(&with_admin_endpoint(&config(feed.addr)));
-    let door = admin_address(&node);
-    wait_until("a yes", || (admin_call(door, "GET /status").0 == 200).then_some(()));
-    wait_until("the list", || (figure(door, "registry_entries") == 3).then_some(()));
-    Setup { feed, node, door, endpoints }
+    let router = RouterProcess::with_config(&with_admin_endpoint(&config(feed.addr)));
+    let admin = admin_address(&router);
+    wait_until("the router to be ready", || (admin_call(admin, "GET /status").0 == 200).then_some(()));
+    wait_until("the router to know the endpoint list", || {
+        (metric(admin, "registry_entries") == 3).then_some(())
+    });
+    Setup { feed, router, admin, endpoints }
 }
 
-fn figure(door: SocketAddr, name: &str) -> u64 {
-    let (status, text) = admin_call(door, "GET /status/metrics");
+fn metric(admin: SocketAddr, name: &str) -> u64 {
+    let (status, text) = admin_call(admin, "GET /status/metrics");
     assert_eq!(status, 200);
     let line = text.lines().find_map(|l| l.strip_prefix(&format!("svc.{name}=")));
     line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
 }
 
-/// Guards against an admin endpoint that only the file can enable, and against a start that fails
-/// without one.
+/// Guards against an admin endpoint that can only be enabled in the configuration file, and against
+/// a failing start when the environment variable is empty.
 #[test]
 fn the_admin_address_may_be_given_by_the_environment() {
     let feed = StubFeed::start();
-    let named = RouterProcess::with_environment(&config(feed.addr), "NODE_OPERATOR", "127.0.0.1:0");
-    wait_until("a yes", || (admin_call(admin_address(&named), "GET /status").0 == 200).then_some(()));
-    let none = RouterProcess::with_environment(&config(feed.addr), "NODE_OPERATOR", "");
-    assert_eq!(none.admin, None);
-    assert_eq!(admin_call(admin_address(&named), "GET /status").1, "ready\n");
+    let with_admin = RouterProcess::with_environment(&config(feed.addr), "NODE_OPERATOR", "127.0.0.1:0");
+    wait_until("the router to be ready", || {
+        (admin_call(admin_address(&with_admin), "GET /status").0 == 200).then_some(())
+    });
+    let without_admin = RouterProcess::with_environment(&config(feed.addr), "NODE_OPERATOR", "");
+    assert_eq!(without_admin.admin, None);
+    assert_eq!(admin_call(admin_address(&with_admin), "GET /status").1, "ready\n");
 }
 
-/// Guards against metrics that differ from what clients and endpoints counted.
+/// Guards against metrics that differ from the number of requests and attempts that clients and
+/// endpoints counted.
 #[test]
-fn the_metrics_are_what_peers_counted() {
+fn the_metrics_agree_with_the_counts_of_clients_and_endpoints() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
-    let mut client = Client::connect(setup.node.addr);
+    let mut client = Client::connect(setup.router.addr);
     for tag in 1..=7 {
         assert!(client.get(tag, "docs", tag.into(), 7).contains("good"));
     }
-    // Fields that can't be used, of a class that is known and of one that is not.
+    // Requests with invalid fields: of a known class, and of an unknown one.
     client.send_request(8, "docs", 8, ",obj=seven");
-    assert_eq!(client.answer(), "8 broken");
+    assert_eq!(client.read_response(), "8 broken");
     assert_eq!(client.get(9, "no-such-class", 9, 7), "9 broken");
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Status("absent")));
     assert!(client.get(10, "docs", 10, 7).contains("refused"));
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Status("failed")));
     assert_eq!(client.get(11, "cert-filing", 11, 7), "11 broken");
-    let asked: usize = setup.endpoints.iter().map(StubEndpoint::count).sum();
-    let figure = |name: &str| figure(setup.door, name);
-    assert_eq!(figure("operations.docs.fulfilled"), 7);
-    assert_eq!(figure("operations.docs.throttled"), 1);
-    assert_eq!(figure("operations.docs.faulted"), 1);
-    assert_eq!(figure("operations.cert-filing.fulfilled"), 0);
-    assert_eq!(figure("operations.cert-filing.faulted"), 1);
-    assert_eq!(figure("relayed"), asked as u64);
-    assert_eq!(figure("open_requests"), 0);
-    assert_eq!(figure("out_of_rotation"), 0);
-    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoAnswer));
+    let sent: usize = setup.endpoints.iter().map(StubEndpoint::count).sum();
+    let metric = |name: &str| metric(setup.admin, name);
+    assert_eq!(metric("operations.docs.fulfilled"), 7);
+    assert_eq!(metric("operations.docs.throttled"), 1);
+    assert_eq!(metric("operations.docs.faulted"), 1);
+    assert_eq!(metric("operations.cert-filing.fulfilled"), 0);
+    assert_eq!(metric("operations.cert-filing.faulted"), 1);
+    assert_eq!(metric("relayed"), sent as u64);
+    assert_eq!(metric("open_requests"), 0);
+    assert_eq!(metric("out_of_rotation"), 0);
+    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoResponse));
     client.send_request(12, "docs", 12, ",obj=0000000000000007");
-    wait_until("an open request", || (figure("open_requests") == 1).then_some(()));
+    wait_until("the request to be open", || (metric("open_requests") == 1).then_some(()));
     setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
-    wait_until("a box that is avoided", || (figure("out_of_rotation") == 1).then_some(()));
-    assert_eq!(figure("registry_entries"), 3);
+    wait_until("the draining edge cache to be out of rotation", || {
+        (metric("out_of_rotation") == 1).then_some(())
+    });
+    assert_eq!(metric("registry_entries"), 3);
 }
 
-/// Guards against a slow reader whose connection is closed because of more answers than may be
-/// buffered for it, and against metrics that differ from what it was answered.
+/// Guards against closing the connection of a slow reader when its responses exceed the buffer
+/// limit: the excess requests must be rejected instead. The metrics must agree with the responses
+/// that the client read.
 #[test]
-fn a_slow_reader_gets_every_answer_complete_or_rejected() {
+fn a_slow_reader_gets_each_response_complete_or_its_request_rejected() {
     let feed = StubFeed::start();
-    let big = StubBehavior::Data(vec![b'x'; 238_000]);
-    let endpoints = [big.clone(), big.clone(), big].map(StubEndpoint::start);
+    let large_data = StubBehavior::Data(vec![b'x'; 238_000]);
+    let endpoints = [large_data.clone(), large_data.clone(), large_data].map(StubEndpoint::start);
     feed.publish_endpoints(true, &endpoint_lines(&endpoints));
-    let node = RouterProcess::with_config(
+    let router = RouterProcess::with_config(
         &with_admin_endpoint(&config(feed.addr)).replace("\"memory_mb\":192", "\"memory_mb\":24"),
     );
-    let door = admin_address(&node);
-    wait_until("the list", || (figure(door, "registry_entries") == 3).then_some(()));
-    let mut client = Client::with_small_receive_buffer(node.addr);
-    let (mut good, mut refused) = (0, 0);
+    let admin = admin_address(&router);
+    wait_until("the router to know the endpoint list", || {
+        (metric(admin, "registry_entries") == 3).then_some(())
+    });
+    let mut client = Client::with_small_receive_buffer(router.addr);
+    let (mut served, mut rejected) = (0, 0);
     for round in 0..3 {
-        (1..=32).for_each(|n| {
-            assert!(client.try_send_request(round * 32 + n, "docs", u64::from(round * 32 + n)))
-        });
-        wait_until("all answers", || (figure(door, "open_requests") == 0).then_some(()));
+        for request in 1..=32 {
+            let tag = round * 32 + request;
+            assert!(client.try_send_request(tag, "docs", u64::from(tag)));
+        }
+        wait_until("all responses", || (metric(admin, "open_requests") == 0).then_some(()));
         std::thread::sleep(Duration::from_millis(500));
         for _ in 0..32 {
-            // At some megabytes a second.
+            // Read at a few megabytes per second.
             std::thread::sleep(Duration::from_millis(5));
-            let answer = client.answer();
-            if answer.contains("refused backoff=") {
-                refused += 1;
+            let response = client.read_response();
+            if response.contains("refused backoff=") {
+                rejected += 1;
             } else {
-                assert!(answer.contains("good") && answer.len() > 238_000, "{:.60}", answer);
-                good += 1;
+                assert!(response.contains("good") && response.len() > 238_000, "{:.60}", response);
+                served += 1;
             }
         }
     }
-    assert!(good > 0 && refused > 0, "{good} and {refused}: nothing was too much");
-    assert_eq!(figure(door, "operations.docs.fulfilled"), good);
-    assert_eq!(figure(door, "operations.docs.throttled"), refused);
+    assert!(
+        served > 0 && rejected > 0,
+        "{served} responses served and {rejected} rejected; the test needs both"
+    );
+    assert_eq!(metric(admin, "operations.docs.fulfilled"), served);
+    assert_eq!(metric(admin, "operations.docs.throttled"), rejected);
 }
 
-/// Guards against calls that are never complete, or a flood of clients, delaying a call.
+/// Guards against incomplete calls, or a flood of client requests, delaying the admin endpoint.
 #[test]
 fn the_admin_endpoint_answers_under_load() {
-    let setup = setup(StubBehavior::NoAnswer);
-    let silent: Vec<TcpStream> = (0..40)
-        .map(|i| {
-            let mut socket = TcpStream::connect(setup.door).unwrap();
-            socket.write_all(&b"GET /status HTT"[..i % 16]).unwrap();
+    let setup = setup(StubBehavior::NoResponse);
+    let incomplete_calls: Vec<TcpStream> = (0..40)
+        .map(|index| {
+            let mut socket = TcpStream::connect(setup.admin).unwrap();
+            socket.write_all(&b"GET /status HTT"[..index % 16]).unwrap();
             socket
         })
         .collect();
-    let mut flood: Vec<Client> = (0..60).map(|_| Client::connect(setup.node.addr)).collect();
-    for (i, client) in flood.iter_mut().enumerate() {
-        (0..20).for_each(|n| {
-            client.send_request(n + 1, "docs", (i as u64) << 8 | u64::from(n), ",obj=0000000000000007")
-        });
+    let mut flood: Vec<Client> = (0..60).map(|_| Client::connect(setup.router.addr)).collect();
+    for (index, client) in flood.iter_mut().enumerate() {
+        for number in 0..20 {
+            let request_id = (index as u64) << 8 | u64::from(number);
+            client.send_request(number + 1, "docs", request_id, ",obj=0000000000000007");
+        }
     }
     for _ in 0..20 {
-        assert_eq!(admin_call(setup.door, "GET /status").0, 200);
+        assert_eq!(admin_call(setup.admin, "GET /status").0, 200);
     }
-    drop(silent);
-    assert_eq!(admin_call(setup.door, "GET /nothing").0, 404);
-    assert_eq!(admin_call(setup.door, "GET /standby").0, 405);
-    assert_eq!(admin_call(setup.door, "GET /status").1, "ready\n");
+    drop(incomplete_calls);
+    assert_eq!(admin_call(setup.admin, "GET /nothing").0, 404);
+    assert_eq!(admin_call(setup.admin, "GET /standby").0, 405);
+    assert_eq!(admin_call(setup.admin, "GET /status").1, "ready\n");
 }
 
-/// Guards against a router that reports ready while it drains, keeps connections, or loses what it
-/// has accepted; and against one that doesn't come back.
+/// Guards against a router in standby that reports ready, keeps its connections, or drops requests
+/// that it accepted; and against one that does not take requests again after the standby.
 #[test]
-fn standby_drains_all_connections_and_can_be_undone() {
+fn standby_drains_all_connections_and_can_be_ended() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
-    let mut idle = Client::connect(setup.node.addr);
+    let mut idle = Client::connect(setup.router.addr);
     idle.send(&resp_array(&[b"PING", b"1", b""]));
-    assert_eq!(idle.answer(), "1 fit");
-    let mut waits = Client::connect(setup.node.addr);
-    let mut steady = Client::connect(setup.node.addr);
-    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoAnswer));
-    waits.send_request(1, "docs", 1, ",obj=0000000000000009");
-    wait_until("the attempt", || setup.endpoints.iter().any(|s| s.count() > 0).then_some(()));
+    assert_eq!(idle.read_response(), "1 fit");
+    let mut with_open_request = Client::connect(setup.router.addr);
+    let mut steady = Client::connect(setup.router.addr);
+    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoResponse));
+    with_open_request.send_request(1, "docs", 1, ",obj=0000000000000009");
+    wait_until("an attempt", || setup.endpoints.iter().any(|s| s.count() > 0).then_some(()));
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Data(b"some bytes".to_vec())));
-    assert_eq!(admin_call(setup.door, "PUT /standby"), (200, "standby\n".into()));
+    assert_eq!(admin_call(setup.admin, "PUT /standby"), (200, "standby\n".into()));
     let start = Instant::now();
-    assert_eq!(admin_call(setup.door, "GET /status"), (503, "standby\n".into()));
-    assert_eq!(admin_call(setup.door, "PUT /standby").0, 200, "in force already");
+    assert_eq!(admin_call(setup.admin, "GET /status"), (503, "standby\n".into()));
+    assert_eq!(admin_call(setup.admin, "PUT /standby").0, 200, "a second standby call failed");
     idle.send(&resp_array(&[b"PING", b"2", b""]));
-    assert_eq!(idle.answer(), "2 unfit");
-    // A client that comes before the front has noticed is served.
-    assert!(Client::connect(setup.node.addr).get(1, "docs", 100, 7).contains("good"));
-    // One that always has a request open is closed all the same, with one answer to each request.
-    let (mut asked, mut answered) = (0, 0);
+    assert_eq!(idle.read_response(), "2 unfit");
+    // A client that connects soon after the call is still served.
+    assert!(Client::connect(setup.router.addr).get(1, "docs", 100, 7).contains("good"));
+    // A client that always has a request open is disconnected too, after one response per request.
+    let (mut sent, mut received) = (0, 0);
     loop {
         if start.elapsed() < Duration::from_secs(5)
-            && steady.try_send_request(asked + 1, "docs", 200 + u64::from(asked))
+            && steady.try_send_request(sent + 1, "docs", 200 + u64::from(sent))
         {
-            asked += 1;
+            sent += 1;
         }
-        match steady.answer().as_str() {
+        match steady.read_response().as_str() {
             "end" => break,
-            answer => {
-                answered += 1;
-                assert!(answer.starts_with(&format!("{answered} ")), "{answer} is not the next");
+            response => {
+                received += 1;
+                assert!(
+                    response.starts_with(&format!("{received} ")),
+                    "{response} is not the response to request {received}"
+                );
             }
         }
     }
-    assert!(answered > 0 && asked - answered <= 1, "{asked} asked, {answered} answered");
-    assert!(start.elapsed() < Duration::from_secs(4), "held for {:?}", start.elapsed());
-    assert_eq!(idle.answer(), "end");
-    assert!(!waits.answer().contains("end"), "what was open is finished");
-    assert_eq!(waits.answer(), "end");
-    assert_eq!(admin_call(setup.door, "PUT /active"), (200, "ready\n".into()));
-    assert_eq!(admin_call(setup.door, "GET /status").0, 200);
-    let mut back = Client::connect(setup.node.addr);
-    assert!(back.get(1, "docs", 300, 7).contains("good"));
+    assert!(received > 0 && sent - received <= 1, "{sent} requests sent, {received} responses received");
+    assert!(start.elapsed() < Duration::from_secs(4), "connection still open after {:?}", start.elapsed());
+    assert_eq!(idle.read_response(), "end");
+    assert!(!with_open_request.read_response().contains("end"), "the open request got no response");
+    assert_eq!(with_open_request.read_response(), "end");
+    assert_eq!(admin_call(setup.admin, "PUT /active"), (200, "ready\n".into()));
+    assert_eq!(admin_call(setup.admin, "GET /status").0, 200);
+    let mut reconnected = Client::connect(setup.router.addr);
+    assert!(reconnected.get(1, "docs", 300, 7).contains("good"));
     std::thread::sleep(Duration::from_millis(900));
-    assert!(back.get(2, "docs", 301, 7).contains("good"), "nobody is let go any more");
+    assert!(
+        reconnected.get(2, "docs", 301, 7).contains("good"),
+        "a connection was closed after the end of the standby"
+    );
 }
 
-/// Guards against a connection on which something is open at all times: it has no moment at which
-/// it could be closed without a loss, and must have gone 4 s after the call all the same, each
-/// request answered once.
+/// Guards against a connection that always has an open request and so never reaches a moment at
+/// which it can be closed without loss. It must be closed within 4 s of the standby call all the
+/// same, with one response to each request.
 #[test]
 fn standby_closes_connections_that_never_pause() {
-    let setup = setup(StubBehavior::NoAnswer);
-    let mut busy = Client::connect(setup.node.addr);
-    assert_eq!(admin_call(setup.door, "PUT /standby").0, 200);
-    let (start, mut asked) = (Instant::now(), 0);
-    // Each takes 1.5 s to fail: there are always some open.
+    let setup = setup(StubBehavior::NoResponse);
+    let mut busy = Client::connect(setup.router.addr);
+    assert_eq!(admin_call(setup.admin, "PUT /standby").0, 200);
+    let (start, mut sent) = (Instant::now(), 0);
+    // Each request takes 1.5 s to fail, so some are open at any time.
     while start.elapsed() < Duration::from_millis(2_700) {
-        asked += 1;
+        sent += 1;
         assert!(
-            busy.try_send_request(asked, "docs", 400 + u64::from(asked)),
-            "it is held while something is open"
+            busy.try_send_request(sent, "docs", 400 + u64::from(sent)),
+            "the connection was closed while a request was open"
         );
         std::thread::sleep(Duration::from_millis(100));
     }
-    let mut answers = std::collections::BTreeSet::new();
+    let mut tags = std::collections::BTreeSet::new();
     loop {
-        let answer = busy.answer();
-        if answer == "end" {
+        let response = busy.read_response();
+        if response == "end" {
             break;
         }
-        let (tag, word) = answer.split_once(' ').unwrap();
-        assert!(answers.insert(tag.parse::<u32>().unwrap()), "{tag} is answered twice");
-        assert!(word.starts_with("refused") || word == "broken", "{answer}");
+        let (tag, result) = response.split_once(' ').unwrap();
+        assert!(tags.insert(tag.parse::<u32>().unwrap()), "request {tag} got two responses");
+        assert!(result.starts_with("refused") || result == "broken", "{response}");
     }
-    assert!(start.elapsed() < Duration::from_millis(3_900), "held for {:?}", start.elapsed());
-    assert_eq!(answers.len() as u32, asked, "each is answered");
+    assert!(
+        start.elapsed() < Duration::from_millis(3_900),
+        "connection still open after {:?}",
+        start.elapsed()
+    );
+    assert_eq!(tags.len() as u32, sent, "not every request got a response");
 }
 
-/// Guards against a SIGHUP that applies half a file, and against requests whose class changes under
-/// them.
+/// Guards against a SIGHUP that applies only a part of a configuration, and against changing the
+/// rules of requests that are in flight.
 #[test]
-fn new_settings_apply_whole_or_not_at_all() {
+fn a_reload_applies_a_configuration_completely_or_not_at_all() {
     let setup = setup(StubBehavior::Data(b"some bytes".to_vec()));
-    let mut client = Client::connect(setup.node.addr);
-    let old = with_admin_endpoint(&config(setup.feed.addr));
+    let mut client = Client::connect(setup.router.addr);
+    let old_config = with_admin_endpoint(&config(setup.feed.addr));
     let maps = r#"{"name":"maps","effect":"retryable","onTime":250000,"hardLimit":2500000,"worth":1.0,"aimStretch":2.0},"#;
-    let new = old.replace(r#"{"name":"docs""#, &format!(r#"{maps}{{"name":"docs""#));
-    let rounds = |name: &str, n: u64| wait_until(name, || (figure(setup.door, name) == n).then_some(()));
-    let bad = [
+    let new_config = old_config.replace(r#"{"name":"docs""#, &format!(r#"{maps}{{"name":"docs""#));
+    let wait_for_count =
+        |name: &str, count: u64| wait_until(name, || (metric(setup.admin, name) == count).then_some(()));
+    let invalid_configs = [
         String::new(),
-        new[..new.len() / 2].to_string(),
-        new.replace(r#""hardLimit":3000000"#, r#""hardLimit":0"#),
-        new.replace(r#""sendCap":6"#, r#""sendCap":"many""#),
-        new.replace(r#""sendCap":6,"#, ""),
-        new.replace(r#""worth":3.0"#, r#""worth":null"#),
+        new_config[..new_config.len() / 2].to_string(),
+        new_config.replace(r#""hardLimit":3000000"#, r#""hardLimit":0"#),
+        new_config.replace(r#""sendCap":6"#, r#""sendCap":"many""#),
+        new_config.replace(r#""sendCap":6,"#, ""),
+        new_config.replace(r#""worth":3.0"#, r#""worth":null"#),
     ];
-    for (i, text) in bad.iter().enumerate() {
-        setup.node.reload(text);
-        rounds("cfg_invalid", i as u64 + 1);
+    for (index, text) in invalid_configs.iter().enumerate() {
+        setup.router.reload(text);
+        wait_for_count("cfg_invalid", index as u64 + 1);
     }
-    assert_eq!(client.get(1, "maps", 1, 7), "1 broken", "nothing of it applies");
-    assert_eq!(figure(setup.door, "cfg_accepted"), 0);
-    // A non-idempotent request is under way while its class becomes one that may be repeated, and
-    // docs is removed.
-    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoAnswer));
+    assert_eq!(client.get(1, "maps", 1, 7), "1 broken", "a part of an invalid configuration was applied");
+    assert_eq!(metric(setup.admin, "cfg_accepted"), 0);
+    // While a non-idempotent request is in flight, its class becomes retryable and the class "docs"
+    // is removed.
+    setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::NoResponse));
     client.send_request(2, "cert-filing", 2, ",obj=0000000000000009");
-    wait_until("the attempt", || {
+    wait_until("the attempt to arrive at an endpoint", || {
         setup.endpoints.iter().any(|s| s.received().iter().any(|a| a.rid.ends_with('2'))).then_some(())
     });
-    let other = new.replace("fragile", "retryable").replace(r#""name":"docs""#, r#""name":"pages""#);
-    setup.node.reload(&other.replace(r#""sendCap":6"#, r#""sendCap":2"#));
-    rounds("cfg_accepted", 1);
-    let runs = |rid: &str| -> usize {
+    let changed_classes =
+        new_config.replace("fragile", "retryable").replace(r#""name":"docs""#, r#""name":"pages""#);
+    setup.router.reload(&changed_classes.replace(r#""sendCap":6"#, r#""sendCap":2"#));
+    wait_for_count("cfg_accepted", 1);
+    let attempt_count = |rid: &str| -> usize {
         setup.endpoints.iter().map(|s| s.received().iter().filter(|a| a.rid.ends_with(rid)).count()).sum()
     };
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Status("failed")));
-    assert_eq!(client.answer(), "2 broken", "it keeps its deadline");
-    assert_eq!(runs("0002"), 1, "and its effect");
-    // Under the new settings a non-idempotent request may be repeated, twice at most.
+    assert_eq!(client.read_response(), "2 broken", "the request did not keep its deadline");
+    assert_eq!(attempt_count("0002"), 1, "the request did not keep its class's idempotency");
+    // Under the new settings a request of that class is retried, with at most two attempts.
     assert!(!client.get(3, "cert-filing", 3, 9).contains("good"));
-    assert_eq!(runs("0003"), 2);
+    assert_eq!(attempt_count("0003"), 2);
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Data(b"some bytes".to_vec())));
     assert!(client.get(4, "maps", 4, 7).contains("good"));
     assert!(client.get(5, "pages", 5, 7).contains("good"));
-    assert_eq!(client.get(6, "docs", 6, 7), "6 broken", "it has vanished");
-    // It comes back, and non-idempotent requests may not be repeated again.
-    setup.node.reload(&old);
-    rounds("cfg_accepted", 2);
+    assert_eq!(client.get(6, "docs", 6, 7), "6 broken", "the removed class is still known");
+    // The old settings bring "docs" back, and requests of the other class are not retried again.
+    setup.router.reload(&old_config);
+    wait_for_count("cfg_accepted", 2);
     assert!(client.get(7, "docs", 7, 7).contains("good"));
     setup.endpoints.iter().for_each(|s| s.set_behavior(StubBehavior::Status("failed")));
     assert_eq!(client.get(8, "cert-filing", 8, 9), "8 broken");
-    assert_eq!(runs("0008"), 1);
-    assert_eq!(figure(setup.door, "operations.docs.fulfilled"), 1);
+    assert_eq!(attempt_count("0008"), 1);
+    assert_eq!(metric(setup.admin, "operations.docs.fulfilled"), 1);
 }
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that know each other, with faults between them and in them.
+//! Clusters of router processes, with faults in the network between them and in the processes.
 
 mod common;
 
@@ -16,48 +16,51 @@
 
 const CUT: LinkFault = LinkFault::CUT;
 
-/// Routers behind a relay, each with the same endpoints and endpoint feed.
+/// Routers that send their datagrams through a relay, with the same endpoints and endpoint feed.
 struct Cluster {
     feed: StubFeed,
     endpoints: [StubEndpoint; 3],
     relay: Relay,
-    nodes: Vec<Option<RouterProcess>>,
+    processes: Vec<Option<RouterProcess>>,
     seeds: Vec<usize>,
-    /// More of the section.
-    more: &'static str,
+    /// Further fields of the cluster section.
+    more_fields: &'static str,
 }
 
 impl Cluster {
     fn new(routers: usize) -> Cluster {
         let feed = StubFeed::start();
-        let does = StubBehavior::Data(b"some bytes".to_vec());
-        let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
+        let behavior = StubBehavior::Data(b"some bytes".to_vec());
+        let endpoints = [behavior.clone(), behavior.clone(), behavior].map(StubEndpoint::start);
         feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let relay = Relay::start(routers, 7).unwrap();
         Cluster {
             feed,
             endpoints,
             relay,
-            nodes: (0..routers).map(|_| None).collect(),
+            processes: (0..routers).map(|_| None).collect(),
             seeds: vec![0, 1],
-            more: "",
+            more_fields: "",
         }
     }
 
-    /// All are started, and agree.
+    /// Starts all routers and waits until their membership has converged.
     fn all_started(routers: usize) -> Cluster {
         let mut cluster = Cluster::new(routers);
-        (0..routers).for_each(|r| cluster.start(r));
-        cluster.settles(&(0..routers).collect::<Vec<_>>());
+        (0..routers).for_each(|router| cluster.start(router));
+        cluster.wait_for_convergence(&(0..routers).collect::<Vec<_>>());
         cluster
     }
 
-    /// Five routers of so many places whose shares of warm-up budgets are in use.
-    fn on_lease(places: usize) -> Cluster {
-        let mut cluster = Cluster { more: ", limits: {}", ..Cluster::new(places) };
-        FIVE.iter().for_each(|r| cluster.start(*r));
-        cluster.settles(&FIVE);
-        wait_until("five shares in use", || FIVE.iter().all(|r| cluster.uses_its_share(*r, 5)).then_some(()));
+    /// Starts five routers with leased quotas behind a relay of `places` addresses, and waits until
+    /// all of them use their own quota share.
+    fn with_leased_quotas(places: usize) -> Cluster {
+        let mut cluster = Cluster { more_fields: ", limits: {}", ..Cluster::new(places) };
+        FIVE.iter().for_each(|router| cluster.start(*router));
+        cluster.wait_for_convergence(&FIVE);
+        wait_until("five routers to use their own quota share", || {
+            FIVE.iter().all(|router| cluster.uses_its_share(*router, 5)).then_some(())
+        });
         cluster
     }
 
@@ -68,7 +71,7 @@
             "{{fleet: {{name: '{name}', listen: '127.0.0.1:0', advertise: '{}', seeds: [{}]{}}}}}",
             self.relay.addresses[router],
             seeds.join(","),
-            self.more
+            self.more_fields
         )
     }
 
@@ -80,110 +83,117 @@
         let config = with_admin_endpoint(&config(self.feed.addr))
             .replace("\"name\":\"n1\"", &format!("\"name\":\"{name}\""));
         let config = config.replace("\"groupSize\":1", "\"groupSize\":2").replace("[1,0]", "[2,0]");
-        let node = RouterProcess::with_config_and_operator_file(&config, &self.section(router, cluster_name));
-        let heard = node.cluster.expect("the program says where it hears others");
-        self.relay.set_destination(router, heard);
-        self.nodes[router] = Some(node);
+        let process =
+            RouterProcess::with_config_and_operator_file(&config, &self.section(router, cluster_name));
+        let cluster_address = process.cluster.expect("the router logged no address for cluster datagrams");
+        self.relay.set_destination(router, cluster_address);
+        self.processes[router] = Some(process);
     }
 
     fn kill(&mut self, router: usize) {
-        self.nodes[router] = None;
+        self.processes[router] = None;
     }
 
-    fn node(&self, router: usize) -> &RouterProcess {
-        self.nodes[router].as_ref().expect("it runs")
+    fn process(&self, router: usize) -> &RouterProcess {
+        self.processes[router].as_ref().expect("the router is not running")
     }
 
     fn status(&self, router: usize) -> Value {
-        let (code, body) = admin_call(admin_address(self.node(router)), "GET /status/fleet");
+        let (code, body) = admin_call(admin_address(self.process(router)), "GET /status/fleet");
         assert_eq!(code, 200, "{body}");
         serde_json::from_str(&body).unwrap()
     }
 
     fn limits(&self, router: usize) -> Value {
-        let (code, body) = admin_call(admin_address(self.node(router)), "GET /status/fleet/limits");
+        let (code, body) = admin_call(admin_address(self.process(router)), "GET /status/fleet/limits");
         assert_eq!(code, 200, "{body}");
         serde_json::from_str(&body).unwrap()
     }
 
     fn uses_its_share(&self, router: usize, of: u64) -> bool {
-        let l = self.limits(router);
-        l["share_in_use"] == true && l["divided_by"] == of
+        let limits = self.limits(router);
+        limits["share_in_use"] == true && limits["divided_by"] == of
     }
 
-    /// What a router reports of another.
-    fn wait_for_log(&self, by: usize, of: usize) -> Option<String> {
-        let at = self.relay.addresses[of].to_string();
-        let status = self.status(by);
-        let other = status["others"].as_array()?.iter().find(|o| o["address"] == at.as_str())?;
+    /// The state of router `of` as router `observer` reports it; `None` if it lists no such router.
+    fn reported_state(&self, observer: usize, of: usize) -> Option<String> {
+        let address = self.relay.addresses[of].to_string();
+        let status = self.status(observer);
+        let other = status["others"].as_array()?.iter().find(|o| o["address"] == address.as_str())?;
         other["state"].as_str().map(str::to_string)
     }
 
-    fn all_say(&self, by: &[usize], of: usize, state: &str) -> bool {
-        by.iter().filter(|b| **b != of).all(|b| self.wait_for_log(*b, of).as_deref() == Some(state))
+    fn all_report(&self, observers: &[usize], of: usize, state: &str) -> bool {
+        observers
+            .iter()
+            .filter(|observer| **observer != of)
+            .all(|observer| self.reported_state(*observer, of).as_deref() == Some(state))
     }
 
-    /// Those routers have converged on one membership, in which all of them are alive.
-    fn same(&self, who: &[usize]) -> bool {
-        let all: Vec<Value> = who.iter().map(|r| self.status(*r)).collect();
+    /// Whether these routers have converged on one membership in which all of them are alive.
+    fn has_converged(&self, routers: &[usize]) -> bool {
+        let all: Vec<Value> = routers.iter().map(|router| self.status(*router)).collect();
         let digests: BTreeSet<&str> = all.iter().filter_map(|s| s["digest"].as_str()).collect();
         let settled =
-            all.iter().all(|s| s["settled"] == true && s["reachable"].as_u64() >= Some(who.len() as u64));
-        digests.len() == 1 && settled && who.iter().all(|of| self.all_say(who, *of, "alive"))
+            all.iter().all(|s| s["settled"] == true && s["reachable"].as_u64() >= Some(routers.len() as u64));
+        digests.len() == 1 && settled && routers.iter().all(|of| self.all_report(routers, *of, "alive"))
     }
 
-    fn settles(&self, who: &[usize]) {
-        wait_until(&format!("{who:?} to hold one view"), || self.same(who).then_some(()));
+    fn wait_for_convergence(&self, routers: &[usize]) {
+        wait_until(&format!("the membership of {routers:?} to converge"), || {
+            self.has_converged(routers).then_some(())
+        });
     }
 
-    fn lost(&self, by: &[usize], of: usize) {
-        wait_until(&format!("{of} to be lost to {by:?}"), || self.all_say(by, of, "lost").then_some(()));
+    fn wait_for_failure(&self, observers: &[usize], of: usize) {
+        wait_until(&format!("{observers:?} to report {of} as failed"), || {
+            self.all_report(observers, of, "lost").then_some(())
+        });
     }
 
-    fn number(&self, router: usize, key: &str) -> u64 {
+    fn status_number(&self, router: usize, key: &str) -> u64 {
         self.status(router)[key].as_u64().unwrap()
     }
 
-    /// How often the logs of those routers contain that since their starts.
-    fn count_log_lines(&self, by: &[usize], words: &str) -> usize {
-        by.iter().map(|r| self.node(*r).count_log_lines(words)).sum()
+    /// Number of log lines of these routers that contain `text` since the routers started.
+    fn count_log_lines(&self, observers: &[usize], text: &str) -> usize {
+        observers.iter().map(|router| self.process(*router).count_log_lines(text)).sum()
     }
 }
 
-/// Clients that send requests to these routers all the time, until they are told to stop; each
-/// request must have its answer.
+/// Clients that send requests to routers continuously until the load is stopped.
 struct Load {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<(u64, u64)>>,
 }
 
 impl Load {
-    fn at(cluster: &Cluster, routers: &[usize]) -> Load {
-        let over = Arc::new(AtomicBool::new(false));
-        let one = |r: &usize| {
-            let (over, addr, seed) = (over.clone(), cluster.node(*r).addr, (*r as u64 + 1) << 32);
+    fn start(cluster: &Cluster, routers: &[usize]) -> Load {
+        let stop = Arc::new(AtomicBool::new(false));
+        let start_client = |router: &usize| {
+            let (stop, addr, seed) =
+                (stop.clone(), cluster.process(*router).addr, (*router as u64 + 1) << 32);
             thread::spawn(move || {
                 let mut client = Client::connect(addr);
-                let (mut asked, mut good) = (0, 0);
-                while !over.load(Ordering::Relaxed) {
-                    asked += 1;
-                    good += u64::from(
-                        client.get(asked as u32, "docs", seed + asked, asked % 40).contains("good"),
-                    );
+                let (mut sent, mut served) = (0, 0);
+                while !stop.load(Ordering::Relaxed) {
+                    sent += 1;
+                    served +=
+                        u64::from(client.get(sent as u32, "docs", seed + sent, sent % 40).contains("good"));
                     thread::sleep(Duration::from_millis(5));
                 }
-                (asked, good)
+                (sent, served)
             })
         };
-        Load { threads: routers.iter().map(one).collect(), over }
+        Load { threads: routers.iter().map(start_client).collect(), stop }
     }
 
-    /// Every request was served.
-    fn ends(self) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Stops the load, and checks that every request was served.
+    fn stop_and_check(self) {
+        self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            let (asked, good) = thread.join().expect("every request is answered");
-            assert!(asked > 50 && asked == good, "{good} of {asked} were served");
+            let (sent, served) = thread.join().expect("a client got no response");
+            assert!(sent > 50 && sent == served, "{served} of {sent} requests were served");
         }
     }
 }
@@ -191,41 +201,46 @@
 const FIVE: [usize; 5] = [0, 1, 2, 3, 4];
 
 #[test]
-fn both_sides_of_a_partition_count_all_and_it_heals_while_a_third_side_is_cut_off() {
+fn both_sides_of_a_partition_count_all_routers_and_it_heals_while_another_router_is_cut_off() {
     let cluster = Cluster::all_started(5);
-    let load = Load::at(&cluster, &FIVE);
+    let load = Load::start(&cluster, &FIVE);
     cluster.relay.partition(&[0, 1, 2], &[3, 4]);
     for (side, other) in [([0, 1, 2].as_slice(), [3, 4].as_slice()), (&[3, 4], &[0, 1, 2])] {
-        other.iter().for_each(|of| cluster.lost(side, *of));
-        for r in side {
-            assert_eq!(cluster.number(*r, "at_work_perhaps"), 5, "no side may take the other's part");
-            assert_eq!(cluster.number(*r, "limits_divided_by"), 5);
+        other.iter().for_each(|of| cluster.wait_for_failure(side, *of));
+        for router in side {
+            assert_eq!(
+                cluster.status_number(*router, "at_work_perhaps"),
+                5,
+                "a side of the partition no longer counts the other"
+            );
+            assert_eq!(cluster.status_number(*router, "limits_divided_by"), 5);
         }
     }
     cluster.relay.heal();
     cluster.relay.partition(&[1], &[0, 2, 3, 4]);
-    cluster.settles(&[0, 2, 3, 4]);
-    cluster.lost(&[0, 2, 3, 4], 1);
-    assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
+    cluster.wait_for_convergence(&[0, 2, 3, 4]);
+    cluster.wait_for_failure(&[0, 2, 3, 4], 1);
+    assert_eq!(cluster.status_number(0, "at_work_perhaps"), 5);
     cluster.relay.heal();
-    cluster.settles(&FIVE);
-    load.ends();
+    cluster.wait_for_convergence(&FIVE);
+    load.stop_and_check();
 }
 
 #[test]
 fn an_isolated_router_declares_no_other_failed() {
-    for hears in [true, false] {
+    for inbound_only in [true, false] {
         let cluster = Cluster::all_started(5);
-        if hears {
+        if inbound_only {
             cluster.relay.set_link_fault(&[4], &FIVE, CUT);
         } else {
             cluster.relay.set_link_fault(&FIVE, &[4], CUT);
         }
-        cluster.lost(&[0, 1, 2, 3], 4);
-        wait_until("the one to know that nobody answers it", || {
+        cluster.wait_for_failure(&[0, 1, 2, 3], 4);
+        wait_until("the isolated router to report that no other responds", || {
             (cluster.status(4)["deaf"] == true).then_some(())
         });
-        let healthy: Vec<usize> = (0..4).filter(|of| cluster.all_say(&[0, 1, 2, 3], *of, "alive")).collect();
+        let healthy: Vec<usize> =
+            (0..4).filter(|of| cluster.all_report(&[0, 1, 2, 3], *of, "alive")).collect();
         assert_eq!(healthy, [0, 1, 2, 3]);
         for n in 1..=4 {
             assert_eq!(
@@ -240,102 +255,112 @@
             );
         }
         cluster.relay.heal();
-        cluster.settles(&FIVE);
+        cluster.wait_for_convergence(&FIVE);
     }
 }
 
 #[test]
-fn routers_that_reach_each_other_only_indirectly_hold_each_other_alive() {
+fn routers_that_reach_each_other_only_indirectly_report_each_other_alive() {
     let cluster = Cluster::all_started(6);
     cluster.relay.partition(&[0, 1], &[4, 5]);
     thread::sleep(Duration::from_secs(12));
     assert_eq!(cluster.count_log_lines(&[0, 1, 2, 3, 4, 5], "router failed"), 0);
-    cluster.settles(&[0, 1, 2, 3, 4, 5]);
+    cluster.wait_for_convergence(&[0, 1, 2, 3, 4, 5]);
 }
 
 #[test]
 fn a_restart_supersedes_the_earlier_start_and_late_datagrams_change_nothing() {
     let mut cluster = Cluster::all_started(5);
-    let rest = [0, 1, 3, 4];
+    let others = [0, 1, 3, 4];
     for suspected in [false, true] {
-        // What it sends arrives 10 s late.
-        cluster.relay.set_link_fault(&[2], &rest, LinkFault { delay: 10_000_000, ..LinkFault::default() });
+        // Datagrams of router 2 arrive 10 s late.
+        cluster.relay.set_link_fault(&[2], &others, LinkFault { delay: 10_000_000, ..LinkFault::default() });
         if suspected {
-            wait_until("a suspicion", || {
-                rest.iter().any(|r| cluster.wait_for_log(*r, 2).as_deref() == Some("suspect")).then_some(())
+            wait_until("a router to suspect the restarting one", || {
+                others
+                    .iter()
+                    .any(|router| cluster.reported_state(*router, 2).as_deref() == Some("suspect"))
+                    .then_some(())
             });
         }
         cluster.kill(2);
         cluster.relay.heal();
         cluster.start(2);
-        cluster.settles(&FIVE);
+        cluster.wait_for_convergence(&FIVE);
         let start = cluster.status(2)["own"]["start"].as_u64();
         let before = cluster.count_log_lines(&FIVE, "router failed");
         thread::sleep(Duration::from_secs(11));
         assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), before);
-        assert!(cluster.same(&FIVE));
+        assert!(cluster.has_converged(&FIVE));
         assert_eq!(cluster.status(2)["own"]["start"].as_u64(), start);
-        assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
+        assert_eq!(cluster.status_number(0, "at_work_perhaps"), 5);
     }
 }
 
 #[test]
-fn a_pause_of_1_s_fails_no_router_and_one_of_15_s_heals_soon() {
+fn a_pause_of_1_s_fails_no_router_and_one_of_15_s_is_recovered_from() {
     let cluster = Cluster::all_started(5);
-    let rest = [0, 2, 3, 4];
-    cluster.node(1).signal("-STOP");
+    let others = [0, 2, 3, 4];
+    cluster.process(1).signal("-STOP");
     thread::sleep(Duration::from_secs(1));
-    cluster.node(1).signal("-CONT");
+    cluster.process(1).signal("-CONT");
     thread::sleep(Duration::from_secs(5));
     assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0);
     let paused = Instant::now();
-    cluster.node(1).signal("-STOP");
-    cluster.lost(&rest, 1);
+    cluster.process(1).signal("-STOP");
+    cluster.wait_for_failure(&others, 1);
     thread::sleep(Duration::from_secs(15).saturating_sub(paused.elapsed()));
-    cluster.node(1).signal("-CONT");
-    cluster.settles(&FIVE);
+    cluster.process(1).signal("-CONT");
+    cluster.wait_for_convergence(&FIVE);
     assert!(cluster.count_log_lines(&[1], "this process was paused") >= 1);
-    assert_eq!(cluster.count_log_lines(&[1], "router suspected"), 0, "it blames nobody for its own pause");
+    assert_eq!(
+        cluster.count_log_lines(&[1], "router suspected"),
+        0,
+        "the paused router suspected another one after its pause"
+    );
 }
 
 #[test]
-fn two_routers_with_one_name_are_counted_and_another_cluster_or_a_dead_seed_does_no_harm() {
+fn two_routers_with_one_name_are_both_counted_and_another_cluster_or_a_dead_seed_does_no_harm() {
     let mut cluster = Cluster::new(6);
-    // The seeds are down at first: no router knows another.
-    for r in 2..5 {
-        cluster.start_as(r, if r == 4 { "n3" } else { "n9" }, "test");
+    // The seeds are not running yet, so no router learns of another.
+    for router in 2..5 {
+        cluster.start_as(router, if router == 4 { "n3" } else { "n9" }, "test");
     }
     cluster.start_as(5, "n6", "other");
     thread::sleep(Duration::from_secs(2));
-    assert!((2..6).all(|r| cluster.number(r, "at_work_perhaps") == 1));
+    assert!((2..6).all(|router| cluster.status_number(router, "at_work_perhaps") == 1));
     assert!(
-        (2..5).all(|r| cluster.number(r, "limits_divided_by") == 2),
-        "the configured number is the floor"
+        (2..5).all(|router| cluster.status_number(router, "limits_divided_by") == 2),
+        "limits are divided by less than the configured number of routers"
     );
-    // A list of seeds that names only the router itself: it is found all the same.
+    // The seed list contains only the router itself. Other routers still find it.
     cluster.seeds = vec![0];
     cluster.start_as(0, "n3", "test");
     cluster.seeds = vec![0, 1];
     cluster.start(1);
-    cluster.settles(&FIVE);
+    cluster.wait_for_convergence(&FIVE);
     thread::sleep(Duration::from_secs(5));
-    assert!(FIVE.iter().all(|r| cluster.number(*r, "at_work_perhaps") == 5), "both of one name are counted");
     assert!(
-        FIVE.iter()
-            .all(|r| cluster.count_log_lines(&[*r], "two routers have one name, both are counted router=n3")
-                <= 1),
-        "it is said once"
+        FIVE.iter().all(|router| cluster.status_number(*router, "at_work_perhaps") == 5),
+        "not both routers of one name are counted"
+    );
+    assert!(
+        FIVE.iter().all(|router| cluster
+            .count_log_lines(&[*router], "two routers have one name, both are counted router=n3")
+            <= 1),
+        "the duplicate name was logged more than once"
     );
-    assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0, "and they don't flap");
-    assert_eq!(cluster.number(5, "at_work_perhaps"), 1);
+    assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0, "a router was declared failed");
+    assert_eq!(cluster.status_number(5, "at_work_perhaps"), 1);
 }
 
 #[test]
 fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
     let cluster = Cluster::all_started(5);
-    let half = LinkFault { loss: 0.5, ..LinkFault::default() };
-    cluster.relay.set_link_fault(&[4], &FIVE, half);
-    cluster.relay.set_link_fault(&FIVE, &[4], half);
+    let half_lost = LinkFault { loss: 0.5, ..LinkFault::default() };
+    cluster.relay.set_link_fault(&[4], &FIVE, half_lost);
+    cluster.relay.set_link_fault(&FIVE, &[4], half_lost);
     thread::sleep(Duration::from_secs(20));
     for n in 0..4 {
         assert_eq!(
@@ -344,7 +369,7 @@
                 &format!("router failed, it may still be active address={} ", cluster.relay.addresses[n])
             ),
             0,
-            "n{} is condemned",
+            "the healthy router n{} was declared failed",
             n + 1
         );
     }
@@ -354,187 +379,207 @@
 fn thousands_of_invalid_and_replayed_datagrams_stop_no_service_and_change_no_membership() {
     let cluster = Cluster::all_started(5);
     let before = cluster.status(0);
-    let real = cluster.relay.latest_datagram(1, 0).unwrap();
-    let load = Load::at(&cluster, &[0]);
+    let valid_datagram = cluster.relay.latest_datagram(1, 0).unwrap();
+    let load = Load::start(&cluster, &[0]);
     let memory = || {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", cluster.node(0).child.id())).unwrap();
-        let line = text.lines().find(|l| l.starts_with("VmRSS")).unwrap();
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", cluster.process(0).child.id())).unwrap();
+        let line = text.lines().find(|line| line.starts_with("VmRSS")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap()
     };
-    let (start, at) = (memory(), cluster.node(0).cluster.unwrap());
+    let (start, address) = (memory(), cluster.process(0).cluster.unwrap());
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..60_000u32 {
-        let mut bytes = real.clone();
+        let mut bytes = valid_datagram.clone();
         match n % 4 {
             0 => bytes = n.to_le_bytes().repeat(40),
-            1 => bytes.truncate(n as usize % real.len()),
+            1 => bytes.truncate(n as usize % valid_datagram.len()),
             2 => bytes = vec![1; 3_000],
             _ => {}
         }
-        socket.send_to(&bytes, at).unwrap();
+        socket.send_to(&bytes, address).unwrap();
         if n % 200 == 0 {
             thread::sleep(Duration::from_millis(10));
         }
     }
-    load.ends();
+    load.stop_and_check();
     let after = cluster.status(0);
     let unread: u64 = after["datagrams"]["unread"].as_array().unwrap().iter().filter_map(Value::as_u64).sum();
-    assert!(unread > 10_000, "{unread} of 45000 are counted as junk");
+    assert!(unread > 10_000, "only {unread} of 45000 invalid datagrams were counted as unread");
     assert_eq!(after["digest"], before["digest"]);
-    assert!(memory() < start + 4_096, "{start} KB before, {} KB now", memory());
+    assert!(memory() < start + 4_096, "memory grew from {start} KB to {} KB", memory());
     assert_eq!(cluster.count_log_lines(&FIVE, "router failed"), 0);
 }
 
-/// Guards against a handover that others see as an end and a start, or count twice; and against one
-/// after which no datagram is received at the address.
+/// Guards against a handover that other routers take for a failure and a restart, or count as two
+/// routers; and against losing the cluster address in a handover.
 #[test]
-fn a_handover_keeps_the_identity_and_a_successor_that_dies_gives_it_back() {
+fn a_handover_keeps_the_identity_and_the_predecessor_takes_it_back_if_its_successor_dies() {
     let mut cluster = Cluster::new(5);
-    // The address for datagrams of others is handed over too, so it is one of the system's choice
-    // that is free again.
-    let free = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let heard = free();
+    // The cluster address is handed over too, so it must be known before: use a free one chosen by
+    // the system.
+    let free_address = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let cluster_address = free_address();
     let reserved = ReservedAddress::new();
-    let clients = reserved.addr;
+    let client_address = reserved.addr;
     let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
-    let section = cluster.section(4, "test").replace("127.0.0.1:0", &heard.to_string());
-    let listen = format!("\"listen\":\"{clients}\"");
+    let section = cluster.section(4, "test").replace("127.0.0.1:0", &cluster_address.to_string());
+    let listen = format!("\"listen\":\"{client_address}\"");
     let config =
         with_admin_endpoint(&config(cluster.feed.addr)).replace("\"listen\":\"127.0.0.1:0\"", &listen);
     let config = config.replace("\"name\":\"n1\"", "\"name\":\"n5\"");
-    (0..4).for_each(|r| cluster.start(r));
-    cluster.nodes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
-    cluster.relay.set_destination(4, heard);
-    cluster.settles(&FIVE);
-    let own = |node: &RouterProcess| -> Value {
-        serde_json::from_str(&admin_call(admin_address(node), "GET /status/fleet").1).unwrap()
+    (0..4).for_each(|router| cluster.start(router));
+    cluster.processes[4] = Some(RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir));
+    cluster.relay.set_destination(4, cluster_address);
+    cluster.wait_for_convergence(&FIVE);
+    let status_of = |process: &RouterProcess| -> Value {
+        serde_json::from_str(&admin_call(admin_address(process), "GET /status/fleet").1).unwrap()
     };
-    let ready = |node: &RouterProcess| {
-        wait_until("a yes", || (admin_call(admin_address(node), "GET /status").0 == 200).then_some(()))
+    let wait_until_ready = |process: &RouterProcess| {
+        wait_until("the router to be ready", || {
+            (admin_call(admin_address(process), "GET /status").0 == 200).then_some(())
+        })
     };
     let before = cluster.status(4);
-    for dies in [true, false] {
-        ready(cluster.node(4));
-        let heir = RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir);
-        wait_until("the heir to have the address", || (own(&heir)["heard"] == true).then_some(()));
-        assert_eq!(own(cluster.node(4))["heard"], false);
-        assert_eq!(own(&heir)["own"]["start"], before["own"]["start"]);
-        if dies {
-            drop(heir);
-            wait_until("the address to be taken back", || {
-                (own(cluster.node(4))["heard"] == true).then_some(())
+    for successor_dies in [true, false] {
+        wait_until_ready(cluster.process(4));
+        let successor = RouterProcess::with_operator_file_and_handover_dir(&config, &section, &dir);
+        wait_until("the successor to receive at the cluster address", || {
+            (status_of(&successor)["heard"] == true).then_some(())
+        });
+        assert_eq!(status_of(cluster.process(4))["heard"], false);
+        assert_eq!(status_of(&successor)["own"]["start"], before["own"]["start"]);
+        if successor_dies {
+            drop(successor);
+            wait_until("the predecessor to receive at the cluster address again", || {
+                (status_of(cluster.process(4))["heard"] == true).then_some(())
             });
         } else {
-            cluster.nodes[4] = Some(heir);
+            cluster.processes[4] = Some(successor);
         }
-        cluster.settles(&FIVE);
-        assert_eq!(cluster.number(0, "at_work_perhaps"), 5);
+        cluster.wait_for_convergence(&FIVE);
+        assert_eq!(cluster.status_number(0, "at_work_perhaps"), 5);
     }
-    let rest = [0, 1, 2, 3];
-    for words in ["router failed", "router restarted", "router left", "two routers have one name"] {
-        assert_eq!(cluster.count_log_lines(&rest, words), 0, "{words}");
+    let others = [0, 1, 2, 3];
+    for text in ["router failed", "router restarted", "router left", "two routers have one name"] {
+        assert_eq!(cluster.count_log_lines(&others, text), 0, "{text}");
     }
-    let _gone = std::fs::remove_dir_all(&dir);
+    let _result = std::fs::remove_dir_all(&dir);
 }
 
-/// Guards against anything of it in a router that has no section for it: the same descriptors and
-/// threads as before, no metric, no report.
+/// Guards against side effects of clustering in a router without a cluster section: it must have no
+/// additional descriptor or thread, no cluster metrics and no report.
 #[test]
 fn without_the_section_there_is_no_membership() {
     let cluster = Cluster::all_started(2);
-    let alone =
+    let without_cluster =
         RouterProcess::with_config_and_operator_file(&with_admin_endpoint(&config(cluster.feed.addr)), "{}");
-    let count = |node: &RouterProcess, what: &str| {
-        std::fs::read_dir(format!("/proc/{}/{what}", node.child.id())).unwrap().count()
+    let count = |process: &RouterProcess, what: &str| {
+        std::fs::read_dir(format!("/proc/{}/{what}", process.child.id())).unwrap().count()
     };
-    let udp = |node: &RouterProcess| {
+    let udp_socket_count = |process: &RouterProcess| {
         let inodes: BTreeSet<String> = std::fs::read_to_string("/proc/net/udp")
             .unwrap()
             .lines()
-            .filter_map(|l| Some(format!("socket:[{}]", l.split_whitespace().nth(9)?)))
+            .filter_map(|line| Some(format!("socket:[{}]", line.split_whitespace().nth(9)?)))
             .collect();
-        let links = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap();
+        let links = std::fs::read_dir(format!("/proc/{}/fd", process.child.id())).unwrap();
         links
-            .filter_map(|e| std::fs::read_link(e.ok()?.path()).ok())
-            .filter(|l| inodes.contains(&l.to_string_lossy().into_owned()))
+            .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
+            .filter(|link| inodes.contains(&link.to_string_lossy().into_owned()))
             .count()
     };
-    wait_until("its start", || (admin_call(admin_address(&alone), "GET /status").0 == 200).then_some(()));
-    assert_eq!((udp(&alone), udp(cluster.node(0))), (0, 1));
-    assert_eq!((count(&alone, "task"), count(cluster.node(0), "task")), (1, 1));
-    assert_eq!(admin_call(admin_address(&alone), "GET /status/fleet").0, 404);
-    assert!(!admin_call(admin_address(&alone), "GET /status/metrics").1.contains("fleet"));
-    assert!(admin_call(admin_address(cluster.node(0)), "GET /status/metrics")
+    wait_until("the router without a cluster to be ready", || {
+        (admin_call(admin_address(&without_cluster), "GET /status").0 == 200).then_some(())
+    });
+    assert_eq!((udp_socket_count(&without_cluster), udp_socket_count(cluster.process(0))), (0, 1));
+    assert_eq!((count(&without_cluster, "task"), count(cluster.process(0), "task")), (1, 1));
+    assert_eq!(admin_call(admin_address(&without_cluster), "GET /status/fleet").0, 404);
+    assert!(!admin_call(admin_address(&without_cluster), "GET /status/metrics").1.contains("fleet"));
+    assert!(admin_call(admin_address(cluster.process(0)), "GET /status/metrics")
         .1
         .contains("svc.fleet_at_work_perhaps=2"));
     let _used = &cluster.endpoints;
 }
 
-/// Guards against a newcomer that uses a share before all possibly active routers divide by one
-/// more, and against one that never gets it back: a router that is cut off can't say that it counts
-/// the newcomer.
+/// Guards against a new router that uses its own quota share before all possibly active routers
+/// divide by the new number, and against one that never gets its share: a router that is cut off
+/// can't confirm that it counts the new one.
 #[test]
-fn an_own_share_is_used_only_when_all_others_count_it() {
-    let mut cluster = Cluster::on_lease(6);
+fn a_router_uses_its_own_share_only_when_all_others_count_it() {
+    let mut cluster = Cluster::with_leased_quotas(6);
     cluster.relay.partition(&[4], &[0, 1, 2, 3, 5]);
-    cluster.lost(&[0, 1, 2, 3], 4);
+    cluster.wait_for_failure(&[0, 1, 2, 3], 4);
     cluster.start(5);
-    let counted = |not: usize| {
-        let l = cluster.limits(5);
-        assert_eq!(l["share_in_use"], false, "{l}");
-        assert_eq!(l["not_counted_by"], serde_json::json!([cluster.relay.addresses[not].to_string()]));
+    let assert_only_not_counted_by = |not: usize| {
+        let limits = cluster.limits(5);
+        assert_eq!(limits["share_in_use"], false, "{limits}");
+        assert_eq!(limits["not_counted_by"], serde_json::json!([cluster.relay.addresses[not].to_string()]));
     };
-    wait_until("all but the one who is cut off to count the newcomer", || {
-        let l = cluster.limits(5);
-        (l["not_counted_by"].as_array().map(Vec::len) == Some(1)).then_some(())
+    wait_until("all but the isolated router to count the new one", || {
+        let limits = cluster.limits(5);
+        (limits["not_counted_by"].as_array().map(Vec::len) == Some(1)).then_some(())
+    });
+    assert_only_not_counted_by(4);
+    // The other routers have reduced their shares all the same, and the one that is cut off keeps
+    // no more than its own.
+    wait_until("four routers to divide by six", || {
+        [0, 1, 2, 3].iter().all(|router| cluster.uses_its_share(*router, 6)).then_some(())
     });
-    counted(4);
-    // The others have shrunk their shares all the same, and the one that is cut off has kept no
-    // more than its own.
-    wait_until("room for six", || [0, 1, 2, 3].iter().all(|r| cluster.uses_its_share(*r, 6)).then_some(()));
     assert!(cluster.uses_its_share(4, 5));
     cluster.relay.heal();
-    wait_until("six shares in use", || (0..6).all(|r| cluster.uses_its_share(r, 6)).then_some(()));
+    wait_until("six routers to use their own quota share", || {
+        (0..6).all(|router| cluster.uses_its_share(router, 6)).then_some(())
+    });
 }
 
-/// Guards against routers that are restarted one by one, as in a deploy, while one machine is dead:
-/// each must have its share back by the evidence of those that knew it.
+/// Guards against a rolling restart in which routers never get their shares back because one
+/// machine is down: the routers that knew a restarted one must confirm its share.
 #[test]
-fn a_restarted_router_gets_its_share_back_though_another_is_dead() {
-    let mut cluster = Cluster::on_lease(5);
+fn a_restarted_router_gets_its_share_back_while_another_is_down() {
+    let mut cluster = Cluster::with_leased_quotas(5);
     cluster.kill(4);
-    cluster.lost(&[0, 1, 2, 3], 4);
-    for r in 0..4 {
-        cluster.kill(r);
-        cluster.start(r);
-        assert_eq!(cluster.limits(r)["share_in_use"], false, "what the earlier life gave may still be used");
-        wait_until("the share to be back", || cluster.uses_its_share(r, 5).then_some(()));
+    cluster.wait_for_failure(&[0, 1, 2, 3], 4);
+    for router in 0..4 {
+        cluster.kill(router);
+        cluster.start(router);
+        assert_eq!(
+            cluster.limits(router)["share_in_use"],
+            false,
+            "the share is in use although leases granted before the restart may still be"
+        );
+        wait_until("the restarted router to use its quota share", || {
+            cluster.uses_its_share(router, 5).then_some(())
+        });
     }
-    assert!((0..4).all(|r| cluster.uses_its_share(r, 5)));
+    assert!((0..4).all(|router| cluster.uses_its_share(router, 5)));
 }
 
-/// Guards against routers that together send a parent cache that warms up more than it bears:
-/// shares move to the busy ones while links between routers fail, one is killed and one is stopped.
+/// Guards against routers that together overload a parent cache that is warming up. Quota is leased
+/// to the busy routers while links fail, one router is killed and one is paused.
 #[test]
-fn seven_routers_never_overload_a_parent_cache_that_warms_up_whatever_fails_between_them() {
-    for day in ["cold-hub", "split-limits"] {
-        let path = format!("{}/../../examples/fleet/{day}.json5", env!("CARGO_MANIFEST_DIR"));
+fn seven_routers_never_overload_a_parent_cache_that_warms_up_whatever_fails() {
+    for scenario in ["cold-hub", "split-limits"] {
+        let path = format!("{}/../../examples/fleet/{scenario}.json5", env!("CARGO_MANIFEST_DIR"));
         let run = ["lab", "run", &path, "--json", "--log", "error"];
-        let played = std::process::Command::new(env!("CARGO_BIN_EXE_hollymux")).args(run).output().unwrap();
-        let text = String::from_utf8_lossy(&played.stdout);
-        let report: Value = serde_json::from_str(&text).expect("a report");
-        assert_eq!(report["broken"], serde_json::json!({}), "{day}: {text}");
-        assert_eq!(report["fleet"]["false_lost"], 0, "{day}");
-        let hub = &report["limits"]["cold hub"];
-        assert!(hub["came_mean"].as_f64() > Some(0.0), "{day}: no hub was cold: {hub}");
+        let output = std::process::Command::new(env!("CARGO_BIN_EXE_hollymux")).args(run).output().unwrap();
+        let text = String::from_utf8_lossy(&output.stdout);
+        let report: Value = serde_json::from_str(&text).expect("the simulation printed no JSON report");
+        assert_eq!(report["broken"], serde_json::json!({}), "{scenario}: {text}");
+        assert_eq!(report["fleet"]["false_lost"], 0, "{scenario}");
+        let cold_parent_limit = &report["limits"]["cold hub"];
+        assert!(
+            cold_parent_limit["came_mean"].as_f64() > Some(0.0),
+            "{scenario}: no parent cache was cold: {cold_parent_limit}"
+        );
     }
 }
 
-/// Guards against leases that nobody enabled.
+/// Guards against leasing quotas without a section that enables it.
 #[test]
-fn without_the_section_no_quota_is_on_lease() {
+fn without_the_section_no_quota_is_leased() {
     let cluster = Cluster::all_started(2);
-    let (code, body) = admin_call(admin_address(cluster.node(0)), "GET /status/fleet/limits");
+    let (code, body) = admin_call(admin_address(cluster.process(0)), "GET /status/fleet/limits");
     assert_eq!((code, body.trim()), (404, "no: the section fleet.limits is off"));
     assert_eq!(cluster.count_log_lines(&[0, 1], "own quota share"), 0);
 }
--- a/crates/hollymux/tests/command_line.rs
+++ b/crates/hollymux/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what is printed, and the exit codes that scripts go by.
+//! The command line: printed texts, and the exit codes that scripts check.
 
 mod common;
 
@@ -6,28 +6,28 @@
 
 fn run(args: &[&str]) -> (i32, String, String) {
     let path = temp_file("config.json", "");
-    let out = hollymux_command(&path, args).stdout(std::process::Stdio::piped()).output().unwrap();
-    let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
-    (out.status.code().unwrap(), text(out.stdout), text(out.stderr))
+    let output = hollymux_command(&path, args).stdout(std::process::Stdio::piped()).output().unwrap();
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
+    (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
 }
 
 #[test]
 fn every_error_of_an_operators_file_is_reported_with_its_position() {
     let text = "{\n  dns: {\n    zone: 'a..b',\n    lisen: '127.0.0.1:5300',\n    follow: 'nowhere',\n  },\n  dsn: 1,\n}";
-    let fleet = "{fleet: {name: '', listen: '0.0.0.0:7946', seeds: ['10.0.0.1:0'], answer_ms: 500, suspect_least_ms: 900}}";
+    let cluster_section = "{fleet: {name: '', listen: '0.0.0.0:7946', seeds: ['10.0.0.1:0'], answer_ms: 500, suspect_least_ms: 900}}";
     let path = temp_file("operator.json5", text);
-    let (code, out, err) = run(&["check", path.to_str().unwrap()]);
-    let err = err.replace(path.to_str().unwrap(), "FILE");
-    assert_eq!((code, out.as_str()), (2, ""));
-    insta::assert_snapshot!(err, @r"
+    let (code, stdout, stderr) = run(&["check", path.to_str().unwrap()]);
+    let stderr = stderr.replace(path.to_str().unwrap(), "FILE");
+    assert_eq!((code, stdout.as_str()), (2, ""));
+    insta::assert_snapshot!(stderr, @r"
     hollymux: FILE:3:11: dns.zone: is no domain name
     hollymux: FILE:4:12: dns.lisen: unknown field `lisen`, expected one of `zone`, `listen`, `follow`
     hollymux: FILE:5:13: dns.follow: invalid socket address syntax
     hollymux: FILE:7:8: dsn: unknown field `dsn`, expected one of `dns`, `record`, `fleet`
     ");
-    let path = temp_file("operator.json5", fleet);
-    let err = run(&["check", path.to_str().unwrap()]).2.replace(path.to_str().unwrap(), "FILE");
-    insta::assert_snapshot!(err, @r"
+    let path = temp_file("operator.json5", cluster_section);
+    let stderr = run(&["check", path.to_str().unwrap()]).2.replace(path.to_str().unwrap(), "FILE");
+    insta::assert_snapshot!(stderr, @r"
     hollymux: FILE:1:16: fleet.name: must have 1 to 64 bytes
     hollymux: FILE:1:28: fleet.listen: is no address that others can send to; give one in advertise
     hollymux: FILE:1:52: fleet.seeds[0]: is no address to send to
@@ -40,16 +40,16 @@
 fn a_valid_operators_file_is_printed_with_its_defaults_and_the_schema_names_every_field() {
     let path =
         temp_file("operator.json5", "{dns: {zone: 'route.example', listen: '127.0.0.1:0'}} // enough\n");
-    let (code, out, err) = run(&["check", path.to_str().unwrap()]);
-    assert_eq!((code, err.as_str()), (0, ""));
-    assert!(out.contains("\"follow\": null"), "{out}");
+    let (code, stdout, stderr) = run(&["check", path.to_str().unwrap()]);
+    assert_eq!((code, stderr.as_str()), (0, ""));
+    assert!(stdout.contains("\"follow\": null"), "{stdout}");
     let (code, schema, _) = run(&["check", "--schema"]);
     assert_eq!(code, 0);
     for field in ["dns", "zone", "listen", "follow", "additionalProperties"] {
         assert!(schema.contains(&format!("\"{field}\"")), "{field}: {schema}");
     }
-    let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.json5");
-    assert_eq!(run(&["check", shipped]).0, 0);
+    let shipped_file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.json5");
+    assert_eq!(run(&["check", shipped_file]).0, 0);
 }
 
 #[test]
@@ -69,21 +69,21 @@
     let feed = StubFeed::start();
     let endpoint = StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()));
     let origin = StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()));
-    let list = [
+    let lines = [
         endpoint_line("s-a", endpoint.addr, "std", "ready"),
         endpoint_line("s-o", origin.addr, "origin", "ready"),
     ];
-    feed.publish_endpoints(true, &list);
-    let node = RouterProcess::with_arguments(&feed, &["--log", "debug", "--log-format", "json"]);
-    let mut client = Client::connect(node.addr);
+    feed.publish_endpoints(true, &lines);
+    let router = RouterProcess::with_arguments(&feed, &["--log", "debug", "--log-format", "json"]);
+    let mut client = Client::connect(router.addr);
     let mut tag = 0;
-    wait_until("the list", || {
+    wait_until("the router to know the endpoint list", || {
         tag += 1;
         let rid = 0x9b1f_03aa_5c7e_2d40 + u64::from(tag);
         client.get(tag, "docs", rid, 7).contains(" good ").then_some(())
     });
-    let closed = wait_until("the request's end", || {
-        let line = node.wait_for_log("request closed");
+    let closed = wait_until("the log line of a served request", || {
+        let line = router.wait_for_log("request closed");
         let event: serde_json::Value = serde_json::from_str(&line).unwrap();
         (event["result"] == "Served").then_some(event)
     });
@@ -94,7 +94,7 @@
     assert_eq!((closed["bytes"].as_u64(), closed["attempts"].as_u64()), (Some(5), Some(1)));
 }
 
-/// Scripts use the earlier names of sub-commands and options.
+/// Guards scripts that use the earlier names of sub-commands and options.
 #[test]
 fn earlier_names_of_commands_and_options_are_hidden_aliases_of_the_new_ones() {
     let same_help: [(&[&str], &[&str]); 8] = [
@@ -107,27 +107,33 @@
         (&["record", "--help"], &["capture", "--help"]),
         (&["record", "info", "--help"], &["capture", "info", "--help"]),
     ];
-    for (earlier, new) in same_help {
-        let help = run(new);
-        assert_eq!(help.0, 0, "{new:?}: {}", help.2);
-        assert_eq!(run(earlier), help, "{earlier:?} and {new:?}");
+    for (earlier_name, new_name) in same_help {
+        let help = run(new_name);
+        assert_eq!(help.0, 0, "{new_name:?}: {}", help.2);
+        assert_eq!(run(earlier_name), help, "{earlier_name:?} and {new_name:?}");
     }
     assert_eq!(run(&["lab", "schema"]), run(&["simulate", "schema"]));
-    // Nothing serves there: both connect, and fail alike.
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    for words in [vec!["cluster"], vec!["cluster", "limits"]] {
-        let run_with = |option: &str| run(&[&words[..1], &[option, &closed], &words[1..]].concat());
-        let (code, out, err) = run_with("--admin");
-        assert_eq!((code, out.as_str()), (1, ""));
-        assert!(err.contains(&closed), "{err}");
-        assert_eq!(run_with("--door"), (code, out, err));
+    // Nothing listens at the address, so both names of the option lead to the same connection
+    // error.
+    let closed_address =
+        std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    for command in [vec!["cluster"], vec!["cluster", "limits"]] {
+        let run_with =
+            |option: &str| run(&[&command[..1], &[option, &closed_address], &command[1..]].concat());
+        let (code, stdout, stderr) = run_with("--admin");
+        assert_eq!((code, stdout.as_str()), (1, ""));
+        assert!(stderr.contains(&closed_address), "{stderr}");
+        assert_eq!(run_with("--door"), (code, stdout, stderr));
     }
     let help = run(&["--help"]).1;
-    for new in ["simulate", "cluster", "capture"] {
-        assert!(help.lines().any(|line| line.trim_start().starts_with(new)), "{new}: {help}");
+    for new_name in ["simulate", "cluster", "capture"] {
+        assert!(help.lines().any(|line| line.trim_start().starts_with(new_name)), "{new_name}: {help}");
     }
-    for earlier in ["lab", "fleet", "record"] {
-        assert!(!help.lines().any(|line| line.trim_start().starts_with(earlier)), "{earlier}: {help}");
+    for earlier_name in ["lab", "fleet", "record"] {
+        assert!(
+            !help.lines().any(|line| line.trim_start().starts_with(earlier_name)),
+            "{earlier_name}: {help}"
+        );
     }
     assert!(!run(&["cluster", "--help"]).1.contains("--door"));
 }
--- a/crates/hollymux/tests/common/config.rs
+++ b/crates/hollymux/tests/common/config.rs
@@ -1,10 +1,11 @@
-//! Configurations of routers under test.
+//! Configuration files of routers under test.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Settings in the platform's form: a class of reads and one of non-idempotent requests.
+/// Settings in the platform's form, with a class of idempotent reads and a class of non-idempotent
+/// requests.
 pub const SETTINGS: &str = r#"{"az":0,"groupSize":1,"failureDomains":["here","hub"],
  "models":["std","parent","origin"],"weightSource":"nominal","discovery":"push",
  "classes":[
@@ -18,7 +19,7 @@
  "rules":{"drainGrace":500000,"graceToAnswer":8000,"coldFrom":0.18,"warmAfter":17000000,
   "overloadFactor":2.5,"tipAfter":1500000}}"#;
 
-/// Writes a file into a new directory of its own.
+/// Writes a file to a new directory of its own and returns the file's path.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -28,7 +29,7 @@
     dir.join(name)
 }
 
-/// A configuration with ports of the system's choice, and the endpoint feed at that address.
+/// A configuration that listens at a port chosen by the system and watches the given endpoint feed.
 pub fn config(feed: SocketAddr) -> String {
     format!(
         "{{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\",\
@@ -38,7 +39,7 @@
     )
 }
 
-/// The same configuration with an admin endpoint, at a port of the system's choice.
+/// Adds an admin endpoint to a configuration, at a port chosen by the system.
 pub fn with_admin_endpoint(config: &str) -> String {
     config.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
 }
--- a/crates/hollymux/tests/common/manual_endpoints.rs
+++ b/crates/hollymux/tests/common/manual_endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints whose answers a test gives one by one, and one whose machine takes no connections
-//! until it is told to.
+//! Endpoints whose responses the test sends one by one, and an endpoint that completes no
+//! connection until the test opens it.
 
 use super::{endpoint_line, read_resp_array, resp_array, TEST_TIMEOUT};
 use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
@@ -9,38 +9,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// An attempt that was sent by now arrives within this.
+/// Time in which an attempt that was already sent reaches the endpoint.
 const ARRIVAL_TIME: Duration = Duration::from_millis(300);
 
-/// An attempt at an endpoint, with the connection to answer it on.
+/// An attempt received by a manual endpoint, with the connection for its response.
 pub struct HeldAttempt {
-    /// The endpoint's number.
+    /// The index of the endpoint in [`ManualEndpoints::addrs`].
     pub endpoint: usize,
     pub rid: String,
     pub fields: String,
-    out: TcpStream,
+    output: TcpStream,
 }
 
 impl HeldAttempt {
-    /// Answers with this status and body, under the attempt's id.
+    /// Sends a response with this status and body.
     pub fn respond(&self, status: &str, body: &[u8]) {
-        let answer = resp_array(&[self.rid.as_bytes(), status.as_bytes(), b"digest=d1", body]);
-        (&self.out).write_all(&answer).unwrap();
+        let response = resp_array(&[self.rid.as_bytes(), status.as_bytes(), b"digest=d1", body]);
+        (&self.output).write_all(&response).unwrap();
     }
 
-    /// Answers with this status and these fields, and no bytes.
+    /// Sends a response with this status and these fields, without a body.
     pub fn respond_with_fields(&self, status: &str, fields: &str) {
-        let answer = resp_array(&[self.rid.as_bytes(), status.as_bytes(), fields.as_bytes(), b""]);
-        (&self.out).write_all(&answer).unwrap();
+        let response = resp_array(&[self.rid.as_bytes(), status.as_bytes(), fields.as_bytes(), b""]);
+        (&self.output).write_all(&response).unwrap();
     }
 
-    /// Closes the connection.
+    /// Closes the connection of the attempt.
     pub fn close(&self) {
-        self.out.shutdown(Shutdown::Both).unwrap();
+        self.output.shutdown(Shutdown::Both).unwrap();
     }
 }
 
-/// Endpoints that answer nothing by themselves.
+/// Endpoints that hold every attempt until the test responds to it.
 pub struct ManualEndpoints {
     pub addrs: Vec<SocketAddr>,
     attempts: Receiver<HeldAttempt>,
@@ -58,41 +58,42 @@
         ManualEndpoints { addrs, attempts }
     }
 
-    /// Two edge caches and the origin, as lines of the endpoint list.
+    /// The lines of the endpoint list for two edge caches and the origin.
     pub fn lines(&self) -> Vec<String> {
         let kinds = [("s-a", "std"), ("s-b", "std"), ("s-o", "origin")];
         let endpoints = kinds.iter().zip(&self.addrs);
         endpoints.map(|((uid, kind), addr)| endpoint_line(uid, *addr, kind, "ready")).collect()
     }
 
-    /// Has every attempt answered from now on, each in a thread of its own.
-    pub fn serve(self, answer: impl Fn(HeldAttempt) + Clone + Send + 'static) {
+    /// Responds to every attempt from now on by calling `respond`, on a thread for each attempt.
+    pub fn serve(self, respond: impl Fn(HeldAttempt) + Clone + Send + 'static) {
         thread::spawn(move || {
             for attempt in self.attempts {
-                let answer = answer.clone();
-                thread::spawn(move || answer(attempt));
+                let respond = respond.clone();
+                thread::spawn(move || respond(attempt));
             }
         });
     }
 
-    /// Waits for the next attempt at any of them.
+    /// Waits for the next attempt at any of the endpoints.
     pub fn next(&self) -> HeldAttempt {
-        self.attempts.recv_timeout(TEST_TIMEOUT).expect("an attempt at an endpoint")
+        self.attempts.recv_timeout(TEST_TIMEOUT).expect("no attempt arrived at an endpoint")
     }
 
-    /// The next attempt, if one arrives soon.
+    /// Returns the next attempt if it arrives within [`ARRIVAL_TIME`].
     pub fn next_soon(&self) -> Option<HeldAttempt> {
         self.attempts.recv_timeout(ARRIVAL_TIME).ok()
     }
 
-    /// All attempts that were not taken yet, once there has been time for more to arrive.
+    /// Returns all attempts that were not taken yet, after waiting [`ARRIVAL_TIME`] for further
+    /// ones.
     pub fn remaining(&self) -> Vec<HeldAttempt> {
         thread::sleep(ARRIVAL_TIME);
         self.attempts.try_iter().collect()
     }
 }
 
-/// Accepts connections and passes on the attempts that are read from them.
+/// Accepts connections and sends the attempts received on them to `attempts`.
 fn hold_attempts(endpoint: usize, listener: TcpListener, attempts: Sender<HeldAttempt>) {
     thread::spawn(move || {
         for socket in listener.incoming().flatten() {
@@ -104,21 +105,20 @@
 
 fn read_attempts(endpoint: usize, socket: &TcpStream, attempts: &Sender<HeldAttempt>) {
     let mut input = BufReader::new(socket.try_clone().unwrap());
-    while let Some(words) = read_resp_array(&mut input) {
-        if words[0] == b"ASK" {
-            let text = |word: usize| String::from_utf8(words[word].clone()).unwrap();
-            let out = socket.try_clone().unwrap();
-            let _unread = attempts.send(HeldAttempt { endpoint, rid: text(1), fields: text(2), out });
+    while let Some(elements) = read_resp_array(&mut input) {
+        if elements[0] == b"ASK" {
+            let text = |index: usize| String::from_utf8(elements[index].clone()).unwrap();
+            let output = socket.try_clone().unwrap();
+            let _ignored = attempts.send(HeldAttempt { endpoint, rid: text(1), fields: text(2), output });
         }
     }
 }
 
-/// An endpoint whose machine answers no connection attempt until it is opened: its accept queue is
-/// full.
+/// An endpoint that completes no TCP handshake until it is opened, since its accept queue is full.
 pub struct FullBacklogEndpoint {
     pub addr: SocketAddr,
     listener: TcpListener,
-    /// The connections that fill the queue.
+    /// The connections that fill the accept queue.
     queued: Vec<TcpStream>,
 }
 
@@ -131,12 +131,12 @@
         let addr = listener.local_addr().unwrap();
         let connect = || TcpStream::connect_timeout(&addr, Duration::from_millis(200));
         let queued: Vec<TcpStream> = std::iter::from_fn(|| connect().ok()).take(8).collect();
-        assert!(connect().is_err(), "its queue is not full");
+        assert!(connect().is_err(), "the accept queue is not full");
         FullBacklogEndpoint { addr, listener, queued }
     }
 
-    /// Accepts connections from now on. The attempts are those of an endpoint with the number 0;
-    /// the connections that filled the queue stay open as long as the caller keeps them.
+    /// Accepts connections from now on. Its attempts have the endpoint index 0. Also returns the
+    /// connections that filled the queue; they stay open until the caller drops them.
     pub fn open(self) -> (Receiver<HeldAttempt>, Vec<TcpStream>) {
         let (sender, attempts) = channel();
         listen(&self.listener, 128).unwrap();
--- a/crates/hollymux/tests/common/mod.rs
+++ b/crates/hollymux/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: the program as a process, its configuration and admin endpoint, and
+//! Helpers shared by the tests: the program as a process, its configuration and admin endpoint, and
 //! simulated peers.
 #![allow(dead_code, unused_imports, reason = "every test uses a part of this")]
 
@@ -19,7 +19,8 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Calls `check` again and again until it has a result.
+/// Calls `check` repeatedly until it returns a result, and returns that. Panics after
+/// [`TEST_TIMEOUT`].
 pub fn wait_until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
@@ -31,7 +32,7 @@
     }
 }
 
-/// The time of day, in milliseconds of Unix time.
+/// The current time in milliseconds of Unix time.
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
--- a/crates/hollymux/tests/common/process.rs
+++ b/crates/hollymux/tests/common/process.rs
@@ -1,4 +1,5 @@
-//! The program as a process: started with a configuration, controlled by signals, read by its log.
+//! The program as a process: started with a configuration, controlled by signals, observed through
+//! its log.
 
 use super::{config, temp_file, wait_until, StubFeed, TEST_TIMEOUT};
 use std::cell::RefCell;
@@ -9,31 +10,32 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-/// A serving router. It is killed when this value is dropped.
+/// A router process that serves requests. It is killed when this value is dropped.
 pub struct RouterProcess {
     pub child: Child,
-    /// Where clients connect.
+    /// The address for clients.
     pub addr: SocketAddr,
-    /// Where DNS is served, if it is.
+    /// The address for DNS queries; `None` without a DNS front.
     pub dns: Option<SocketAddr>,
-    /// Its admin endpoint, if it has one.
+    /// The address of the admin endpoint; `None` if it is not configured.
     pub admin: Option<SocketAddr>,
-    /// Where it receives datagrams of other routers, if it does.
+    /// The address for datagrams of other routers; `None` without a cluster.
     pub cluster: Option<SocketAddr>,
     log: Receiver<String>,
-    /// Lines of the log that were counted and can be counted again.
+    /// Log lines that [`RouterProcess::count_log_lines`] has read and will count again.
     counted_log: RefCell<Vec<String>>,
     dir: PathBuf,
 }
 
-/// The program with these arguments. Its configuration is at that path, its log can be read.
+/// A command that runs the program with these arguments and configuration, with its standard error
+/// piped.
 pub fn hollymux_command(config: &Path, args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hollymux"));
     command.args(args).env("NODE_CONFIG", config).stdout(Stdio::null()).stderr(Stdio::piped());
     command
 }
 
-/// Addresses that the program logs while it starts.
+/// The addresses that the program logs while it starts.
 #[derive(Default)]
 struct LoggedAddresses {
     clients: Option<SocketAddr>,
@@ -43,11 +45,11 @@
 }
 
 impl LoggedAddresses {
-    /// Reads a line of the log, which may be text or JSON.
+    /// Takes the address from a log line, in text or JSON.
     fn read(&mut self, line: &str) {
-        // The address ends at a space in text, at the quote in JSON.
-        let address_after = |words: &str| {
-            let rest = line.split_once(words)?.1;
+        // The address ends at a space in text, and at the quote in JSON.
+        let address_after = |text: &str| {
+            let rest = line.split_once(text)?.1;
             rest.split([' ', '"']).next()?.parse().ok()
         };
         self.clients = self.clients.or_else(|| address_after("listening on "));
@@ -62,23 +64,23 @@
         RouterProcess::spawn(&config(feed.addr), &[])
     }
 
-    /// A router with these arguments on its command line.
+    /// Starts a router with these command-line arguments.
     pub fn with_arguments(feed: &StubFeed, args: &[&str]) -> RouterProcess {
         RouterProcess::spawn(&config(feed.addr), args)
     }
 
-    /// A router that may have so many descriptors.
+    /// Starts a router with this limit on its file descriptors.
     pub fn with_socket_limit(feed: &StubFeed, sockets: u32) -> RouterProcess {
         let limit = format!("\"sockets\":{sockets}");
         RouterProcess::spawn(&config(feed.addr).replace("\"sockets\":1024", &limit), &[])
     }
 
-    /// A router with this configuration.
+    /// Starts a router with this configuration.
     pub fn with_config(config: &str) -> RouterProcess {
         RouterProcess::spawn(config, &[])
     }
 
-    /// Routers with these configurations, started all at once, in that order.
+    /// Starts routers with these configurations at the same time, and returns them in that order.
     pub fn start_all(configs: &[String]) -> Vec<RouterProcess> {
         let start = |config: &String| {
             let config = config.clone();
@@ -88,7 +90,7 @@
         starting.into_iter().map(|thread| thread.join().unwrap()).collect()
     }
 
-    /// A router with these fields of the section `dns`.
+    /// Starts a router with these fields in the `dns` section of its operator's file.
     pub fn with_dns(feed: &StubFeed, dns: &str) -> RouterProcess {
         RouterProcess::with_operator_file(feed, &format!("{{dns: {{{dns}}}}}"))
     }
@@ -102,22 +104,22 @@
         RouterProcess::spawn(config, &["serve", "--operator", operator.to_str().unwrap()])
     }
 
-    /// A router with a variable of its environment set.
+    /// Starts a router with an environment variable set.
     pub fn with_environment(config: &str, name: &str, value: &str) -> RouterProcess {
         let path = temp_file("config.json", config);
         let mut command = hollymux_command(&path, &[]);
         RouterProcess::wait_for_start(command.env_remove("TMPDIR").env(name, value), &path)
     }
 
-    /// A router that hands over to another one, or takes over from it, by a socket in that
-    /// directory.
+    /// Starts a router that hands over to, or takes over from, another one through a socket in
+    /// `dir`.
     pub fn with_handover_dir(config: &str, dir: &Path) -> RouterProcess {
         let path = temp_file("config.json", config);
         let mut command = hollymux_command(&path, &[]);
         RouterProcess::wait_for_start(command.env("TMPDIR", dir), &path)
     }
 
-    /// The same with this operator's file.
+    /// Starts a router like [`RouterProcess::with_handover_dir`], with an operator's file.
     pub fn with_operator_file_and_handover_dir(config: &str, text: &str, dir: &Path) -> RouterProcess {
         let path = temp_file("config.json", config);
         let operator = temp_file("operator.json5", text);
@@ -130,23 +132,23 @@
         RouterProcess::wait_for_start(hollymux_command(&path, args).env_remove("TMPDIR"), &path)
     }
 
-    /// Starts the program and waits until it serves.
+    /// Starts the program and waits until it has logged its address for clients.
     fn wait_for_start(command: &mut Command, config: &Path) -> RouterProcess {
         let mut child = command.spawn().unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         let (sender, log) = channel();
         thread::spawn(move || stderr.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok()));
         let mut addresses = LoggedAddresses::default();
-        let mut written = Vec::new();
+        let mut log_lines = Vec::new();
         while addresses.clients.is_none() {
             let line = log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|error| {
-                let ended = child.try_wait();
+                let exit_status = child.try_wait();
                 panic!(
-                    "the program does not say where it listens: {error}, {ended:?}, it wrote: {written:#?}"
+                    "the program logged no address for clients: {error}, exit status {exit_status:?}, log {log_lines:#?}"
                 )
             });
             addresses.read(&line);
-            written.push(line);
+            log_lines.push(line);
         }
         RouterProcess {
             child,
@@ -160,19 +162,19 @@
         }
     }
 
-    /// Sends a signal such as `-TERM`.
+    /// Sends a signal such as `-TERM` to the process.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
-        assert!(done.success());
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        assert!(status.success(), "kill {name} failed");
     }
 
-    /// Writes another configuration in the place of its own, and sends SIGHUP.
+    /// Overwrites the router's configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.dir.join("config.json"), config).unwrap();
         self.signal("-HUP");
     }
 
-    /// Stops the process; what arrives meanwhile waits in the system.
+    /// Stops the process with SIGSTOP. Data that arrives for it stays in the kernel's buffers.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -180,33 +182,33 @@
             let state = stat.rsplit_once(')').map(|(_, fields)| fields.trim_start().to_string());
             state.is_some_and(|state| state.starts_with('T'))
         };
-        wait_until("the process to be stopped", || {
+        wait_until("the process to be paused", || {
             is_stopped(std::fs::read_to_string(&stat).unwrap()).then_some(())
         });
     }
 
-    /// Continues it.
+    /// Lets a paused process continue.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Waits for a line of its log that contains these words, and passes over those before it.
-    pub fn wait_for_log(&self, words: &str) -> String {
-        wait_until(words, || self.log.try_iter().find(|line| line.contains(words)))
+    /// Waits for a log line that contains `text`, and discards the lines before it.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        wait_until(text, || self.log.try_iter().find(|line| line.contains(text)))
     }
 
-    /// How many lines of its log so far contain these words, but for those that
-    /// [`RouterProcess::wait_for_log`] has passed.
-    pub fn count_log_lines(&self, words: &str) -> usize {
+    /// Counts the log lines that contain `text`, except those already discarded by
+    /// [`RouterProcess::wait_for_log`].
+    pub fn count_log_lines(&self, text: &str) -> usize {
         let mut counted = self.counted_log.borrow_mut();
         counted.extend(self.log.try_iter());
-        counted.iter().filter(|line| line.contains(words)).count()
+        counted.iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Waits until it has ended: its exit status, and the lines of its log that were not read yet.
+    /// Waits until the process has exited. Returns its exit status and the log lines not read yet.
     pub fn wait_for_exit(&mut self) -> (ExitStatus, Vec<String>) {
-        let status = wait_until("the program's end", || self.child.try_wait().unwrap());
-        // To the end of the stream: the thread that reads the log may be behind the process.
+        let status = wait_until("the exit of the program", || self.child.try_wait().unwrap());
+        // Read to the end of the stream, since the thread that reads it may lag behind the process.
         (status, self.log.iter().collect())
     }
 }
--- a/crates/hollymux/tests/common/reserved_address.rs
+++ b/crates/hollymux/tests/common/reserved_address.rs
@@ -1,16 +1,17 @@
-//! A TCP address that a program under test will listen at, known before the program starts.
+//! A TCP address at which the program under test will listen, known before the program starts.
 
 use rustix::net::{bind, getsockname, socket, sockopt, AddressFamily, SocketType};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::os::fd::OwnedFd;
 
-/// An address at a port of the system's choice, kept from other users of such ports while this
+/// An address at a port chosen by the system. It is kept from other users of such ports while this
 /// value lives.
 ///
-/// The socket that holds the port never listens, and it shares its address as the program's
-/// listener does. So the program can listen there at any time. A listener that was closed again
-/// would not do: a process that another thread forks at that moment keeps a copy of it until its
-/// exec, and meanwhile the program's bind fails with EADDRINUSE.
+/// The socket that holds the port never listens, and it shares its address (SO_REUSEADDR and
+/// SO_REUSEPORT) like the program's listener, so the program can listen there at any time. Closing
+/// a listener before the start would not be enough: a process that another thread forks at that
+/// moment keeps a copy of the listener until its exec, and until then the program's bind fails with
+/// EADDRINUSE.
 pub struct ReservedAddress {
     pub addr: SocketAddr,
     _socket: OwnedFd,
--- a/crates/hollymux/tests/common/stubs/endpoint.rs
+++ b/crates/hollymux/tests/common/stubs/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers every attempt in the same way, and remembers what it received.
+//! A stub endpoint that responds to every attempt in a set way, and records the attempts.
 
 use super::{read_resp_array, resp_array};
 use std::io::{BufReader, Write};
@@ -7,20 +7,21 @@
 use std::thread;
 use std::time::Instant;
 
-/// How a stub endpoint answers an attempt.
+/// How a stub endpoint responds to an attempt.
 #[derive(Clone, Debug)]
 pub enum StubBehavior {
-    /// With these bytes.
+    /// Responds with these bytes as the object's data.
     Data(Vec<u8>),
-    /// With this status and no bytes.
+    /// Responds with this status and no data.
     Status(&'static str),
-    /// With these bytes in the place of a message.
+    /// Sends these bytes instead of a response.
     RawBytes(Vec<u8>),
-    /// With these messages, their words separated by spaces; ID stands for the attempt's id.
+    /// Sends these responses, each with its elements separated by spaces. ID stands for the
+    /// attempt's id.
     Responses(&'static [&'static str]),
-    /// Not at all.
-    NoAnswer,
-    /// By closing the connection.
+    /// Sends nothing.
+    NoResponse,
+    /// Closes the connection.
     CloseConnection,
 }
 
@@ -28,14 +29,14 @@
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
     pub at: Instant,
-    /// The connection it came on, counted from 0.
-    pub conn: usize,
+    /// The index of the connection that carried the attempt, from 0.
+    pub connection: usize,
     pub rid: String,
     pub fields: String,
     pub body: Vec<u8>,
 }
 
-/// What the connections of a stub endpoint share.
+/// The state shared by all connections of a stub endpoint.
 struct State {
     behavior: Mutex<StubBehavior>,
     received: Mutex<Vec<ReceivedAttempt>>,
@@ -62,35 +63,35 @@
         });
         let endpoint = StubEndpoint { addr, state: state.clone() };
         thread::spawn(move || {
-            for (conn, socket) in listener.incoming().flatten().enumerate() {
+            for (connection, socket) in listener.incoming().flatten().enumerate() {
                 let state = state.clone();
-                thread::spawn(move || state.serve(conn, socket));
+                thread::spawn(move || state.serve(connection, socket));
             }
         });
         endpoint
     }
 
-    /// From the next attempt on it answers like this.
+    /// Sets the response to all further attempts.
     pub fn set_behavior(&self, behavior: StubBehavior) {
         *self.state.behavior.lock().unwrap() = behavior;
     }
 
-    /// All attempts received so far, or since they were taken last.
+    /// All attempts received so far, without those that [`StubEndpoint::take_received`] returned.
     pub fn received(&self) -> Vec<ReceivedAttempt> {
         self.state.received.lock().unwrap().clone()
     }
 
-    /// The same, and forgets them.
+    /// Returns the attempts received so far and forgets them.
     pub fn take_received(&self) -> Vec<ReceivedAttempt> {
         std::mem::take(&mut *self.state.received.lock().unwrap())
     }
 
-    /// How many attempts it received.
+    /// Number of attempts received, without those that were taken.
     pub fn count(&self) -> usize {
         self.state.received.lock().unwrap().len()
     }
 
-    /// Ids of the attempts that the router cancelled.
+    /// The ids of the attempts that the router cancelled.
     pub fn cancelled(&self) -> Vec<String> {
         self.state.cancelled.lock().unwrap().clone()
     }
@@ -98,27 +99,27 @@
 
 impl State {
     /// Serves one connection until either side closes it.
-    fn serve(&self, conn: usize, socket: TcpStream) {
-        let mut out = socket.try_clone().unwrap();
+    fn serve(&self, connection: usize, socket: TcpStream) {
+        let mut output = socket.try_clone().unwrap();
         let mut input = BufReader::new(socket);
-        while let Some(words) = read_resp_array(&mut input) {
-            let text = |word: usize| String::from_utf8(words[word].clone()).unwrap();
-            if words[0] == b"QUIT" {
+        while let Some(elements) = read_resp_array(&mut input) {
+            let text = |index: usize| String::from_utf8(elements[index].clone()).unwrap();
+            if elements[0] == b"QUIT" {
                 self.cancelled.lock().unwrap().push(text(1));
                 continue;
             }
-            assert_eq!((words[0].as_slice(), words.len()), (&b"ASK"[..], 4), "{words:?}");
+            assert_eq!((elements[0].as_slice(), elements.len()), (&b"ASK"[..], 4), "{elements:?}");
             let rid = text(1);
             let attempt = ReceivedAttempt {
                 at: Instant::now(),
-                conn,
+                connection,
                 rid: rid.clone(),
                 fields: text(2),
-                body: words[3].clone(),
+                body: elements[3].clone(),
             };
             self.received.lock().unwrap().push(attempt);
             let behavior = self.behavior.lock().unwrap().clone();
-            let answer = match behavior {
+            let response = match behavior {
                 StubBehavior::Data(body) => {
                     resp_array(&[rid.as_bytes(), b"data", b"digest=d1,dated=1", &body])
                 }
@@ -129,10 +130,10 @@
                 StubBehavior::Responses(responses) => {
                     responses.iter().flat_map(|response| response_with_id(response, &rid)).collect()
                 }
-                StubBehavior::NoAnswer => continue,
+                StubBehavior::NoResponse => continue,
                 StubBehavior::CloseConnection => return,
             };
-            if out.write_all(&answer).is_err() {
+            if output.write_all(&response).is_err() {
                 return;
             }
         }
@@ -141,6 +142,6 @@
 
 fn response_with_id(response: &str, rid: &str) -> Vec<u8> {
     let response = response.replace("ID", rid);
-    let words: Vec<&[u8]> = response.split(' ').map(str::as_bytes).collect();
-    resp_array(&words)
+    let elements: Vec<&[u8]> = response.split(' ').map(str::as_bytes).collect();
+    resp_array(&elements)
 }
--- a/crates/hollymux/tests/common/stubs/feed.rs
+++ b/crates/hollymux/tests/common/stubs/feed.rs
@@ -1,4 +1,4 @@
-//! The endpoint feed: a watch over HTTP that sends events to every router that connects.
+//! A stub of the endpoint feed: an HTTP watch that sends events to every router that connects.
 
 use super::StubEndpoint;
 use std::io::{BufRead, BufReader, Write};
@@ -7,24 +7,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From one check for new events to the next.
+/// Time between two checks for new events.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// From one comment that shows that the watch lives to the next.
+/// Time between two comments that keep a watch alive.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct FeedState {
     events: Vec<String>,
-    /// Of each connection: when it was made, and the number of the event to resume after.
+    /// The time at which each connection was made.
     connected_at: Vec<Instant>,
+    /// The number of the event after which each connection resumed; 0 for all events.
     resumed_after: Vec<u64>,
-    /// Open watches and new ones send nothing.
+    /// Whether all watches, open and new, send nothing.
     silent: bool,
-    /// Counts how often all connections were closed.
+    /// Number of times that all connections were closed.
     closings: u32,
-    /// The connection of that number, from 1, sends nothing and stays open.
+    /// The number of the connection, from 1, that stays open and sends nothing.
     silent_connection: Option<usize>,
-    /// The connection of that number breaks off within an event.
+    /// The number of the connection, from 1, that is closed within an event.
     broken_connection: Option<usize>,
 }
 
@@ -55,7 +56,7 @@
         feed
     }
 
-    /// Publishes an event, whose number it adds; the time at which it was published.
+    /// Publishes an event under the next number, and returns the time of publication.
     pub fn publish(&self, event: &str) -> Instant {
         let mut state = self.state.lock().unwrap();
         let number = state.events.len() + 1;
@@ -63,59 +64,59 @@
         Instant::now()
     }
 
-    /// Publishes lines of the endpoint list: all of it, or changes to it.
+    /// Publishes lines of the endpoint list: a full list, or changes if `all` is false.
     pub fn publish_endpoints(&self, all: bool, lines: &[String]) -> Instant {
         let lines = lines.join(",");
         self.publish(&format!("\"members\":{{\"rev\":1,\"all\":{all},\"targets\":[{lines}]}}"))
     }
 
-    /// Of the connections that are still to come, counted from 1 with those that there were: one
-    /// that sends nothing, and one that breaks off within an event.
+    /// Makes two later connections fail, by their numbers from 1: connection `silent` stays open
+    /// and sends nothing, connection `broken` is closed within an event.
     pub fn break_connections(&self, silent: usize, broken: usize) {
         let mut state = self.state.lock().unwrap();
         state.silent_connection = Some(silent);
         state.broken_connection = Some(broken);
     }
 
-    /// Closes all connections.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         self.state.lock().unwrap().closings += 1;
     }
 
-    /// Has all watches fall silent, or send again.
+    /// Makes all watches send nothing, or send again.
     pub fn set_silent(&self, silent: bool) {
         self.state.lock().unwrap().silent = silent;
     }
 
-    /// When each connection was made.
+    /// The time at which each connection was made.
     pub fn connection_times(&self) -> Vec<Instant> {
         self.state.lock().unwrap().connected_at.clone()
     }
 
-    /// Of each connection the number of the event that it resumes after.
+    /// The number of the event after which each connection resumed; 0 for all events.
     pub fn resumed_after(&self) -> Vec<u64> {
         self.state.lock().unwrap().resumed_after.clone()
     }
 }
 
-/// One router's connection.
+/// A router's connection to the feed.
 struct Watch {
     socket: TcpStream,
-    /// Its number, from 1.
+    /// The number of the connection, from 1.
     number: usize,
-    /// Events sent, or known to the router already.
+    /// Number of events that were sent on the connection or were known to the router before.
     sent_events: usize,
-    /// How often all connections had been closed when it was made.
+    /// The value of [`FeedState::closings`] when the connection was made.
     closings: u32,
-    /// It sends nothing for as long as it is open.
+    /// Whether the connection stays open and sends nothing.
     is_silent: bool,
-    /// It breaks off within the first event.
+    /// Whether the connection is closed within its first event.
     breaks_off: bool,
     last_heartbeat: Instant,
 }
 
 impl Watch {
-    /// Reads the request and answers it with the head of the stream; none if the connection fails.
+    /// Reads the request and sends the start of the response; `None` if the connection fails.
     fn accept(socket: TcpStream, state: &Mutex<FeedState>) -> Option<Watch> {
         let resume_after = read_request(&socket)?;
         let mut watch = {
@@ -140,7 +141,7 @@
         Some(watch)
     }
 
-    /// Every other connection is answered in chunks, as HTTP/1.1 allows.
+    /// Uses chunked transfer encoding on every other connection, since HTTP/1.1 allows both forms.
     fn is_chunked(&self) -> bool {
         self.number.is_multiple_of(2)
     }
@@ -157,7 +158,7 @@
         self.socket.write_all(text.as_bytes()).ok()
     }
 
-    /// Sends events as they are published, until the connection ends.
+    /// Sends events as they are published, until the connection is closed.
     fn serve(&mut self, state: &Mutex<FeedState>) -> Option<()> {
         if self.is_silent {
             loop {
@@ -186,7 +187,7 @@
     fn send(&mut self, event: &str) -> Option<()> {
         self.sent_events += 1;
         let text = self.chunk(&format!("id: {}\ndata: {event}\n\n", self.sent_events));
-        // In two pieces, as a network may deliver it.
+        // Send the event in two writes, since a network may deliver it in pieces.
         let (first, second) = text.split_at(text.len() / 2);
         self.write(first)?;
         self.socket.flush().ok()?;
@@ -194,7 +195,7 @@
             return None;
         }
         self.write(second)?;
-        // A second time: the router has to see by its number that it knows the event.
+        // Send the event again. The router must ignore it, since it knows the event's number.
         self.write(&text)
     }
 
@@ -207,7 +208,7 @@
     }
 }
 
-/// The number of the event to resume after, 0 for all.
+/// Reads the HTTP request and returns the number in `Last-Event-ID`; 0 if there is none.
 fn read_request(socket: &TcpStream) -> Option<u64> {
     let mut input = BufReader::new(socket.try_clone().ok()?);
     let mut line = String::new();
@@ -221,12 +222,12 @@
     Some(resume_after)
 }
 
-/// A line of the endpoint list.
+/// A line of the endpoint list for an endpoint that started long ago.
 pub fn endpoint_line(uid: &str, addr: SocketAddr, model: &str, state: &str) -> String {
     endpoint_line_started_at(uid, addr, model, state, 0)
 }
 
-/// The line of an endpoint that started at that Unix millisecond.
+/// A line of the endpoint list for an endpoint that started at `boot_ms`, in Unix milliseconds.
 pub fn endpoint_line_started_at(
     uid: &str,
     addr: SocketAddr,
@@ -241,7 +242,7 @@
     )
 }
 
-/// The lines of two edge caches and the origin.
+/// The lines of the endpoint list for two edge caches and the origin.
 pub fn endpoint_lines(endpoints: &[StubEndpoint; 3]) -> Vec<String> {
     let [first, second, origin] = endpoints;
     vec![
--- a/crates/hollymux/tests/common/stubs/mod.rs
+++ b/crates/hollymux/tests/common/stubs/mod.rs
@@ -1,5 +1,5 @@
-//! Servers and clients on loopback that speak to a router: endpoints, the endpoint feed, and a
-//! client of the platform's protocol. Examples use them too.
+//! Loopback peers of a router: stub endpoints, a stub endpoint feed, and a client of the platform's
+//! protocol. The examples use them too.
 #![allow(dead_code, unused_imports, reason = "every test and example uses a part of this")]
 
 mod client;
@@ -14,5 +14,5 @@
 
 use std::time::Duration;
 
-/// Nothing in the tests takes nearly this long; a test that waits for it has failed.
+/// Time after which a wait of a test fails. Nothing in the tests takes nearly as long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/hollymux/tests/common/stubs/resp.rs
+++ b/crates/hollymux/tests/common/stubs/resp.rs
@@ -1,31 +1,31 @@
-//! Arrays of RESP, which the platform's protocol and the endpoints' protocol consist of.
+//! RESP arrays, which make up the messages of clients and of endpoints.
 
 use std::io::BufRead;
 
-pub fn resp_array(words: &[&[u8]]) -> Vec<u8> {
-    let mut out = format!("*{}\r\n", words.len()).into_bytes();
-    for w in words {
-        out.extend(format!("${}\r\n", w.len()).bytes());
-        out.extend_from_slice(w);
-        out.extend(b"\r\n");
+pub fn resp_array(elements: &[&[u8]]) -> Vec<u8> {
+    let mut output = format!("*{}\r\n", elements.len()).into_bytes();
+    for element in elements {
+        output.extend(format!("${}\r\n", element.len()).bytes());
+        output.extend_from_slice(element);
+        output.extend(b"\r\n");
     }
-    out
+    output
 }
 
-/// One array; none at the end of the stream.
-pub fn read_resp_array(from: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
-    let number = |from: &mut dyn BufRead| -> Option<usize> {
+/// Reads one array; `None` at the end of the stream or if the bytes are not an array.
+pub fn read_resp_array(input: &mut impl BufRead) -> Option<Vec<Vec<u8>>> {
+    let read_length = |input: &mut dyn BufRead| -> Option<usize> {
         let mut line = String::new();
-        from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        input.read_line(&mut line).ok().filter(|length| *length > 0)?;
         line.trim_end().get(1..)?.parse().ok()
     };
-    let count = number(from)?;
-    let mut words = Vec::new();
+    let count = read_length(input)?;
+    let mut elements = Vec::new();
     for _ in 0..count {
-        let mut word = vec![0; number(from)? + 2];
-        from.read_exact(&mut word).ok()?;
-        word.truncate(word.len() - 2);
-        words.push(word);
+        let mut element = vec![0; read_length(input)? + 2];
+        input.read_exact(&mut element).ok()?;
+        element.truncate(element.len() - 2);
+        elements.push(element);
     }
-    Some(words)
+    Some(elements)
 }
--- a/crates/hollymux/tests/dns.rs
+++ b/crates/hollymux/tests/dns.rs
@@ -1,5 +1,6 @@
-//! DNS: queries answered over UDP and TCP, and answers followed, with stubs on loopback. What
-//! runs is counted at the endpoints.
+//! DNS-based request routing over UDP and TCP: queries answered by a router, and a router that
+//! follows the answers of a DNS server. Endpoints, feed and servers are stubs on loopback, and the
+//! stub endpoints count the attempts.
 
 mod common;
 
@@ -20,85 +21,90 @@
 const AAAA: u16 = 28;
 const SRV: u16 = 33;
 
-fn put_name(out: &mut Vec<u8>, name: &str) {
+fn encode_name(output: &mut Vec<u8>, name: &str) {
     for label in name.split('.').filter(|l| !l.is_empty()) {
-        out.push(label.len() as u8);
-        out.extend(label.bytes());
+        output.push(label.len() as u8);
+        output.extend(label.bytes());
     }
-    out.push(0);
+    output.push(0);
 }
 
-/// A query with these flags; `edns`: the payload size offered.
+/// Encodes a query. `edns` is the UDP payload size of its OPT record; `None` adds no such record.
 fn query(id: u16, flags: u16, name: &str, kind: u16, edns: Option<u16>) -> Vec<u8> {
-    let mut out = Vec::new();
+    let mut output = Vec::new();
     for field in [id, flags, 1, 0, 0, u16::from(edns.is_some())] {
-        out.extend(field.to_be_bytes());
+        output.extend(field.to_be_bytes());
     }
-    put_name(&mut out, name);
-    out.extend([kind.to_be_bytes(), [0, 1]].concat());
+    encode_name(&mut output, name);
+    output.extend([kind.to_be_bytes(), [0, 1]].concat());
     if let Some(size) = edns {
-        out.extend([0, 0, 41]);
-        out.extend([size.to_be_bytes(), [0, 0], [0, 0], [0, 0]].concat());
+        output.extend([0, 0, 41]);
+        output.extend([size.to_be_bytes(), [0, 0], [0, 0], [0, 0]].concat());
     }
-    out
+    output
 }
 
-fn u16_at(b: &[u8], at: usize) -> u16 {
-    u16::from_be_bytes([b[at], b[at + 1]])
+fn u16_at(message: &[u8], position: usize) -> u16 {
+    u16::from_be_bytes([message[position], message[position + 1]])
 }
 
-fn read_name(b: &[u8], at: &mut usize) -> String {
-    let (mut name, mut here, mut end) = (String::new(), *at, None);
-    while b[here] != 0 {
-        if b[here] >= 192 {
-            end = end.or(Some(here + 2));
-            here = usize::from(u16_at(b, here) & 0x3fff);
+fn read_name(message: &[u8], position: &mut usize) -> String {
+    let (mut name, mut offset, mut end_of_name) = (String::new(), *position, None);
+    while message[offset] != 0 {
+        if message[offset] >= 192 {
+            end_of_name = end_of_name.or(Some(offset + 2));
+            offset = usize::from(u16_at(message, offset) & 0x3fff);
             continue;
         }
-        let n = usize::from(b[here]);
-        write!(name, "{}.", String::from_utf8_lossy(&b[here + 1..here + 1 + n])).unwrap();
-        here += n + 1;
+        let length = usize::from(message[offset]);
+        write!(name, "{}.", String::from_utf8_lossy(&message[offset + 1..offset + 1 + length])).unwrap();
+        offset += length + 1;
     }
-    *at = end.unwrap_or(here + 1);
+    *position = end_of_name.unwrap_or(offset + 1);
     name
 }
 
-/// An answer in words: code, mark of a cut, and each record behind the letter of its section.
-fn words(b: &[u8]) -> Vec<String> {
+/// Decodes a response to text: the response code, "cut" if it is truncated, and its records, each
+/// preceded by its section.
+fn decode(message: &[u8]) -> Vec<String> {
     let codes = ["NOERROR", "FORMERR", "SERVFAIL", "NXDOMAIN", "NOTIMP", "REFUSED"];
-    let flags = u16_at(b, 2);
-    assert!(flags & 0x8000 != 0, "not an answer");
-    let mut out = vec![codes[usize::from(flags & 15)].to_string()];
-    out.extend((flags & 0x200 != 0).then(|| "cut".to_string()));
-    let mut at = 12;
-    for _ in 0..u16_at(b, 4) {
-        read_name(b, &mut at);
-        at += 4;
+    let flags = u16_at(message, 2);
+    assert!(flags & 0x8000 != 0, "the message is not a response");
+    let mut lines = vec![codes[usize::from(flags & 15)].to_string()];
+    lines.extend((flags & 0x200 != 0).then(|| "cut".to_string()));
+    let mut position = 12;
+    for _ in 0..u16_at(message, 4) {
+        read_name(message, &mut position);
+        position += 4;
     }
-    for (i, section) in ["an", "ns", "ar"].into_iter().enumerate() {
-        for _ in 0..u16_at(b, 6 + 2 * i) {
-            let owner = read_name(b, &mut at);
-            let (kind, class, ttl, len) =
-                (u16_at(b, at), u16_at(b, at + 2), u16_at(b, at + 6), usize::from(u16_at(b, at + 8)));
-            at += 10;
-            let data = &b[at..at + len];
+    for (section_index, section) in ["an", "ns", "ar"].into_iter().enumerate() {
+        for _ in 0..u16_at(message, 6 + 2 * section_index) {
+            let owner = read_name(message, &mut position);
+            let (kind, class, ttl, length) = (
+                u16_at(message, position),
+                u16_at(message, position + 2),
+                u16_at(message, position + 6),
+                usize::from(u16_at(message, position + 8)),
+            );
+            position += 10;
+            let data = &message[position..position + length];
             let text = match kind {
                 A => format!("A {}", data.iter().map(u8::to_string).collect::<Vec<_>>().join(".")),
-                SOA => format!("SOA {}", read_name(b, &mut at.clone())),
-                SRV => format!("SRV {} {}", u16_at(data, 4), read_name(b, &mut (at + 6))),
+                SOA => format!("SOA {}", read_name(message, &mut position.clone())),
+                SRV => format!("SRV {} {}", u16_at(data, 4), read_name(message, &mut (position + 6))),
                 TXT => {
                     format!("TXT {}", String::from_utf8_lossy(data).replace(|c: char| c.is_control(), "|"))
                 }
-                41 => format!("OPT {class} {}", u16_at(b, at - 6) >> 8),
+                41 => format!("OPT {class} {}", u16_at(message, position - 6) >> 8),
                 other => format!("type {other}"),
             };
-            assert!(kind == 41 || ttl == 0, "an answer that may be kept");
-            out.push(format!("{section} {owner} {text}"));
-            at += len;
+            assert!(kind == 41 || ttl == 0, "the record may be cached");
+            lines.push(format!("{section} {owner} {text}"));
+            position += length;
         }
     }
-    assert_eq!(at, b.len());
-    out
+    assert_eq!(position, message.len());
+    lines
 }
 
 fn exchange(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
@@ -106,12 +112,12 @@
     socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket.send_to(bytes, to).unwrap();
     let mut buffer = [0; 4096];
-    let n = socket.recv(&mut buffer).unwrap();
-    assert_eq!(buffer[..2], bytes[..2], "the id is repeated");
-    buffer[..n].to_vec()
+    let length = socket.recv(&mut buffer).unwrap();
+    assert_eq!(buffer[..2], bytes[..2], "the response has another id");
+    buffer[..length].to_vec()
 }
 
-fn framed(message: Vec<u8>) -> Vec<u8> {
+fn with_length(message: Vec<u8>) -> Vec<u8> {
     [&(message.len() as u16).to_be_bytes()[..], &message].concat()
 }
 
@@ -123,42 +129,44 @@
     message
 }
 
-fn ask(to: SocketAddr, name: &str, kind: u16) -> Vec<String> {
-    words(&exchange(to, &query(7, 0, name, kind, None)))
+fn lookup(to: SocketAddr, name: &str, kind: u16) -> Vec<String> {
+    decode(&exchange(to, &query(7, 0, name, kind, None)))
 }
 
-/// The port that an SRV answer names; none if nothing is named.
-fn port(answer: &[String]) -> Option<u16> {
-    let srv = answer.iter().find(|l| l.starts_with("an ") && l.contains(" SRV "))?;
+/// The port in the SRV record of a response; `None` if the response has no SRV record.
+fn port(response: &[String]) -> Option<u16> {
+    let srv = response.iter().find(|l| l.starts_with("an ") && l.contains(" SRV "))?;
     srv.split(' ').nth(3)?.parse().ok()
 }
 
-/// An address at which nobody listens: a parent cache that has failed.
-fn dead() -> SocketAddr {
+/// An address at which nothing listens, for a failed parent cache.
+fn closed_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 struct Setup {
     feed: StubFeed,
     endpoints: Vec<StubEndpoint>,
-    node: RouterProcess,
+    router: RouterProcess,
     dns: SocketAddr,
 }
 
-fn served(zone: &str) -> Setup {
-    served_by(zone, ["s-a", "s-b"])
+fn start_router(zone: &str) -> Setup {
+    start_router_with_uids(zone, ["s-a", "s-b"])
 }
 
-fn served_by(zone: &str, uids: [&str; 2]) -> Setup {
+fn start_router_with_uids(zone: &str, uids: [&str; 2]) -> Setup {
     let feed = StubFeed::start();
     let endpoints: Vec<StubEndpoint> =
         (0..3).map(|_| StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()))).collect();
     feed.publish_endpoints(true, &lines(&endpoints, uids));
-    let node = RouterProcess::with_dns(&feed, &format!("listen: '127.0.0.1:0', zone: '{zone}'"));
-    let dns = node.dns.unwrap();
+    let router = RouterProcess::with_dns(&feed, &format!("listen: '127.0.0.1:0', zone: '{zone}'"));
+    let dns = router.dns.unwrap();
     let name = DOCS.replace(ZONE, zone);
-    wait_until("the list", || (ask(dns, &name, A)[0] == "NOERROR").then_some(()));
-    Setup { feed, endpoints, node, dns }
+    wait_until("the router to know the endpoint list", || {
+        (lookup(dns, &name, A)[0] == "NOERROR").then_some(())
+    });
+    Setup { feed, endpoints, router, dns }
 }
 
 fn lines(endpoints: &[StubEndpoint], uids: [&str; 2]) -> Vec<String> {
@@ -167,313 +175,337 @@
         of(0, uids[0], "std"),
         of(1, uids[1], "std"),
         of(2, "s-o", "origin"),
-        endpoint_line("s-h", dead(), "parent", "ready"),
+        endpoint_line("s-h", closed_address(), "parent", "ready"),
     ]
 }
 
 #[test]
 fn answers_by_the_standard() {
-    let setup = served(ZONE);
-    let mut said = String::new();
-    let mut note = |what: &str, answer: Vec<String>| {
+    let setup = start_router(ZONE);
+    let mut transcript = String::new();
+    let mut record = |label: &str, response: Vec<String>| {
         let mut text =
-            format!("{what}: {}\n", answer.join("; ")).replace("s-a.", "BOX.").replace("s-b.", "BOX.");
+            format!("{label}: {}\n", response.join("; ")).replace("s-a.", "BOX.").replace("s-b.", "BOX.");
         for s in &setup.endpoints {
             text = text.replace(&s.addr.port().to_string(), "PORT");
         }
-        said.push_str(&text);
+        transcript.push_str(&text);
     };
-    let of = |name: &str, kind| ask(setup.dns, name, kind);
-    note("srv", of(DOCS, SRV));
-    note("any case", of(&DOCS.to_uppercase(), A));
-    note("text alone", of(DOCS, TXT));
-    note("filing", of(FILING, SRV));
-    note("no such type", of(DOCS, AAAA));
-    note("other type", of(DOCS, 15));
-    note("apex", of(ZONE, SOA));
-    note("between", of("docs.route.example", A));
-    note("a filing without its id", of("g17.p0.7f3a9c21e0b4d655.cert-filing.route.example", A));
-    note("an id where none belongs", of(&format!("r9b1f03aa5c7e2d41.{DOCS}"), A));
-    note("unknown class", of("g17.p3.7f3a9c21e0b4d655.songs.route.example", A));
-    note("bad group", of("g256.p3.7f3a9c21e0b4d655.docs.route.example", A));
-    note("box", of("s-a.box.route.example", A));
-    note("no such box", of("s-z.box.route.example", A));
-    note("elsewhere", of("www.example.org", A));
-    note("transfer", of(ZONE, 252));
-    let raw = |bytes: &[u8]| words(&exchange(setup.dns, bytes));
-    note("opcode", raw(&query(7, 0x2000, DOCS, A, None)));
-    let whole = query(7, 0, DOCS, A, None);
-    note("half a question", raw(&whole[..30]));
-    note("trailing bytes", raw(&[&whole[..], b"x"].concat()));
-    note("two questions", raw(&[&whole[..4], &[0, 2], &whole[6..]].concat()));
-    note("pointer to itself", raw(&[&whole[..12], &[0xc0, 12, 0, 1, 0, 1]].concat()));
-    note("edns", raw(&query(7, 0, ZONE, 15, Some(4096))));
+    let answer_to = |name: &str, kind| lookup(setup.dns, name, kind);
+    record("srv", answer_to(DOCS, SRV));
+    record("any case", answer_to(&DOCS.to_uppercase(), A));
+    record("text alone", answer_to(DOCS, TXT));
+    record("filing", answer_to(FILING, SRV));
+    record("no such type", answer_to(DOCS, AAAA));
+    record("other type", answer_to(DOCS, 15));
+    record("apex", answer_to(ZONE, SOA));
+    record("between", answer_to("docs.route.example", A));
+    record("a filing without its id", answer_to("g17.p0.7f3a9c21e0b4d655.cert-filing.route.example", A));
+    record("an id where none belongs", answer_to(&format!("r9b1f03aa5c7e2d41.{DOCS}"), A));
+    record("unknown class", answer_to("g17.p3.7f3a9c21e0b4d655.songs.route.example", A));
+    record("bad group", answer_to("g256.p3.7f3a9c21e0b4d655.docs.route.example", A));
+    record("box", answer_to("s-a.box.route.example", A));
+    record("no such box", answer_to("s-z.box.route.example", A));
+    record("elsewhere", answer_to("www.example.org", A));
+    record("transfer", answer_to(ZONE, 252));
+    let answer_to_bytes = |bytes: &[u8]| decode(&exchange(setup.dns, bytes));
+    record("opcode", answer_to_bytes(&query(7, 0x2000, DOCS, A, None)));
+    let complete = query(7, 0, DOCS, A, None);
+    record("half a question", answer_to_bytes(&complete[..30]));
+    record("trailing bytes", answer_to_bytes(&[&complete[..], b"x"].concat()));
+    record("two questions", answer_to_bytes(&[&complete[..4], &[0, 2], &complete[6..]].concat()));
+    record("pointer to itself", answer_to_bytes(&[&complete[..12], &[0xc0, 12, 0, 1, 0, 1]].concat()));
+    record("edns", answer_to_bytes(&query(7, 0, ZONE, 15, Some(4096))));
     let mut version = query(7, 0, DOCS, A, Some(4096));
-    let at = version.len() - 5;
-    version[at] = 1;
-    note("edns version", raw(&version));
-    insta::assert_snapshot!(said);
+    let position = version.len() - 5;
+    version[position] = 1;
+    record("edns version", answer_to_bytes(&version));
+    insta::assert_snapshot!(transcript);
 }
 
-/// Guards against two queries in one segment, or one in many, and against lengths that no query
-/// has.
+/// Guards against mishandling two queries in one TCP segment, one query in several, and a length
+/// that no query may have.
 #[test]
-fn queries_over_tcp_may_arrive_in_any_pieces() {
-    let setup = served(ZONE);
+fn queries_over_tcp_may_arrive_in_any_segments() {
+    let setup = start_router(ZONE);
     let mut tcp = TcpStream::connect(setup.dns).unwrap();
     tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let two = [framed(query(1, 0, DOCS, SRV, None)), framed(query(2, 0, ZONE, SOA, None))].concat();
+    let two = [with_length(query(1, 0, DOCS, SRV, None)), with_length(query(2, 0, ZONE, SOA, None))].concat();
     for piece in two.chunks(7) {
         tcp.write_all(piece).unwrap();
         tcp.flush().unwrap();
     }
     for id in [1, 2] {
-        let answer = read_framed(&mut tcp);
-        assert_eq!((u16_at(&answer, 0), words(&answer)[0].as_str()), (id, "NOERROR"));
+        let response = read_framed(&mut tcp);
+        assert_eq!((u16_at(&response, 0), decode(&response)[0].as_str()), (id, "NOERROR"));
     }
     tcp.write_all(&[0xff, 0xff, 0, 0]).unwrap();
-    assert_eq!(tcp.read(&mut [0; 2]).unwrap_or(0), 0, "a length over the bound ends the connection");
+    assert_eq!(
+        tcp.read(&mut [0; 2]).unwrap_or(0),
+        0,
+        "the connection was not closed after a length above the limit"
+    );
 }
 
-/// Guards against panics on whatever a datagram holds: queries with bytes changed, the same in
-/// every run.
+/// Guards against panics on malformed datagrams: queries with bytes replaced, the same in every
+/// run.
 #[test]
 fn malformed_queries_do_not_stop_service() {
-    let mut setup = served(ZONE);
+    let mut setup = start_router(ZONE);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut number = 0x9e37_79b9_7f4a_7c15_u64;
-    for n in 0..2_000_usize {
-        let mut bytes = query(n as u16, 0, FILING, SRV, Some(1232));
-        for _ in 0..=n % 3 {
-            number = number.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let at = (number >> 33) as usize % bytes.len();
-            bytes[at] = (number >> 20) as u8;
+    let mut random = 0x9e37_79b9_7f4a_7c15_u64;
+    for count in 0..2_000_usize {
+        let mut bytes = query(count as u16, 0, FILING, SRV, Some(1232));
+        for _ in 0..=count % 3 {
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let position = (random >> 33) as usize % bytes.len();
+            bytes[position] = (random >> 20) as u8;
         }
-        bytes.truncate(bytes.len() - n % 7);
+        bytes.truncate(bytes.len() - count % 7);
         socket.send_to(&bytes, setup.dns).unwrap();
-        if n % 100 == 99 {
-            assert_eq!(ask(setup.dns, ZONE, SOA)[0], "NOERROR");
+        if count % 100 == 99 {
+            assert_eq!(lookup(setup.dns, ZONE, SOA)[0], "NOERROR");
         }
     }
-    assert!(setup.node.child.try_wait().unwrap().is_none());
+    assert!(setup.router.child.try_wait().unwrap().is_none());
 }
 
-/// Guards against datagrams larger than the client takes.
+/// Guards against datagrams that are larger than the client accepts.
 #[test]
-fn an_answer_that_does_not_fit_is_shortened_then_truncated() {
+fn a_response_that_does_not_fit_is_shortened_then_truncated() {
     let label = "z".repeat(60);
     let zone = format!("{label}.{label}.example");
-    let setup = served(&zone);
+    let setup = start_router(&zone);
     let name = DOCS.replace(ZONE, &zone);
     let sized = |edns| exchange(setup.dns, &query(7, 0, &name, SRV, edns));
-    let (plain, large) = (sized(None), sized(Some(1232)));
+    let (without_edns, with_edns) = (sized(None), sized(Some(1232)));
     assert!(
-        plain.len() <= 512 && large.len() > 512 && large.len() <= 1232,
+        without_edns.len() <= 512 && with_edns.len() > 512 && with_edns.len() <= 1232,
         "{} {}",
-        plain.len(),
-        large.len()
+        without_edns.len(),
+        with_edns.len()
     );
-    let marks = |b: &[u8]| (words(b).iter().any(|w| w == "cut"), port(&words(b)).is_some());
-    assert_eq!((marks(&plain), marks(&large)), ((false, true), (false, true)));
+    let summary =
+        |message: &[u8]| (decode(message).iter().any(|w| w == "cut"), port(&decode(message)).is_some());
+    assert_eq!((summary(&without_edns), summary(&with_edns)), ((false, true), (false, true)));
     let long = format!("{label}.{label}.{}.example", "y".repeat(50));
-    let setup = served_by(&long, ["a", "b"].map(|first| first.repeat(60)).each_ref().map(String::as_str));
+    let setup = start_router_with_uids(
+        &long,
+        ["a", "b"].map(|first| first.repeat(60)).each_ref().map(String::as_str),
+    );
     let name = FILING.replace(ZONE, &long);
-    let cut = exchange(setup.dns, &query(7, 0, &name, SRV, None));
-    assert!(cut.len() <= 512);
-    assert_eq!(marks(&cut), (true, false));
+    let truncated = exchange(setup.dns, &query(7, 0, &name, SRV, None));
+    assert!(truncated.len() <= 512);
+    assert_eq!(summary(&truncated), (true, false));
 }
 
-/// Guards against an answer that names an endpoint that drains or is gone, and against a second
+/// Guards against responses that name an endpoint that is draining or gone, and against a second
 /// target for a non-idempotent request.
 #[test]
 fn a_draining_edge_cache_is_never_named_again() {
-    let setup = served(ZONE);
-    let first = port(&ask(setup.dns, FILING, SRV)).unwrap();
+    let setup = start_router(ZONE);
+    let first = port(&lookup(setup.dns, FILING, SRV)).unwrap();
     for _ in 0..5 {
-        assert_eq!(port(&ask(setup.dns, FILING, SRV)), Some(first), "one target for good");
+        assert_eq!(port(&lookup(setup.dns, FILING, SRV)), Some(first), "the request got a second target");
     }
-    let (at, uid) = if first == setup.endpoints[0].addr.port() { (0, "s-a") } else { (1, "s-b") };
-    setup.feed.publish_endpoints(false, &[endpoint_line(uid, setup.endpoints[at].addr, "std", "draining")]);
-    wait_until("the drain", || {
-        (ask(setup.dns, &format!("{uid}.box.{ZONE}"), A)[0] == "NXDOMAIN").then_some(())
+    let (position, uid) = if first == setup.endpoints[0].addr.port() { (0, "s-a") } else { (1, "s-b") };
+    setup
+        .feed
+        .publish_endpoints(false, &[endpoint_line(uid, setup.endpoints[position].addr, "std", "draining")]);
+    wait_until("the drain to be applied", || {
+        (lookup(setup.dns, &format!("{uid}.box.{ZONE}"), A)[0] == "NXDOMAIN").then_some(())
     });
-    let other = Some(setup.endpoints[1 - at].addr.port());
-    let mut named = 0;
-    for n in 0..40 {
-        let name = format!("g17.p{n}.7f3a9c21e0b4d655.docs.{ZONE}");
-        let answer = ask(setup.dns, &name, SRV);
-        // The one that is left may be full for a while: lookups are load.
-        assert!(port(&answer) == other || answer == ["REFUSED"], "{answer:?}");
-        named += usize::from(port(&answer) == other);
+    let remaining = Some(setup.endpoints[1 - position].addr.port());
+    let mut routed = 0;
+    for chunk in 0..40 {
+        let name = format!("g17.p{chunk}.7f3a9c21e0b4d655.docs.{ZONE}");
+        let response = lookup(setup.dns, &name, SRV);
+        // The other edge cache may be at capacity for a while, since lookups count as load.
+        assert!(port(&response) == remaining || response == ["REFUSED"], "{response:?}");
+        routed += usize::from(port(&response) == remaining);
     }
-    assert!(named > 0, "the one box that is left is never named");
-    assert_eq!(ask(setup.dns, FILING, SRV), ["REFUSED"], "its one target takes no work");
-    // A client that was given its endpoint may have sent it: it is not accepted by the platform's
-    // protocol either.
-    let mut client = Client::connect(setup.node.addr);
+    assert!(routed > 0, "the remaining edge cache was never named");
+    assert_eq!(
+        lookup(setup.dns, FILING, SRV),
+        ["REFUSED"],
+        "the lookup was not rejected although its target is draining"
+    );
+    // A client that got an endpoint from a lookup may have sent the request there, so the router
+    // must not accept it by the platform's protocol either.
+    let mut client = Client::connect(setup.router.addr);
     assert_eq!(client.get(1, "cert-filing", 0x9b1f_03aa_5c7e_2d41, 9), "1 broken");
-    assert!(setup.endpoints.iter().all(|s| s.count() == 0), "a lookup sends nothing");
+    assert!(setup.endpoints.iter().all(|s| s.count() == 0), "a lookup caused an attempt");
 }
 
-/// Guards against lookups that count as nothing: many at one moment are more than two edge caches
-/// can do.
+/// Guards against lookups that don't count as load: many at one moment exceed the capacity of two
+/// edge caches.
 #[test]
 fn lookups_count_as_load() {
-    let setup = served(ZONE);
+    let setup = start_router(ZONE);
     let mut tcp = TcpStream::connect(setup.dns).unwrap();
     tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let name = |n| format!("g1.p{n}.7f3a9c21e0b4d655.docs.{ZONE}");
-    let asked: Vec<u8> = (1..=64).flat_map(|n| framed(query(n, 0, &name(n), A, None))).collect();
-    assert!(asked.len() < 4096, "one read takes them all");
-    tcp.write_all(&asked).unwrap();
-    let codes: Vec<String> = (1..=64).map(|_| words(&read_framed(&mut tcp))[0].clone()).collect();
-    let named = codes.iter().filter(|c| *c == "NOERROR").count();
-    assert!((8..60).contains(&named) && codes[63] == "REFUSED", "{codes:?}");
+    let name = |chunk| format!("g1.p{chunk}.7f3a9c21e0b4d655.docs.{ZONE}");
+    let queries: Vec<u8> =
+        (1..=64).flat_map(|chunk| with_length(query(chunk, 0, &name(chunk), A, None))).collect();
+    assert!(queries.len() < 4096, "the queries don't fit into one read of the router");
+    tcp.write_all(&queries).unwrap();
+    let codes: Vec<String> = (1..=64).map(|_| decode(&read_framed(&mut tcp))[0].clone()).collect();
+    let routed = codes.iter().filter(|c| *c == "NOERROR").count();
+    assert!((8..60).contains(&routed) && codes[63] == "REFUSED", "{codes:?}");
 }
 
-/// Guards against lookups that change health: their outcome is unknown.
+/// Guards against lookups that change the health of an endpoint, since their outcome is unknown.
 #[test]
 fn lookups_eject_no_edge_cache() {
-    let setup = served(ZONE);
+    let setup = start_router(ZONE);
     let start = Instant::now();
-    let mut named = std::collections::BTreeSet::new();
-    let mut n = 0;
+    let mut routed = std::collections::BTreeSet::new();
+    let mut chunk = 0;
     while start.elapsed() < Duration::from_millis(2_500) {
-        n += 1;
-        let answer = ask(setup.dns, &format!("g1.p{n}.7f3a9c21e0b4d655.docs.{ZONE}"), SRV);
+        chunk += 1;
+        let response = lookup(setup.dns, &format!("g1.p{chunk}.7f3a9c21e0b4d655.docs.{ZONE}"), SRV);
         if start.elapsed() > Duration::from_millis(1_500) {
-            named.extend(port(&answer));
+            routed.extend(port(&response));
         }
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(named.len(), 2, "both boxes are still named");
+    assert_eq!(routed.len(), 2, "an edge cache is no longer named");
 }
 
-// ---- following ----
+// ---- following the answers of a DNS server ----
 
-/// What a stub DNS server answers: an edge cache by name and address, or a code.
+/// How a stub DNS server responds: with an edge cache as uid, address and TXT record, with a
+/// response code, or not at all.
 #[derive(Clone)]
-enum Names {
+enum ServerBehavior {
     Box(&'static str, SocketAddr, &'static str),
     Code(u16),
     Silence,
 }
 
-struct Server {
+struct StubServer {
     addr: SocketAddr,
-    names: Arc<Mutex<Names>>,
+    behavior: Arc<Mutex<ServerBehavior>>,
     received: Arc<Mutex<Vec<String>>>,
 }
 
-fn answering(names: Names) -> Server {
+fn start_server(behavior: ServerBehavior) -> StubServer {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let addr = socket.local_addr().unwrap();
-    let (names, received) = (Arc::new(Mutex::new(names)), Arc::new(Mutex::new(Vec::new())));
-    let server = Server { addr, names: names.clone(), received: received.clone() };
+    let (behavior, received) = (Arc::new(Mutex::new(behavior)), Arc::new(Mutex::new(Vec::new())));
+    let server = StubServer { addr, behavior: behavior.clone(), received: received.clone() };
     thread::spawn(move || {
         let mut buffer = [0; 4096];
-        while let Ok((n, peer)) = socket.recv_from(&mut buffer) {
-            let mut at = 12;
-            received.lock().unwrap().push(read_name(&buffer[..n], &mut at));
-            let question = &buffer[12..at + 4];
+        while let Ok((length, peer)) = socket.recv_from(&mut buffer) {
+            let mut position = 12;
+            received.lock().unwrap().push(read_name(&buffer[..length], &mut position));
+            let question = &buffer[12..position + 4];
             let head = |code: u16, records: [u16; 2]| {
                 let fields = [u16_at(&buffer, 0), 0x8400 | code, 1, records[0], 0, records[1]];
                 [fields.map(u16::to_be_bytes).concat(), question.to_vec()].concat()
             };
-            let answer = match names.lock().unwrap().clone() {
-                Names::Silence => continue,
-                Names::Code(code) => head(code, [0, 0]),
-                Names::Box(uid, to, text) => {
-                    let mut out = head(0, [1, 2]);
+            let response = match behavior.lock().unwrap().clone() {
+                ServerBehavior::Silence => continue,
+                ServerBehavior::Code(code) => head(code, [0, 0]),
+                ServerBehavior::Box(uid, to, text) => {
+                    let mut output = head(0, [1, 2]);
                     let mut target = Vec::new();
-                    put_name(&mut target, &format!("{uid}.box.{ZONE}"));
+                    encode_name(&mut target, &format!("{uid}.box.{ZONE}"));
                     let mut record = |owner: &[u8], kind: u16, data: &[u8]| {
-                        out.extend(owner);
-                        out.extend([kind, 1, 0, 0, data.len() as u16].map(u16::to_be_bytes).concat());
-                        out.extend(data);
+                        output.extend(owner);
+                        output.extend([kind, 1, 0, 0, data.len() as u16].map(u16::to_be_bytes).concat());
+                        output.extend(data);
                     };
                     let srv = [&[0, 0, 0, 0], &to.port().to_be_bytes()[..], &target].concat();
                     record(&[0xc0, 12], SRV, &srv);
                     record(&target, A, &[127, 0, 0, 1]);
                     record(&[0xc0, 12], TXT, &[&[text.len() as u8], text.as_bytes()].concat());
-                    out
+                    output
                 }
             };
-            socket.send_to(&answer, peer).unwrap();
+            socket.send_to(&response, peer).unwrap();
         }
     });
     server
 }
 
-/// A follower of a stub server that names the first of three endpoints.
-fn following() -> (Setup, Server, Client) {
+/// Starts a router that follows a stub DNS server, which names the first of three endpoints.
+/// Returns the setup, the server and a client of the router.
+fn start_following_router() -> (Setup, StubServer, Client) {
     let feed = StubFeed::start();
     let endpoints: Vec<StubEndpoint> =
         (0..3).map(|_| StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()))).collect();
     feed.publish_endpoints(true, &lines(&endpoints, ["s-a", "s-b"]));
-    let server = answering(Names::Box("s-a", endpoints[0].addr, "parent=s-o"));
+    let server = start_server(ServerBehavior::Box("s-a", endpoints[0].addr, "parent=s-o"));
     let dns = server.addr;
-    let node = RouterProcess::with_dns(&feed, &format!("follow: '{dns}', zone: '{ZONE}'"));
-    let mut client = Client::connect(node.addr);
+    let router = RouterProcess::with_dns(&feed, &format!("follow: '{dns}', zone: '{ZONE}'"));
+    let mut client = Client::connect(router.addr);
     let mut tag = 1_000;
-    wait_until("the list", || {
+    wait_until("the router to know the endpoint list", || {
         tag += 1;
         client.get(tag, "docs", tag.into(), 5).contains("good").then_some(())
     });
-    (Setup { feed, endpoints, node, dns }, server, client)
+    (Setup { feed, endpoints, router, dns }, server, client)
 }
 
-/// Guards against attempts at a draining edge cache while an answer that names it is still given
-/// out: none after 500 ms.
+/// Guards against attempts at a draining edge cache while a DNS server still names it: there must
+/// be none from 500 ms after the drain on.
 #[test]
-fn a_delayed_dns_answer_does_not_reach_a_draining_edge_cache() {
-    let (setup, server, mut client) = following();
+fn an_outdated_dns_response_causes_no_attempt_at_a_draining_edge_cache() {
+    let (setup, server, mut client) = start_following_router();
     assert!(setup.endpoints[0].received()[0].fields.contains("parent=s-o"));
-    let told = setup
+    let drained_at = setup
         .feed
         .publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
-    let (mut tag, mut refused) = (0, 0);
-    while told.elapsed() < Duration::from_millis(1_200) {
+    let (mut tag, mut rejected) = (0, 0);
+    while drained_at.elapsed() < Duration::from_millis(1_200) {
         tag += 1;
-        let answer = client.get(tag, "docs", tag.into(), tag.into());
-        refused += u32::from(answer.contains("refused"));
-        assert!(answer.contains("good") || answer.contains("refused"), "{answer}");
+        let response = client.get(tag, "docs", tag.into(), tag.into());
+        rejected += u32::from(response.contains("refused"));
+        assert!(response.contains("good") || response.contains("refused"), "{response}");
     }
-    assert!(refused > 0, "an answer that names only what drains is no answer");
-    let late = told + Duration::from_millis(500);
-    assert!(setup.endpoints[0].received().iter().all(|a| a.at < late), "work after the drain");
-    // Nor does a non-idempotent request go there, or anywhere else.
+    assert!(rejected > 0, "no request was rejected while only a draining edge cache was named");
+    let deadline = drained_at + Duration::from_millis(500);
+    assert!(
+        setup.endpoints[0].received().iter().all(|a| a.at < deadline),
+        "attempts at the edge cache after its drain"
+    );
+    // A non-idempotent request isn't sent there either, nor to any other endpoint.
     assert!(client.get(5_000, "cert-filing", 5_000, 9).starts_with("5000 refused"));
-    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[1].addr, "parent=s-a");
-    assert!(client.get(5_001, "docs", 5_001, 9).contains("refused"), "a source that drains is no source");
-    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[0].addr, "parent=s-o");
-    assert!(client.get(5_002, "docs", 5_002, 9).contains("refused"), "the address is another box's");
-    *server.names.lock().unwrap() = Names::Box("s-b", setup.endpoints[1].addr, "parent=s-o");
+    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[1].addr, "parent=s-a");
+    assert!(client.get(5_001, "docs", 5_001, 9).contains("refused"), "a draining fill source was used");
+    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[0].addr, "parent=s-o");
+    assert!(
+        client.get(5_002, "docs", 5_002, 9).contains("refused"),
+        "an address that belongs to another edge cache was used"
+    );
+    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[1].addr, "parent=s-o");
     assert_eq!(client.get(5_003, "docs", 5_003, 9), "5003 good ver=d1 bytes");
-    assert!(setup.endpoints[0].received().iter().all(|a| a.at < late));
+    assert!(setup.endpoints[0].received().iter().all(|a| a.at < deadline));
 }
 
-/// Guards against an old copy by way of a lookup: the follower applies the purges that it received
-/// itself.
+/// Guards against serving copies older than a purge when the endpoint comes from a lookup: the
+/// following router must apply the purges that it received itself.
 #[test]
 fn a_purge_bounds_requests_that_follow_dns() {
-    let (setup, _server, mut client) = following();
+    let (setup, _server, mut client) = start_following_router();
     setup.feed.publish(&format!("\"purge\":{{\"group\":17,\"at\":{}}}", unix_ms()));
     let mut tag = 0;
-    let bound: u64 = wait_until("the purge", || {
+    let max_age_ms: u64 = wait_until("the purge", || {
         tag += 1;
         assert!(client.get(tag, "docs", tag.into(), 9).contains("good"));
         let last = setup.endpoints[0].received().pop().unwrap().fields;
         last.split(',').find_map(|f| f.strip_prefix("accept="))?.parse().ok()
     });
-    assert!((1..8_000).contains(&bound), "no copy older than the purge will do, not {bound} ms");
+    assert!((1..8_000).contains(&max_age_ms), "copies older than the purge are accepted: {max_age_ms} ms");
 }
 
-/// Guards against a non-idempotent request that runs twice by way of lookups, also while parent
-/// cache and edge caches fail: one lookup, one run at most, and a failure where it may have run.
+/// Guards against executing a non-idempotent request twice by way of lookups, also while its
+/// endpoint fails: one lookup, at most one attempt, and a failure if the request may have been
+/// executed.
 #[test]
-fn a_non_idempotent_request_that_follows_dns_runs_once_at_most() {
-    let (setup, server, mut client) = following();
+fn a_non_idempotent_request_that_follows_dns_is_sent_at_most_once() {
+    let (setup, server, mut client) = start_following_router();
     let lookups = |rid: u64| {
         let id = format!("r{rid:016x}.");
         server.received.lock().unwrap().iter().filter(|n| n.starts_with(&id)).count()
@@ -483,71 +515,82 @@
         setup.endpoints.iter().flat_map(StubEndpoint::received).filter(|a| a.rid == id).count()
     };
     let mut tag = 0;
-    for (does, word, ran) in [
+    for (behavior, status, attempts) in [
         (StubBehavior::CloseConnection, "broken", 1),
         (StubBehavior::Status("failed"), "broken", 1),
-        (StubBehavior::NoAnswer, "broken", 1),
+        (StubBehavior::NoResponse, "broken", 1),
         (StubBehavior::Status("full"), "refused", 1),
         (StubBehavior::Data(b"stamp".to_vec()), "good", 1),
     ] {
-        setup.endpoints[0].set_behavior(does.clone());
+        setup.endpoints[0].set_behavior(behavior.clone());
         tag += 1;
-        let answer = client.get(tag, "cert-filing", tag.into(), 9);
-        assert_eq!(answer.split(' ').nth(1), Some(word), "{does:?}");
-        assert_eq!((lookups(tag.into()), runs(tag.into())), (1, ran), "{does:?}");
+        let response = client.get(tag, "cert-filing", tag.into(), 9);
+        assert_eq!(response.split(' ').nth(1), Some(status), "{behavior:?}");
+        assert_eq!((lookups(tag.into()), runs(tag.into())), (1, attempts), "{behavior:?}");
     }
-    // Rejected by the server, or never answered: it was not sent, and the client may try again.
-    for names in [Names::Code(5), Names::Code(2), Names::Silence] {
-        *server.names.lock().unwrap() = names;
+    // If the DNS server rejects the lookup or doesn't respond, the request was not sent and may be
+    // retried.
+    for behavior in [ServerBehavior::Code(5), ServerBehavior::Code(2), ServerBehavior::Silence] {
+        *server.behavior.lock().unwrap() = behavior;
         tag += 1;
         assert!(client.get(tag, "cert-filing", tag.into(), 9).contains("refused"));
         assert_eq!(runs(tag.into()), 0);
     }
-    assert!(setup.endpoints[1].count() + setup.endpoints[2].count() == 0, "nothing went where no answer led");
+    assert!(
+        setup.endpoints[1].count() + setup.endpoints[2].count() == 0,
+        "attempts at an endpoint that no DNS response named"
+    );
 }
 
-/// The whole path: one router answers, another follows it; while edge caches drain and break under
-/// non-idempotent requests, none is used 500 ms after its drain and none runs a non-idempotent
-/// request that another has run.
+/// Two routers in a row, where the second follows the DNS responses of the first. Guards against
+/// attempts later than 500 ms after a drain, and against executing a non-idempotent request twice,
+/// while edge caches drain and fail.
 #[test]
-fn two_routers_in_a_row_keep_the_rules() {
-    let first = served(ZONE);
+fn a_router_that_follows_another_respects_drains_and_idempotency() {
+    let first = start_router(ZONE);
     let text = format!("follow: '{}', zone: '{ZONE}'", first.dns);
     let second = RouterProcess::with_dns(&first.feed, &text);
     let mut client = Client::connect(second.addr);
     let mut tag = 0;
-    wait_until("the list", || {
+    wait_until("the router to know the endpoint list", || {
         tag += 1;
         client.get(tag, "docs", tag.into(), 5).contains("good").then_some(())
     });
     let mut drained = None;
-    for n in 1..=120 {
-        match n {
-            // The parent cache fails: fills behind the edge cache break off, or are not begun; then
-            // the edge cache itself breaks.
+    for number in 1..=120 {
+        match number {
+            // First fills fail because the parent cache failed, then the edge cache closes its
+            // connections.
             15 => first.endpoints[0].set_behavior(StubBehavior::Status("failed")),
             25 => first.endpoints[0].set_behavior(StubBehavior::Status("full")),
             40 => first.endpoints[0].set_behavior(StubBehavior::CloseConnection),
             60 => first.endpoints[0].set_behavior(StubBehavior::Data(b"bytes".to_vec())),
             70 => {
-                let off = endpoint_line("s-b", first.endpoints[1].addr, "std", "draining");
-                drained = Some(first.feed.publish_endpoints(false, &[off]));
+                let draining_line = endpoint_line("s-b", first.endpoints[1].addr, "std", "draining");
+                drained = Some(first.feed.publish_endpoints(false, &[draining_line]));
             }
             _ => {}
         }
-        let class = if n % 3 == 0 { "cert-filing" } else { "docs" };
-        let answer = client.get(tag + n, class, (10_000 + n).into(), n.into());
-        assert!(!answer.contains("end"), "{answer}");
-        thread::sleep(Duration::from_millis(if n > 70 { 20 } else { 2 }));
+        let class = if number % 3 == 0 { "cert-filing" } else { "docs" };
+        let response = client.get(tag + number, class, (10_000 + number).into(), number.into());
+        assert!(!response.contains("end"), "{response}");
+        thread::sleep(Duration::from_millis(if number > 70 { 20 } else { 2 }));
     }
-    let late = drained.unwrap() + Duration::from_millis(500);
-    assert!(Instant::now() > late, "it went on for longer than the grace");
-    assert!(first.endpoints[1].received().iter().all(|a| a.at < late), "work after the drain");
-    let filings =
+    let deadline = drained.unwrap() + Duration::from_millis(500);
+    assert!(Instant::now() > deadline, "the load ended within the grace period of the drain");
+    assert!(
+        first.endpoints[1].received().iter().all(|a| a.at < deadline),
+        "attempts at the edge cache after its drain"
+    );
+    let non_idempotent =
         first.endpoints.iter().flat_map(StubEndpoint::received).filter(|a| a.fields.contains("cert-filing"));
-    let mut ids: Vec<String> = filings.map(|a| a.rid).collect();
-    let all = ids.len();
+    let mut ids: Vec<String> = non_idempotent.map(|a| a.rid).collect();
+    let attempt_count = ids.len();
     ids.sort();
     ids.dedup();
-    assert!(all > 20 && ids.len() == all, "{} filings ran {all} times", ids.len());
+    assert!(
+        attempt_count > 20 && ids.len() == attempt_count,
+        "{} non-idempotent requests were sent {attempt_count} times",
+        ids.len()
+    );
 }
--- a/crates/hollymux/tests/file_formats.rs
+++ b/crates/hollymux/tests/file_formats.rs
@@ -1,5 +1,5 @@
-//! Guards the files that operators and routers leave behind: a recording, an operator's file and the JSON Schemas must
-//! be read, judged and printed by every later version as by the one that wrote the fixtures.
+//! Formats of files that operators and routers keep: later versions must read, validate and print a
+//! recording, an operator's file and the JSON Schemas like the version that wrote the fixtures.
 
 mod common;
 
@@ -8,33 +8,33 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
-/// Keys of a schema whose values are words for readers; the rest is the format.
-const WORDS: [&str; 2] = ["description", "title"];
+/// Keys of a schema whose values are texts for readers and not part of the format.
+const TEXT_KEYS: [&str; 2] = ["description", "title"];
 
 struct Outcome {
     code: i32,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
-/// Runs the program in the folder of the fixtures.
+/// Runs the program in the directory of the fixtures.
 fn run(args: &[&str]) -> Outcome {
     let folder: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
     let mut program = hollymux_command(Path::new(""), args);
     let output = program.current_dir(folder).stdout(Stdio::piped()).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    Outcome { code: output.status.code().unwrap(), out: text(output.stdout), err: text(output.stderr) }
+    Outcome { code: output.status.code().unwrap(), stdout: text(output.stdout), stderr: text(output.stderr) }
 }
 
-/// What the program prints if it accepts its arguments.
+/// Runs the program, expects success and returns its standard output.
 fn printed(args: &[&str]) -> String {
     let outcome = run(args);
-    assert_eq!(outcome.code, 0, "{args:?}: {}", outcome.err);
-    outcome.out
+    assert_eq!(outcome.code, 0, "{args:?}: {}", outcome.stderr);
+    outcome.stdout
 }
 
 #[test]
-fn a_recording_of_an_earlier_version_holds_the_same() {
+fn a_recording_of_an_earlier_version_has_the_same_summary() {
     insta::assert_snapshot!("record_info", printed(&["record", "info", "load.hmxload"]));
     insta::assert_snapshot!("record_info_json", printed(&["record", "info", "--json", "load.hmxload"]));
 }
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn faults_of_an_operators_file_are_told_with_their_places() {
+fn errors_in_an_operators_file_are_reported_with_their_positions() {
     for file in ["operator-faulty", "operator-misfits"] {
         let outcome = run(&["check", &format!("{file}.json5")]);
-        assert_eq!((outcome.code, outcome.out.as_str()), (2, ""));
-        insta::assert_snapshot!(file, outcome.err);
+        assert_eq!((outcome.code, outcome.stdout.as_str()), (2, ""));
+        insta::assert_snapshot!(file, outcome.stderr);
     }
 }
 
-/// A schema without words for readers, and with definitions in the places that refer to them: what is left are keys,
-/// types, defaults and bounds.
+/// Reduces a schema to keys, types, defaults and bounds: removes the texts for readers, and
+/// replaces references by the definitions.
 fn structure(schema: &Value, definitions: &Map<String, Value>) -> Value {
     match schema {
         Value::Array(elements) => elements.iter().map(|element| structure(element, definitions)).collect(),
@@ -71,27 +71,27 @@
 }
 
 fn structure_of_object(members: &Map<String, Value>, definitions: &Map<String, Value>) -> Map<String, Value> {
-    let mut out = Map::new();
+    let mut reduced = Map::new();
     for (key, value) in members {
         match key.as_str() {
             "$defs" => {}
             "$ref" => {
                 let name = value.as_str().unwrap().trim_start_matches("#/$defs/");
                 let definition = definitions[name].as_object().unwrap();
-                out.extend(structure_of_object(definition, definitions));
+                reduced.extend(structure_of_object(definition, definitions));
             }
             "properties" => {
                 let properties = value.as_object().unwrap().iter();
                 let each = properties.map(|(name, schema)| (name.clone(), structure(schema, definitions)));
-                out.insert(key.clone(), Value::Object(each.collect()));
+                reduced.insert(key.clone(), Value::Object(each.collect()));
             }
-            // Values, not schemas.
-            "default" | "const" | "enum" => drop(out.insert(key.clone(), value.clone())),
-            word if WORDS.contains(&word) => {}
-            _ => drop(out.insert(key.clone(), structure(value, definitions))),
+            // These hold values, not schemas.
+            "default" | "const" | "enum" => drop(reduced.insert(key.clone(), value.clone())),
+            key if TEXT_KEYS.contains(&key) => {}
+            _ => drop(reduced.insert(key.clone(), structure(value, definitions))),
         }
     }
-    out
+    reduced
 }
 
 #[test]
--- a/crates/hollymux/tests/handover.rs
+++ b/crates/hollymux/tests/handover.rs
@@ -1,4 +1,4 @@
-//! One process takes over from another while clients go on.
+//! Handover from one router process to another while clients send requests.
 
 mod common;
 
@@ -16,24 +16,24 @@
 struct Setup {
     feed: StubFeed,
     endpoints: [StubEndpoint; 3],
-    /// Clients' address, the same for all processes.
+    /// The address for clients, the same for all processes.
     addr: SocketAddr,
     _reserved: ReservedAddress,
-    /// Where the handover socket is.
+    /// The directory of the handover socket.
     dir: PathBuf,
 }
 
 impl Setup {
-    fn new(does: StubBehavior) -> Setup {
+    fn new(behavior: StubBehavior) -> Setup {
         let feed = StubFeed::start();
-        let endpoints = [does.clone(), does.clone(), does].map(StubEndpoint::start);
+        let endpoints = [behavior.clone(), behavior.clone(), behavior].map(StubEndpoint::start);
         feed.publish_endpoints(true, &endpoint_lines(&endpoints));
         let reserved = ReservedAddress::new();
         let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
         Setup { feed, endpoints, addr: reserved.addr, _reserved: reserved, dir }
     }
 
-    /// A process for that address, once it is ready.
+    /// Starts a process at the common address and waits until it is ready.
     fn start(&self) -> RouterProcess {
         self.start_with(&self.feed)
     }
@@ -42,115 +42,115 @@
         let listen = format!("\"listen\":\"{}\"", self.addr);
         let config = config(feed.addr).replace("\"listen\":\"127.0.0.1:0\"", &listen);
         let start = Instant::now();
-        let node = RouterProcess::with_handover_dir(&with_admin_endpoint(&config), &self.dir);
-        wait_until("a yes", || ready(&node).then_some(()));
+        let router = RouterProcess::with_handover_dir(&with_admin_endpoint(&config), &self.dir);
+        wait_until("the router to be ready", || is_ready(&router).then_some(()));
         assert!(start.elapsed() < Duration::from_secs(6), "ready after {:?}", start.elapsed());
-        node
+        router
     }
 
-    fn meeting(&self) -> PathBuf {
+    fn handover_socket(&self) -> PathBuf {
         self.dir.join(format!("hollymux-{}-{}.sock", self.addr.ip(), self.addr.port()))
     }
 
-    fn served(&self) {
+    fn assert_serves(&self) {
         let mut client = Client::connect(self.addr);
-        assert!(client.get(1, "docs", fresh(), 7).contains("good"));
+        assert!(client.get(1, "docs", next_request_id(), 7).contains("good"));
     }
 }
 
 impl Drop for Setup {
     fn drop(&mut self) {
-        let _gone = std::fs::remove_dir_all(&self.dir);
+        let _result = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-fn fresh() -> u64 {
+fn next_request_id() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1 << 32);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-fn ready(node: &RouterProcess) -> bool {
-    admin_call(admin_address(node), "GET /status").0 == 200
+fn is_ready(router: &RouterProcess) -> bool {
+    admin_call(admin_address(router), "GET /status").0 == 200
 }
 
-/// What a client did.
+/// Counts of what happened to the requests of one client.
 #[derive(Clone, Copy, Default)]
-struct Load {
+struct ClientCounts {
     sent: u64,
     served: u64,
-    /// Rejected, and sent once more after a wait.
-    refused: u64,
-    /// Met the end of its connection, and sent again on another one.
-    again: u64,
+    /// Responses that rejected a request, which was then sent again after a pause.
+    rejected: u64,
+    /// Attempts that met the end of the connection and were sent again on a new one.
+    resent: u64,
 }
 
-/// A client that sends the next request as soon as the last is answered, from connection to
-/// connection.
-fn load(addr: SocketAddr, over: &AtomicBool) -> Load {
-    let mut sum = Load::default();
+/// Runs a client that sends a request as soon as the last one got a response, reconnecting when
+/// necessary, until `stop` is set.
+fn run_client(addr: SocketAddr, stop: &AtomicBool) -> ClientCounts {
+    let mut counts = ClientCounts::default();
     let mut client = Client::connect(addr);
     let mut tag = 0;
-    while !over.load(Ordering::Relaxed) {
-        let rid = fresh();
-        sum.sent += 1;
+    while !stop.load(Ordering::Relaxed) {
+        let rid = next_request_id();
+        counts.sent += 1;
         for _ in 0..3 {
             tag += 1;
-            let answer =
-                if client.try_send_request(tag, "docs", rid) { client.answer() } else { "end".into() };
-            if answer.starts_with(&format!("{tag} good")) {
-                sum.served += 1;
+            let response =
+                if client.try_send_request(tag, "docs", rid) { client.read_response() } else { "end".into() };
+            if response.starts_with(&format!("{tag} good")) {
+                counts.served += 1;
                 break;
             }
-            if answer.starts_with(&format!("{tag} refused backoff=")) {
-                sum.refused += 1;
+            if response.starts_with(&format!("{tag} refused backoff=")) {
+                counts.rejected += 1;
                 thread::sleep(Duration::from_millis(100));
                 if client.is_closed() {
                     client = Client::connect(addr);
                 }
             } else {
-                assert_eq!(answer, "end");
-                sum.again += 1;
+                assert_eq!(response, "end");
+                counts.resent += 1;
                 client = Client::connect(addr);
             }
         }
     }
-    sum
+    counts
 }
 
-/// So many of them at once.
-struct Loads {
-    over: Arc<AtomicBool>,
-    clients: Vec<thread::JoinHandle<Load>>,
+/// Clients that run at the same time, each on its own thread.
+struct ClientLoad {
+    stop: Arc<AtomicBool>,
+    clients: Vec<thread::JoinHandle<ClientCounts>>,
 }
 
-impl Loads {
-    fn start(addr: SocketAddr, clients: usize) -> Loads {
-        let over = Arc::new(AtomicBool::new(false));
+impl ClientLoad {
+    fn start(addr: SocketAddr, clients: usize) -> ClientLoad {
+        let stop = Arc::new(AtomicBool::new(false));
         let client = |_| {
-            let over = over.clone();
-            thread::spawn(move || load(addr, &over))
+            let stop = stop.clone();
+            thread::spawn(move || run_client(addr, &stop))
         };
-        Loads { clients: (0..clients).map(client).collect(), over }
+        ClientLoad { clients: (0..clients).map(client).collect(), stop }
     }
 
-    fn end(self) -> Vec<Load> {
-        self.over.store(true, Ordering::Relaxed);
+    fn end(self) -> Vec<ClientCounts> {
+        self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().map(|c| c.join().unwrap()).collect()
     }
 }
 
-/// Guards against a handover that loses, rejects or repeats anything, twice in a row, and against
-/// an old process that stays.
+/// Guards against handovers, twice in a row, that lose, fail or repeat requests, and against an old
+/// process that does not exit.
 #[test]
 fn no_request_is_lost_over_two_handovers() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
     let mut old = setup.start();
-    let loads = Loads::start(setup.addr, 6);
+    let loads = ClientLoad::start(setup.addr, 6);
     let mut started = Vec::new();
     for _ in 0..2 {
         thread::sleep(Duration::from_millis(150));
         let new = setup.start();
-        assert!(!ready(&old), "whom another one replaced takes nobody new");
+        assert!(!is_ready(&old), "a replaced process reports ready");
         old.signal("-TERM");
         let (status, log) = old.wait_for_exit();
         assert!(status.success(), "{log:?}");
@@ -158,73 +158,84 @@
         new.wait_for_log("predecessor process has ended");
         started.push(std::mem::replace(&mut old, new));
     }
-    for sum in loads.end() {
-        assert_eq!(sum.sent, sum.served, "each is served");
-        // One rejection by each process makes the pause in which its connection is closed.
-        assert!(sum.refused <= 2 && sum.again <= 4, "{} refused, {} sent again", sum.refused, sum.again);
+    for counts in loads.end() {
+        assert_eq!(counts.sent, counts.served, "not every request was served");
+        // A process rejects at most one request of each client, to get a pause in which it can
+        // close the connection.
+        assert!(
+            counts.rejected <= 2 && counts.resent <= 4,
+            "{} requests rejected, {} sent again",
+            counts.rejected,
+            counts.resent
+        );
     }
     let mut rids: Vec<String> =
         setup.endpoints.iter().flat_map(StubEndpoint::received).map(|a| a.rid).collect();
-    let all = rids.len();
+    let total = rids.len();
     rids.sort();
     rids.dedup();
-    assert!(all - rids.len() <= 24, "{} of {all} ran again", all - rids.len());
-    setup.served();
+    assert!(total - rids.len() <= 24, "{} of {total} attempts repeated a request", total - rids.len());
+    setup.assert_serves();
 }
 
-/// How many handovers the measurement makes; each takes some 3 s.
-const REPLACEMENTS: u32 = 100;
+/// Number of handovers in the measurement; each takes about 3 s.
+const HANDOVERS: u32 = 100;
 
-/// A measurement, not a check of its own: how many requests a handover costs. `--ignored
-/// --nocapture` runs it.
+/// Measures how many requests a handover rejects or makes clients repeat. Run it with `--ignored
+/// --nocapture`.
 #[test]
-#[ignore = "takes minutes; prints figures"]
-fn many_replacements() {
+#[ignore = "a measurement that takes minutes"]
+fn measure_many_handovers() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
     let mut old = setup.start();
-    let loads = Loads::start(setup.addr, 12);
-    for _ in 0..REPLACEMENTS {
+    let loads = ClientLoad::start(setup.addr, 12);
+    for _ in 0..HANDOVERS {
         let new = setup.start();
         old.signal("-TERM");
         assert!(old.wait_for_exit().0.success());
         old = new;
     }
-    let each = loads.end();
-    let sum = |of: fn(&Load) -> u64| each.iter().map(of).sum::<u64>();
-    let (sent, served) = (sum(|l| l.sent), sum(|l| l.served));
-    let (refused, again) = (sum(|l| l.refused), sum(|l| l.again));
+    let all_counts = loads.end();
+    let total = |of: fn(&ClientCounts) -> u64| all_counts.iter().map(of).sum::<u64>();
+    let (sent, served) = (total(|counts| counts.sent), total(|counts| counts.served));
+    let (rejected, resent) = (total(|counts| counts.rejected), total(|counts| counts.resent));
     println!(
-        "{REPLACEMENTS} replacements, 12 clients: {sent} asked, {served} served, {refused} refused, {again} sent again"
+        "{HANDOVERS} handovers, 12 clients: {sent} sent, {served} served, {rejected} rejected, {resent} sent again"
     );
-    assert_eq!(sent, served, "each is served");
+    assert_eq!(sent, served, "not every request was served");
 }
 
-/// Guards against a non-idempotent request that runs again at the process that takes over, whether
-/// it came before or during that.
+/// Guards against executing a non-idempotent request again at the successor, whether it arrived
+/// before or during the handover.
 #[test]
-fn no_non_idempotent_request_runs_twice_over_a_handover() {
-    let setup = Setup::new(StubBehavior::NoAnswer);
+fn no_non_idempotent_request_is_sent_twice_over_a_handover() {
+    let setup = Setup::new(StubBehavior::NoResponse);
     let old = setup.start();
     let mut client = Client::connect(setup.addr);
     client.send_request(1, "cert-filing", 0xf1, ",obj=0000000000000009");
-    let runs = |rid: &str| -> usize {
-        setup.endpoints.iter().map(|s| s.received().iter().filter(|a| a.rid.ends_with(rid)).count()).sum()
+    let attempt_count = |rid: &str| -> usize {
+        setup
+            .endpoints
+            .iter()
+            .map(|thread_stop| thread_stop.received().iter().filter(|a| a.rid.ends_with(rid)).count())
+            .sum()
     };
-    wait_until("the first", || (runs("00f1") == 1).then_some(()));
+    wait_until("the attempt of the first request", || (attempt_count("00f1") == 1).then_some(()));
     let _new = setup.start();
-    // The old one's connection is still open: the successor is told what it accepts now.
+    // The connection to the old process is still open. That process sends the successor the ids of
+    // further non-idempotent requests.
     client.send_request(2, "cert-filing", 0xf2, ",obj=0000000000000009");
-    wait_until("the second", || (runs("00f2") == 1).then_some(()));
-    let mut other = Client::connect(setup.addr);
-    assert_eq!(other.get(1, "cert-filing", 0xf1, 9), "1 broken");
-    assert_eq!(other.get(2, "cert-filing", 0xf2, 9), "2 broken");
-    assert_eq!((runs("00f1"), runs("00f2")), (1, 1));
+    wait_until("the attempt of the second request", || (attempt_count("00f2") == 1).then_some(()));
+    let mut new_client = Client::connect(setup.addr);
+    assert_eq!(new_client.get(1, "cert-filing", 0xf1, 9), "1 broken");
+    assert_eq!(new_client.get(2, "cert-filing", 0xf2, 9), "2 broken");
+    assert_eq!((attempt_count("00f1"), attempt_count("00f2")), (1, 1));
     drop(old);
 }
 
-/// Guards against a drain that the new process does not know, as its feed is silent.
+/// Guards against a successor that doesn't know of a drain, because its feed is silent.
 #[test]
-fn a_drain_is_handed_over_though_the_feed_is_silent() {
+fn a_drain_is_handed_over_while_the_feed_is_silent() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
     let _old = setup.start();
     setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
@@ -232,35 +243,35 @@
     setup.feed.break_connections(setup.feed.resumed_after().len() + 1, usize::MAX);
     let before = setup.endpoints[0].count();
     let new = setup.start();
-    all_go_elsewhere(&setup, before);
+    assert_drained_edge_cache_gets_no_attempts(&setup, before);
     drop(new);
 }
 
-/// Guards against a drain that is undone by a feed that is behind.
+/// Guards against a feed with outdated events undoing a drain at the successor.
 #[test]
-fn a_drain_holds_against_a_feed_that_is_behind() {
+fn an_outdated_feed_does_not_undo_a_drain() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
     let _old = setup.start();
     setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
     thread::sleep(Duration::from_millis(300));
-    let behind = StubFeed::start();
-    behind.publish_endpoints(true, &endpoint_lines(&setup.endpoints));
+    let outdated_feed = StubFeed::start();
+    outdated_feed.publish_endpoints(true, &endpoint_lines(&setup.endpoints));
     let before = setup.endpoints[0].count();
-    let _new = setup.start_with(&behind);
-    all_go_elsewhere(&setup, before);
+    let _new = setup.start_with(&outdated_feed);
+    assert_drained_edge_cache_gets_no_attempts(&setup, before);
 }
 
-fn all_go_elsewhere(setup: &Setup, before: usize) {
+fn assert_drained_edge_cache_gets_no_attempts(setup: &Setup, before: usize) {
     let mut client = Client::connect(setup.addr);
     for tag in 1..40 {
-        assert!(client.get(tag, "docs", fresh(), tag.into()).contains("good"));
+        assert!(client.get(tag, "docs", next_request_id(), tag.into()).contains("good"));
     }
     assert_eq!(setup.endpoints[0].count(), before);
     assert!(setup.endpoints[1].count() >= 39);
 }
 
-/// Guards against an old process that stops serving because the new one dies on the way, at
-/// whichever step.
+/// Guards against a predecessor that stops serving because its successor dies, at any step of the
+/// handover.
 #[test]
 fn a_successor_that_dies_leaves_the_predecessor_serving() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -272,27 +283,29 @@
     };
     let take = [b'h', b'm', b'x', 1, 3, 0, 0, 0, 0];
     let steps: [&[&[u8]]; 5] = [&[], &[&hello[..6]], &[&hello], &[&hello, &take], &[b"anything else at all"]];
-    for (i, said) in steps.iter().enumerate() {
-        let mut dying = wait_until("a meeting", || UnixStream::connect(setup.meeting()).ok());
-        dying.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-        for words in *said {
-            dying.write_all(words).unwrap();
+    for (step, messages) in steps.iter().enumerate() {
+        let mut dying_successor = wait_until("a connection to the handover socket", || {
+            UnixStream::connect(setup.handover_socket()).ok()
+        });
+        dying_successor.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
+        for message in *messages {
+            dying_successor.write_all(message).unwrap();
             let mut bytes = [0; 4096];
-            let _answer = dying.read(&mut bytes);
+            let _response = dying_successor.read(&mut bytes);
         }
-        assert_eq!(ready(&old), i != 3, "step {i}");
-        drop(dying);
-        wait_until("the old one's return", || ready(&old).then_some(()));
-        setup.served();
+        assert_eq!(is_ready(&old), step != 3, "step {step}");
+        drop(dying_successor);
+        wait_until("the old process to be ready again", || is_ready(&old).then_some(()));
+        setup.assert_serves();
     }
-    // And a real one can still take over, also when the old one is on standby.
+    // Afterwards a handover still succeeds, also if the old process is on standby.
     assert_eq!(admin_call(admin_address(&old), "PUT /standby").0, 200);
     let _new = setup.start();
-    setup.served();
+    setup.assert_serves();
 }
 
-/// Guards against requests that fall between two processes, when the old one is told to end before
-/// the new one has taken over: that one still waits for its feed.
+/// Guards against losing requests when the old process gets SIGTERM before the new one has taken
+/// over, while the new one still waits for its feed.
 #[test]
 fn sigterm_during_a_handover_loses_no_client() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
@@ -305,77 +318,84 @@
     old.signal("-TERM");
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(2_500) {
-        setup.served();
+        setup.assert_serves();
         thread::sleep(Duration::from_millis(10));
     }
     let (status, log) = old.wait_for_exit();
     assert!(status.success() && log.last().unwrap().ends_with("invariants broken: 0"), "{log:?}");
-    wait_until("the new one's yes", || ready(&new).then_some(()));
+    wait_until("the new process to be ready", || is_ready(&new).then_some(()));
 }
 
-/// Guards against a start that waits for what is not there: a stale socket, one that hangs, one
-/// that sends invalid bytes.
+/// Guards against a start that waits for a predecessor that doesn't respond: a stale socket file, a
+/// socket that never answers, and one that sends invalid bytes.
 #[test]
-fn a_process_starts_without_an_answer_of_the_old_one() {
+fn a_process_starts_without_a_response_of_its_predecessor() {
     let setup = Setup::new(StubBehavior::Data(b"some bytes".to_vec()));
-    drop(UnixListener::bind(setup.meeting()).unwrap());
-    assert!(setup.meeting().exists());
+    drop(UnixListener::bind(setup.handover_socket()).unwrap());
+    assert!(setup.handover_socket().exists());
     drop(setup.start());
-    for answer in [None, Some(&b"anything else at all"[..]), Some(&b"hmx\x01\x06\0\0\0\0"[..])] {
-        let _gone = std::fs::remove_file(setup.meeting());
-        let hangs = UnixListener::bind(setup.meeting()).unwrap();
-        let (done, stop) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        hangs.set_nonblocking(true).unwrap();
-        let (d, s) = (done.clone(), stop.clone());
+    for response in [None, Some(&b"anything else at all"[..]), Some(&b"hmx\x01\x06\0\0\0\0"[..])] {
+        let _result = std::fs::remove_file(setup.handover_socket());
+        let listener = UnixListener::bind(setup.handover_socket()).unwrap();
+        let (called, stop) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        listener.set_nonblocking(true).unwrap();
+        let (thread_called, thread_stop) = (called.clone(), stop.clone());
         let thread = thread::spawn(move || {
             let mut held = Vec::new();
-            while !s.load(Ordering::Relaxed) {
-                if let Ok((mut socket, _)) = hangs.accept() {
-                    answer.into_iter().for_each(|a| socket.write_all(a).unwrap());
+            while !thread_stop.load(Ordering::Relaxed) {
+                if let Ok((mut socket, _)) = listener.accept() {
+                    response.into_iter().for_each(|a| socket.write_all(a).unwrap());
                     held.push(socket);
-                    d.store(true, Ordering::Relaxed);
+                    thread_called.store(true, Ordering::Relaxed);
                 }
                 thread::sleep(Duration::from_millis(5));
             }
         });
-        let node = setup.start();
-        assert!(done.load(Ordering::Relaxed), "it was called");
-        setup.served();
+        let router = setup.start();
+        assert!(called.load(Ordering::Relaxed), "the new process did not connect to the handover socket");
+        setup.assert_serves();
         stop.store(true, Ordering::Relaxed);
         thread.join().unwrap();
-        drop(node);
+        drop(router);
     }
 }
 
-/// Guards against requests that a replaced process accepts and is killed before it answers: its
-/// clients don't know that it ends, and go on as long as their connection does.
+/// Guards against requests that a replaced process accepts but doesn't finish before it is killed:
+/// its clients don't know that it is ending, and keep sending while their connection is open.
 #[test]
-fn a_replaced_process_ends_in_time_though_its_clients_never_pause() {
-    let setup = Setup::new(StubBehavior::NoAnswer);
+fn a_replaced_process_exits_in_time_while_its_clients_never_pause() {
+    let setup = Setup::new(StubBehavior::NoResponse);
     let mut old = setup.start();
     let mut busy = Client::connect(setup.addr);
-    // Each takes 1.5 s to fail: there are always some open.
-    assert!(busy.try_send_request(1, "docs", fresh()));
+    // Each request takes 1.5 s to fail, so some are open at any time.
+    assert!(busy.try_send_request(1, "docs", next_request_id()));
     let _new = setup.start();
     old.signal("-TERM");
-    let (start, mut asked) = (Instant::now(), 1);
+    let (start, mut sent_count) = (Instant::now(), 1);
     while start.elapsed() < Duration::from_millis(3_000) {
-        asked += 1;
-        assert!(busy.try_send_request(asked, "docs", fresh()), "it is held while something is open");
+        sent_count += 1;
+        assert!(
+            busy.try_send_request(sent_count, "docs", next_request_id()),
+            "the connection was closed while a request was open"
+        );
         thread::sleep(Duration::from_millis(100));
     }
-    let mut answers = std::collections::BTreeSet::new();
+    let mut tags = std::collections::BTreeSet::new();
     loop {
-        let answer = busy.answer();
-        if answer == "end" {
+        let response = busy.read_response();
+        if response == "end" {
             break;
         }
-        assert!(answers.insert(answer.split(' ').next().unwrap().parse::<u32>().unwrap()), "{answer}: twice");
+        assert!(
+            tags.insert(response.split(' ').next().unwrap().parse::<u32>().unwrap()),
+            "a request got two responses: {response}"
+        );
     }
-    assert_eq!(answers.len() as u32, asked, "each is answered");
+    assert_eq!(tags.len() as u32, sent_count, "not every request got a response");
     drop(busy);
     let (status, log) = old.wait_for_exit();
     assert!(status.success(), "{log:?}");
-    // The platform kills it 0.7 s after the longest deadline, which is 3 s here.
+    // The platform kills the process 0.7 s after the longest deadline of a class, which is 3 s
+    // here.
     assert!(start.elapsed() < Duration::from_millis(3_700), "ended after {:?}", start.elapsed());
 }
