--- a/crates/hollymux/tests/handover_bytes.rs
+++ b/crates/hollymux/tests/handover_bytes.rs
@@ -1,6 +1,7 @@
-//! Guards the bytes that a process hands to the one that replaces it, in both directions: a program of any later
-//! version must take over from the frames that an earlier one sent (`fixtures/handover.bin`), and must send frames of
-//! the same form itself. The frames are read here by a decoder of their own, written from the format alone.
+//! The bytes that a process sends to its successor, in both directions: every later version must
+//! take over from the frames of an earlier one (`fixtures/handover.bin`), and must send frames of
+//! the same form. The decoder here is written from the format alone, so that a change of the
+//! program's decoder can't hide a change of the format.
 
 mod common;
 
@@ -21,8 +22,9 @@
 
 // ---- frames ----
 
-/// Magic bytes, version, kind, and the body's length as four bytes, big end first.
-const HEAD: usize = 9;
+/// Length of a frame's header: magic bytes, version, kind, and the body's length as four bytes in
+/// big-endian order.
+const HEADER_LENGTH: usize = 9;
 const HELLO: u8 = 1;
 const LEGACY: u8 = 2;
 const TAKE: u8 = 3;
@@ -35,31 +37,31 @@
     [&b"hmx\x01"[..], &[kind], &length, body].concat()
 }
 
-/// What a process says first: the address that it wants to serve, with its length before it.
+/// The first frame of a successor: the address that it will serve, preceded by its length.
 fn hello(addr: SocketAddr) -> Vec<u8> {
     let text = addr.to_string();
     frame(HELLO, &[&[text.len() as u8], text.as_bytes()].concat())
 }
 
-/// The first frame's kind and all its bytes.
-fn first_frame(bytes: &[u8]) -> Option<(u8, &[u8])> {
-    let head = bytes.get(..HEAD)?;
-    assert_eq!(&head[..4], b"hmx\x01", "the magic bytes and the version");
-    let length = u32::from_be_bytes(head[5..].try_into().unwrap()) as usize;
-    Some((head[4], bytes.get(..HEAD + length)?))
+/// Splits off the first frame, and returns its kind and all its bytes; `None` if it is incomplete.
+fn split_first_frame(bytes: &[u8]) -> Option<(u8, &[u8])> {
+    let header = bytes.get(..HEADER_LENGTH)?;
+    assert_eq!(&header[..4], b"hmx\x01", "wrong magic bytes or version");
+    let length = u32::from_be_bytes(header[5..].try_into().unwrap()) as usize;
+    Some((header[4], bytes.get(..HEADER_LENGTH + length)?))
 }
 
-fn frames(mut bytes: &[u8]) -> Vec<(u8, Vec<u8>)> {
-    let mut all = Vec::new();
-    while let Some((kind, frame)) = first_frame(bytes) {
-        all.push((kind, frame.to_vec()));
+fn split_frames(mut bytes: &[u8]) -> Vec<(u8, Vec<u8>)> {
+    let mut frames_received = Vec::new();
+    while let Some((kind, frame)) = split_first_frame(bytes) {
+        frames_received.push((kind, frame.to_vec()));
         bytes = &bytes[frame.len()..];
     }
-    assert!(bytes.is_empty(), "{} bytes are no frame", bytes.len());
-    all
+    assert!(bytes.is_empty(), "{} bytes at the end are not a frame", bytes.len());
+    frames_received
 }
 
-// ---- bodies, which are in the format of postcard ----
+// ---- frame bodies, which are encoded by postcard ----
 
 struct Decoder<'a> {
     bytes: &'a [u8],
@@ -72,7 +74,8 @@
         *first
     }
 
-    /// Seven bits a byte, the least first; the eighth says that another one follows.
+    /// Reads a variable-length integer: seven bits per byte, least significant first; the eighth
+    /// bit marks that another byte follows.
     fn number(&mut self) -> u64 {
         let (mut number, mut shift) = (0, 0);
         loop {
@@ -104,24 +107,25 @@
         String::from_utf8(text.to_vec()).unwrap()
     }
 
-    fn option(&mut self, one: impl FnOnce(&mut Self) -> Value) -> Value {
+    fn option(&mut self, decode_element: impl FnOnce(&mut Self) -> Value) -> Value {
         if self.flag() {
-            one(self)
+            decode_element(self)
         } else {
             Value::Null
         }
     }
 
-    fn list(&mut self, mut one: impl FnMut(&mut Self) -> Value) -> Value {
+    fn list(&mut self, mut decode_element: impl FnMut(&mut Self) -> Value) -> Value {
         let length = self.number();
-        (0..length).map(|_| one(self)).collect()
+        (0..length).map(|_| decode_element(self)).collect()
     }
 
     fn texts(&mut self) -> Value {
-        self.list(|d| json!(d.text()))
+        self.list(|decoder| json!(decoder.text()))
     }
 
-    /// A moment on the wall clock, in microseconds; only whether there is one stays the same from run to run.
+    /// Reads a Unix time in microseconds. Its value differs between runs, so only its presence is
+    /// shown.
     fn time(&mut self) -> Value {
         match self.number() {
             0 => json!(0),
@@ -130,16 +134,16 @@
         }
     }
 
-    /// A measured figure: only that it is a finite number stays the same from run to run.
+    /// Reads a measured value. It differs between runs, so only its being finite is checked.
     fn measured(&mut self) -> Value {
         assert!(self.float().is_finite());
         json!("MEASURED")
     }
 
     fn address(&mut self) -> Value {
-        assert_eq!(self.number(), 0, "an address of IP version 4");
+        assert_eq!(self.number(), 0, "not an IPv4 address");
         let octets = [self.byte(), self.byte(), self.byte(), self.byte()];
-        assert_ne!(self.number(), 0, "a port");
+        assert_ne!(self.number(), 0, "the port is 0");
         json!(format!("{}:PORT", Ipv4Addr::from(octets)))
     }
 
@@ -150,7 +154,7 @@
     }
 
     fn filing(&mut self) -> Value {
-        json!({"id": format!("{:x}", self.number()), "at": self.time(), "host": self.option(|d| json!(d.number()))})
+        json!({"id": format!("{:x}", self.number()), "at": self.time(), "host": self.option(|decoder| json!(decoder.number()))})
     }
 
     fn host(&mut self) -> Value {
@@ -159,7 +163,7 @@
                "last_ok": self.time(), "answers": self.measured(), "out": self.option(Decoder::time),
                "backoff": self.time(), "died": self.flag(), "tardy": self.measured(),
                "load": [self.measured(), self.time()],
-               "ledger": self.list(|d| json!([d.time(), d.measured()]))})
+               "ledger": self.list(|decoder| json!([decoder.time(), decoder.measured()]))})
     }
 
     fn class(&mut self) -> Value {
@@ -173,9 +177,9 @@
 
     fn memory(&mut self) -> Value {
         json!({"hosts": self.list(Decoder::host), "classes": self.list(Decoder::class),
-               "levels": self.list(|d| json!([d.number(), d.number(), d.time()])),
+               "levels": self.list(|decoder| json!([decoder.number(), decoder.number(), decoder.time()])),
                "rate": self.measured(),
-               "seen": [self.list(|d| json!(d.number())), self.list(|d| json!(d.number()))],
+               "seen": [self.list(|decoder| json!(decoder.number())), self.list(|decoder| json!(decoder.number()))],
                "seen_since": self.time(), "purges": self.list(Decoder::purge), "floor": self.time(),
                "retries": self.measured(), "lost": self.measured()})
     }
@@ -187,57 +191,58 @@
     }
 }
 
-/// A frame in words, with what differs from run to run masked.
-fn decoded(frame: &(u8, Vec<u8>)) -> Value {
-    let mut decoder = Decoder { bytes: &frame.1[HEAD..] };
-    let said = match frame.0 {
+/// Decodes a frame, with the values that differ between runs masked.
+fn decode(frame: &(u8, Vec<u8>)) -> Value {
+    let mut decoder = Decoder { bytes: &frame.1[HEADER_LENGTH..] };
+    let body = match frame.0 {
         LEGACY => json!({"legacy": decoder.option(Decoder::legacy)}),
         YOURS => json!("yours"),
         FILINGS => json!({"filings": decoder.list(Decoder::filing)}),
         FLEET => json!({"fleet": {"start": decoder.time(), "incarnation": decoder.number()}}),
-        kind => panic!("an old process says {kind}"),
+        kind => panic!("a predecessor sent a frame of kind {kind}"),
     };
-    assert!(decoder.bytes.is_empty(), "{} bytes are left of {said}", decoder.bytes.len());
-    said
+    assert!(decoder.bytes.is_empty(), "{} bytes follow the body {body}", decoder.bytes.len());
+    body
 }
 
-fn decoded_lines(frames: &[(u8, Vec<u8>)]) -> String {
-    let lines = frames.iter().map(|frame| serde_json::to_string_pretty(&decoded(frame)).unwrap());
+fn decode_to_text(frames: &[(u8, Vec<u8>)]) -> String {
+    let lines = frames.iter().map(|frame| serde_json::to_string_pretty(&decode(frame)).unwrap());
     lines.collect::<Vec<_>>().join("\n")
 }
 
-// ---- what both directions need ----
+// ---- setup for both directions ----
 
-struct Bed {
+struct Setup {
     feed: StubFeed,
     endpoints: [StubEndpoint; 3],
-    /// Clients' address, the same for all processes.
+    /// The address for clients, the same for all processes.
     addr: SocketAddr,
-    folder: PathBuf,
-    /// Keeps `addr` from others, where no listener of the test does.
+    dir: PathBuf,
+    /// Keeps `addr` from other processes, unless a listener of the test does.
     _reserved: Option<ReservedAddress>,
 }
 
-/// Routers that know each other hand over their identity too.
-const FLEET_SECTION: &str = "{fleet: {name: 'library', listen: '127.0.0.1:0', advertise: '127.0.0.1:9'}}";
+/// An operator's file with a cluster section, so that the identity in the cluster is handed over
+/// too.
+const CLUSTER_SECTION: &str = "{fleet: {name: 'library', listen: '127.0.0.1:0', advertise: '127.0.0.1:9'}}";
 
-impl Bed {
-    fn new() -> Bed {
-        // A loopback address of this process: no other test takes its ports meanwhile.
+impl Setup {
+    fn new() -> Setup {
+        // Use a loopback address specific to this process, so that no other test takes the port.
         let [.., high, low] = std::process::id().to_be_bytes();
         let reserved = ReservedAddress::at(Ipv4Addr::new(127, 77, high, low.max(1)));
-        let mut bed = Bed::at(reserved.addr);
-        bed._reserved = Some(reserved);
-        bed
+        let mut setup = Setup::at(reserved.addr);
+        setup._reserved = Some(reserved);
+        setup
     }
 
-    fn at(addr: SocketAddr) -> Bed {
+    fn at(addr: SocketAddr) -> Setup {
         let feed = StubFeed::start();
         let data = StubBehavior::Data(b"some bytes".to_vec());
         let endpoints = [data.clone(), data.clone(), data].map(StubEndpoint::start);
         feed.publish_endpoints(true, &endpoint_lines(&endpoints));
-        let folder = temp_file("nothing", "").parent().unwrap().to_path_buf();
-        Bed { feed, endpoints, addr, folder, _reserved: None }
+        let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
+        Setup { feed, endpoints, addr, dir, _reserved: None }
     }
 
     fn config(&self) -> String {
@@ -246,45 +251,47 @@
     }
 
     fn start(&self) -> RouterProcess {
-        RouterProcess::with_operator_file_and_handover_dir(&self.config(), FLEET_SECTION, &self.folder)
+        RouterProcess::with_operator_file_and_handover_dir(&self.config(), CLUSTER_SECTION, &self.dir)
     }
 
-    fn meeting(&self) -> PathBuf {
-        self.folder.join(format!("hollymux-{}-{}.sock", self.addr.ip(), self.addr.port()))
+    fn handover_socket(&self) -> PathBuf {
+        self.dir.join(format!("hollymux-{}-{}.sock", self.addr.ip(), self.addr.port()))
     }
 
-    /// How often a request was sent to an endpoint.
-    fn runs(&self, id: &str) -> usize {
-        let asked = self.endpoints.iter().flat_map(StubEndpoint::received);
-        asked.filter(|request| request.rid.ends_with(id)).count()
+    /// Number of attempts of a request at all endpoints.
+    fn attempt_count(&self, id: &str) -> usize {
+        let attempts = self.endpoints.iter().flat_map(StubEndpoint::received);
+        attempts.filter(|request| request.rid.ends_with(id)).count()
     }
 }
 
-impl Drop for Bed {
+impl Drop for Setup {
     fn drop(&mut self) {
-        let _gone = std::fs::remove_dir_all(&self.folder);
+        let _result = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-fn metric(node: &RouterProcess, name: &str) -> Option<u64> {
-    let (status, text) = admin_call(admin_address(node), "GET /status/metrics");
+fn metric(router: &RouterProcess, name: &str) -> Option<u64> {
+    let (status, text) = admin_call(admin_address(router), "GET /status/metrics");
     assert_eq!(status, 200);
     let value = text.lines().find_map(|line| line.strip_prefix(&format!("svc.{name}=")));
     value.and_then(|value| value.parse().ok())
 }
 
-fn wait_for_metric(node: &RouterProcess, name: &str, value: u64) {
-    wait_until(name, || (metric(node, name) == Some(value)).then_some(()));
+fn wait_for_metric(router: &RouterProcess, name: &str, value: u64) {
+    wait_until(name, || (metric(router, name) == Some(value)).then_some(()));
 }
 
-fn wait_until_ready(node: &RouterProcess) {
-    wait_until("a yes", || (admin_call(admin_address(node), "GET /status").0 == 200).then_some(()));
+fn wait_until_ready(router: &RouterProcess) {
+    wait_until("the router to be ready", || {
+        (admin_call(admin_address(router), "GET /status").0 == 200).then_some(())
+    });
 }
 
-// ---- a stand-in successor of a serving program ----
+// ---- a successor in the test takes over from a program ----
 
-/// Reads from the old process, keeping the socket that comes with the bytes.
-fn receive(socket: &UnixStream, given: &mut Option<TcpListener>) -> Vec<u8> {
+/// Reads bytes from the predecessor, and keeps the listening socket that comes with them.
+fn receive(socket: &UnixStream, listener: &mut Option<TcpListener>) -> Vec<u8> {
     let mut bytes = vec![0; 1 << 16];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -292,100 +299,104 @@
     let received = recvmsg(socket, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC).unwrap();
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(sockets) = message {
-            *given = given.take().or(sockets.map(TcpListener::from).last());
+            *listener = listener.take().or(sockets.map(TcpListener::from).last());
         }
     }
-    assert!(received.bytes > 0, "the old process ended the call");
+    assert!(received.bytes > 0, "the predecessor closed the connection");
     bytes.truncate(received.bytes);
     bytes
 }
 
-/// Reads frames up to one of that kind.
-fn receive_until(kind: u8, socket: &UnixStream, given: &mut Option<TcpListener>) -> Vec<(u8, Vec<u8>)> {
-    let (mut bytes, mut all) = (Vec::new(), Vec::new());
+/// Reads frames up to and including the first of this kind.
+fn receive_until(kind: u8, socket: &UnixStream, listener: &mut Option<TcpListener>) -> Vec<(u8, Vec<u8>)> {
+    let (mut bytes, mut frames_received) = (Vec::new(), Vec::new());
     loop {
-        bytes.extend(receive(socket, given));
-        while let Some((kind, frame)) = first_frame(&bytes) {
-            all.push((kind, frame.to_vec()));
-            bytes.drain(..all.last().unwrap().1.len());
+        bytes.extend(receive(socket, listener));
+        while let Some((kind, frame)) = split_first_frame(&bytes) {
+            frames_received.push((kind, frame.to_vec()));
+            bytes.drain(..frames_received.last().unwrap().1.len());
         }
-        if all.last().is_some_and(|frame| frame.0 == kind) {
+        if frames_received.last().is_some_and(|frame| frame.0 == kind) {
             assert!(bytes.is_empty());
-            return all;
+            return frames_received;
         }
     }
 }
 
-/// Has a program serve, and takes over from it: all frames that it sends meanwhile, with a drain, two purges, a
-/// cold endpoint, and requests that may not be repeated from before, during and after.
-fn captured() -> Vec<(u8, Vec<u8>)> {
-    let bed = Bed::new();
-    let node = bed.start();
-    wait_until_ready(&node);
-    wait_for_metric(&node, "registry_entries", 3);
-    bed.feed.publish_endpoints(false, &[endpoint_line("s-a", bed.endpoints[0].addr, "std", "draining")]);
+/// Starts a program and takes over from it. Returns all frames that it sends. Its state includes a
+/// drain, two purges, a cold endpoint, and non-idempotent requests from before, during and after
+/// the handover.
+fn take_over() -> Vec<(u8, Vec<u8>)> {
+    let setup = Setup::new();
+    let router = setup.start();
+    wait_until_ready(&router);
+    wait_for_metric(&router, "registry_entries", 3);
+    setup.feed.publish_endpoints(false, &[endpoint_line("s-a", setup.endpoints[0].addr, "std", "draining")]);
     let now = unix_ms();
-    bed.feed.publish(&format!("\"purge\":{{\"group\":17,\"at\":{now}}}"));
-    bed.feed.publish(&format!("\"purge\":{{\"key\":\"0000000000000007\",\"at\":{now}}}"));
-    wait_for_metric(&node, "out_of_rotation", 1);
-    let mut client = Client::connect(bed.addr);
+    setup.feed.publish(&format!("\"purge\":{{\"group\":17,\"at\":{now}}}"));
+    setup.feed.publish(&format!("\"purge\":{{\"key\":\"0000000000000007\",\"at\":{now}}}"));
+    wait_for_metric(&router, "out_of_rotation", 1);
+    let mut client = Client::connect(setup.addr);
     assert_eq!(client.get(1, "docs", 0xd1, 9), "1 good ver=d1 some bytes");
     assert_eq!(client.get(2, "cert-filing", 0xf1, 9), "2 good ver=d1 some bytes");
-    // One that has started late is cold.
+    // An endpoint that started just now is cold.
     let cold = StubEndpoint::start(StubBehavior::Data(b"some bytes".to_vec()));
-    let late = endpoint_line_started_at("s-c", cold.addr, "std", "ready", unix_ms());
-    bed.feed.publish_endpoints(false, &[late]);
-    wait_for_metric(&node, "registry_entries", 4);
-    let mut socket = wait_until("a meeting", || UnixStream::connect(bed.meeting()).ok());
+    let cold_line = endpoint_line_started_at("s-c", cold.addr, "std", "ready", unix_ms());
+    setup.feed.publish_endpoints(false, &[cold_line]);
+    wait_for_metric(&router, "registry_entries", 4);
+    let mut socket = wait_until("a connection to the handover socket", || {
+        UnixStream::connect(setup.handover_socket()).ok()
+    });
     socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let mut given = None;
-    socket.write_all(&hello(bed.addr)).unwrap();
-    let mut all = receive_until(LEGACY, &socket, &mut given);
-    assert_eq!(given.as_ref().unwrap().local_addr().unwrap(), bed.addr);
+    let mut listener = None;
+    socket.write_all(&hello(setup.addr)).unwrap();
+    let mut frames_received = receive_until(LEGACY, &socket, &mut listener);
+    assert_eq!(listener.as_ref().unwrap().local_addr().unwrap(), setup.addr);
     assert_eq!(client.get(3, "cert-filing", 0xf2, 9), "3 good ver=d1 some bytes");
     socket.write_all(&frame(TAKE, &[])).unwrap();
-    all.extend(receive_until(YOURS, &socket, &mut given));
+    frames_received.extend(receive_until(YOURS, &socket, &mut listener));
     client.send_request(4, "cert-filing", 0xf3, ",obj=0000000000000009");
-    all.extend(receive_until(FILINGS, &socket, &mut given));
-    all
+    frames_received.extend(receive_until(FILINGS, &socket, &mut listener));
+    frames_received
 }
 
 #[test]
-fn a_successor_is_given_frames_of_the_same_form() {
-    insta::assert_snapshot!("frames", decoded_lines(&captured()));
+fn a_successor_gets_frames_of_the_same_form() {
+    insta::assert_snapshot!("frames", decode_to_text(&take_over()));
 }
 
-// ---- a stand-in old process of a starting program ----
+// ---- a predecessor in the test hands over to a program ----
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover.bin")
 }
 
-/// Writes the fixture anew, for a new version of the format only: the old one must stay readable beside it.
+/// Rewrites the fixture. Only for a new version of the format, which must still read the old
+/// fixture.
 #[test]
 #[ignore = "writes the fixture"]
 fn write_the_fixture() {
-    let bytes: Vec<u8> = captured().into_iter().flat_map(|frame| frame.1).collect();
+    let bytes: Vec<u8> = take_over().into_iter().flat_map(|frame| frame.1).collect();
     std::fs::write(fixture(), bytes).unwrap();
 }
 
-/// Guards against a decoder that is changed along with the format.
+/// Guards against changing this decoder along with the format.
 #[test]
-fn the_frames_of_the_fixture_are_of_the_same_form() {
-    let frames = frames(&std::fs::read(fixture()).unwrap());
-    insta::assert_snapshot!("frames", decoded_lines(&frames));
+fn the_fixture_holds_frames_of_the_same_form() {
+    let frames = split_frames(&std::fs::read(fixture()).unwrap());
+    insta::assert_snapshot!("frames", decode_to_text(&frames));
 }
 
-/// The number of the old process's start in the fixture, by which other routers know it.
-fn start_in_fixture() -> u64 {
-    let frames = frames(&std::fs::read(fixture()).unwrap());
-    let fleet = frames.iter().find(|frame| frame.0 == FLEET).unwrap();
-    Decoder { bytes: &fleet.1[HEAD..] }.number()
+/// The generation of the predecessor in the fixture, by which other routers identify its process.
+fn generation_in_fixture() -> u64 {
+    let frames = split_frames(&std::fs::read(fixture()).unwrap());
+    let cluster_frame = frames.iter().find(|frame| frame.0 == FLEET).unwrap();
+    Decoder { bytes: &cluster_frame.1[HEADER_LENGTH..] }.number()
 }
 
-/// Sends bytes with a socket.
-fn send_with(socket: &UnixStream, bytes: &[u8], given: &TcpListener) {
-    let sockets = [given.as_fd()];
+/// Sends bytes together with a socket.
+fn send_with(socket: &UnixStream, bytes: &[u8], listener: &TcpListener) {
+    let sockets = [listener.as_fd()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     assert!(control.push(SendAncillaryMessage::ScmRights(&sockets)));
@@ -393,69 +404,75 @@
     assert_eq!(sent, bytes.len());
 }
 
-fn expect(socket: &mut UnixStream, bytes: &[u8]) {
+fn expect_bytes(socket: &mut UnixStream, bytes: &[u8]) {
     let mut read = vec![0; bytes.len()];
     socket.read_exact(&mut read).unwrap();
     assert_eq!(read, bytes);
 }
 
-/// Hands over to whoever calls, with the frames of the fixture; the call stays open.
-fn hand_over(meeting: &UnixListener, listener: &TcpListener) -> UnixStream {
-    let (mut socket, _) = meeting.accept().unwrap();
+/// Accepts a successor and hands over to it with the frames of the fixture. The connection stays
+/// open.
+fn hand_over(handover_socket: &UnixListener, listener: &TcpListener) -> UnixStream {
+    let (mut socket, _) = handover_socket.accept().unwrap();
     socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    expect(&mut socket, &hello(listener.local_addr().unwrap()));
-    let frames = frames(&std::fs::read(fixture()).unwrap());
+    expect_bytes(&mut socket, &hello(listener.local_addr().unwrap()));
+    let frames = split_frames(&std::fs::read(fixture()).unwrap());
     assert_eq!(frames[0].0, LEGACY);
     send_with(&socket, &frames[0].1, listener);
-    expect(&mut socket, &frame(TAKE, &[]));
+    expect_bytes(&mut socket, &frame(TAKE, &[]));
     frames[1..].iter().for_each(|frame| socket.write_all(&frame.1).unwrap());
     socket
 }
 
-/// A program that has taken over from the fixture, and the call that it did so by.
-fn successor(feed_is_silent: bool) -> (Bed, RouterProcess, UnixStream) {
+/// Starts a program that takes over from the fixture. Also returns the connection of the handover.
+fn successor(feed_is_silent: bool) -> (Setup, RouterProcess, UnixStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let bed = Bed::at(listener.local_addr().unwrap());
+    let setup = Setup::at(listener.local_addr().unwrap());
     if feed_is_silent {
-        bed.feed.break_connections(1, usize::MAX);
+        setup.feed.break_connections(1, usize::MAX);
     }
-    // As a serving program's is; the two processes share that state of the socket.
+    // A serving program's listener is non-blocking too, and the two processes share that state.
     listener.set_nonblocking(true).unwrap();
-    let meeting = UnixListener::bind(bed.meeting()).unwrap();
-    let old = thread::spawn(move || hand_over(&meeting, &listener));
-    let node = bed.start();
-    let socket = old.join().unwrap();
-    wait_until_ready(&node);
-    (bed, node, socket)
+    let handover_socket = UnixListener::bind(setup.handover_socket()).unwrap();
+    let predecessor = thread::spawn(move || hand_over(&handover_socket, &listener));
+    let router = setup.start();
+    let socket = predecessor.join().unwrap();
+    wait_until_ready(&router);
+    (setup, router, socket)
 }
 
-/// Guards against a version that can't read what an earlier one hands over. The feed is behind: it lists s-a as ready,
-/// which the fixture says to be draining.
+/// Guards against a version that can't read the frames of an earlier one. The feed is outdated: it
+/// lists s-a as ready, which is draining according to the fixture.
 #[test]
 fn a_program_takes_over_from_the_frames_of_an_earlier_one() {
-    let (bed, node, _old) = successor(false);
-    wait_for_metric(&node, "registry_entries", 3);
-    let mut client = Client::connect(bed.addr);
+    let (setup, router, _predecessor) = successor(false);
+    wait_for_metric(&router, "registry_entries", 3);
+    let mut client = Client::connect(setup.addr);
     for tag in 1..40 {
         assert!(client.get(tag, "docs", 0x100 + u64::from(tag), tag.into()).contains("good"));
     }
-    assert_eq!(bed.endpoints[0].count(), 0, "it drains");
-    assert!(bed.endpoints[1].count() >= 39);
+    assert_eq!(setup.endpoints[0].count(), 0, "attempts at a draining edge cache");
+    assert!(setup.endpoints[1].count() >= 39);
     for (tag, id) in [(50, 0xf1), (51, 0xf2), (52, 0xf3)] {
-        assert_eq!(client.get(tag, "cert-filing", id, 9), format!("{tag} broken"), "it may have run");
+        assert_eq!(
+            client.get(tag, "cert-filing", id, 9),
+            format!("{tag} broken"),
+            "a request that may have been executed was accepted again"
+        );
     }
-    assert_eq!(["00f1", "00f2", "00f3"].map(|id| bed.runs(id)), [0; 3]);
+    assert_eq!(["00f1", "00f2", "00f3"].map(|id| setup.attempt_count(id)), [0; 3]);
     assert_eq!(client.get(53, "cert-filing", 0xf4, 9), "53 good ver=d1 some bytes");
 }
 
-/// Guards against members and an identity in the fleet that are not read: the feed says nothing.
+/// Guards against frames whose endpoint list and cluster identity are ignored. The feed is silent,
+/// so both can only come from the frames.
 #[test]
-fn members_and_the_identity_in_the_fleet_are_read_from_the_frames() {
-    let (_bed, node, _old) = successor(true);
-    assert_eq!(metric(&node, "registry_entries"), Some(4));
-    assert_eq!(metric(&node, "out_of_rotation"), Some(1));
-    let (status, text) = admin_call(admin_address(&node), "GET /status/fleet");
+fn the_endpoint_list_and_the_cluster_identity_are_read_from_the_frames() {
+    let (_setup, router, _predecessor) = successor(true);
+    assert_eq!(metric(&router, "registry_entries"), Some(4));
+    assert_eq!(metric(&router, "out_of_rotation"), Some(1));
+    let (status, text) = admin_call(admin_address(&router), "GET /status/fleet");
     assert_eq!(status, 200);
     let state: Value = serde_json::from_str(&text).unwrap();
-    assert_eq!(state["own"]["start"].as_u64(), Some(start_in_fixture()));
+    assert_eq!(state["own"]["start"].as_u64(), Some(generation_in_fixture()));
 }
