--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -7,8 +7,8 @@
 use hollymux_router::{ListedEndpoint, RequestSummary};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds: a time on the recording router's clock, which starts from the Unix time, or a
-/// duration.
+/// Microseconds: a duration, or a time on the clock of the process that recorded it, which is Unix
+/// time for a serving router.
 pub type Micros = u64;
 
 /// The bytes at the start of every file.
@@ -92,7 +92,7 @@
     pub transfer_bytes_per_s: f64,
     /// Number of routers in the cluster according to the settings.
     pub router_count: u32,
-    /// When the file of this header was started.
+    /// When the file of this header was started, in Unix time.
     pub started: Micros,
 }
 
--- a/crates/capture/tests/recordings.rs
+++ b/crates/capture/tests/recordings.rs
@@ -117,6 +117,7 @@
     );
 }
 
+/// Guards against recordings that fill the disk, and against removing files of other routers.
 #[test]
 fn files_are_bounded_and_the_oldest_is_removed() {
     let (dir, paths) = record(60_000, 1, 3);
@@ -130,6 +131,8 @@
     assert_eq!(writer.files(), paths);
 }
 
+/// Guards against a recorder that blocks the caller when the disk is slow, or loses entries without
+/// counting them.
 #[test]
 fn a_full_queue_drops_entries_and_the_file_counts_them() {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/hollymux/tests/client_protocol.rs
+++ b/crates/hollymux/tests/client_protocol.rs
@@ -31,6 +31,8 @@
     StubBehavior::Data(b"some bytes".to_vec())
 }
 
+/// Guards against responses under a wrong tag, and against requests that get no response because
+/// their class or fields are invalid.
 #[test]
 fn each_response_carries_the_tag_of_its_request() {
     let (_feed, _router, mut client, endpoints) = setup([data(), data(), data()]);
@@ -539,6 +541,8 @@
     assert_eq!(endpoints[0].count(), count_before, "an event that only the new feed has was ignored");
 }
 
+/// Guards against a SIGTERM that drops an open request or refuses new clients at once, and against
+/// an exit with a violated invariant.
 #[test]
 fn sigterm_finishes_open_requests_and_exits_cleanly() {
     let (_feed, mut router, mut client, endpoints) = setup([data(), data(), data()]);
@@ -642,6 +646,8 @@
     }
 }
 
+/// Guards against a start with an invalid configuration, and against an error that doesn't name the
+/// mistake in one line.
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     let feed: std::net::SocketAddr = "127.0.0.1:9".parse().unwrap();
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -200,6 +200,9 @@
 
 const FIVE: [usize; 5] = [0, 1, 2, 3, 4];
 
+/// Guards against a side of a partition that stops counting the other side's routers and so uses
+/// their part of a limit. A second partition, of another router, must not keep the first from
+/// healing.
 #[test]
 fn both_sides_of_a_partition_count_all_routers_and_it_heals_while_another_router_is_cut_off() {
     let cluster = Cluster::all_started(5);
@@ -226,6 +229,8 @@
     load.stop_and_check();
 }
 
+/// Guards against a router that declares all others failed because its own datagrams, sent or
+/// received, are lost.
 #[test]
 fn an_isolated_router_declares_no_other_failed() {
     for inbound_only in [true, false] {
@@ -259,6 +264,8 @@
     }
 }
 
+/// Guards against declaring a router failed when only the direct link to it is cut: the probes must
+/// go through other routers.
 #[test]
 fn routers_that_reach_each_other_only_indirectly_report_each_other_alive() {
     let cluster = Cluster::all_started(6);
@@ -268,6 +275,8 @@
     cluster.wait_for_convergence(&[0, 1, 2, 3, 4, 5]);
 }
 
+/// Guards against late datagrams of a router's earlier process that change its membership after the
+/// restart, whether or not others had suspected it before.
 #[test]
 fn a_restart_supersedes_the_earlier_start_and_late_datagrams_change_nothing() {
     let mut cluster = Cluster::all_started(5);
@@ -297,6 +306,8 @@
     }
 }
 
+/// Guards against declaring a router failed after a short pause of its process, and against a
+/// paused router that, when it continues, suspects the others.
 #[test]
 fn a_pause_of_1_s_fails_no_router_and_one_of_15_s_is_recovered_from() {
     let cluster = Cluster::all_started(5);
@@ -320,6 +331,8 @@
     );
 }
 
+/// Guards against counting two routers as one when they were given the same name, against mixing up
+/// clusters, and against seeds that are down or name only the router itself.
 #[test]
 fn two_routers_with_one_name_are_both_counted_and_another_cluster_or_a_dead_seed_does_no_harm() {
     let mut cluster = Cluster::new(6);
@@ -355,6 +368,7 @@
     assert_eq!(cluster.status_number(5, "at_work_perhaps"), 1);
 }
 
+/// Guards against a router with a lossy link that makes the cluster declare healthy routers failed.
 #[test]
 fn a_router_that_loses_half_of_its_datagrams_has_no_healthy_one_declared_failed() {
     let cluster = Cluster::all_started(5);
@@ -375,6 +389,8 @@
     }
 }
 
+/// Guards against invalid or replayed datagrams that change the membership, consume memory or stop
+/// service.
 #[test]
 fn thousands_of_invalid_and_replayed_datagrams_stop_no_service_and_change_no_membership() {
     let cluster = Cluster::all_started(5);
--- a/crates/hollymux/tests/command_line.rs
+++ b/crates/hollymux/tests/command_line.rs
@@ -64,6 +64,8 @@
     assert!(run(&["completions", "bash"]).1.contains("_hollymux"));
 }
 
+/// Guards the fields of the log line by which an operator finds a request: its id, class, endpoint,
+/// result and counts.
 #[test]
 fn a_request_can_be_followed_through_the_log_by_its_id() {
     let feed = StubFeed::start();
--- a/crates/hollymux/tests/dns.rs
+++ b/crates/hollymux/tests/dns.rs
@@ -179,6 +179,8 @@
     ]
 }
 
+/// Guards the responses to queries of every kind: names in and outside of the zone, record types,
+/// unknown endpoints and classes, malformed messages and EDNS.
 #[test]
 fn answers_by_the_standard() {
     let setup = start_router(ZONE);
@@ -378,7 +380,7 @@
 /// response code, or not at all.
 #[derive(Clone)]
 enum ServerBehavior {
-    Box(&'static str, SocketAddr, &'static str),
+    EdgeCache(&'static str, SocketAddr, &'static str),
     Code(u16),
     Silence,
 }
@@ -407,7 +409,7 @@
             let response = match behavior.lock().unwrap().clone() {
                 ServerBehavior::Silence => continue,
                 ServerBehavior::Code(code) => head(code, [0, 0]),
-                ServerBehavior::Box(uid, to, text) => {
+                ServerBehavior::EdgeCache(uid, to, text) => {
                     let mut output = head(0, [1, 2]);
                     let mut target = Vec::new();
                     encode_name(&mut target, &format!("{uid}.box.{ZONE}"));
@@ -436,7 +438,7 @@
     let endpoints: Vec<StubEndpoint> =
         (0..3).map(|_| StubEndpoint::start(StubBehavior::Data(b"bytes".to_vec()))).collect();
     feed.publish_endpoints(true, &lines(&endpoints, ["s-a", "s-b"]));
-    let server = start_server(ServerBehavior::Box("s-a", endpoints[0].addr, "parent=s-o"));
+    let server = start_server(ServerBehavior::EdgeCache("s-a", endpoints[0].addr, "parent=s-o"));
     let dns = server.addr;
     let router = RouterProcess::with_dns(&feed, &format!("follow: '{dns}', zone: '{ZONE}'"));
     let mut client = Client::connect(router.addr);
@@ -472,14 +474,17 @@
     );
     // A non-idempotent request isn't sent there either, nor to any other endpoint.
     assert!(client.get(5_000, "cert-filing", 5_000, 9).starts_with("5000 refused"));
-    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[1].addr, "parent=s-a");
+    *server.behavior.lock().unwrap() =
+        ServerBehavior::EdgeCache("s-b", setup.endpoints[1].addr, "parent=s-a");
     assert!(client.get(5_001, "docs", 5_001, 9).contains("refused"), "a draining fill source was used");
-    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[0].addr, "parent=s-o");
+    *server.behavior.lock().unwrap() =
+        ServerBehavior::EdgeCache("s-b", setup.endpoints[0].addr, "parent=s-o");
     assert!(
         client.get(5_002, "docs", 5_002, 9).contains("refused"),
         "an address that belongs to another edge cache was used"
     );
-    *server.behavior.lock().unwrap() = ServerBehavior::Box("s-b", setup.endpoints[1].addr, "parent=s-o");
+    *server.behavior.lock().unwrap() =
+        ServerBehavior::EdgeCache("s-b", setup.endpoints[1].addr, "parent=s-o");
     assert_eq!(client.get(5_003, "docs", 5_003, 9), "5003 good ver=d1 bytes");
     assert!(setup.endpoints[0].received().iter().all(|a| a.at < deadline));
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -79,6 +79,8 @@
     registry.endpoint(uid).unwrap().status
 }
 
+/// Guards against draining the last edge cache, the only parent cache or the origin without a
+/// warning, and against an undrain that treats the cache as warm.
 #[test]
 fn the_last_endpoint_of_a_role_is_drained_only_if_the_operator_insists() {
     let mut registry = small_site();
@@ -100,6 +102,8 @@
     assert_eq!(status(&registry, "a"), EndpointStatus::WarmingUp { since: micros(13) });
 }
 
+/// Guards against two operators whose commands, each harmless alone, together drain both edge
+/// caches: the second command is based on an outdated revision.
 #[test]
 fn two_consoles_cannot_drain_both_edge_caches_in_the_same_second() {
     let mut registry = small_site();
@@ -114,6 +118,8 @@
     assert!(registry.endpoint("b").unwrap().takes_requests());
 }
 
+/// Guards against removing an endpoint that alone knows whether non-idempotent requests were
+/// executed, against removing one right after its drain, and against reusing its id.
 #[test]
 fn an_endpoint_with_non_idempotent_requests_in_flight_is_never_removed() {
     let mut registry = small_site();
@@ -141,6 +147,8 @@
     executed(&mut registry, START + REMOVED_RETENTION * 2, again, HarmfulCommands::Reject);
 }
 
+/// Guards against an endpoint that alternates between failing and answering and is readmitted after
+/// the same short time each time, with a cache that is assumed to be warm.
 #[test]
 fn each_ejection_of_a_flapping_endpoint_lasts_longer_and_it_warms_up_again() {
     let mut registry = small_site();
@@ -178,6 +186,7 @@
     assert!(matches!(status(&registry, "b"), EndpointStatus::Ejected { .. }));
 }
 
+/// Guards against repeating a purge by mistake while an earlier one that covers it is not complete.
 #[test]
 fn a_purge_is_rejected_while_an_open_purge_covers_it() {
     let mut registry = small_site();
@@ -320,6 +329,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
+    /// Runs random sequences of commands, signals, attempts and times, and checks the invariants
+    /// after every step.
     #[test]
     fn no_reachable_state_breaks_a_precondition(steps in proptest::collection::vec(any_step(), 1..120)) {
         let mut registry = EndpointRegistry::new(WARM_UP, PURGE_DURATION);
