--- a/crates/hollymux/src/cluster/members_table.rs
+++ b/crates/hollymux/src/cluster/members_table.rs
@@ -8,24 +8,23 @@
 pub fn render(status: &Value) -> String {
     let mut text = summary(status);
     if is_true(&status["deaf"]) {
-        text += "no router answers this one: its view of the others is out of date\n";
+        text += "nobody answers this router: what it says of others is old\n";
     }
     if !is_true(&status["heard"]) {
-        text +=
-            "no cluster datagrams are received: the address is not available or in use by another process\n";
+        text += "other routers are not heard: the address is not to be had, or another process has it\n";
     }
-    let headings = ["router", "address", "zone", "state", "for (s)", "last answer (s ago)", "agrees"];
+    let headings = ["router", "address", "office", "state", "for s", "answered s ago", "agrees"];
     let rows: Vec<_> = elements_of(&status["others"]).map(member_row).collect();
     text + &output::table(&headings, &rows)
 }
 
 fn summary(status: &Value) -> String {
     let own = &status["own"];
-    let converged = if is_true(&status["settled"]) { "converged" } else { "NOT converged" };
+    let converged = if is_true(&status["settled"]) { "settled" } else { "NOT settled" };
     format!(
-        "cluster {}, seen by {} at {}\n\
-         {converged} for {:.1} s, digest {}; {} reachable, {} possibly active; \
-         limits are divided by {}, in this zone by {}\n",
+        "fleet {}, seen by {} at {}\n\
+         {converged} for {:.1} s, digest {}; {} reachable, {} may be at work; \
+         limits are divided by {}, here by {}\n",
         text_of(&status["fleet"]),
         text_of(&own["name"]),
         text_of(&own["address"]),
--- a/crates/hollymux/src/cluster/quota_table.rs
+++ b/crates/hollymux/src/cluster/quota_table.rs
@@ -9,7 +9,7 @@
 /// that is warming up.
 pub fn render(status: &Value) -> String {
     let summary = format!(
-        "{}; limits are divided by {}, in this zone by {}\n\n",
+        "{}; the whole is divided by {}, here by {}\n\n",
         own_share(status),
         status["divided_by"],
         status["divided_here_by"]
@@ -19,11 +19,11 @@
 
 fn own_share(status: &Value) -> String {
     if is_true(&status["share_in_use"]) {
-        return "this router's own quota share is in use".to_string();
+        return "this router's own share is in use".to_string();
     }
     let not_counted_by: Vec<String> = elements_of(&status["not_counted_by"]).map(Value::to_string).collect();
     let routers = not_counted_by.join(", ");
-    format!("this router has NO quota share of its own: not counted yet by {routers}")
+    format!("this router has NO share of its own: not counted yet by {routers}")
 }
 
 /// Formats the bounds of each kind of limit: the sum over all routers while they reach each other
@@ -34,30 +34,18 @@
         "protects",
         "granted by",
         "lease",
-        "sum, links up",
-        "sum, links down",
-        "isolated router",
-        "lost quota is back after",
+        "sum, links well",
+        "sum, links failed",
+        "cut off",
+        "back after",
     ];
     let rows = [
-        leased_row(status, "cold parent cache", "all routers"),
-        leased_row(status, "cold edge cache", "routers of its zone"),
-        local_row(
-            "cold edge cache of another zone",
-            "an endpoint that has just started",
-            "not used while cold",
-        ),
-        local_row(
-            "further attempts",
-            "the cluster from retries",
-            "half of all first attempts, plus 40 per router",
-        ),
-        local_row(
-            "fills at a warm parent cache",
-            "the parent cache's link",
-            "no bound: by own load and number of routers",
-        ),
-        local_row("probes and recovery probes", "an ejected endpoint", "no bound: each router sends its own"),
+        leased_row(status, "cold hub", "all routers"),
+        leased_row(status, "cold box", "the office's routers"),
+        local_row("cold box of another office", "a server that has just started", "not used while cold"),
+        local_row("further attempts", "the fleet from retries", "a half of all first tries, and 40 a router"),
+        local_row("fills at a warm hub", "a hub's link", "no bound: by own load and the number of routers"),
+        local_row("probes and trials", "a server that is out", "no bound: each router its own"),
     ];
     output::table(&headings, &rows)
 }
@@ -65,27 +53,24 @@
 /// The row of a limit whose quota the routers lease from each other.
 fn leased_row(status: &Value, limit: &str, shared_by: &str) -> [String; 8] {
     let bounds = &status["bounds"];
-    let lease = format!(
-        "{:.1} s, passed on by the broker {:.1} s",
-        number_of(&bounds["lease_s"]),
-        number_of(&bounds["onward_s"])
-    );
+    let lease =
+        format!("{:.1} s, passed on {:.1} s", number_of(&bounds["lease_s"]), number_of(&bounds["onward_s"]));
     let sum_when_links_failed = format!(
-        "the whole limit, plus 1/{} for each router beyond the configured number that starts isolated",
+        "the whole; 1/{} more for each router beyond the configured number that starts cut off from all",
         status["divided_by"]
     );
     let back_after = format!(
-        "{:.1} s; the share of a failed router when it restarts or leaves",
+        "{:.1} s; a lost router's share when it starts anew or has left",
         number_of(&bounds["lots_back_after_s"])
     );
     [
         limit.to_string(),
-        "an endpoint that has just started".to_string(),
+        "a server that has just started".to_string(),
         shared_by.to_string(),
         lease,
-        "the whole limit".to_string(),
+        "the whole".to_string(),
         sum_when_links_failed,
-        "its own share; nothing just after a start".to_string(),
+        "own share; nothing just after a start".to_string(),
         back_after,
     ]
 }
@@ -93,7 +78,7 @@
 /// The row of a limit that each router applies on its own. Its sum is the same whether the routers
 /// reach each other or not.
 fn local_row(limit: &str, protects: &str, sum: &str) -> [String; 8] {
-    [limit, protects, "itself", "none", sum, sum, "unchanged", "-"].map(str::to_string)
+    [limit, protects, "itself", "none", sum, sum, "as before", "-"].map(str::to_string)
 }
 
 /// Formats this router's quota of each limit in use, with a row for each endpoint that is warming
@@ -101,9 +86,9 @@
 fn leases_table(status: &Value) -> String {
     let rows: Vec<_> = elements_of(&status["limits"]).map(lease_row).collect();
     if rows.is_empty() {
-        return "no endpoint is warming up\n".to_string();
+        return "no server is cold\n".to_string();
     }
-    let headings = ["endpoint", "shared by", "share", "held", "lent", "may use", "used", "wanted", "broker"];
+    let headings = ["server", "shared by", "share", "held", "lent", "may use", "used", "wanted", "broker"];
     output::table(&headings, &rows)
 }
 
--- a/crates/hollymux/src/plan.rs
+++ b/crates/hollymux/src/plan.rs
@@ -133,7 +133,7 @@
     (!loss.is_empty()).then(|| {
         format!(
             "the recording lacks {bytes} bytes, {blocks} blocks and {dropped} entries: \
-             rates are underestimated accordingly"
+             rates are too low by as much"
         )
     })
 }
