--- a/crates/simulation/tests/cluster.rs
+++ b/crates/simulation/tests/cluster.rs
@@ -134,7 +134,7 @@
             0,
             "receives {receives}: another router is reported failed"
         );
-        assert!(cluster.view(5).unwrap().is_isolated(), "the router known that no other answers it");
+        assert!(cluster.view(5).unwrap().is_isolated(), "the router knows that no other router answers it");
         assert_eq!(cluster.view(5).unwrap().reachable_count(), 0);
         cluster.heal();
         assert_converges(&mut cluster, &all_routers(6), 6 * SEC);
@@ -260,7 +260,7 @@
     cluster.run(20 * SEC);
     assert!(
         (1..6).all(|r| cluster.view(r).unwrap().possibly_active_count(None) == 1),
-        "no router known another"
+        "no router knows another"
     );
     cluster.start(0);
     assert_converges(&mut cluster, &all_routers(6), 6 * SEC);
