--- a/crates/decision/src/policy/endpoint_choice.rs
+++ b/crates/decision/src/policy/endpoint_choice.rs
@@ -195,9 +195,10 @@
 
     /// Retention priority of the copy at the cache at position `index` of the available caches.
     ///
-    /// Writes leave no copy. Copies outside of the home cache have the lowest priority (DESIGN). So
-    /// have objects that were not requested lately: an object requested once must not displace one
-    /// that is requested again. The second rule departs from the paper (see `policy`).
+    /// Writes leave no copy. Copies outside of the home cache have the lowest priority (see
+    /// docs/design.md). So have objects that were not requested lately: an object requested once
+    /// must not displace one that is requested again. The second rule departs from the paper (see
+    /// `policy`).
     fn retention(&self, open: &OpenRequest, index: usize) -> u8 {
         let is_extra_copy = index > 0;
         if open.is_write {
--- a/crates/decision/src/policy/replication.rs
+++ b/crates/decision/src/policy/replication.rs
@@ -6,8 +6,9 @@
 use crate::time::Timestamp;
 
 /// An object's level rises when its share of the requests exceeds this factor times the size of the
-/// next block divided by the number of caches (DESIGN's π4). It falls by one after `LEVEL_EXPIRY`
-/// below the threshold of its own block (the paper's expiry, DESIGN).
+/// next block divided by the number of caches (see docs/design.md, replication threshold π4). It
+/// falls by one after `LEVEL_EXPIRY` below the threshold of its own block (the paper's expiry of
+/// levels, see docs/design.md).
 const WIDEN_THRESHOLD: f64 = 0.5;
 /// A level rises only if the count minus this many standard errors exceeds the threshold, so that
 /// it does not rise by chance in a small sample.
--- a/crates/decision/src/state/request_counter.rs
+++ b/crates/decision/src/state/request_counter.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Minimum length of a sampling interval (DESIGN).
+/// Minimum length of a sampling interval (see docs/design.md).
 const SAMPLING_INTERVAL: Duration = Duration::from_secs(1);
 /// An interval is extended until it has this many requests: at a few requests per second, an
 /// object's share of the requests of one second is noise.
