--- a/crates/capacity/src/confidence.rs
+++ b/crates/capacity/src/confidence.rs
@@ -55,9 +55,9 @@
 /// The contribution of one second, or of one block of seconds, to a ratio of sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RatioTerm {
-    /// Contribution to the numerator.
+    /// Amount that the period adds to the numerator, such as the weight served in time.
     pub numerator: f64,
-    /// Contribution to the denominator.
+    /// Amount that the period adds to the denominator, such as the weight requested.
     pub denominator: f64,
 }
 
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -30,7 +30,7 @@
     /// The recording has a site that is missing from the fleet file.
     #[error("the recording has an office {site}, which is missing from the fleet file")]
     UnknownSite {
-        /// Name of the missing site.
+        /// Name of the site in the recording.
         site: String,
     },
     /// Neither the fleet file nor the recorded endpoint list gives the capacity of the edge caches'
--- a/crates/capacity/src/network.rs
+++ b/crates/capacity/src/network.rs
@@ -92,7 +92,7 @@
     pub workers: Option<usize>,
     /// Rate of calls above which the origin rejects, in calls per second.
     pub max_calls_per_s: Option<f64>,
-    /// Capacity of its outbound link, in flows.
+    /// Capacity of the origin's outbound link, in flows.
     pub link_flows: Option<f64>,
     /// Service time per call, in microseconds; 0 if it is neither given nor calibrated.
     pub service_us: f64,
@@ -118,7 +118,7 @@
     pub flow_bytes_per_s: f64,
     /// Maximum rate of a fill, in flows.
     pub fill_speedup: f64,
-    /// Limits of the origin.
+    /// Capacity of the origin: workers, call rate, outbound link and service time.
     pub origin: OriginLimits,
     /// Retry behaviour of clients whose requests are not served.
     pub retries: RetryPolicy,
--- a/crates/capacity/src/plan/mod.rs
+++ b/crates/capacity/src/plan/mod.rs
@@ -28,7 +28,8 @@
 /// Number of first attempts of a class below which its result is withheld.
 const MIN_CLASS_REQUESTS: f64 = 30.0;
 
-/// Inputs of a plan.
+/// The options, the fleet and the recording that a plan is computed from, and the trace and the
+/// network that were derived from them.
 struct PlanInput<'a> {
     options: &'a PlanOptions,
     fleet: &'a Fleet,
--- a/crates/capacity/src/plan/options.rs
+++ b/crates/capacity/src/plan/options.rs
@@ -1,4 +1,5 @@
-//! Options of a plan.
+//! What an operator chooses for a capacity plan: the goal, the load, the losses, the warm-up and
+//! the seed. This module validates the choices and resolves the endpoint names in them.
 
 use crate::error::PlanError;
 use crate::network::Network;
--- a/crates/capacity/src/replay/endpoints.rs
+++ b/crates/capacity/src/replay/endpoints.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// State of an edge cache.
+/// An edge cache during a replay: its copies, its running fills, and its usage in each second.
 #[derive(Debug)]
 pub(super) struct EdgeCacheState {
     pub(super) cache: LruCache,
@@ -75,7 +75,7 @@
     }
 }
 
-/// State of a parent cache.
+/// A parent cache during a replay: its copies, its running fetches, and its usage in each second.
 #[derive(Debug)]
 pub(super) struct ParentCacheState {
     pub(super) cache: LruCache,
--- a/crates/capacity/src/replay/events.rs
+++ b/crates/capacity/src/replay/events.rs
@@ -5,7 +5,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event of the replay.
+/// Something that the replay processes at a scheduled time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     /// The next transfer on a link completes, unless the link has been rescheduled since this event
--- a/crates/capacity/src/replay/fetch_table.rs
+++ b/crates/capacity/src/replay/fetch_table.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FetchId(pub(super) u32);
 
-/// Progress of a fetch.
+/// How far the origin's response to a fetch has been transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchState {
     /// The origin has not responded yet.
--- a/crates/capacity/src/replay/links.rs
+++ b/crates/capacity/src/replay/links.rs
@@ -69,7 +69,7 @@
         LinkTable { versions: vec![0; links.len()], links }
     }
 
-    /// Advances all links to `now_us`.
+    /// Accounts for the bytes that the transfers on all links have moved until `now_us`.
     pub(super) fn advance_all(&mut self, now_us: u64) {
         self.links.iter_mut().for_each(|link| link.advance(now_us));
     }
--- a/crates/capacity/src/replay/mod.rs
+++ b/crates/capacity/src/replay/mod.rs
@@ -41,7 +41,7 @@
     Empty,
 }
 
-/// Options of a replay.
+/// The initial conditions of a replay, and what its result records.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayOptions {
     /// Content of the caches at the beginning of the load.
--- a/crates/capacity/src/replay/outages.rs
+++ b/crates/capacity/src/replay/outages.rs
@@ -30,7 +30,7 @@
 /// Endpoints that are lost at the same time and return at the same time.
 #[derive(Clone, Debug)]
 pub struct Outage {
-    /// Endpoints that are lost.
+    /// Edge and parent caches that are unavailable from `from_us` to `to_us`.
     pub endpoints: Vec<EndpointRef>,
     /// Time of the loss, in microseconds from the start of the load.
     pub from_us: u64,
--- a/crates/capacity/src/replay/outcome.rs
+++ b/crates/capacity/src/replay/outcome.rs
@@ -74,7 +74,7 @@
     Write,
 }
 
-/// Result of a replay.
+/// What a replay measured: served weight by second, site and class, and the usage of resources.
 #[derive(Debug, Default)]
 pub struct ReplayResult {
     /// Totals by the second of the first attempt's arrival, then by site.
--- a/crates/capacity/src/replay/resources.rs
+++ b/crates/capacity/src/replay/resources.rs
@@ -9,11 +9,11 @@
 pub enum Resource {
     /// Outbound link of an edge cache.
     EdgeCacheLink(String),
-    /// Cores of an edge cache.
+    /// Processor cores of an edge cache, which execute the work of its attempts.
     EdgeCacheCores(String),
     /// Concurrent fills of an edge cache.
     EdgeCacheFills(String),
-    /// Inbound link of a site.
+    /// Link over which all fills from outside reach the edge caches of a site.
     SiteInboundLink(String),
     /// Outbound link of a parent cache.
     ParentCacheLink(String),
@@ -23,14 +23,14 @@
     OriginCalls,
     /// Outbound link of the origin.
     OriginLink,
-    /// Workers of the origin.
+    /// Calls that the origin can execute at the same time.
     OriginWorkers,
 }
 
 /// Usage of a resource over a replay.
 #[derive(Clone, Debug)]
 pub struct ResourceUsage {
-    /// Resource that was used.
+    /// Resource whose usage was measured.
     pub resource: Resource,
     /// Used share of the resource in each second; 1 is its capacity or limit.
     pub by_second: Vec<f64>,
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -45,9 +45,9 @@
 /// Outcome of a site at the requested load.
 #[derive(Clone, Debug, Serialize)]
 pub struct SiteOutcome {
-    /// Name of the site.
+    /// Name of the site, as in the fleet file.
     pub name: String,
-    /// Number of edge caches of the site.
+    /// Number of edge caches that the fleet file gives the site.
     #[serde(rename = "boxes")]
     pub edge_caches: usize,
     /// Share of the site's priority weight that is served in time.
@@ -61,7 +61,7 @@
 /// Outcome of a request class at the requested load. In JSON it is an array of its fields.
 #[derive(Clone, Debug)]
 pub struct ClassOutcome {
-    /// Name of the class.
+    /// Name of the request class in the recording.
     pub name: String,
     /// Share of the class's priority weight that is served in time; `None` if the recording has too
     /// few requests of the class.
@@ -78,7 +78,7 @@
 /// its fields.
 #[derive(Clone, Debug)]
 pub struct SiteRequirement {
-    /// Name of the site.
+    /// Name of the site, as in the fleet file.
     pub site: String,
     /// Number of edge caches that the site needs; `None` if no number up to the limit of the search
     /// is enough.
@@ -94,7 +94,7 @@
 /// Number of edge caches allocated to a site. In JSON it is an array of its fields.
 #[derive(Clone, Debug)]
 pub struct SiteAllocation {
-    /// Name of the site.
+    /// Name of the site, as in the fleet file.
     pub site: String,
     /// Number of edge caches allocated to the site.
     pub edge_caches: usize,
--- a/crates/capacity/src/reuse_distance.rs
+++ b/crates/capacity/src/reuse_distance.rs
@@ -52,7 +52,7 @@
 pub struct CacheAccess {
     /// Time of the request, in microseconds.
     pub at_us: u64,
-    /// The requested chunk.
+    /// Chunk that the request is for, as a number of [`crate::trace::Trace::chunks`].
     pub chunk: ChunkId,
     /// Size of the chunk, in bytes.
     pub bytes: f64,
--- a/crates/capacity/src/shared_link.rs
+++ b/crates/capacity/src/shared_link.rs
@@ -68,7 +68,7 @@
         self.active_transfers
     }
 
-    /// Advances the link to `now_us`.
+    /// Accounts for the bytes that the active transfers have moved until `now_us`, in microseconds.
     pub fn advance(&mut self, now_us: u64) {
         let now_us = now_us as f64;
         while self.now_us < now_us {
--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -19,7 +19,7 @@
 /// A chunk of an object, as requested in a trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Chunk {
-    /// Identifier of the object.
+    /// Identifier of the object that contains the chunk, as recorded.
     pub object: u64,
     /// Position of the chunk in its object, from 0.
     pub index: u32,
@@ -51,7 +51,7 @@
 pub struct TraceRequest {
     /// Arrival time, in microseconds from the start of the trace.
     pub arrived_us: u64,
-    /// The requested chunk.
+    /// Chunk that the request is for, as an index of [`Trace::chunks`].
     pub chunk: ChunkId,
     /// Site of the router that received the request, as an index of [`Trace::sites`].
     pub site: u16,
@@ -69,7 +69,7 @@
 /// Objectives and rules for one class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestClass {
-    /// Name, as recorded.
+    /// Name of the class in the recording, by which requests refer to it.
     pub name: String,
     /// Fixed part of the latency objective, in microseconds: the objective of an empty response.
     pub latency_objective_us: u64,
@@ -157,12 +157,12 @@
         &self.chunks[chunk.0 as usize]
     }
 
-    /// Returns the chunk that a request is for.
+    /// Returns the chunk that a request of this trace asks for.
     pub fn chunk_of(&self, request: &TraceRequest) -> &Chunk {
         self.chunk(request.chunk)
     }
 
-    /// Returns the request class of a chunk.
+    /// Returns the objectives and rules that apply to requests for a chunk of this trace.
     pub fn class_of_chunk(&self, chunk: &Chunk) -> &RequestClass {
         &self.classes[usize::from(chunk.class)]
     }
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -29,7 +29,7 @@
 /// The settings of a request class that capacity planning needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedClass {
-    /// The name of the class.
+    /// The name by which clients and settings refer to the class.
     pub name: String,
     /// Latency objective, without the transfer time of the response's bytes.
     pub latency_objective: Micros,
@@ -129,7 +129,7 @@
     pub arrived: Micros,
     /// The index of the request's class in [`RecordingHeader::classes`].
     pub class: u16,
-    /// The number of the requested object.
+    /// The id that clients use for the requested object.
     pub object: u64,
     /// The number of the requested chunk within the object.
     pub chunk: u32,
@@ -238,11 +238,11 @@
 /// One recorded event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A request was closed.
+    /// The router closed a request with the contained result.
     Request(RequestEntry),
     /// An endpoint in the endpoint list changed.
     EndpointUpdate(EndpointUpdate),
-    /// A purge was received.
+    /// The router received a purge of an object or of an object group.
     Purge(PurgeEntry),
 }
 
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -32,7 +32,7 @@
 /// What a recorder does with a message when the queue is full.
 #[derive(Clone, Copy, Debug)]
 enum QueueFull {
-    /// Drop the message.
+    /// Drop the message, so that request handling never waits. A dropped entry is counted.
     Drop,
     /// Wait for the writing thread. Only for callers outside of request handling.
     Wait,
--- a/crates/capture/src/recording.rs
+++ b/crates/capture/src/recording.rs
@@ -12,7 +12,7 @@
     /// One file can't be read.
     #[error("{}: {error}", path.display())]
     File {
-        /// The path of the file.
+        /// The path of the recording file that can't be read.
         path: PathBuf,
         /// Why the file can't be read.
         error: ReadError,
@@ -22,7 +22,7 @@
     ClassesChanged {
         /// The path of the file that was read second.
         path: PathBuf,
-        /// The name of the router.
+        /// The name of the router that recorded both files.
         router: String,
     },
     /// Files of two routers have different request classes.
@@ -40,7 +40,7 @@
 pub struct FromRouter<T> {
     /// The index in [`Recording::headers`] of the router that recorded the entry.
     pub router: u16,
-    /// The recorded entry.
+    /// The entry, without its router: a request, an endpoint update or a purge.
     pub entry: T,
 }
 
@@ -50,7 +50,7 @@
 pub struct RecordedRequest {
     /// When the router received the request, in microseconds.
     pub arrived: u64,
-    /// The number of the requested object.
+    /// The id that clients use for the requested object.
     pub object: u64,
     /// The number of the requested chunk within the object.
     pub chunk: u32,
--- a/crates/cluster/src/membership/anti_entropy.rs
+++ b/crates/cluster/src/membership/anti_entropy.rs
@@ -13,8 +13,8 @@
 const MAX_COMPARISONS_PER_SECOND: u32 = 12;
 /// Minimum interval between comparisons that the local router starts because a digest differs.
 const REPAIR_INTERVAL: Time = 400 * MS;
-/// Minimum interval between such comparisons while updates are being disseminated: digests differ
-/// during dissemination in any case.
+/// Minimum interval between comparisons that the local router starts because a digest differs while
+/// it disseminates updates: digests differ during dissemination in any case.
 const REPAIR_INTERVAL_DURING_GOSSIP: Time = 4 * REPAIR_INTERVAL;
 
 /// Rate limits for comparisons of views.
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -20,7 +20,7 @@
 /// Time after which an indirect probe on behalf of another router is abandoned.
 const RELAYED_PROBE_TIMEOUT: Time = 2 * SEC;
 
-/// Stage of a probe.
+/// How far a probe without a response has progressed: from a direct ping to indirect pings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeStage {
     /// Only a direct ping has been sent to the target.
--- a/crates/cluster/src/membership/message.rs
+++ b/crates/cluster/src/membership/message.rs
@@ -76,9 +76,9 @@
 /// The sender's record of one router. The order of fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// The address of the router.
+    /// The address of the router that the record describes.
     pub member: SocketAddr,
-    /// The router's record.
+    /// The state, phase, generation and incarnation of that router in the sender's view.
     pub record: MemberRecord,
     /// The identifier ([`suspector_id`]) of a router that suspects `member`; [`NO_SUSPECTOR`] if
     /// the record's state is not `Suspect`.
@@ -94,7 +94,7 @@
     pub updates: Vec<GossipUpdate>,
 }
 
-/// The result of [`encode`].
+/// A datagram written by [`encode`], with the number of gossip updates that fitted into it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedMessage {
     /// The complete datagram, at most [`MAX_DATAGRAM_LEN`] bytes.
--- a/crates/cluster/src/membership/reconnect.rs
+++ b/crates/cluster/src/membership/reconnect.rs
@@ -13,7 +13,7 @@
 /// Maximum number of targets contacted at once while the local router has no reachable member.
 const MAX_TARGETS_WHEN_ALONE: usize = 8;
 
-/// Schedule of the attempts.
+/// Schedule of the attempts to contact unreachable routers again.
 #[derive(Clone, Debug)]
 pub(super) struct Reconnect {
     /// Instant on the local clock at which the next attempt is due.
--- a/crates/cluster/src/membership/status.rs
+++ b/crates/cluster/src/membership/status.rs
@@ -60,9 +60,10 @@
 /// The status of another router, as shown by the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The address of the router.
+    /// The address at which the router receives cluster datagrams. It identifies the member.
     pub address: SocketAddr,
-    /// The router's record.
+    /// What the local view holds of the router: name, state, phase, generation and incarnation. It
+    /// may lag behind the router's own record.
     pub record: MemberRecord,
     /// Duration since the record last changed.
     pub unchanged_for: Time,
--- a/crates/cluster/src/quota/message.rs
+++ b/crates/cluster/src/quota/message.rs
@@ -65,7 +65,7 @@
     pub(super) transfers: Vec<LeaseTransfer>,
 }
 
-/// A decoded datagram.
+/// A decoded quota datagram, with the sender's usage and leases for each limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Message {
     pub(super) header: MessageHeader,
--- a/crates/config-file/src/fault.rs
+++ b/crates/config-file/src/fault.rs
@@ -11,7 +11,7 @@
     pub column: usize,
     /// Path of the field, such as `dns.listen` or `routers[1].zone`; empty for the whole document.
     pub field: String,
-    /// Description of the fault.
+    /// What is wrong with the field, as one line of text without position and path.
     pub message: String,
 }
 
@@ -38,7 +38,7 @@
 pub(crate) struct CheckFault {
     /// Path of the field; empty for the whole document.
     pub(crate) field: String,
-    /// Description of the fault.
+    /// What is wrong with the field, as one line of text.
     pub(crate) message: String,
 }
 
--- a/crates/config-file/src/lib.rs
+++ b/crates/config-file/src/lib.rs
@@ -55,7 +55,7 @@
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// Path of the file.
+        /// Path of the file that cannot be read.
         path: PathBuf,
         /// Error of the operating system, or of the conversion from UTF-8.
         source: std::io::Error,
@@ -63,7 +63,7 @@
     /// The document in the file has faults.
     #[error("{} has {} faults", path.display(), faults.len())]
     Faulty {
-        /// Path of the file.
+        /// Path of the file that was read and rejected.
         path: PathBuf,
         /// Faults of the document in the order of their positions, limited to the first 50.
         faults: Vec<Fault>,
--- a/crates/decision/src/interface/actions.rs
+++ b/crates/decision/src/interface/actions.rs
@@ -46,7 +46,7 @@
     /// Final answer: the request is rejected, and may be sent again without the risk that it runs
     /// twice.
     Refuse {
-        /// The request that is answered.
+        /// The open request that is rejected.
         request: RequestId,
         /// Delay that the client is advised to wait before it sends the request again; zero for no
         /// advice.
@@ -54,7 +54,7 @@
     },
     /// Final answer: the request has failed, and may have run.
     Fail {
-        /// The request that is answered.
+        /// The open request that has failed.
         request: RequestId,
     },
     /// Sets a timer; when it expires, the router passes [`Event::Timer`](crate::Event::Timer).
@@ -71,7 +71,7 @@
     /// Sends an active health probe, whose result arrives as
     /// [`Event::Probed`](crate::Event::Probed).
     Probe {
-        /// The endpoint that is probed.
+        /// The endpoint to which the probe is sent.
         endpoint: EndpointId,
     },
     /// Writes a line to the log.
--- a/crates/decision/src/interface/endpoints.rs
+++ b/crates/decision/src/interface/endpoints.rs
@@ -22,12 +22,13 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Identity of the endpoint.
+    /// Number that identifies the endpoint in events and actions.
     pub id: EndpointId,
     /// Cell that the endpoint is in; see
     /// [`DeduplicationScope::Cell`](crate::DeduplicationScope::Cell).
     pub cell: u16,
-    /// Zone that the endpoint is in.
+    /// Number of the zone that the endpoint is in; compared with
+    /// [`Settings::zone`](crate::Settings::zone).
     pub zone: u16,
     /// Kind of endpoint. The settings define which kinds are parent caches and origins.
     pub kind: u16,
--- a/crates/decision/src/interface/events.rs
+++ b/crates/decision/src/interface/events.rs
@@ -10,11 +10,11 @@
 /// A client's request for one part of an object.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Number of the request.
+    /// Number under which the router and the module refer to the request while it is open.
     pub id: RequestId,
     /// Number of its class, the index in [`Settings::classes`](crate::Settings::classes).
     pub class: u16,
-    /// Number of the requested object.
+    /// Number that identifies the requested object.
     pub object: u64,
     /// Number of the requested part of the object.
     pub part: u32,
@@ -48,7 +48,7 @@
     EndpointList {
         /// How complete the entries are.
         kind: ListKind,
-        /// The received entries.
+        /// One entry for each listed or changed endpoint.
         entries: Vec<EndpointEntry>,
     },
     /// A request for the endpoint list failed; the last list stays in force.
@@ -63,25 +63,25 @@
         /// Number of the attempt within its request.
         attempt: u16,
     },
-    /// An attempt has ended.
+    /// An attempt has ended with a response, a failure or its cancellation.
     AttemptOutcome(AttemptOutcome),
     /// The client has withdrawn its request; no final answer is sent.
     Withdrawn {
-        /// The request that was withdrawn.
+        /// The request that its client no longer waits for.
         request: RequestId,
     },
     /// A timer that the module set has expired.
     Timer {
-        /// Token of the timer.
+        /// The token of the [`Action::Timer`](crate::Action::Timer) that set the timer.
         token: u64,
     },
     /// The router received a purge.
     Purged(Purge),
-    /// A probe has ended.
+    /// An active health probe has ended.
     Probed {
-        /// The endpoint that was probed.
+        /// The endpoint named by the [`Action::Probe`](crate::Action::Probe).
         endpoint: EndpointId,
-        /// Result of the probe.
+        /// [`AttemptStatus::Ok`] if the endpoint is healthy; otherwise why the probe failed.
         status: AttemptStatus,
     },
 }
--- a/crates/decision/src/interface/outcomes.rs
+++ b/crates/decision/src/interface/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts.
+//! How an attempt at an endpoint ended, as the router reports it: status, cache status and timing.
 
 use crate::interface::{EndpointId, RequestId};
 use std::time::Duration;
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -49,12 +49,12 @@
     Live,
 }
 
-/// The settings of a router.
+/// All settings of the decision module of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Request classes, by class number.
     pub classes: Vec<RequestClass>,
-    /// Zone that this router is in.
+    /// Number of the zone that this router is in; edge caches of this zone are its local caches.
     pub zone: u16,
     /// Number of routers in all zones, at least 1.
     pub router_count: u32,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -41,9 +41,9 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("setting {key}: can't read {value:?}")]
 pub struct SettingParseError {
-    /// Path of the setting.
+    /// Path of the setting, such as `limits.sendCap`.
     pub key: String,
-    /// Value as given.
+    /// Text that could not be parsed as the setting's type.
     pub value: String,
 }
 
--- a/crates/decision/src/state/route.rs
+++ b/crates/decision/src/state/route.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct CandidateCaches<'a> {
     pub(crate) now: Timestamp,
-    /// The request.
+    /// The request for which an edge cache is chosen.
     pub(crate) open: &'a OpenRequest,
     /// Mean work of the request's class in seconds.
     pub(crate) work: f64,
--- a/crates/decision/src/state/timer_token.rs
+++ b/crates/decision/src/state/timer_token.rs
@@ -14,7 +14,7 @@
 /// Token of the timer that belongs to no request.
 const RESUBSCRIBE: u64 = u64::MAX;
 
-/// Purpose of a timer.
+/// What the decision module does when a timer expires; encoded in the timer's token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
     /// The module subscribes to the endpoint list again.
--- a/crates/decision/src/state/warm_up_budget.rs
+++ b/crates/decision/src/state/warm_up_budget.rs
@@ -48,7 +48,7 @@
 /// amounts are fractions of the whole budget of one window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpDemand {
-    /// The endpoint that warms up.
+    /// The endpoint whose budget the routers share while it warms up.
     pub endpoint: EndpointId,
     /// The routers among which the endpoint's budget is divided.
     pub sharers: QuotaScope,
--- a/crates/decision/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -89,7 +89,7 @@
     Duration::from_micros((seconds * MICROS_PER_SECOND) as u64)
 }
 
-/// The duration in seconds.
+/// Converts a duration to seconds, with its fraction.
 pub fn secs(span: Duration) -> f64 {
     whole_micros(span) as f64 / MICROS_PER_SECOND
 }
--- a/crates/hollymux/src/capture/summary.rs
+++ b/crates/hollymux/src/capture/summary.rs
@@ -46,7 +46,7 @@
 /// The summary of one request class. Scripts read its JSON.
 #[derive(Debug, Serialize)]
 pub struct ClassSummary {
-    /// The name of the class.
+    /// The name of the class in the recordings.
     pub name: String,
     /// Number of requests of the class.
     pub requests: usize,
--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -51,7 +51,7 @@
 /// A valid request to the admin endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdminRequest {
-    /// Requested operation.
+    /// The operation that the method and the path of the request name.
     pub operation: AdminOperation,
     /// Whether the response must be sent without its body, because the method is `HEAD`.
     pub head_only: bool,
--- a/crates/protocol/src/dns/mod.rs
+++ b/crates/protocol/src/dns/mod.rs
@@ -29,15 +29,15 @@
 
 /// Record types and query types (RFC 1035, 3.2.2 and 3.2.3).
 pub mod record_type {
-    /// IPv4 address.
+    /// The record holds an IPv4 address (RFC 1035).
     pub const A: u16 = 1;
-    /// Start of authority.
+    /// The record marks the start of a zone of authority (RFC 1035).
     pub const SOA: u16 = 6;
-    /// Text strings.
+    /// The record holds text strings (RFC 1035).
     pub const TXT: u16 = 16;
-    /// IPv6 address.
+    /// The record holds an IPv6 address (RFC 3596).
     pub const AAAA: u16 = 28;
-    /// Location of a service.
+    /// The record holds the host and port of a service (RFC 2782).
     pub const SRV: u16 = 33;
     /// Pseudo-record that carries EDNS0 options (RFC 6891).
     pub const OPT: u16 = 41;
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -26,20 +26,20 @@
 /// Highest retention priority of a cached copy.
 const MAX_RETENTION: u8 = 3;
 
-/// The kind of a domain name.
+/// What a queried domain name refers to, relative to the zone that the router serves.
 #[derive(Debug, PartialEq)]
 pub enum NameKind {
-    /// A name outside the zone.
+    /// A name that does not end with the name of the zone; the router has no authority for it.
     OutsideZone,
     /// A name in the zone that does not exist.
     NotFound,
-    /// The name of the zone itself.
+    /// The apex: the name of the zone without further labels.
     Apex,
     /// A name without records below which other names exist (RFC 8499).
     EmptyNonTerminal,
     /// The name of an endpoint, with its uid in lower case. The endpoint may be unknown.
     Endpoint(Vec<u8>),
-    /// The name of a request, with the requested object.
+    /// A name whose labels encode a request, with the object that they name.
     Request(RequestedObject),
 }
 
--- a/crates/protocol/src/feed_events.rs
+++ b/crates/protocol/src/feed_events.rs
@@ -16,24 +16,24 @@
     /// The `state` of an endpoint is not `ready`, `draining` or `gone`.
     #[error("event {number}: unknown endpoint state {state:?}")]
     UnknownState {
-        /// Number of the invalid event.
+        /// Event number `n` of the rejected event.
         number: u64,
-        /// State as received.
+        /// Text of the `state` field, as received.
         state: String,
     },
     /// The `key` of a purge, which identifies the object, is not a hexadecimal number of up to 64
     /// bits.
     #[error("event {number}: purge key {key:?} is not a 64-bit hexadecimal number")]
     InvalidPurgeKey {
-        /// Number of the invalid event.
+        /// Event number `n` of the rejected event.
         number: u64,
-        /// Key as received.
+        /// Text of the `key` field, as received.
         key: String,
     },
     /// A purge has neither a `key` nor a `group`.
     #[error("event {number}: purge names neither an object nor a group")]
     EmptyPurge {
-        /// Number of the invalid event.
+        /// Event number `n` of the rejected event.
         number: u64,
     },
 }
@@ -44,7 +44,7 @@
 pub struct NameTables {
     /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, as the feed gives them in `az`.
     pub zones: Vec<String>,
     /// Names of the endpoint kinds, such as edge cache, parent cache and origin.
     pub kinds: Vec<String>,
--- a/crates/protocol/src/handover.rs
+++ b/crates/protocol/src/handover.rs
@@ -54,7 +54,7 @@
     /// The predecessor has stopped gossiping, and the successor continues as the same member of the
     /// cluster. Both numbers are 0 if the message has another version.
     ClusterIncarnation {
-        /// Generation of the predecessor.
+        /// Generation of the predecessor's membership, which the successor continues.
         start: u64,
         /// Incarnation of the predecessor within that generation.
         incarnation: u32,
--- a/crates/registry/src/error.rs
+++ b/crates/registry/src/error.rs
@@ -13,7 +13,7 @@
     /// The command was based on an older revision of the registry.
     #[error("command based on revision {based_on}, but the registry is at revision {current}: {}", .changes.join("; "))]
     StaleRevision {
-        /// The revision on which the command was based.
+        /// The registry's revision that the caller had read before it gave the command.
         based_on: u64,
         /// The current revision of the registry.
         current: u64,
@@ -97,7 +97,7 @@
     /// No other edge cache takes requests.
     #[error("{uid} is the last edge cache that takes requests{}: requests would be rejected", AlsoEjected(*.ejected))]
     LastEdgeCache {
-        /// The id of the edge cache.
+        /// The id of the edge cache that the command would take out of use.
         uid: String,
         /// Number of other edge caches that are ejected and may recover.
         ejected: usize,
@@ -108,7 +108,7 @@
         AlsoEjected(*.ejected)
     )]
     OnlyParentCache {
-        /// The id of the parent cache.
+        /// The id of the parent cache that the command would take out of use.
         uid: String,
         /// Fills in flight at the parent cache.
         in_flight: u32,
@@ -118,7 +118,7 @@
     /// No other origin takes requests.
     #[error("{uid} is the origin{}: non-idempotent requests would be rejected", AlsoEjected(*.ejected))]
     Origin {
-        /// The id of the origin.
+        /// The id of the origin that the command would take out of use.
         uid: String,
         /// Number of other origins that are ejected and may recover.
         ejected: usize,
@@ -163,7 +163,7 @@
     /// The endpoint of an undrain command is not draining.
     #[error("{uid} is not draining")]
     NotDraining {
-        /// The id of the endpoint.
+        /// The id that the undrain command names.
         uid: String,
     },
     /// The endpoint of the command was removed or replaced.
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -22,7 +22,7 @@
 /// Most executed commands that are remembered for [`CommandError::StaleRevision`].
 const MAX_CHANGES: usize = 16;
 
-/// A command that was executed.
+/// A command that was executed, kept to tell a caller what changed since its revision.
 #[derive(Clone, Debug)]
 struct Change {
     /// The registry's revision after the command.
--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -19,7 +19,7 @@
 pub struct NamedClass {
     /// The name by which requests refer to the class.
     pub name: String,
-    /// The properties of the class.
+    /// The objectives and rules of the class, for the decision module.
     pub class: RequestClass,
 }
 
--- a/crates/router/src/endpoint_list.rs
+++ b/crates/router/src/endpoint_list.rs
@@ -23,7 +23,7 @@
     Endpoints {
         /// Whether `endpoints` is the complete list; endpoints missing from it are gone.
         is_full_list: bool,
-        /// The entries of the update.
+        /// The listed endpoints; in an update that is not complete, only the changed ones.
         endpoints: Vec<ListedEndpoint>,
     },
     /// Copies of an object or of a group were purged.
--- a/crates/router/src/hint_follower.rs
+++ b/crates/router/src/hint_follower.rs
@@ -21,7 +21,7 @@
 /// counts as purged at the latest time among those dropped.
 const MAX_PURGES: usize = 20_000;
 
-/// The result of a lookup.
+/// How a lookup of a request's endpoint at another router ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LookupResult<T> {
     /// An endpoint was named, with the fill that it is to use.
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -18,10 +18,11 @@
     pub tag: u64,
 }
 
-/// Identifies an attempt of a request.
+/// Identifies an attempt of a request. The driver reports the endpoint's response to the attempt, or
+/// the attempt's failure, under this id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The id of the request.
+    /// The id of the request that the attempt belongs to.
     pub request: RequestId,
     /// The number of the attempt, from 0 in the order of sending.
     pub number: u16,
@@ -30,7 +31,7 @@
 /// The endpoint chosen for a request, and its cache fill.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The id of the endpoint.
+    /// The id under which the decision module and the endpoint table know the endpoint.
     pub endpoint: EndpointId,
     /// The endpoint's name in the endpoint protocol.
     pub uid: Rc<str>,
@@ -195,9 +196,9 @@
 pub struct RequestSummary {
     /// The id of the request; 0 if it was never opened.
     pub request: RequestId,
-    /// The requested object.
+    /// The class, object, chunk and group that the client asked for.
     pub requested: RequestedObject,
-    /// When the request arrived.
+    /// When the router received the request, by its monotonic clock.
     pub arrived: Timestamp,
     /// How long the client was willing to wait.
     pub budget: Duration,
@@ -221,7 +222,7 @@
 /// The result of an attempt, reported once when the attempt has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptSummary {
-    /// The id of the attempt.
+    /// The attempt that ended, by the id under which the driver was to report its response.
     pub attempt: AttemptId,
     /// The name of the endpoint that the attempt was sent to.
     pub endpoint: Rc<str>,
@@ -240,7 +241,7 @@
     SendAttempt(AttemptRequest),
     /// Cancel an attempt; no response to it is expected any more.
     CancelAttempt {
-        /// The id of the attempt.
+        /// The attempt to cancel, by the id of its [`Command::SendAttempt`].
         attempt: AttemptId,
         /// Whether the request is still open, so that a further attempt may follow.
         may_retry: bool,
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -20,7 +20,7 @@
     pub request_id: ReceivedNumber,
     /// The name of the request's class.
     pub class: Vec<u8>,
-    /// The id of the requested object.
+    /// The id of the requested object, with the text in which the client wrote it.
     pub object: ReceivedNumber,
     /// The number of the requested chunk of the object.
     pub chunk: u32,
@@ -54,13 +54,13 @@
 /// The chunk of an object that a request or a lookup asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestedObject {
-    /// The slot of the class.
+    /// The slot of the request's class in [`Classes`](crate::classes::Classes).
     pub class: u16,
-    /// The id of the object.
+    /// The id that clients use for the object.
     pub object: u64,
-    /// The number of the chunk.
+    /// The number of the chunk within the object.
     pub chunk: u32,
-    /// The group of the object.
+    /// The number of the object group, which can be purged as a whole.
     pub group: u32,
     /// The request id that the client chose. A lookup has one only if its class is not idempotent.
     pub request_id: Option<u64>,
--- a/crates/server/src/cluster/change_log.rs
+++ b/crates/server/src/cluster/change_log.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
 
-/// Logs a change of the membership.
+/// Writes the log message that belongs to a change of the membership.
 pub(super) fn log_change(change: &MembershipChange) {
     match change {
         MembershipChange::Updated { address, previous, record } => {
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -36,7 +36,6 @@
 /// This router as a member of a cluster.
 pub(crate) struct ClusterMember {
     section: ClusterSection,
-    /// The membership protocol.
     membership: Membership,
     /// The cluster's UDP socket; `None` while another process owns the address or it can't be
     /// bound.
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -23,7 +23,7 @@
     /// A configuration file can't be used, for the contained reason.
     #[error("configuration {}: {error}", path.display())]
     File {
-        /// The path of the file.
+        /// The path of the configuration file that was read.
         path: PathBuf,
         /// The reason; never another `File`.
         #[source]
--- a/crates/server/src/event_loop/connection_table.rs
+++ b/crates/server/src/event_loop/connection_table.rs
@@ -42,13 +42,13 @@
 
 /// A registered descriptor with its purpose and state.
 pub(crate) enum ConnectionKind {
-    /// The client listener.
+    /// The socket on which client connections are accepted.
     Listener(TcpListener),
     /// A pipe that becomes readable when the process receives this signal.
     Signal { pipe: UnixStream, signal: i32 },
-    /// A client connection.
+    /// A connection on which a client sends requests.
     Client(ClientConnection),
-    /// A connection to an endpoint.
+    /// A connection on which attempts are sent to an endpoint.
     Endpoint(EndpointConnection),
     /// The connection to the endpoint feed.
     Feed(FeedConnection),
--- a/crates/server/src/event_loop/io.rs
+++ b/crates/server/src/event_loop/io.rs
@@ -15,9 +15,9 @@
 /// What to do with a connection after its handler has run.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum ConnectionAction {
-    /// Leave it open.
+    /// Leave the connection open.
     Keep,
-    /// Close it at once.
+    /// Close the connection at once.
     Close,
     /// Shut a client connection down for writing, and read it until the client closes its side.
     BeginClose,
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -11,7 +11,7 @@
 /// is no reason to leave clients without an answer.
 pub(crate) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a timer is for.
+/// What the event loop does when a timer expires.
 pub(crate) enum Timer {
     /// A timer that the router has set.
     Router(Wake),
--- a/crates/server/src/handover/call_predecessor.rs
+++ b/crates/server/src/handover/call_predecessor.rs
@@ -58,7 +58,7 @@
 
 /// The sockets and the state received from the predecessor.
 pub(crate) struct InheritedSockets {
-    /// The client listener.
+    /// The socket on which the predecessor accepted clients; it stays open across the handover.
     pub(super) listener: TcpListener,
     /// The predecessor's state; `None` if the predecessor has another version.
     pub(super) state: Option<Box<HandoverState>>,
--- a/crates/server/src/handover/peer.rs
+++ b/crates/server/src/handover/peer.rs
@@ -38,7 +38,8 @@
     /// Whether the listening socket is to be sent with the next byte.
     pub(super) sends_listener: bool,
     pub(super) progress: HandoverProgress,
-    /// When the connection was accepted, or taken over from the start of the handover.
+    /// When the event loop took over the connection: in the old process at its acceptance, in the
+    /// new process after the state was received.
     pub(super) connected_at: Timestamp,
 }
 
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -19,7 +19,7 @@
         Ok(())
     }
 
-    /// Handles a signal.
+    /// Reloads the configuration on SIGHUP, and starts the shutdown on any other registered signal.
     pub(crate) fn on_signal(&mut self, pipe: &mut UnixStream, signal: i32) -> ConnectionAction {
         let mut bytes = [0; 16];
         // Several signals of one kind are handled as one.
--- a/crates/simulation/src/cluster/mod.rs
+++ b/crates/simulation/src/cluster/mod.rs
@@ -52,7 +52,7 @@
     pub at: Time,
     /// The index of the router whose view reported the change.
     pub by: usize,
-    /// The reported change.
+    /// What changed in that router's view.
     pub change: MembershipChange,
 }
 
--- a/crates/simulation/src/cluster_benchmark.rs
+++ b/crates/simulation/src/cluster_benchmark.rs
@@ -85,7 +85,7 @@
 /// The figures of one cluster size at one loss; a row of the table.
 #[derive(Clone, Debug, Serialize)]
 pub struct BenchmarkRow {
-    /// The number of routers.
+    /// The number of routers that form the cluster.
     pub routers: usize,
     /// The share of datagrams lost on every link, from 0 to 1.
     pub loss: f64,
--- a/crates/simulation/src/link_fault.rs
+++ b/crates/simulation/src/link_fault.rs
@@ -48,7 +48,7 @@
 /// The number and the total size of the datagrams sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
-    /// The number of datagrams.
+    /// The number of datagrams sent, including those that the link lost.
     pub datagrams: u64,
     /// The total size of their payloads, in bytes.
     pub bytes: u64,
--- a/crates/simulation/src/load/mod.rs
+++ b/crates/simulation/src/load/mod.rs
@@ -50,7 +50,7 @@
     pub router: usize,
     /// The index of the request's class.
     pub class: usize,
-    /// The requested chunk.
+    /// The object and the chunk that the client requests.
     pub key: ChunkKey,
     /// The group of the requested object.
     pub group: u32,
@@ -63,7 +63,7 @@
 /// The outcome of a client's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// The request was served.
+    /// The router answered that the request was served.
     Served {
         /// The age of the copy, in microseconds since the origin sent it; 0 if the answer does not
         /// tell.
@@ -74,7 +74,7 @@
         /// The time that the router asks the client to wait before a retry; 0 if it names none.
         retry_after: Time,
     },
-    /// The request failed.
+    /// The router answered that the request failed, so it may have run.
     Failed,
     /// No answer arrived within the client's timeout.
     TimedOut,
--- a/crates/simulation/src/model/fills.rs
+++ b/crates/simulation/src/model/fills.rs
@@ -18,7 +18,7 @@
 /// A fill is given up if its first byte has not arrived within this time.
 const FIRST_BYTE_TIMEOUT: Time = 2_500 * MS;
 
-/// The parameters of a fill.
+/// A fill that a server starts after a miss: what to fetch, from which server, and how to keep it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FillRequest {
     pub to: usize,
@@ -35,7 +35,7 @@
     pub only_if_cached: bool,
 }
 
-/// A fill in progress.
+/// A fill that is not complete, with the requests that wait for it.
 #[derive(Debug)]
 pub(super) struct Fill {
     request: FillRequest,
--- a/crates/simulation/src/model/types.rs
+++ b/crates/simulation/src/model/types.rs
@@ -48,7 +48,7 @@
 pub struct Attempt {
     /// The index of the request's class in the scenario.
     pub class: usize,
-    /// The requested chunk.
+    /// The object and the chunk that the attempt requests.
     pub key: ChunkKey,
     /// The object's group, for purges of whole groups.
     pub group: u32,
@@ -113,7 +113,7 @@
     Answered {
         /// The id under which the driver started the attempt.
         id: u64,
-        /// The result of the attempt.
+        /// Whether the attempt was served, or why it was not.
         result: AttemptResult,
         /// The size of the answer's body, in bytes; 0 unless the attempt was served.
         bytes: u64,
--- a/crates/simulation/src/model/warm_up.rs
+++ b/crates/simulation/src/model/warm_up.rs
@@ -17,10 +17,10 @@
     pub overload_multiple: f64,
 }
 
-/// Warm-up of edge caches.
+/// How an edge cache recovers its capacity after a start.
 pub const EDGE_CACHE_WARM_UP: WarmUp =
     WarmUp { initial_share: 0.18, duration: 17_000 * MS, overload_multiple: 2.5 };
-/// Warm-up of parent caches.
+/// How a parent cache recovers its capacity after a start, from a smaller share than an edge cache.
 pub const PARENT_CACHE_WARM_UP: WarmUp =
     WarmUp { initial_share: 0.07, duration: 18_000 * MS, overload_multiple: 2.0 };
 /// Window over which the load on a server that warms up is summed.
@@ -40,9 +40,9 @@
 /// The tier of a cache: it serves routers' requests or fills other caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheTier {
-    /// The tier of edge caches.
+    /// Edge caches, to which routers send attempts.
     Edge,
-    /// The tier of parent caches.
+    /// Parent caches, from which edge caches fill their misses.
     Parent,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl<T> PerTier<T> {
-    /// The value for a tier.
+    /// Returns the value that belongs to `tier`, for modification.
     pub fn get_mut(&mut self, tier: CacheTier) -> &mut T {
         match tier {
             CacheTier::Edge => &mut self.edge,
--- a/crates/simulation/src/multi_process/connections.rs
+++ b/crates/simulation/src/multi_process/connections.rs
@@ -33,7 +33,7 @@
     Client { router: usize, open: BTreeMap<u64, u64>, next_tag: u64 },
 }
 
-/// A socket with its buffers.
+/// A socket with its role, the received bytes that are not parsed yet, and the bytes to write.
 pub(super) struct Connection {
     pub role: ConnectionRole,
     /// The stream; `None` for listeners, which are in the role.
@@ -47,7 +47,7 @@
     pub silent: bool,
 }
 
-/// The result of a read.
+/// What a non-blocking read returned: bytes, nothing at present, or the end of the connection.
 enum ReadResult {
     Bytes(usize),
     Nothing,
--- a/crates/simulation/src/multi_process/error.rs
+++ b/crates/simulation/src/multi_process/error.rs
@@ -16,7 +16,7 @@
     /// A router's process could not be started.
     #[error("could not start the process of router {router}: {source}")]
     RouterStart {
-        /// The name of the router.
+        /// The name of the router whose process could not be started.
         router: String,
         /// The error of the system call.
         source: io::Error,
@@ -24,7 +24,7 @@
     /// A router did not log its listening address in time.
     #[error("router {router} did not log its listening address in time")]
     RouterSilent {
-        /// The name of the router.
+        /// The name of the router whose log has no listening address.
         router: String,
     },
 }
--- a/crates/simulation/src/objects.rs
+++ b/crates/simulation/src/objects.rs
@@ -5,7 +5,7 @@
 /// Identifies one chunk of an object; chunks are the unit of requests and caching.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChunkKey {
-    /// The id of the object.
+    /// The id of the object that contains the chunk.
     pub object: u64,
     /// The number of the chunk within the object, from 0.
     pub chunk: u32,
--- a/crates/simulation/src/report/mod.rs
+++ b/crates/simulation/src/report/mod.rs
@@ -33,7 +33,7 @@
 pub struct Named<T> {
     /// The name of the resource, link or server.
     pub name: String,
-    /// The value for it.
+    /// The measured value for the named resource, link or server.
     pub value: T,
 }
 
--- a/crates/simulation/src/report/page.rs
+++ b/crates/simulation/src/report/page.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("could not draw the plot \"{plot}\": {reason}")]
 pub struct PageError {
-    /// The title of the plot.
+    /// The title of the plot that could not be drawn.
     plot: &'static str,
     /// The text of the plotting library's error.
     reason: String,
--- a/crates/simulation/src/scenario/faults.rs
+++ b/crates/simulation/src/scenario/faults.rs
@@ -6,7 +6,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A fault with its time.
+/// A fault that a scenario injects, with its kind and the time span in which it acts.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -20,7 +20,7 @@
     pub kind: FaultKind,
 }
 
-/// The kinds of faults.
+/// What a fault does, with its parameters.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
@@ -78,7 +78,7 @@
     /// A share of one class's requests goes to new objects that are much larger than usual.
     #[serde(rename = "large")]
     LargeObjects {
-        /// The name of a cached class.
+        /// The name of the request class that is affected; it must be a cached one.
         class: String,
         /// The share of requests, from 0 to 1.
         #[serde(rename = "part")]
@@ -164,9 +164,9 @@
 /// Which end of a fault's time span a [`FaultStep`] stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultPhase {
-    /// The fault begins.
+    /// The fault begins to act.
     Begin,
-    /// The fault ends.
+    /// The fault no longer acts; [`FaultKind`] says what happens then.
     End,
 }
 
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -53,7 +53,7 @@
     /// The sites, each with its edge caches and routers.
     #[serde(rename = "offices")]
     pub sites: Vec<Site>,
-    /// The parent caches.
+    /// The parent caches, from which edge caches of all sites can fill misses.
     #[serde(rename = "hubs")]
     pub parent_caches: Vec<ParentCache>,
     /// The origin, of which a scenario has exactly one.
--- a/crates/simulation/src/sweep/mod.rs
+++ b/crates/simulation/src/sweep/mod.rs
@@ -40,7 +40,7 @@
     pub scenario: Scenario,
     /// When the outage begins, in seconds since the start of the run.
     pub at_s: f64,
-    /// The outages.
+    /// The sets of servers that fail; one set per run.
     #[serde(rename = "lost")]
     pub outages: Vec<Outage>,
     /// The durations of the outage, in seconds.
@@ -58,7 +58,7 @@
     /// 1000.
     #[serde(rename = "news_ms", default = "default_feed_delays_ms")]
     pub feed_delays_ms: Vec<f64>,
-    /// The seeds of the runs. Default: 1.
+    /// The seeds of random numbers with which each combination is run. Default: 1.
     #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
 }
@@ -82,7 +82,7 @@
     /// All edge caches of the first site crash.
     #[serde(rename = "office")]
     Site,
-    /// The origin crashes.
+    /// The origin crashes, so that misses can't be filled from it.
     #[serde(rename = "library")]
     Origin,
     /// Three of every five edge caches are replaced one after another within 7 s, whatever the
@@ -129,7 +129,7 @@
 /// The parameters and the results of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SweepRow {
-    /// The outage of the run.
+    /// The set of servers that failed in the run.
     #[serde(rename = "lost")]
     pub outage: Outage,
     /// The duration of the outage, in seconds.
@@ -145,7 +145,7 @@
     /// The time until a change of the endpoint list reached the routers, in milliseconds.
     #[serde(rename = "news_ms")]
     pub feed_delay_ms: f64,
-    /// The seed of the run.
+    /// The seed of the random numbers in the run.
     pub seed: u64,
     /// The number of violations by rule; empty if every rule held.
     #[serde(rename = "broken")]
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -3,9 +3,9 @@
 /// A point in time or a duration, in microseconds. The epoch depends on the clock that a value
 /// comes from.
 pub type Time = u64;
-/// One millisecond.
+/// One millisecond, in the unit of [`Time`].
 pub const MS: Time = 1_000;
-/// One second.
+/// One second, in the unit of [`Time`].
 pub const SEC: Time = 1_000_000;
 
 /// Converts seconds to a [`Time`], truncating fractions of a microsecond.
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -44,7 +44,7 @@
     /// A router's configuration is invalid.
     #[error("the configuration of router {router} is invalid: {source}")]
     Config {
-        /// The name of the router.
+        /// The name of the router whose configuration is invalid.
         router: String,
         /// What is wrong with the configuration.
         source: ConfigError,
@@ -52,7 +52,7 @@
     /// A router's core rejects its settings.
     #[error("router {router} rejects its settings: {source}")]
     Settings {
-        /// The name of the router.
+        /// The name of the router whose core rejects the settings.
         router: String,
         /// What is wrong with the settings.
         source: SettingsError,
@@ -62,7 +62,7 @@
 /// An entry for a router's traffic recording: a request that ended, or an event of the endpoint
 /// feed.
 pub enum RouterRecord<'a> {
-    /// A request ended.
+    /// The router closed a request with the contained summary.
     RequestEnded(&'a RequestSummary),
     /// The endpoint list changed.
     EndpointsChanged {
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -23,7 +23,7 @@
 /// The state of a router's process.
 #[derive(Debug)]
 pub(super) enum ProcessState {
-    /// The process runs.
+    /// The process handles its inputs as they arrive.
     Running,
     /// A fault has killed the process.
     Killed,
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -27,7 +27,7 @@
     /// The decision module of a new instance rejects its settings.
     #[error("instance {instance}: {source}")]
     Settings {
-        /// Number of the instance.
+        /// Number under which the simulator wanted to create the instance.
         instance: u16,
         /// Reason for which the settings are rejected.
         source: SettingsError,
@@ -35,9 +35,9 @@
     /// An event is addressed to an instance that does not exist.
     #[error("instance {instance} does not exist: unexpected {event} event")]
     NotStarted {
-        /// Number of the instance.
+        /// Instance number in the event record.
         instance: u16,
-        /// Kind of the event.
+        /// Kind of the event, such as `request` or `timer`.
         event: &'static str,
     },
 }
--- a/crates/simulator-adapter/src/protocol/decoder.rs
+++ b/crates/simulator-adapter/src/protocol/decoder.rs
@@ -57,7 +57,7 @@
 pub enum Input {
     /// Creates an instance. An existing instance with the same number is replaced.
     Create {
-        /// Number of the instance.
+        /// Number by which later inputs refer to the instance.
         instance: u16,
         /// Seed of the instance's random number generator.
         seed: u64,
@@ -66,19 +66,19 @@
     },
     /// Removes an instance; without effect if the instance does not exist.
     PowerOff {
-        /// Number of the instance.
+        /// Number of the instance to remove.
         instance: u16,
     },
     /// Delivers an event to an instance, which must exist.
     Event {
-        /// Number of the instance.
+        /// Number of the instance that receives the event.
         instance: u16,
         /// Event for the instance's decision module.
         event: Event,
     },
 }
 
-/// A decoded batch.
+/// A decoded batch: the inputs that the simulator delivers at one virtual time.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
     /// Virtual time of all inputs of the batch.
--- a/crates/simulator-adapter/src/protocol/mod.rs
+++ b/crates/simulator-adapter/src/protocol/mod.rs
@@ -34,7 +34,7 @@
     /// The frame is truncated or too long, or a reference to its tail or a text in it is invalid.
     #[error("frame: {reason} at byte {offset}")]
     Frame {
-        /// Description of the error.
+        /// What is wrong with the frame, as a phrase for the error message.
         reason: &'static str,
         /// Offset in the frame at which the error was found, in bytes.
         offset: usize,
