--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -59,7 +59,7 @@
 /// Returns `None` if no such name exists.
 fn classify_request_name(labels: &[Vec<u8>], classes: &Classes) -> Option<NameKind> {
     let mut labels = labels.iter().rev();
-    let class = classes.named_in_any_case(labels.next()?)?;
+    let class = classes.slot_of_ignoring_case(labels.next()?)?;
     let Some(object_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
     let object = parse_hex_u64(object_label)?;
     let Some(chunk_label) = labels.next() else { return Some(NameKind::EmptyNonTerminal) };
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -172,7 +172,7 @@
     push_bulk_length(&mut head, request.body.len());
     let mut chain = pool.chain();
     chain.extend(&head)?;
-    for run in request.body.runs() {
+    for run in request.body.segments() {
         chain.extend(run)?;
     }
     chain.extend(b"\r\n")?;
--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -49,9 +49,9 @@
         state.in_use as f64 > state.limit as f64 * share
     }
 
-    /// Changes the limit, which is at least one buffer. Buffers in use stay valid; no more are
-    /// handed out until fewer than the limit are in use.
-    pub fn limit(&self, limit: usize) {
+    /// Sets the maximum number of buffers in use; 0 counts as 1. Buffers in use stay valid; no more
+    /// are handed out until fewer than the limit are in use.
+    pub fn set_max_buffers(&self, limit: usize) {
         let mut state = self.0.borrow_mut();
         state.limit = limit.max(1);
         let max_free = state.max_free();
@@ -59,7 +59,7 @@
     }
 
     /// The limit of the pool in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn limit_bytes(&self) -> usize {
         self.0.borrow().limit * BUFFER_BYTES
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// All bytes of the chain in order, as contiguous slices.
-    pub fn runs(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn segments(&self) -> impl Iterator<Item = &[u8]> {
         self.segments.iter().map(Segment::bytes)
     }
 
--- a/crates/router/src/classes.rs
+++ b/crates/router/src/classes.rs
@@ -49,12 +49,12 @@
 impl Classes {
     /// The slot in which new requests of a class are accepted. `None` if no current class has the
     /// name.
-    pub fn named(&self, name: &[u8]) -> Option<u16> {
+    pub fn slot_of(&self, name: &[u8]) -> Option<u16> {
         self.current_slot(|slot_name| slot_name == name)
     }
 
-    /// Like [`Classes::named`], with the name matched case-insensitively.
-    pub fn named_in_any_case(&self, name: &[u8]) -> Option<u16> {
+    /// Like [`Classes::slot_of`], with the name matched case-insensitively.
+    pub fn slot_of_ignoring_case(&self, name: &[u8]) -> Option<u16> {
         self.current_slot(|slot_name| slot_name.eq_ignore_ascii_case(name))
     }
 
@@ -89,7 +89,7 @@
         let previous_names: Vec<Option<String>> = self.slots.iter().map(current_name).collect();
         self.retire_changed(&new_classes, table);
         for NamedClass { name, class } in new_classes {
-            if self.named(name.as_bytes()).is_some() {
+            if self.slot_of(name.as_bytes()).is_some() {
                 continue;
             }
             let previous = previous_names.iter().position(|previous| previous.as_ref() == Some(&name));
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -104,25 +104,25 @@
     }
 
     /// Whether a readiness check is answered with yes.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
     /// Whether another process has taken over this one's listening socket.
-    pub fn handed_over(&self) -> bool {
+    pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
     /// Whether new connections are accepted. They are accepted in standby too: clients open
     /// connections until they have noticed the standby, and would lose the requests on connections
     /// that nobody accepts.
-    pub fn accepts(&self, now: Timestamp) -> bool {
+    pub fn accepts_connections(&self, now: Timestamp) -> bool {
         self.started && !self.replaced && !self.has_lingered(now)
     }
 
     /// Whether a request that arrives now is served; otherwise it is rejected at once.
     /// `longest_deadline` is the longest deadline of any class.
-    pub fn serves(&self, now: Timestamp, longest_deadline: Duration) -> bool {
+    pub fn serves_requests(&self, now: Timestamp, longest_deadline: Duration) -> bool {
         let in_standby_for_long =
             self.standby_since.is_some_and(|since| now >= since + STANDBY_ACCEPT_PERIOD);
         let time_needed = longest_deadline.min(MIN_REQUEST_TIME);
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -18,8 +18,8 @@
     pub tag: u64,
 }
 
-/// Identifies an attempt of a request. The driver reports the endpoint's response to the attempt, or
-/// the attempt's failure, under this id.
+/// Identifies an attempt of a request. The driver reports the endpoint's response to the attempt,
+/// or the attempt's failure, under this id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The id of the request that the attempt belongs to.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -165,7 +165,7 @@
     }
 
     /// Counts an event in the metrics of a class. A class number without a slot is ignored.
-    pub fn count(&mut self, class: u16, event: CountedEvent) {
+    pub fn count_event(&mut self, class: u16, event: CountedEvent) {
         if let Some(index) = self.metric_indexes.get(usize::from(class)) {
             self.metrics.record(*index, event);
         }
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -20,8 +20,8 @@
     /// is unknown.
     pub fn reject_unopened(&mut self, now: Timestamp, request: &ClientRequest) -> Option<Command> {
         self.counters.shed += 1;
-        let class = self.classes.named(&request.class)?;
-        self.count(class, CountedEvent::Rejected);
+        let class = self.classes.slot_of(&request.class)?;
+        self.count_event(class, CountedEvent::Rejected);
         let requested = request.requested_object(class);
         let reason = ResultReason::Overloaded;
         Some(unopened_summary(now, request, requested, RequestResult::Rejected, reason))
@@ -30,8 +30,8 @@
     /// Counts a request that the caller fails because its fields can't be parsed. A request of an
     /// unknown class is not counted.
     pub fn count_invalid_request(&mut self, class: &[u8]) {
-        if let Some(class) = self.classes.named(class) {
-            self.count(class, CountedEvent::Failed);
+        if let Some(class) = self.classes.slot_of(class) {
+            self.count_event(class, CountedEvent::Failed);
         }
     }
 
@@ -45,7 +45,7 @@
         commands: &mut Vec<Command>,
     ) {
         self.counters.received += 1;
-        let Some(class) = self.classes.named(&request.class) else {
+        let Some(class) = self.classes.slot_of(&request.class) else {
             self.counters.failed += 1;
             commands.push(Command::Reply(client, Reply::Failed));
             return;
--- a/crates/router/src/router/lookups.rs
+++ b/crates/router/src/router/lookups.rs
@@ -34,7 +34,7 @@
             LookupResult::Rejected => CountedEvent::Rejected,
             LookupResult::Failed => CountedEvent::Failed,
         };
-        self.count(class, event);
+        self.count_event(class, event);
         result
     }
 
--- a/crates/router/src/router/replies.rs
+++ b/crates/router/src/router/replies.rs
@@ -56,7 +56,7 @@
             Reply::Failed => (&mut self.counters.failed, CountedEvent::Failed),
         };
         *total += 1;
-        self.count(class, event);
+        self.count_event(class, event);
     }
 
     /// Handles the cancellation of a request by its client: the request is closed without a reply.
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -160,7 +160,7 @@
         (object, chunk, group, id): (u64, u32, u32, Option<u64>),
         commands: &mut Vec<Command>,
     ) -> Effect {
-        let class = self.router.classes().named(class.as_bytes()).expect("lookup for an unknown class");
+        let class = self.router.classes().slot_of(class.as_bytes()).expect("lookup for an unknown class");
         let requested = RequestedObject { class, object, chunk, group, request_id: id };
         match self.router.lookup(now, requested, commands) {
             LookupResult::Endpoint(target) => Effect::new("lookup named", self.target_text(&target)),
--- a/crates/router/tests/classes.rs
+++ b/crates/router/tests/classes.rs
@@ -57,7 +57,7 @@
             let named = named_classes(by_name);
             let old_slots: Vec<(String, Option<u16>)> = (0..CLASS_NAME_COUNT)
                 .map(name)
-                .map(|name| (name.clone(), classes.named(name.as_bytes())))
+                .map(|name| (name.clone(), classes.slot_of(name.as_bytes())))
                 .collect();
             let new = classes.replace(named.clone(), &table, &in_use);
             prop_assert_eq!(new.classes.len(), new.from.len());
@@ -66,7 +66,7 @@
                 prop_assert_eq!(new.from[slot], Some(slot));
             }
             for (name, old_slot) in old_slots {
-                let slot = classes.named(name.as_bytes());
+                let slot = classes.slot_of(name.as_bytes());
                 let newest = named.iter().find(|new| new.name == name).map(|new| &new.class);
                 prop_assert_eq!(slot.map(|slot| &new.classes[usize::from(slot)]), newest);
                 let idempotency = slot.map(|slot| classes.idempotency(slot));
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -51,23 +51,23 @@
 
 /// Checks what must hold at the time `then` if no event comes until then.
 fn check_at(lifecycle: &Lifecycle, expected: &Expected, then: Timestamp) -> Result<(), TestCaseError> {
-    if lifecycle.ready() {
+    if lifecycle.is_ready() {
         prop_assert!(
-            lifecycle.accepts(then)
-                && lifecycle.serves(then, Duration::from_secs(1))
+            lifecycle.accepts_connections(then)
+                && lifecycle.serves_requests(then, Duration::from_secs(1))
                 && lifecycle.keeps_idle_connection(then, None)
         );
     }
     prop_assert!(
-        !(lifecycle.accepts(then) && expected.replaced),
+        !(lifecycle.accepts_connections(then) && expected.replaced),
         "two processes accept the same connections"
     );
     // A client that connects is accepted by this process or by another one, or the process has
     // stopped accepting.
     let exited = expected.stopping_since.is_some_and(|since| then >= since + SHUTDOWN_LINGER);
-    prop_assert_eq!(lifecycle.accepts(then), expected.started && !expected.replaced && !exited);
+    prop_assert_eq!(lifecycle.accepts_connections(then), expected.started && !expected.replaced && !exited);
     if let Some(since) = expected.standby_since.filter(|since| then >= *since + Duration::from_secs(2)) {
-        let serves = lifecycle.serves(then, Duration::from_secs(1));
+        let serves = lifecycle.serves_requests(then, Duration::from_secs(1));
         prop_assert!(!serves, "requests are served although the process is in standby since {:?}", since);
     }
     if expected.standby_since.is_some_and(|since| then >= since + Duration::from_millis(400)) {
@@ -84,7 +84,7 @@
             prop_assert_eq!(ends_by.is_some(), expected.replaced);
             prop_assert!(ends_by < expected.killed_at(longest));
             let too_late = ends_by.is_some_and(|end| then >= end);
-            prop_assert!(!(too_late && lifecycle.serves(then, longest)));
+            prop_assert!(!(too_late && lifecycle.serves_requests(then, longest)));
         }
     }
     Ok(())
@@ -112,7 +112,7 @@
             let accepted = lifecycle.apply(now, event);
             prop_assert_eq!(accepted, event != Event::Active || expected.stopping_since.is_none());
             expected.apply(now, event, accepted);
-            prop_assert_eq!(lifecycle.ready(), expected.is_ready());
+            prop_assert_eq!(lifecycle.is_ready(), expected.is_ready());
             for ahead in LOOK_AHEAD_MS {
                 check_at(&lifecycle, &expected, now + Duration::from_millis(ahead))?;
             }
--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -155,7 +155,7 @@
     fn execute_admin_request(&mut self, request: AdminRequest) -> Vec<u8> {
         let (status, body) = match request.operation {
             AdminOperation::Status => {
-                let status = if self.lifecycle.ready() { OK } else { SERVICE_UNAVAILABLE };
+                let status = if self.lifecycle.is_ready() { OK } else { SERVICE_UNAVAILABLE };
                 (status, self.phase_line())
             }
             AdminOperation::Metrics => (OK, self.metrics_text() + &self.cluster_metrics()),
--- a/crates/server/src/clients/accept.rs
+++ b/crates/server/src/clients/accept.rs
@@ -33,7 +33,7 @@
         listener: &mut TcpListener,
     ) -> ConnectionAction {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
-            if !self.lifecycle.accepts(self.now) {
+            if !self.lifecycle.accepts_connections(self.now) {
                 break;
             }
             // Without a free descriptor, the client stays in the listener's backlog.
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -134,7 +134,7 @@
     ) -> Result<(), CommandError> {
         match command {
             ClientCommand::Ping { tag } => {
-                let response = client::encode_ping_response(&self.buffers, tag, self.lifecycle.ready())?;
+                let response = client::encode_ping_response(&self.buffers, tag, self.lifecycle.is_ready())?;
                 connection.output.append(response);
                 Ok(())
             }
@@ -166,7 +166,7 @@
     ) -> Result<(), CommandError> {
         let too_many_open = connection.open_requests.len() >= MAX_OPEN_REQUESTS;
         let buffers_scarce = self.buffers.is_fuller_than(BUFFER_PRESSURE_THRESHOLD);
-        let is_served = self.lifecycle.serves(self.now, self.longest_deadline());
+        let is_served = self.lifecycle.serves_requests(self.now, self.longest_deadline());
         if !too_many_open && !buffers_scarce && is_served {
             connection.open_requests.insert(tag, self.now);
             let request = self.limit_timeout(request);
--- a/crates/server/src/clients/responses.rs
+++ b/crates/server/src/clients/responses.rs
@@ -13,7 +13,7 @@
 impl Server {
     /// Whether the unwritten output of a connection exceeds its share of the buffers.
     pub(super) fn has_too_much_output(&self, connection: &ClientConnection) -> bool {
-        connection.output.len() as f64 > self.buffers.bytes() as f64 * MAX_OUTPUT_SHARE
+        connection.output.len() as f64 > self.buffers.limit_bytes() as f64 * MAX_OUTPUT_SHARE
     }
 
     /// Appends a response to a connection's output; fails if no buffer is free.
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -290,7 +290,7 @@
             let OutstandingRequest::Attempt(attempt) = request else { continue };
             if attempt.id == written.id {
                 attempt.fully_written = true;
-                self.router.count(attempt.class, CountedEvent::AttemptSent);
+                self.router.count_event(attempt.class, CountedEvent::AttemptSent);
             }
         }
     }
--- a/crates/server/src/event_loop/io.rs
+++ b/crates/server/src/event_loop/io.rs
@@ -165,7 +165,7 @@
     fn update_listener_interest(&self, token: ConnectionToken) {
         let Some(connection) = self.connections.get(token) else { return };
         let accepts = match connection {
-            ConnectionKind::Listener(_) => self.lifecycle.accepts(self.now),
+            ConnectionKind::Listener(_) => self.lifecycle.accepts_connections(self.now),
             ConnectionKind::DnsListener(_) => true,
             _ => return,
         };
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -59,7 +59,7 @@
         self.handover.limits_shared = shared;
         self.router.share(shared);
         let processes = if shared { PROCESSES_IN_HANDOVER } else { 1 };
-        self.buffers.limit(max_buffers(&self.config) / processes);
+        self.buffers.set_max_buffers(max_buffers(&self.config) / processes);
     }
 
     /// Maximum number of descriptors that this process may use; half as many during a handover.
--- a/crates/server/src/handover/serve_successor.rs
+++ b/crates/server/src/handover/serve_successor.rs
@@ -49,7 +49,10 @@
     pub(crate) fn on_rendezvous(&mut self, listener: &mut UnixListener) -> ConnectionAction {
         while let Ok((mut socket, _)) = listener.accept() {
             let is_set_up = socket.set_nonblocking(true).is_ok();
-            if self.handover.successor.is_some() || !is_set_up || !self.lifecycle.accepts(self.now) {
+            if self.handover.successor.is_some()
+                || !is_set_up
+                || !self.lifecycle.accepts_connections(self.now)
+            {
                 // If this message is lost, the caller starts without inherited state as well.
                 let _refused = socket.write(&HandoverMessage::Declined.encode());
                 continue;
@@ -143,7 +146,7 @@
         if let Some(token) = self.handover.rendezvous.take() {
             self.close(token);
         }
-        if self.lifecycle.accepts(self.now) {
+        if self.lifecycle.accepts_connections(self.now) {
             self.open_rendezvous_socket();
         }
     }
--- a/crates/server/src/housekeeping.rs
+++ b/crates/server/src/housekeeping.rs
@@ -16,7 +16,7 @@
     pub(crate) fn on_housekeeping_timer(&mut self) {
         self.timers.set(self.now + HOUSEKEEPING_INTERVAL, Timer::Housekeeping);
         self.open_admin_listener();
-        if self.handover.predecessor.is_none() && !self.lifecycle.handed_over() {
+        if self.handover.predecessor.is_none() && !self.lifecycle.is_replaced() {
             self.open_cluster_socket();
         }
         // The two processes of a handover share the descriptor limit, so connections above it are
