--- a/crates/cluster/src/quota/exchange.rs
+++ b/crates/cluster/src/quota/exchange.rs
@@ -19,7 +19,7 @@
         let limits: Vec<u64> = self
             .limits
             .iter()
-            .filter(|(_, limit)| limit.in_demand && limit.scope != QuotaScope::Elsewhere)
+            .filter(|(_, limit)| limit.in_demand && limit.scope != QuotaScope::OtherZone)
             .map(|(limit_id, _)| *limit_id)
             .collect();
         let mut entries_by_broker: BTreeMap<SocketAddr, Vec<LimitEntry>> = BTreeMap::new();
@@ -119,7 +119,7 @@
     fn accept_transfers(&mut self, lender: LeaseHolder, entry: &LimitEntry, requested_at: Time) {
         let now = self.now;
         // Quota of a limit that the local router does not share could not be used here.
-        let is_shared = |limit: &&mut Limit| limit.scope != QuotaScope::Elsewhere;
+        let is_shared = |limit: &&mut Limit| limit.scope != QuotaScope::OtherZone;
         let Some(limit) = self.limits.get_mut(&entry.limit_id).filter(is_shared) else { return };
         for transfer in &entry.transfers {
             let duration = transfer.duration.min(self.options.timings.lease_duration);
--- a/crates/cluster/src/quota/own_share.rs
+++ b/crates/cluster/src/quota/own_share.rs
@@ -87,7 +87,7 @@
             _ if !self.in_use => 0,
             QuotaScope::All => WHOLE_QUOTA / self.divisors.all,
             QuotaScope::Zone => WHOLE_QUOTA / self.divisors.own_zone,
-            QuotaScope::Elsewhere => 0,
+            QuotaScope::OtherZone => 0,
         }
     }
 
--- a/crates/decision/src/interface/actions.rs
+++ b/crates/decision/src/interface/actions.rs
@@ -45,7 +45,7 @@
     },
     /// Final answer: the request is rejected, and may be sent again without the risk that it runs
     /// twice.
-    Refuse {
+    Reject {
         /// The open request that is rejected.
         request: RequestId,
         /// Delay that the client is advised to wait before it sends the request again; zero for no
@@ -67,7 +67,7 @@
     /// Subscribes to changes of the endpoint list.
     Subscribe,
     /// Requests the complete endpoint list once.
-    FetchHosts,
+    FetchEndpointList,
     /// Sends an active health probe, whose result arrives as
     /// [`Event::Probed`](crate::Event::Probed).
     Probe {
@@ -90,8 +90,8 @@
         Action::Cancel { request, attempt }
     }
 
-    /// Creates an [`Action::Refuse`]; a `retry_after` of zero gives no advice.
-    pub fn refuse(request: RequestId, retry_after: Duration) -> Action {
-        Action::Refuse { request, retry_after }
+    /// Creates an [`Action::Reject`]; a `retry_after` of zero gives no advice.
+    pub fn reject(request: RequestId, retry_after: Duration) -> Action {
+        Action::Reject { request, retry_after }
     }
 }
--- a/crates/decision/src/interface/outcomes.rs
+++ b/crates/decision/src/interface/outcomes.rs
@@ -77,9 +77,9 @@
     /// How the attempt ended.
     pub status: AttemptStatus,
     /// Whether the request is finished, by this or an earlier outcome.
-    pub ended: bool,
+    pub request_finished: bool,
     /// What the endpoint reported of copy or fill; `None` if nothing was reported.
-    pub note: Option<CacheStatus>,
+    pub cache_status: Option<CacheStatus>,
     /// Sending time of the response's bytes in seconds; `None` if the response does not show it.
     pub work: Option<f64>,
 }
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -84,8 +84,8 @@
     /// Time after the announcement of a purge from which on no copy older than the purge may be
     /// served.
     pub purge_slack: Duration,
-    /// Time after a purge within which endpoints drop purged copies by themselves.
-    pub purge_done: Duration,
+    /// Time from a purge until all endpoints have dropped the purged copies by themselves.
+    pub purge_completion_time: Duration,
     /// Time after which no attempts may be sent to a draining or removed endpoint.
     pub drain_grace: Duration,
     /// Time after the client's deadline within which a final answer still counts.
@@ -142,7 +142,7 @@
             discovery: Discovery::Push,
             list_silence_timeout: Duration::ZERO,
             purge_slack: Duration::ZERO,
-            purge_done: Duration::ZERO,
+            purge_completion_time: Duration::ZERO,
             drain_grace: Duration::ZERO,
             answer_slack: Duration::ZERO,
             warm_up_floor: 1.0,
@@ -190,7 +190,7 @@
     /// Time for which a purge is in effect: until endpoints have dropped purged copies by
     /// themselves, plus a margin of 1 s.
     pub fn purge_life(&self) -> Duration {
-        self.purge_done + PURGE_MARGIN
+        self.purge_completion_time + PURGE_MARGIN
     }
 
     /// Sending time of a request in seconds; `None` if its size or the transfer rate is not known.
--- a/crates/decision/src/policy/error_attribution.rs
+++ b/crates/decision/src/policy/error_attribution.rs
@@ -138,7 +138,7 @@
     /// - Otherwise the cache itself refused, and the request avoids the cache.
     pub(crate) fn on_refusal(&mut self, now: Timestamp, ended: &EndedAttempt) {
         use CacheStatus::{OriginFailed, SourceLacks, SourceRefused, SourceUnreachable};
-        let (id, cache_status, attempt) = (ended.outcome.request, ended.outcome.note, &ended.attempt);
+        let (id, cache_status, attempt) = (ended.outcome.request, ended.outcome.cache_status, &ended.attempt);
         let source_failed =
             matches!(cache_status, Some(SourceRefused | SourceLacks | OriginFailed | SourceUnreachable));
         let cause_unreported = self.is_cause_unreported(ended);
@@ -162,7 +162,7 @@
     fn record_source_failure(&mut self, now: Timestamp, ended: &EndedAttempt) {
         let Some(source) = ended.attempt.fill_source else { return };
         let (latency, timeout) = (ended.outcome.latency, self.settings.connect_timeout);
-        let is_unreachable = ended.outcome.note == Some(CacheStatus::SourceUnreachable);
+        let is_unreachable = ended.outcome.cache_status == Some(CacheStatus::SourceUnreachable);
         let is_down = latency < 2 * timeout && (is_unreachable || latency >= timeout);
         let broken_fill_latency = divide_to_micros(timeout, BROKEN_FILL_TIMEOUT_DIVISOR)..timeout;
         let broke_off = is_unreachable && broken_fill_latency.contains(&latency);
--- a/crates/decision/src/policy/final_answer.rs
+++ b/crates/decision/src/policy/final_answer.rs
@@ -15,7 +15,7 @@
         let Some(open) = self.requests.get(&id) else { return };
         if self.repeat_is_harmless(open) && now < open.request.deadline {
             let retry_after = self.draw_retry_after();
-            actions.push(Action::refuse(id, retry_after));
+            actions.push(Action::reject(id, retry_after));
         } else {
             actions.push(Action::Fail { request: id });
         }
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -28,7 +28,7 @@
             AttemptStatus::Miss => {
                 self.record_response(now, attempt.endpoint);
                 // A miss that joined a fill in flight shows nothing of the source.
-                if outcome.note != Some(CacheStatus::Joined) {
+                if outcome.cache_status != Some(CacheStatus::Joined) {
                     self.avoid(outcome.request, attempt.fill_source);
                 }
             }
@@ -53,7 +53,7 @@
         let attempt = &ended.attempt;
         self.record_response(now, attempt.endpoint);
         self.attribute_errors(now, attempt);
-        let cache_status = ended.outcome.note;
+        let cache_status = ended.outcome.cache_status;
         let was_filled = matches!(cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin));
         if let Some(source) = attempt.fill_source.filter(|_| was_filled || self.hits_unreported()) {
             self.record_response(now, source);
@@ -77,7 +77,7 @@
         let is_retry = open.attempts.len() > 1;
         let no_stale_copy_expected = has_too_many_errors || has_no_grace || is_retry;
         let is_in_flight = open.in_flight() > 0;
-        if outcome.ended || outcome.status == AttemptStatus::Ok || open.is_finished {
+        if outcome.request_finished || outcome.status == AttemptStatus::Ok || open.is_finished {
             self.finish(id, actions);
         } else if is_hopeless && no_stale_copy_expected && !is_in_flight {
             self.give_up(now, id, actions);
@@ -94,7 +94,7 @@
     /// - The request was to be served from copies alone, and there is no copy.
     /// - The origin failed behind a parent: other parents use the same origin.
     fn retry_is_hopeless(&self, ended: &EndedAttempt) -> bool {
-        let (attempt, cache_status) = (&ended.attempt, ended.outcome.note);
+        let (attempt, cache_status) = (&ended.attempt, ended.outcome.cache_status);
 
         let is_early = ended.outcome.latency < self.settings.connect_timeout;
         let source_refused =
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -163,7 +163,7 @@
     map.read_number("familyInfo.flowKbPerS", &mut settings.flow_kb_per_s)?;
     map.read_number("familyInfo.originFallMultiple", &mut settings.origin_overload_multiple)?;
     map.read_duration("familyInfo.purgeSlack", &mut settings.purge_slack)?;
-    map.read_duration("familyInfo.clearedWithin", &mut settings.purge_done)?;
+    map.read_duration("familyInfo.clearedWithin", &mut settings.purge_completion_time)?;
     map.read_number("familyInfo.parentFloor", &mut settings.parent_warm_up_floor)?;
     map.read_duration("familyInfo.upperCold", &mut settings.parent_warm_up_period)?;
     map.read_number("familyInfo.parentFallMultiple", &mut settings.parent_overload_multiple)?;
--- a/crates/decision/src/state/endpoint_set.rs
+++ b/crates/decision/src/state/endpoint_set.rs
@@ -173,11 +173,11 @@
         source.recovery_probe_in_flight = false;
         if attempt.counted_at_source {
             source.decrement_in_flight(now, FILL_LOAD_WINDOW);
-        } else if matches!(outcome.note, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin)) {
+        } else if matches!(outcome.cache_status, Some(CacheStatus::Filled | CacheStatus::FilledByOrigin)) {
             // The attempt was a fill, but was too short to be counted while it was in flight.
             source.add_past_load(now, FILL_LOAD_WINDOW, outcome.latency);
         }
-        if outcome.note == Some(CacheStatus::Hit) {
+        if outcome.cache_status == Some(CacheStatus::Hit) {
             // A hit needed nothing of its source, so its work is returned to the source's warm-up
             // budget.
             source.load_history.retain(|sent| sent.attempt != Some(attempt.id));
--- a/crates/decision/src/state/learning.rs
+++ b/crates/decision/src/state/learning.rs
@@ -33,7 +33,7 @@
         if open.is_some_and(|open| open.response_lost && outcome.attempt > 0) {
             // A hit at a later attempt shows that the first one was served and its response was
             // lost. A fill shows that the first one was still waiting for its fill.
-            let was_lost = outcome.note == Some(CacheStatus::Hit);
+            let was_lost = outcome.cache_status == Some(CacheStatus::Hit);
             self.lost_responses.record(if was_lost { 1.0 } else { 0.0 });
         }
         self.lost_responses.record(0.0);
@@ -65,7 +65,7 @@
     /// reported.
     pub(crate) fn is_cause_unreported(&self, ended: &EndedAttempt) -> bool {
         ended.outcome.status == AttemptStatus::Full
-            && ended.outcome.note.is_none()
+            && ended.outcome.cache_status.is_none()
             && self.settings.cache_status_reporting != CacheStatusReporting::All
     }
 
--- a/crates/decision/src/state/origin_observation.rs
+++ b/crates/decision/src/state/origin_observation.rs
@@ -38,7 +38,9 @@
         let is_write_evidence = ended.is_write && !has_answered_since;
         match ended.outcome.status {
             AttemptStatus::Ok => self.observe_response(now, ended, is_write_evidence),
-            AttemptStatus::Full => self.observe_refusal(now, attempt.endpoint, source, ended.outcome.note),
+            AttemptStatus::Full => {
+                self.observe_refusal(now, attempt.endpoint, source, ended.outcome.cache_status)
+            }
             AttemptStatus::Timeout | AttemptStatus::Cancelled => {
                 let is_overdue = ended.outcome.latency >= self.overdue_after(&ended.request);
                 // An attempt that is cancelled early shows nothing of the origin, nor does one at a
--- a/crates/decision/src/state/service_time.rs
+++ b/crates/decision/src/state/service_time.rs
@@ -160,7 +160,7 @@
         estimate.adjust_latency_quantile(relative_latency > estimate.latency_quantile, tail);
         // Unknown sizes are estimated from the latencies of hits, without the slowdown by other
         // transfers.
-        if request.size_kb.is_none() && (outcome.note == Some(CacheStatus::Hit) || hits_unreported) {
+        if request.size_kb.is_none() && (outcome.cache_status == Some(CacheStatus::Hit) || hits_unreported) {
             estimate.record(secs(outcome.latency) / slowdown);
         }
         if let Some(sending_time) = outcome.work {
--- a/crates/decision/src/state/warm_up_budget.rs
+++ b/crates/decision/src/state/warm_up_budget.rs
@@ -30,7 +30,7 @@
     /// The routers of this router's zone.
     Zone,
     /// The routers of another zone; this router has no share of the budget.
-    Elsewhere,
+    OtherZone,
 }
 
 impl QuotaScope {
@@ -39,7 +39,7 @@
         match self {
             QuotaScope::All => "all",
             QuotaScope::Zone => "this office",
-            QuotaScope::Elsewhere => "others",
+            QuotaScope::OtherZone => "others",
         }
     }
 }
@@ -92,7 +92,7 @@
             (Some(share), _) => share.after,
             (None, QuotaScope::All) => self.default_all,
             (None, QuotaScope::Zone) => self.default_zone,
-            (None, QuotaScope::Elsewhere) => 0.0,
+            (None, QuotaScope::OtherZone) => 0.0,
         }
     }
 }
@@ -106,13 +106,13 @@
 impl DecisionModule {
     /// Sets how many routers use the endpoints in addition to the counted ones: 1 for as long as a
     /// process and its successor serve side by side, otherwise 0.
-    pub fn share(&mut self, additional: u32) {
+    pub fn set_additional_routers(&mut self, additional: u32) {
         self.endpoints.additional_routers = additional;
     }
 
     /// Sets the number of routers that may be active, this one included: in all zones and in the
     /// own zone. From then on the numbers of the settings are ignored.
-    pub fn count_routers(&mut self, total: u32, in_zone: u32) {
+    pub fn set_active_router_counts(&mut self, total: u32, in_zone: u32) {
         // If the settings do not give the numbers by zone, all routers share every endpoint.
         let in_zone = if self.settings.router_count_by_zone.is_empty() { total } else { in_zone };
         let active = ActiveRouters { total: total.max(1), in_zone: in_zone.max(1) };
@@ -123,7 +123,11 @@
     /// holds the shares of single endpoints. `default_shares` applies to all others: the first
     /// value to endpoints that all routers share, the second to those that only the own zone
     /// shares.
-    pub fn lease(&mut self, default_shares: (f64, f64), by_endpoint: BTreeMap<EndpointId, QuotaShare>) {
+    pub fn set_leased_shares(
+        &mut self,
+        default_shares: (f64, f64),
+        by_endpoint: BTreeMap<EndpointId, QuotaShare>,
+    ) {
         let (default_all, default_zone) = default_shares;
         self.endpoints.leased_shares = Some(LeasedShares { default_all, default_zone, by_endpoint });
     }
@@ -189,7 +193,7 @@
     /// The routers among which an endpoint's warm-up budget is divided.
     fn budget_sharers(&self, endpoint: &Endpoint) -> QuotaScope {
         match endpoint.role {
-            EndpointRole::RemoteCache => QuotaScope::Elsewhere,
+            EndpointRole::RemoteCache => QuotaScope::OtherZone,
             // If the settings do not give the numbers by zone, all routers share every endpoint.
             EndpointRole::LocalCache if !self.settings.router_count_by_zone.is_empty() => QuotaScope::Zone,
             _ => QuotaScope::All,
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -38,7 +38,7 @@
         cache_status_reporting: CacheStatusReporting::All,
         weights: ListedWeights::Size,
         flow_kb_per_s: 1_000.0,
-        purge_done: Duration::from_secs(6),
+        purge_completion_time: Duration::from_secs(6),
         purge_slack: Duration::from_millis(500),
         warm_up_floor: 0.2,
         warm_up_period: Duration::from_secs(10),
@@ -163,8 +163,8 @@
             endpoint: EndpointId(sent.endpoint),
             latency,
             status,
-            ended: status == AttemptStatus::Ok,
-            note: cache_status,
+            request_finished: status == AttemptStatus::Ok,
+            cache_status,
             work: None,
         }))
     }
@@ -199,6 +199,6 @@
 
 /// Number of final answers among the actions.
 pub fn final_answers(actions: &[Action]) -> usize {
-    let is_final = |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+    let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).count()
 }
--- a/crates/decision/tests/health.rs
+++ b/crates/decision/tests/health.rs
@@ -126,7 +126,7 @@
             for attempt in 0..errors {
                 let actions = harness.end_attempt(&sent, attempt, AttemptStatus::Error, None);
                 let Some(retry) = sent_attempt(&actions) else {
-                    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+                    assert!(actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
                     break;
                 };
                 sent = retry;
@@ -329,8 +329,8 @@
                         endpoint: EndpointId(0),
                         latency: Duration::ZERO,
                         status: AttemptStatus::Cancelled,
-                        ended: false,
-                        note: None,
+                        request_finished: false,
+                        cache_status: None,
                         work: None,
                     };
                     let actions = harness.event(Event::AttemptOutcome(outcome));
--- a/crates/decision/tests/origin_protection.rs
+++ b/crates/decision/tests/origin_protection.rs
@@ -91,8 +91,8 @@
             endpoint: EndpointId(sent.endpoint),
             latency,
             status,
-            ended: status == AttemptStatus::Ok,
-            note: None,
+            request_finished: status == AttemptStatus::Ok,
+            cache_status: None,
             work: None,
         }))
     }
@@ -251,7 +251,7 @@
         actions = harness.end_attempt(&next, AttemptStatus::Miss, Duration::from_millis(20));
     }
     let retry_after = actions.iter().find_map(|a| match a {
-        Action::Refuse { request, retry_after } if *request == shed.request => Some(*retry_after),
+        Action::Reject { request, retry_after } if *request == shed.request => Some(*retry_after),
         _ => None,
     });
     assert!(retry_after.is_some_and(|delay| delay >= Duration::from_millis(500)), "{actions:?}");
--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -135,8 +135,8 @@
             endpoint: EndpointId(endpoint),
             latency: Duration::from_micros(random % 1_000_000),
             status,
-            ended: has_ended || status == AttemptStatus::Ok,
-            note: None,
+            request_finished: has_ended || status == AttemptStatus::Ok,
+            cache_status: None,
             work: None,
         }))
     }
@@ -174,7 +174,7 @@
                 let open = self.requests.get_mut(&outcome.request).unwrap();
                 open.in_flight.remove(&outcome.attempt);
                 open.may_have_run |= !NEVER_RAN.contains(&outcome.status);
-                open.has_ended |= outcome.ended;
+                open.has_ended |= outcome.request_finished;
             }
             _ => {}
         }
@@ -186,7 +186,7 @@
             Action::Attempt { request, endpoint, fill, .. } => {
                 self.check_attempt(request, endpoint, &fill)?;
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let open = self.requests.get_mut(&request).unwrap();
                 prop_assert!(
                     !std::mem::replace(&mut open.has_ended, true),
--- a/crates/decision/tests/reconfigure_and_restore.rs
+++ b/crates/decision/tests/reconfigure_and_restore.rs
@@ -21,7 +21,7 @@
         router_count_by_zone: vec![2, 0],
         origin_kind: Some(ORIGIN),
         weights: ListedWeights::Size,
-        purge_done: Duration::from_secs(6),
+        purge_completion_time: Duration::from_secs(6),
         warm_up_floor: 0.2,
         warm_up_period: Duration::from_secs(10),
         overload_multiple: 3.0,
@@ -75,8 +75,8 @@
         endpoint,
         latency,
         status,
-        ended: false,
-        note: None,
+        request_finished: false,
+        cache_status: None,
         work: None,
     })
 }
@@ -170,9 +170,9 @@
     let mut alone = module_with_list(START);
     let mut shared = module_with_list(START);
     let mut no_longer_shared = module_with_list(START);
-    shared.share(1);
-    no_longer_shared.share(1);
-    no_longer_shared.share(0);
+    shared.set_additional_routers(1);
+    no_longer_shared.set_additional_routers(1);
+    no_longer_shared.set_additional_routers(0);
     let sent_alone = sent_to_caches(&mut alone);
     let sent_shared = sent_to_caches(&mut shared);
     let sent_afterwards = sent_to_caches(&mut no_longer_shared);
@@ -254,7 +254,7 @@
                 module.handle(now, outcome(id, 0, endpoint, AttemptStatus::Ok), &mut actions);
             } else {
                 let is_final =
-                    |action: &Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+                    |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
                 prop_assert!(actions.iter().any(is_final), "{actions:?}");
             }
         }
--- a/crates/decision/tests/requests.rs
+++ b/crates/decision/tests/requests.rs
@@ -50,7 +50,7 @@
     let actions = harness.end_attempt(&sent, 0, AttemptStatus::Full, Some(CacheStatus::NoFillPlace));
     let delays = Duration::from_millis(200)..=Duration::from_millis(400);
     let is_rejection_with_delay = |action: &Action| match action {
-        Action::Refuse { retry_after, .. } => delays.contains(retry_after),
+        Action::Reject { retry_after, .. } => delays.contains(retry_after),
         _ => false,
     };
     assert!(actions.iter().any(is_rejection_with_delay), "{actions:?}");
--- a/crates/decision/tests/scale/harness.rs
+++ b/crates/decision/tests/scale/harness.rs
@@ -32,7 +32,7 @@
         cache_status_reporting: CacheStatusReporting::All,
         weights: ListedWeights::Size,
         flow_kb_per_s: 1_000.0,
-        purge_done: Duration::from_secs(6),
+        purge_completion_time: Duration::from_secs(6),
         warm_up_floor: 0.22,
         warm_up_period: Duration::from_secs(18),
         overload_multiple: 4.0,
@@ -115,8 +115,8 @@
             endpoint: EndpointId(sent.endpoint),
             latency,
             status,
-            ended: status == AttemptStatus::Ok,
-            note: cache_status,
+            request_finished: status == AttemptStatus::Ok,
+            cache_status,
             work: None,
         }))
     }
--- a/crates/decision/tests/scale/main.rs
+++ b/crates/decision/tests/scale/main.rs
@@ -297,7 +297,7 @@
     };
     let actions = actions_after_refusal(SiblingCaches::Location);
     assert!(
-        sent_attempt(&actions, 1).is_none() && actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        sent_attempt(&actions, 1).is_none() && actions.iter().any(|a| matches!(a, Action::Reject { .. }))
     );
     let retry = sent_attempt(&actions_after_refusal(SiblingCaches::Any), 1).unwrap();
     assert!([11, 12].contains(&retry.source.unwrap()));
@@ -401,8 +401,8 @@
             endpoint: EndpointId(sent.endpoint),
             latency: Duration::from_secs(2),
             status: AttemptStatus::Ok,
-            ended: true,
-            note: None,
+            request_finished: true,
+            cache_status: None,
             work: Some(0.25),
         }));
     }
--- a/crates/router/src/hint_follower.rs
+++ b/crates/router/src/hint_follower.rs
@@ -245,7 +245,7 @@
             followed.progress = Progress::Waiting;
         }
         followed.may_have_run |= !outcome.status.never_ran();
-        if outcome.ended || outcome.status == AttemptStatus::Ok {
+        if outcome.request_finished || outcome.status == AttemptStatus::Ok {
             self.open.remove(&outcome.request);
         } else {
             self.retry_later(now, outcome.request, actions);
@@ -262,7 +262,7 @@
     fn give_up(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(followed) = self.open.get(&id) else { return };
         if followed.is_safe_to_reject() && now < followed.request.deadline {
-            actions.push(Action::refuse(id, self.retry_after()));
+            actions.push(Action::reject(id, self.retry_after()));
         } else {
             actions.push(Action::Fail { request: id });
         }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -173,15 +173,20 @@
 
     /// Sets the number of possibly active routers in the whole cluster (`all`) and in this router's
     /// zone (`own_zone`). Limits that routers share are divided by these numbers.
-    pub fn count_routers(&mut self, all: u32, own_zone: u32) {
-        self.decision.count_routers(all, own_zone);
+    pub fn set_active_router_counts(&mut self, all: u32, own_zone: u32) {
+        self.decision.set_active_router_counts(all, own_zone);
     }
 
     /// Sets this router's leased shares of warm-up budgets. `default_shares` holds the share for
     /// endpoints that all routers use, and the share for endpoints that only this router's zone
-    /// uses; `by_endpoint` holds the endpoints with another share. See [`DecisionModule::lease`].
-    pub fn lease(&mut self, default_shares: (f64, f64), by_endpoint: BTreeMap<EndpointId, QuotaShare>) {
-        self.decision.lease(default_shares, by_endpoint);
+    /// uses; `by_endpoint` holds the endpoints with another share. See
+    /// [`DecisionModule::set_leased_shares`].
+    pub fn set_leased_shares(
+        &mut self,
+        default_shares: (f64, f64),
+        by_endpoint: BTreeMap<EndpointId, QuotaShare>,
+    ) {
+        self.decision.set_leased_shares(default_shares, by_endpoint);
     }
 
     /// This router's demand for the warm-up budget of each endpoint that is warming up. Routers
@@ -192,8 +197,8 @@
 
     /// Sets whether another process serves the same address, as during a handover. While it does,
     /// limits are divided by one more router.
-    pub fn share(&mut self, with_another: bool) {
-        self.decision.share(u32::from(with_another));
+    pub fn set_additional_routers(&mut self, with_another: bool) {
+        self.decision.set_additional_routers(u32::from(with_another));
     }
 }
 
--- a/crates/router/src/router/attempts.rs
+++ b/crates/router/src/router/attempts.rs
@@ -291,8 +291,8 @@
             endpoint: ended.endpoint,
             latency: duration,
             status: end.status,
-            ended: !self.open_requests.contains_key(&attempt.request),
-            note: end.cache_status,
+            request_finished: !self.open_requests.contains_key(&attempt.request),
+            cache_status: end.cache_status,
             work: end.transfer_time_s,
         }))
     }
--- a/crates/router/src/router/dispatch.rs
+++ b/crates/router/src/router/dispatch.rs
@@ -77,7 +77,7 @@
             Action::Cancel { request, attempt } => {
                 return self.cancel_attempt(now, AttemptId { request, number: attempt }, commands);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let retry_after_ms = whole_micros(retry_after).div_ceil(1_000);
                 self.reply(now, request, Reply::Rejected(retry_after_ms), commands);
             }
@@ -91,7 +91,7 @@
             }
             // Nothing to do: the router is always subscribed to the endpoint feed, which is always
             // complete.
-            Action::Subscribe | Action::FetchHosts => {}
+            Action::Subscribe | Action::FetchEndpointList => {}
             Action::Log(line) => commands.push(Command::Log(line)),
         }
         None
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -51,7 +51,7 @@
         retry_after: true,
         max_retry_after: Duration::from_secs(1),
         connect_timeout: Duration::from_millis(400),
-        purge_done: Duration::from_secs(6),
+        purge_completion_time: Duration::from_secs(6),
         purge_slack: Duration::from_millis(300),
         drain_grace: Duration::from_millis(500),
         warm_up_floor: 0.2,
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -167,7 +167,7 @@
         }
         let allocation = quotas.allocation(self.now.as_micros());
         let own_shares = (allocation.share_of_all, allocation.share_of_own_zone);
-        self.router.lease(own_shares, allocation.endpoints);
+        self.router.set_leased_shares(own_shares, allocation.endpoints);
     }
 
     /// Passes the number of possibly active routers to the router, if it has changed.
@@ -178,7 +178,7 @@
         }
         info!(routers = counts.all, in_zone = counts.own_zone, "number of possibly active routers changed");
         cluster.router_counts = counts;
-        self.router.count_routers(counts.all, counts.own_zone);
+        self.router.set_active_router_counts(counts.all, counts.own_zone);
     }
 
     /// Announces this router's lifecycle phase to the other routers.
@@ -223,7 +223,7 @@
             ClusterIncarnation { generation: record.generation, incarnation: record.incarnation };
         if let Some(quotas) = &mut cluster.quotas {
             quotas.stop(self.now.as_micros());
-            self.router.lease((0.0, 0.0), BTreeMap::new());
+            self.router.set_leased_shares((0.0, 0.0), BTreeMap::new());
         }
         self.close(socket);
         Some(incarnation)
--- a/crates/server/src/handover/mod.rs
+++ b/crates/server/src/handover/mod.rs
@@ -57,7 +57,7 @@
     fn update_shared_limits(&mut self) {
         let shared = self.handover.successor.is_some() || self.handover.predecessor.is_some();
         self.handover.limits_shared = shared;
-        self.router.share(shared);
+        self.router.set_additional_routers(shared);
         let processes = if shared { PROCESSES_IN_HANDOVER } else { 1 };
         self.buffers.set_max_buffers(max_buffers(&self.config) / processes);
     }
--- a/crates/simulation/src/virtual_time/cluster.rs
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -88,7 +88,7 @@
         let router = &mut self.routers[by];
         if let Some(view) = cluster.view(by).filter(|_| router.is_running()) {
             let divisors = view.quota_divisors(&router.config.settings);
-            router.core.count_routers(divisors.all, divisors.own_zone);
+            router.core.set_active_router_counts(divisors.all, divisors.own_zone);
         }
     }
 
@@ -101,7 +101,7 @@
             lease.until = Timestamp::from_micros(from_cluster_clock(lease.until.as_micros()));
         }
         let shares = (allocation.share_of_all, allocation.share_of_own_zone);
-        router_state.core.lease(shares, allocation.endpoints);
+        router_state.core.set_leased_shares(shares, allocation.endpoints);
     }
 
     /// Records when all running routers first hold the same view after the last fault.
--- a/crates/simulation/src/virtual_time/quotas.rs
+++ b/crates/simulation/src/virtual_time/quotas.rs
@@ -41,7 +41,7 @@
         let mut sums = BTreeMap::new();
         for router in &self.routers {
             let demands = router.core.warm_up_demands(now).into_iter();
-            for demand in demands.filter(|demand| demand.sharers != QuotaScope::Elsewhere) {
+            for demand in demands.filter(|demand| demand.sharers != QuotaScope::OtherZone) {
                 let shared_by_all = demand.sharers == QuotaScope::All;
                 let sum = sums.entry(demand.endpoint).or_insert_with(|| QuotaSum {
                     // The quota of an edge cache is shared by the routers of its site, that of a
--- a/crates/simulator-adapter/src/protocol/decoder.rs
+++ b/crates/simulator-adapter/src/protocol/decoder.rs
@@ -215,9 +215,9 @@
         latency: Duration::from_micros(u64::from(record.u32(17))),
         attempt: record.u16(21),
         status: record.status(23)?,
-        ended: record.u8(24) != 0,
+        request_finished: record.u8(24) != 0,
         work: None,
-        note: cache_status(record, 25)?,
+        cache_status: cache_status(record, 25)?,
     }))
 }
 
--- a/crates/simulator-adapter/src/protocol/encoder.rs
+++ b/crates/simulator-adapter/src/protocol/encoder.rs
@@ -64,7 +64,7 @@
                 record.u32(*request);
                 record.bytes(&attempt.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 record.u32(*request);
                 record.micros(*retry_after);
             }
@@ -74,7 +74,7 @@
                 record.bytes(&token.to_le_bytes());
             }
             Action::Subscribe => record.bytes(&[SUBSCRIBE_TO_CHANGES]),
-            Action::FetchHosts => {}
+            Action::FetchEndpointList => {}
             Action::Probe { endpoint } => record.endpoint(*endpoint),
             Action::Log(text) => {
                 record.u32(self.tail.len() as u32);
@@ -110,11 +110,11 @@
     match action {
         Action::Attempt { .. } => code::ATTEMPT,
         Action::Cancel { .. } => code::CANCEL,
-        Action::Refuse { .. } => code::REFUSE,
+        Action::Reject { .. } => code::REFUSE,
         Action::Fail { .. } => code::FAIL,
         Action::Timer { .. } => code::TIMER,
         Action::Subscribe => code::SUBSCRIBE,
-        Action::FetchHosts => code::FETCH_LIST,
+        Action::FetchEndpointList => code::FETCH_LIST,
         Action::Probe { .. } => code::PROBE,
         Action::Log(_) => code::LOG,
     }
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -85,8 +85,8 @@
     for (code, status) in codes {
         let hex = format!("64 0300 c4913a5d b8240000 0a124a07 8b13 44480000 0200 {code:02x} 01 02");
         let Event::AttemptOutcome(outcome) = decode_event(&hex) else { panic!("not an attempt outcome") };
-        assert_eq!((outcome.status, outcome.ended), (status, true));
-        assert_eq!(outcome.note, Some(CacheStatus::Filled));
+        assert_eq!((outcome.status, outcome.request_finished), (status, true));
+        assert_eq!(outcome.cache_status, Some(CacheStatus::Filled));
         assert_eq!((outcome.latency, outcome.attempt), (Duration::from_micros(18_500), 2));
         assert_eq!(outcome.endpoint, EndpointId(0x138b_074a_120a));
     }
@@ -166,7 +166,7 @@
         },
     );
     encoder.action(3, &Action::timer(Duration::from_millis(500), 77));
-    encoder.action(3, &Action::refuse(0x0e6f_2b19, Duration::from_millis(250)));
+    encoder.action(3, &Action::reject(0x0e6f_2b19, Duration::from_millis(250)));
     encoder.action(3, &Action::Fail { request: 0x0e6f_2b19 });
     encoder.action(3, &Action::cancel(0x5d3a_91c4, 1));
     encoder.action(3, &Action::Log("two servers known".into()));
