--- a/crates/protocol/src/admin.rs
+++ b/crates/protocol/src/admin.rs
@@ -23,7 +23,7 @@
     /// `/status/fleet`: returns the cluster membership as this router knows it.
     ClusterStatus,
     /// `/status/fleet/limits`: returns the quotas of the cluster and their leases.
-    LimitStatus,
+    QuotaStatus,
     /// `/standby`: takes this router out of rotation.
     Standby,
     /// `/active`: puts this router back into rotation.
@@ -36,7 +36,7 @@
             "/status" => Some(AdminOperation::Status),
             "/status/metrics" => Some(AdminOperation::Metrics),
             "/status/fleet" => Some(AdminOperation::ClusterStatus),
-            "/status/fleet/limits" => Some(AdminOperation::LimitStatus),
+            "/status/fleet/limits" => Some(AdminOperation::QuotaStatus),
             "/standby" => Some(AdminOperation::Standby),
             "/active" => Some(AdminOperation::Active),
             _ => None,
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -137,7 +137,7 @@
         object: ReceivedNumber { text: object.to_vec(), value: parse_hex_u64(object)? },
         chunk: u32::try_from(number("piece")?).ok()?,
         group: u32::try_from(number("lot")?).ok().filter(|group| *group < GROUP_COUNT)?,
-        budget_ms: timeout_millis,
+        timeout_ms: timeout_millis,
         if_none_match: parse_optional_tag(&fields, "ver")?,
         idempotency_key: parse_optional_tag(&fields, "token")?,
         class: std::mem::take(&mut frame.words[2]),
--- a/crates/protocol/src/dns_routing.rs
+++ b/crates/protocol/src/dns_routing.rs
@@ -32,7 +32,7 @@
     /// A name that does not end with the name of the zone; the router has no authority for it.
     OutsideZone,
     /// A name in the zone that does not exist.
-    NotFound,
+    Nonexistent,
     /// The apex: the name of the zone without further labels.
     Apex,
     /// A name without records below which other names exist (RFC 8499).
@@ -50,8 +50,8 @@
         [] => NameKind::Apex,
         [label] if label == ENDPOINTS_LABEL => NameKind::EmptyNonTerminal,
         [uid, label] if label == ENDPOINTS_LABEL => NameKind::Endpoint(uid.clone()),
-        [.., label] if label == ENDPOINTS_LABEL => NameKind::NotFound,
-        _ => classify_request_name(labels, classes).unwrap_or(NameKind::NotFound),
+        [.., label] if label == ENDPOINTS_LABEL => NameKind::Nonexistent,
+        _ => classify_request_name(labels, classes).unwrap_or(NameKind::Nonexistent),
     }
 }
 
@@ -106,7 +106,7 @@
 /// Returns whether a query of this type for the name of a request needs a routing decision. For
 /// other types, such as the AAAA query that many clients send along with an A query, no endpoint is
 /// chosen and no load is counted.
-pub fn is_routable_type(query_type: u16) -> bool {
+pub fn needs_routing_decision(query_type: u16) -> bool {
     matches!(query_type, record_type::A | record_type::SRV | record_type::ANY)
 }
 
--- a/crates/protocol/src/endpoint.rs
+++ b/crates/protocol/src/endpoint.rs
@@ -35,7 +35,7 @@
     pub cache_status: Option<CacheStatus>,
 }
 
-/// Parses a response from a frame. The caller checks with [`response_allowed`] whether the response
+/// Parses a response from a frame. The caller checks with [`is_valid_response`] whether the response
 /// is valid for the attempt.
 ///
 /// # Errors
@@ -96,7 +96,7 @@
 /// must carry the version tag of the copy, unless the request is a write, whose result has none.
 /// `unchanged` must carry the version tag that the attempt sent. The result of a health probe is
 /// never a valid response to an attempt.
-pub fn response_allowed(response: &AttemptResponse, held: Option<&[u8]>, is_write: bool) -> bool {
+pub fn is_valid_response(response: &AttemptResponse, held: Option<&[u8]>, is_write: bool) -> bool {
     match response {
         AttemptResponse::Data(digest, _) => is_write || digest.is_some(),
         AttemptResponse::NotModified(digest) => held == Some(digest.as_slice()),
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -27,7 +27,7 @@
     /// The group of the object, which can be purged as a whole.
     pub group: u32,
     /// How long the client waits for the reply, in milliseconds.
-    pub budget_ms: u64,
+    pub timeout_ms: u64,
     /// The digest of the copy that the client holds. If that copy is current, the reply has no
     /// body.
     pub if_none_match: Option<Vec<u8>>,
--- a/crates/router/src/router/admission.rs
+++ b/crates/router/src/router/admission.rs
@@ -62,7 +62,7 @@
         let new = NewRequest {
             mode: if follows { RoutingMode::FollowHint } else { RoutingMode::Decide },
             requested,
-            deadline: now + Duration::from_millis(request.budget_ms),
+            deadline: now + Duration::from_millis(request.timeout_ms),
             client: Some(WaitingClient { handle: client, request: Rc::new(request) }),
         };
         self.open_request(now, new, commands);
@@ -129,7 +129,7 @@
     /// has no maximum.
     fn check_budget(&self, request: &ClientRequest, class: u16) -> Result<(), ResultReason> {
         let max_budget = self.settings.classes[usize::from(class)].deadline * MAX_BUDGET_MULTIPLE;
-        let budget = Duration::from_millis(request.budget_ms);
+        let budget = Duration::from_millis(request.timeout_ms);
         if !max_budget.is_zero() && budget > max_budget {
             return Err(ResultReason::InvalidRequest);
         }
@@ -188,7 +188,7 @@
         request: 0,
         requested,
         arrived: now,
-        budget: Duration::from_millis(request.budget_ms),
+        budget: Duration::from_millis(request.timeout_ms),
         duration: Duration::ZERO,
         result,
         reason,
--- a/crates/router/tests/characterization/adapter.rs
+++ b/crates/router/tests/characterization/adapter.rs
@@ -126,7 +126,7 @@
             object: number(request.object),
             chunk: request.chunk,
             group: request.group,
-            budget_ms: request.budget_ms,
+            timeout_ms: request.budget_ms,
             if_none_match: request.holds_copy.then(|| b"held".to_vec()),
             idempotency_key: request.has_key.then(|| b"key".to_vec()),
             body: self.chain(request.body),
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -231,7 +231,7 @@
             object: number(object),
             chunk: 0,
             group: 1,
-            budget_ms: 1_500,
+            timeout_ms: 1_500,
             if_none_match: None,
             idempotency_key: None,
             body: self.pool.chain(),
--- a/crates/server/src/admin.rs
+++ b/crates/server/src/admin.rs
@@ -162,7 +162,7 @@
             AdminOperation::ClusterStatus => {
                 return section_response(self.cluster_status(), "fleet", request)
             }
-            AdminOperation::LimitStatus => {
+            AdminOperation::QuotaStatus => {
                 return section_response(self.quota_status(), "fleet.limits", request)
             }
             AdminOperation::Standby => (self.change_phase(Event::Standby), self.phase_line()),
--- a/crates/server/src/clients/requests.rs
+++ b/crates/server/src/clients/requests.rs
@@ -198,7 +198,7 @@
     fn limit_timeout(&self, mut request: ClientRequest) -> ClientRequest {
         if let Some(ends_by) = self.lifecycle.ends_by(self.longest_deadline()) {
             let left_millis = ends_by.saturating_duration_since(self.now).as_millis() as u64;
-            request.budget_ms = request.budget_ms.min(left_millis).max(1);
+            request.timeout_ms = request.timeout_ms.min(left_millis).max(1);
         }
         request
     }
--- a/crates/server/src/dns/front.rs
+++ b/crates/server/src/dns/front.rs
@@ -184,14 +184,14 @@
         let zone = &self.dns_zone;
         match dns_routing::classify_name(&query.name, zone, self.router.classes()) {
             NameKind::OutsideZone => Response::from_rcode(Rcode::Refused),
-            NameKind::NotFound => dns_routing::negative_response(Rcode::NxDomain, zone),
+            NameKind::Nonexistent => dns_routing::negative_response(Rcode::NxDomain, zone),
             NameKind::Apex => dns_routing::apex_response(query.record_type, zone),
             NameKind::EmptyNonTerminal => dns_routing::negative_response(Rcode::NoError, zone),
             NameKind::Endpoint(uid) => match self.router.ready_address(&uid) {
                 Some(address) => dns_routing::endpoint_response(query.record_type, zone, address),
                 None => dns_routing::negative_response(Rcode::NxDomain, zone),
             },
-            NameKind::Request(_) if !dns_routing::is_routable_type(query.record_type) => {
+            NameKind::Request(_) if !dns_routing::needs_routing_decision(query.record_type) => {
                 dns_routing::negative_response(Rcode::NoError, zone)
             }
             NameKind::Request(wanted) => self.route_object(query, wanted),
--- a/crates/server/src/endpoints/connection.rs
+++ b/crates/server/src/endpoints/connection.rs
@@ -235,7 +235,7 @@
     fn response_fits(&self, attempt: &OutstandingAttempt, response: &AttemptResponse) -> bool {
         let class = self.router.settings().classes.get(usize::from(attempt.class));
         let is_write = class.is_some_and(|class| class.write);
-        endpoint::response_allowed(response, attempt.revalidated_tag.as_deref(), is_write)
+        endpoint::is_valid_response(response, attempt.revalidated_tag.as_deref(), is_write)
     }
 
     /// Writes the queued messages of a connection; does nothing until the connection is
--- a/crates/server/src/endpoints/tests.rs
+++ b/crates/server/src/endpoints/tests.rs
@@ -52,7 +52,7 @@
         object: number(2),
         chunk: 0,
         group: 1,
-        budget_ms: 1_500,
+        timeout_ms: 1_500,
         if_none_match: None,
         idempotency_key: None,
         body: chain,
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -125,7 +125,7 @@
             object: received(attempt.key.object),
             chunk: attempt.key.chunk,
             group: attempt.group,
-            budget_ms: attempt.timeout_ms,
+            timeout_ms: attempt.timeout_ms,
             if_none_match: None,
             idempotency_key: None,
             body: self.pool.chain(),
