--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -34,7 +34,7 @@
     },
     /// An event is addressed to an instance that does not exist.
     #[error("instance {instance} does not exist: unexpected {event} event")]
-    NotStarted {
+    UnknownInstance {
         /// Instance number in the event record.
         instance: u16,
         /// Kind of the event, such as `request` or `timer`.
@@ -110,12 +110,12 @@
                         .map_err(|source| AdapterError::Settings { instance, source })?;
                     self.modules.insert(instance, module);
                 }
-                Input::PowerOff { instance } => {
+                Input::Remove { instance } => {
                     self.modules.remove(&instance);
                 }
                 Input::Event { instance, event } => {
                     let Some(module) = self.modules.get_mut(&instance) else {
-                        return Err(AdapterError::NotStarted { instance, event: event_name(&event) });
+                        return Err(AdapterError::UnknownInstance { instance, event: event_name(&event) });
                     };
                     module.handle(batch.now, event, &mut self.actions);
                     for action in self.actions.drain(..) {
--- a/crates/simulator-adapter/src/protocol/decoder.rs
+++ b/crates/simulator-adapter/src/protocol/decoder.rs
@@ -65,7 +65,7 @@
         settings: Box<Settings>,
     },
     /// Removes an instance; without effect if the instance does not exist.
-    PowerOff {
+    Remove {
         /// Number of the instance to remove.
         instance: u16,
     },
@@ -124,7 +124,7 @@
     fn input(&mut self, record: &Record, tail: &[u8]) -> Result<Option<Input>, ProtocolError> {
         let event = match record.u8(CODE) {
             code::CREATE => return create(record, tail).map(Some),
-            code::POWER_OFF => return Ok(Some(Input::PowerOff { instance: record.u16(INSTANCE) })),
+            code::POWER_OFF => return Ok(Some(Input::Remove { instance: record.u16(INSTANCE) })),
             code::DEFINE_LIST => {
                 self.define_list(record, tail)?;
                 return Ok(None);
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -107,7 +107,7 @@
     assert_eq!(decode_event("32 0300 03"), Event::EndpointListFailed);
     let probed = decode_event("78 0300 0a9011f2 b413 fc");
     assert!(matches!(probed, Event::Probed { status: AttemptStatus::ConnectFailed, .. }));
-    assert_eq!(decode(&[padded("6e 0300", 48)], &[]), vec![Input::PowerOff { instance: 3 }]);
+    assert_eq!(decode(&[padded("6e 0300", 48)], &[]), vec![Input::Remove { instance: 3 }]);
     assert_eq!(decode(&[padded("5a 0300 02000000 00000000 04000000", 48)], b"hi 7"), vec![]);
 }
 
