--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -106,7 +106,7 @@
 
 impl Config {
     /// The options for [`hollymux_router::Router::new`].
-    pub fn setup(&self) -> RouterOptions {
+    pub fn router_options(&self) -> RouterOptions {
         RouterOptions {
             settings: self.settings.clone(),
             classes: self.names.classes.clone(),
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -121,7 +121,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let follows_dns = operator.dns.as_ref().is_some_and(|dns| dns.follow.is_some());
-        let router = Router::new(config.setup(), follows_dns).map_err(io::Error::other)?;
+        let router = Router::new(config.router_options(), follows_dns).map_err(io::Error::other)?;
         let recorder = start_recorder(&operator, &config, &router)?;
         Ok(Server {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
--- a/crates/simulation/src/virtual_time/routers.rs
+++ b/crates/simulation/src/virtual_time/routers.rs
@@ -46,7 +46,7 @@
         mut config: Config,
     ) -> Result<(SimulatedRouter, Vec<FeedEvent>), VirtualTimeError> {
         let initial_list = std::mem::take(&mut config.known.1);
-        let core = Router::new(config.setup(), false)
+        let core = Router::new(config.router_options(), false)
             .map_err(|source| VirtualTimeError::Settings { router: slot.name(), source })?;
         let router = SimulatedRouter { slot, core, config, process: ProcessState::Running };
         Ok((router, initial_list))
