--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -206,20 +206,20 @@
 
 impl Check for Fleet {
     fn check(&self, faults: &mut Faults) {
-        faults.unless(!self.sites.is_empty(), "offices", MUST_NOT_BE_EMPTY);
-        faults.unless(!self.parent_caches.is_empty(), "hubs", MUST_NOT_BE_EMPTY);
+        faults.require(!self.sites.is_empty(), "offices", MUST_NOT_BE_EMPTY);
+        faults.require(!self.parent_caches.is_empty(), "hubs", MUST_NOT_BE_EMPTY);
         let mut names: BTreeSet<&str> = BTreeSet::new();
         for (index, parent) in self.parent_caches.iter().enumerate() {
             let path = format!("hubs[{index}]");
-            faults.unless(names.insert(&parent.name), format!("{path}.name"), DUPLICATE_NAME);
+            faults.require(names.insert(&parent.name), format!("{path}.name"), DUPLICATE_NAME);
             parent.check(&path, faults);
         }
         for (index, site) in self.sites.iter().enumerate() {
             let path = format!("offices[{index}]");
-            faults.unless(names.insert(&site.name), format!("{path}.name"), DUPLICATE_NAME);
+            faults.require(names.insert(&site.name), format!("{path}.name"), DUPLICATE_NAME);
             let has_parent =
                 self.parent_caches.iter().any(|parent| parent.name == site.parent_cache);
-            faults.unless(
+            faults.require(
                 has_parent,
                 format!("{path}.hub"),
                 "is not the name of a hub in this file",
@@ -228,7 +228,7 @@
         }
         self.origin.check(faults);
         let fill_speedup_is_valid = (1.0..=MAX_FILL_SPEEDUP).contains(&self.fill_speedup);
-        faults.unless(fill_speedup_is_valid, "fill_pace", "must lie between 1 and 100");
+        faults.require(fill_speedup_is_valid, "fill_pace", "must lie between 1 and 100");
         self.clients.check(faults);
         self.warm_up.check(faults);
         self.routers.check(faults);
@@ -238,7 +238,7 @@
 impl ParentCache {
     fn check(&self, path: &str, faults: &mut Faults) {
         let mut positive = |is_valid: bool, field: &str| {
-            faults.unless(is_valid, format!("{path}.{field}"), MUST_BE_POSITIVE);
+            faults.require(is_valid, format!("{path}.{field}"), MUST_BE_POSITIVE);
         };
         positive(is_positive(self.link_flows), "link_flows");
         positive(is_positive_if_given(self.cache_bytes), "keep_bytes");
@@ -249,9 +249,9 @@
 impl Site {
     fn check(&self, path: &str, faults: &mut Faults) {
         let count_is_valid = (1..=MAX_EDGE_CACHES).contains(&self.edge_caches);
-        faults.unless(count_is_valid, format!("{path}.boxes"), "must lie between 1 and 1000");
+        faults.require(count_is_valid, format!("{path}.boxes"), "must lie between 1 and 1000");
         let mut positive = |is_valid: bool, field: &str| {
-            faults.unless(is_valid, format!("{path}.{field}"), MUST_BE_POSITIVE);
+            faults.require(is_valid, format!("{path}.{field}"), MUST_BE_POSITIVE);
         };
         positive(is_positive(self.link_in_flows), "link_in_flows");
         positive(is_positive_if_given(self.link_flows), "link_flows");
@@ -265,7 +265,7 @@
 impl Origin {
     fn check(&self, faults: &mut Faults) {
         let mut positive = |is_valid: bool, field: &str| {
-            faults.unless(is_valid, format!("library.{field}"), MUST_BE_POSITIVE);
+            faults.require(is_valid, format!("library.{field}"), MUST_BE_POSITIVE);
         };
         positive(is_positive_if_given(self.max_calls_per_s), "calls_per_s");
         positive(is_positive_if_given(self.link_flows), "link_flows");
@@ -277,9 +277,9 @@
 impl Clients {
     fn check(&self, faults: &mut Faults) {
         let retries_are_valid = self.max_retries <= MAX_CLIENT_RETRIES;
-        faults.unless(retries_are_valid, "clients.tries", "must lie between 0 and 10");
+        faults.require(retries_are_valid, "clients.tries", "must lie between 0 and 10");
         let wait_is_valid = is_positive(self.min_retry_wait_ms);
-        faults.unless(wait_is_valid, "clients.wait_ms", MUST_BE_POSITIVE);
+        faults.require(wait_is_valid, "clients.wait_ms", MUST_BE_POSITIVE);
     }
 }
 
@@ -290,20 +290,20 @@
             (self.parent_cache_initial_share, "cold.hub_from"),
         ];
         for (share, field) in shares {
-            faults.unless(is_share(share), field, "must be above 0 and at most 1");
+            faults.require(is_share(share), field, "must be above 0 and at most 1");
         }
         let durations = [(self.edge_cache_s, "cold.box_s"), (self.parent_cache_s, "cold.hub_s")];
         for (duration_s, field) in durations {
             let is_valid = (0.0..=MAX_WARM_UP_S).contains(&duration_s);
-            faults.unless(is_valid, field, "must lie between 0 and 600");
+            faults.require(is_valid, field, "must lie between 0 and 600");
         }
     }
 }
 
 impl Routers {
     fn check(&self, faults: &mut Faults) {
-        faults.unless(is_positive(self.max_sockets), "routers.sockets", MUST_BE_POSITIVE);
-        faults.unless(is_positive(self.memory_mb), "routers.memory_mb", MUST_BE_POSITIVE);
-        faults.unless(is_positive(self.cpu_ms), "routers.cpu_ms", MUST_BE_POSITIVE);
+        faults.require(is_positive(self.max_sockets), "routers.sockets", MUST_BE_POSITIVE);
+        faults.require(is_positive(self.memory_mb), "routers.memory_mb", MUST_BE_POSITIVE);
+        faults.require(is_positive(self.cpu_ms), "routers.cpu_ms", MUST_BE_POSITIVE);
     }
 }
--- a/crates/config-file/src/fault.rs
+++ b/crates/config-file/src/fault.rs
@@ -55,7 +55,7 @@
     }
 
     /// Reports a fault if `holds` is false.
-    pub fn unless(&mut self, holds: bool, field: impl Into<String>, message: &str) {
+    pub fn require(&mut self, holds: bool, field: impl Into<String>, message: &str) {
         if !holds {
             self.report(field, message);
         }
--- a/crates/config-file/tests/faults.rs
+++ b/crates/config-file/tests/faults.rs
@@ -22,7 +22,7 @@
 impl Check for Document {
     fn check(&self, faults: &mut Faults) {
         for (index, machine) in self.boxes.iter().enumerate() {
-            faults.unless(machine.cores > 0.0, format!("boxes[{index}].cores"), "must be above 0");
+            faults.require(machine.cores > 0.0, format!("boxes[{index}].cores"), "must be above 0");
         }
     }
 }
--- a/crates/server/src/config/cluster_section.rs
+++ b/crates/server/src/config/cluster_section.rs
@@ -74,13 +74,13 @@
     fn check(&self, faults: &mut Faults) {
         check_range(faults, "fleet.limits.turn_ms", self.exchange_interval_ms, 50..=10_000);
         let min_broker_lease = 2 * self.exchange_interval_ms;
-        faults.unless(
+        faults.require(
             (min_broker_lease..=60_000).contains(&self.broker_lease_duration_ms),
             "fleet.limits.onward_ms",
             "must be at least twice turn_ms, at most 60000",
         );
         let min_lease = self.broker_lease_duration_ms + 2 * self.exchange_interval_ms;
-        faults.unless(
+        faults.require(
             (min_lease..=120_000).contains(&self.lease_duration_ms),
             "fleet.limits.lease_ms",
             "must be at least onward_ms and twice turn_ms, at most 120000",
@@ -97,30 +97,30 @@
     fn check_addresses(&self, faults: &mut Faults) {
         let field = if self.advertise.is_some() { "fleet.advertise" } else { "fleet.listen" };
         let requirement = "is no address that others can send to; give one in advertise";
-        faults.unless(is_reachable(self.advertised()), field, requirement);
-        faults.unless(self.seeds.len() <= MAX_SEEDS, "fleet.seeds", "must be no more than 64");
+        faults.require(is_reachable(self.advertised()), field, requirement);
+        faults.require(self.seeds.len() <= MAX_SEEDS, "fleet.seeds", "must be no more than 64");
         for (index, seed) in self.seeds.iter().enumerate() {
             let field = format!("fleet.seeds[{index}]");
-            faults.unless(is_reachable(*seed), field, "is no address to send to");
+            faults.require(is_reachable(*seed), field, "is no address to send to");
         }
     }
 
     fn check_timings(&self, faults: &mut Faults) {
         check_range(faults, "fleet.probe_ms", self.probe_interval_ms, 100..=10_000);
         let max_ack_timeout = self.probe_interval_ms.saturating_sub(1);
-        faults.unless(
+        faults.require(
             (10..=max_ack_timeout).contains(&self.ack_timeout_ms),
             "fleet.answer_ms",
             "must be at least 10 and less than probe_ms",
         );
         check_range(faults, "fleet.tell_ms", self.gossip_interval_ms, 50..=10_000);
         let smallest_min_suspicion = 2 * self.probe_interval_ms;
-        faults.unless(
+        faults.require(
             (smallest_min_suspicion..=60_000).contains(&self.min_suspicion_ms),
             "fleet.suspect_least_ms",
             "must be at least twice probe_ms, at most 60000",
         );
-        faults.unless(
+        faults.require(
             (self.min_suspicion_ms..=600_000).contains(&self.max_suspicion_ms),
             "fleet.suspect_most_ms",
             "must not be less than suspect_least_ms, at most 600000",
@@ -132,7 +132,7 @@
 impl Check for ClusterSection {
     fn check(&self, faults: &mut Faults) {
         let has_name = (1..=MAX_NAME_BYTES).contains(&self.name.len());
-        faults.unless(has_name, "fleet.name", "must have 1 to 64 bytes");
+        faults.require(has_name, "fleet.name", "must have 1 to 64 bytes");
         self.check_addresses(faults);
         self.check_timings(faults);
         if let Some(quotas) = &self.quotas {
--- a/crates/server/src/config/operator_file.rs
+++ b/crates/server/src/config/operator_file.rs
@@ -96,16 +96,16 @@
 impl Check for DnsSection {
     fn check(&self, faults: &mut Faults) {
         let is_name = dns::parse_name(&self.zone).is_some();
-        faults.unless(is_name, "dns.zone", "is no domain name");
+        faults.require(is_name, "dns.zone", "is no domain name");
         let is_used = self.listen.is_some() || self.follow.is_some();
-        faults.unless(is_used, "dns", "neither listen nor follow is given");
+        faults.require(is_used, "dns", "neither listen nor follow is given");
     }
 }
 
 impl Check for RecordingSection {
     fn check(&self, faults: &mut Faults) {
         let has_directory = !self.directory.as_os_str().is_empty();
-        faults.unless(has_directory, "record.dir", "is empty");
+        faults.require(has_directory, "record.dir", "is empty");
         check_range(faults, "record.file_mb", self.max_file_mb, 1..=4_096);
         check_range(faults, "record.files", self.max_files as u64, 1..=10_000);
         check_range(faults, "record.queue", self.max_queued_entries as u64, 1..=1_000_000);
@@ -115,5 +115,5 @@
 /// Reports a fault if a number does not lie in `range`.
 pub(super) fn check_range(faults: &mut Faults, field: &str, value: u64, range: RangeInclusive<u64>) {
     let requirement = format!("must lie between {} and {}", range.start(), range.end());
-    faults.unless(range.contains(&value), field, &requirement);
+    faults.require(range.contains(&value), field, &requirement);
 }
--- a/crates/simulation/src/sweep/mod.rs
+++ b/crates/simulation/src/sweep/mod.rs
@@ -108,21 +108,21 @@
         self.scenario.check(faults);
         let scenarios = self.scenario_count();
         let count_fits = (1..=MAX_SCENARIOS).contains(&scenarios);
-        faults.unless(count_fits, "lost", "every list must have entries, 20000 days in all at most");
+        faults.require(count_fits, "lost", "every list must have entries, 20000 days in all at most");
         let at_fits = self.at_s > self.scenario.warm_up_s && self.at_s < self.scenario.seconds;
-        faults.unless(at_fits, "at_s", "must lie between the day's warm_s and seconds");
+        faults.require(at_fits, "at_s", "must lie between the day's warm_s and seconds");
         let max_routers = MAX_ROUTERS_PER_SITE * self.scenario.sites.len();
         let routers = self.routers.iter().all(|count| (1..=max_routers).contains(count));
-        faults.unless(routers, "routers", "must lie between 1 and 50 for each office");
+        faults.require(routers, "routers", "must lie between 1 and 50 for each office");
         let durations = self.durations_s.iter().all(|seconds| *seconds > 0.0);
-        faults.unless(durations, "for_s", "must be above 0");
+        faults.require(durations, "for_s", "must be above 0");
         let loads = self.loads.iter().all(|load| *load > 0.0 && *load <= 100.0);
-        faults.unless(loads, "loads", "must lie between 0 and 100");
+        faults.require(loads, "loads", "must lie between 0 and 100");
         let skews = self.router_skews.iter().all(|skew| (1.0..=100.0).contains(skew));
-        faults.unless(skews, "uneven", "must lie between 1 and 100");
+        faults.require(skews, "uneven", "must lie between 1 and 100");
         let delays = self.feed_delays_ms.iter().all(|delay| (0.0..=60_000.0).contains(delay));
-        faults.unless(delays, "news_ms", "must lie between 0 and 60000");
-        faults.unless(self.scenario.faults.is_empty(), "day.faults", "the outage is the only one");
+        faults.require(delays, "news_ms", "must lie between 0 and 60000");
+        faults.require(self.scenario.faults.is_empty(), "day.faults", "the outage is the only one");
     }
 }
 
