--- a/crates/cluster/src/counters.rs
+++ b/crates/cluster/src/counters.rs
@@ -55,12 +55,12 @@
 
     /// The counters in the order in which the admin endpoint lists them: unsupported format,
     /// checksum mismatch, invalid fields, other cluster.
-    pub fn by_cause(&self) -> [u64; 4] {
+    pub fn counts_by_cause(&self) -> [u64; 4] {
         [self.unsupported_format, self.checksum_mismatch, self.invalid_fields, self.other_cluster]
     }
 
     /// Number of datagrams rejected for any cause.
     pub fn total(&self) -> u64 {
-        self.by_cause().iter().sum()
+        self.counts_by_cause().iter().sum()
     }
 }
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -104,7 +104,7 @@
             payload.len()
         );
         if self.outgoing.is_full() {
-            self.counters.dropped += 1;
+            self.counters.queue_overflows += 1;
             return;
         }
         self.counters.sent.add(payload.len());
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -320,7 +320,7 @@
     fn report(&mut self, change: MembershipChange) {
         if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
-            self.counters.dropped += 1;
+            self.counters.queue_overflows += 1;
         }
         self.changes.push_back(change);
     }
--- a/crates/cluster/src/membership/own_record.rs
+++ b/crates/cluster/src/membership/own_record.rs
@@ -33,7 +33,7 @@
     /// after the predecessor's, so other routers see no router leave or join. Datagrams that are
     /// queued under this process's previous generation are dropped. If generation or incarnation is
     /// out of bounds, only joins the cluster ([`Membership::join`]) and keeps its own identity.
-    pub fn take_over_incarnation(&mut self, now: Time, generation: u64, incarnation: u32) {
+    pub fn take_over_identity(&mut self, now: Time, generation: u64, incarnation: u32) {
         self.join(now);
         let record =
             MemberRecord { generation, incarnation: incarnation.saturating_add(1), ..self.record.clone() };
--- a/crates/cluster/src/membership/status.rs
+++ b/crates/cluster/src/membership/status.rs
@@ -66,7 +66,7 @@
     /// may lag behind the router's own record.
     pub record: MemberRecord,
     /// Duration since the record last changed.
-    pub unchanged_for: Time,
+    pub time_since_change: Time,
     /// Duration since the router last acknowledged a probe of the local router; `None` if it has
     /// not done so since its current start.
     pub last_ack_age: Option<Time>,
@@ -85,7 +85,7 @@
     /// Received datagrams that were rejected.
     pub rejected: RejectedDatagrams,
     /// Number of datagrams and changes dropped because their queue was full.
-    pub dropped: u64,
+    pub queue_overflows: u64,
     /// Number of probes sent, without those on behalf of other routers.
     pub probes_sent: u64,
     /// Number of probes that were acknowledged neither directly nor indirectly.
@@ -117,7 +117,7 @@
         self.table.iter().map(|(address, member)| MemberStatus {
             address,
             record: member.record.clone(),
-            unchanged_for: self.now.saturating_sub(member.changed_at),
+            time_since_change: self.now.saturating_sub(member.changed_at),
             last_ack_age: member.last_ack.map(|at| self.now.saturating_sub(at)),
             digest_matches: member.digest_matches,
         })
--- a/crates/cluster/src/quota/options.rs
+++ b/crates/cluster/src/quota/options.rs
@@ -57,7 +57,7 @@
 
     /// Maximum duration on the local clock after which everything that a stopped router lent, used
     /// or borrowed has expired.
-    pub fn max_claim_lifetime(&self) -> Time {
+    pub fn max_lease_and_usage_lifetime(&self) -> Time {
         let longest_lease = self.lease_duration.max(self.broker_lease_duration);
         self.with_drift_margin(longest_lease) + self.expiry_delay()
     }
--- a/crates/cluster/src/quota/own_share.rs
+++ b/crates/cluster/src/quota/own_share.rs
@@ -154,7 +154,7 @@
             all: (addresses.len() as u32 + 1 + active.unlisted).max(configured.all).max(1),
             own_zone: (same_zone + 1 + active.unlisted).max(configured.own_zone).max(1),
         };
-        let delay = self.options.timings.max_claim_lifetime();
+        let delay = self.options.timings.max_lease_and_usage_lifetime();
         self.own_share.update_divisors(self.now, delay, divisors);
     }
 
@@ -162,7 +162,7 @@
     /// before the set last changed have expired; [`NO_ROUTER_SET`] until then.
     pub(super) fn acknowledged_set(&self) -> u64 {
         let earlier_claims_expire_at =
-            self.own_share.router_set_changed_at + self.options.timings.max_claim_lifetime();
+            self.own_share.router_set_changed_at + self.options.timings.max_lease_and_usage_lifetime();
         if self.now >= earlier_claims_expire_at {
             self.own_share.router_set
         } else {
@@ -174,7 +174,7 @@
     /// address lent or used has expired, and every other possibly active router counts the local
     /// router in its divisors.
     pub(super) fn try_activate_own_share(&mut self) {
-        let earlier_claims_expire_at = self.started_at + self.options.timings.max_claim_lifetime();
+        let earlier_claims_expire_at = self.started_at + self.options.timings.max_lease_and_usage_lifetime();
         if self.own_share.in_use || self.now < earlier_claims_expire_at {
             return;
         }
--- a/crates/cluster/src/quota/status.rs
+++ b/crates/cluster/src/quota/status.rs
@@ -51,15 +51,15 @@
 /// from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaAllocation {
-    /// The own share of each limit that all routers share and that is not in `endpoints`; 0 while
-    /// the own share is not in use.
+    /// The own share of each limit that all routers share and that is not in `share_by_endpoint`; 0
+    /// while the own share is not in use.
     pub share_of_all: f64,
     /// The own share of each limit that the routers of the local zone share and that is not in
-    /// `endpoints`; 0 while the own share is not in use.
+    /// `share_by_endpoint`; 0 while the own share is not in use.
     pub share_of_own_zone: f64,
     /// The usable share of each limit that is in demand here or has leases, by the endpoint that
     /// the limit applies to.
-    pub endpoints: BTreeMap<EndpointId, QuotaShare>,
+    pub share_by_endpoint: BTreeMap<EndpointId, QuotaShare>,
 }
 
 /// Counters of quota datagrams and leases since the process started.
@@ -124,7 +124,7 @@
         QuotaAllocation {
             share_of_all: even_share(divisors.all),
             share_of_own_zone: even_share(divisors.own_zone),
-            endpoints,
+            share_by_endpoint: endpoints,
         }
     }
 
--- a/crates/cluster/tests/quota_ledger.rs
+++ b/crates/cluster/tests/quota_ledger.rs
@@ -45,7 +45,7 @@
         reclaimed * MS >= last_used * MS + timings.usage_window,
         "reclaimed after {reclaimed} ms, last used after {last_used} ms"
     );
-    let bound = timings.max_claim_lifetime() + 100 * MS;
+    let bound = timings.max_lease_and_usage_lifetime() + 100 * MS;
     assert!(reclaimed * MS <= bound, "reclaimed only after {reclaimed} ms");
 }
 
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -167,7 +167,7 @@
         }
         let allocation = quotas.allocation(self.now.as_micros());
         let own_shares = (allocation.share_of_all, allocation.share_of_own_zone);
-        self.router.set_leased_shares(own_shares, allocation.endpoints);
+        self.router.set_leased_shares(own_shares, allocation.share_by_endpoint);
     }
 
     /// Passes the number of possibly active routers to the router, if it has changed.
@@ -234,7 +234,7 @@
     pub(crate) fn take_over_cluster_socket(&mut self, previous: &ClusterIncarnation) {
         if let Some(cluster) = &mut self.cluster {
             let now = self.now.as_micros();
-            cluster.membership.take_over_incarnation(now, previous.generation, previous.incarnation);
+            cluster.membership.take_over_identity(now, previous.generation, previous.incarnation);
         }
         self.open_cluster_socket();
     }
--- a/crates/server/src/cluster/status.rs
+++ b/crates/server/src/cluster/status.rs
@@ -41,9 +41,9 @@
             "datagrams": {
                 "received": counters.received.datagrams,
                 "sent": counters.sent.datagrams,
-                "unread": counters.rejected.by_cause(),
+                "unread": counters.rejected.counts_by_cause(),
                 "unsent": cluster.unsent_datagrams,
-                "dropped": counters.dropped,
+                "dropped": counters.queue_overflows,
             },
             "others": membership.members().map(member_json).collect::<Vec<Value>>(),
         }))
@@ -67,7 +67,7 @@
             "words": {
                 "received": counters.received.datagrams,
                 "sent": counters.sent.datagrams,
-                "unread": counters.rejected.by_cause(),
+                "unread": counters.rejected.counts_by_cause(),
                 "stale": counters.stale_messages,
             },
             "lots": {
@@ -104,7 +104,7 @@
         "sum_when_links_work": 1.0,
         "sum_when_links_fail": 1.0,
         "more_for_each_that_nobody_counted": 1.0 / f64::from(routers),
-        "lots_back_after_s": seconds(timings.max_claim_lifetime()),
+        "lots_back_after_s": seconds(timings.max_lease_and_usage_lifetime()),
     })
 }
 
@@ -122,7 +122,7 @@
 
 fn member_json(member: MemberStatus) -> Value {
     let mut line = record_json(member.address, &member.record);
-    line["for_s"] = json!(seconds(member.unchanged_for));
+    line["for_s"] = json!(seconds(member.time_since_change));
     line["answered_s_ago"] = json!(member.last_ack_age.map(seconds));
     line["agrees"] = json!(member.digest_matches);
     line
--- a/crates/simulation/src/virtual_time/cluster.rs
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -97,11 +97,11 @@
         let router_state = &mut self.routers[router];
         let Some(quotas) = cluster.quotas(router).filter(|_| router_state.is_running()) else { return };
         let mut allocation = quotas.allocation(cluster.now);
-        for lease in allocation.endpoints.values_mut().filter(|lease| lease.until != Timestamp::MAX) {
+        for lease in allocation.share_by_endpoint.values_mut().filter(|lease| lease.until != Timestamp::MAX) {
             lease.until = Timestamp::from_micros(from_cluster_clock(lease.until.as_micros()));
         }
         let shares = (allocation.share_of_all, allocation.share_of_own_zone);
-        router_state.core.set_leased_shares(shares, allocation.endpoints);
+        router_state.core.set_leased_shares(shares, allocation.share_by_endpoint);
     }
 
     /// Records when all running routers first hold the same view after the last fault.
