--- a/crates/capacity/src/plan/bottlenecks.rs
+++ b/crates/capacity/src/plan/bottlenecks.rs
@@ -63,7 +63,7 @@
     Bottleneck {
         resource: resource_name(resource),
         used,
-        breaks_at: saturation_load(points),
+        saturates_at: saturation_load(points),
         symptom: symptom(resource).into(),
     }
 }
@@ -101,7 +101,7 @@
     let bottleneck = |resource: &str, used: f64, symptom: &str| Bottleneck {
         resource: format!("a router's {resource}"),
         used: Estimate::without_interval(used),
-        breaks_at: (used > 0.0)
+        saturates_at: (used > 0.0)
             .then(|| requested.load / used)
             .filter(|load| *load <= MAX_LOAD_MULTIPLE * requested.load),
         symptom: symptom.into(),
@@ -124,7 +124,7 @@
 /// Sorts by saturation load. Among those that cannot be told apart from the lowest load, the
 /// resource with the highest usage comes first.
 fn sort_by_load(bottlenecks: &mut [Bottleneck]) {
-    let load = |bottleneck: &Bottleneck| bottleneck.breaks_at.unwrap_or(f64::INFINITY);
+    let load = |bottleneck: &Bottleneck| bottleneck.saturates_at.unwrap_or(f64::INFINITY);
     let first_load = bottlenecks.iter().map(load).fold(f64::INFINITY, f64::min);
     let rank = |bottleneck: &Bottleneck| {
         let load = load(bottleneck);
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,7 +17,8 @@
     pub used: Option<Estimate>,
     /// Load at which the resource becomes saturated, in multiples of the recorded load; `None` if
     /// it is too far from the replayed loads to tell.
-    pub breaks_at: Option<f64>,
+    #[serde(rename = "breaks_at")]
+    pub saturates_at: Option<f64>,
     /// What users notice when the resource is saturated.
     #[serde(rename = "notice")]
     pub symptom: String,
--- a/crates/capacity/src/report/text.rs
+++ b/crates/capacity/src/report/text.rs
@@ -138,7 +138,7 @@
 
 fn first_bottleneck_line(bottleneck: &Bottleneck) -> String {
     let Bottleneck { resource, symptom, .. } = bottleneck;
-    match bottleneck.breaks_at {
+    match bottleneck.saturates_at {
         Some(load) => {
             format!("First to break: {resource}, at {load:.2} times the recorded load: {symptom}.")
         }
@@ -148,12 +148,12 @@
 
 fn bottleneck_line(bottleneck: &Bottleneck) -> String {
     let Bottleneck { resource, symptom, .. } = bottleneck;
-    let breaks_at =
-        bottleneck.breaks_at.map_or("beyond 4".to_string(), |load| format!("{load:.2}"));
+    let saturates_at =
+        bottleneck.saturates_at.map_or("beyond 4".to_string(), |load| format!("{load:.2}"));
     let used = bottleneck
         .used
         .map_or(String::new(), |used| format!("{:.0}% used now", used.value * 100.0));
-    format!("  {breaks_at:>8}  {resource:<26} {used:<14} {symptom}")
+    format!("  {saturates_at:>8}  {resource:<26} {used:<14} {symptom}")
 }
 
 fn load_line(outcome: &LoadOutcome) -> String {
--- a/crates/capacity/src/trace/mod.rs
+++ b/crates/capacity/src/trace/mod.rs
@@ -5,7 +5,7 @@
 mod purges;
 mod recorded;
 mod scaling;
-mod viewings;
+mod sessions;
 
 pub use purges::{Purge, PurgeLog};
 
@@ -57,9 +57,9 @@
     pub site: u16,
     /// Number of the router that received the request.
     pub router: u16,
-    /// Number of the viewing that the request belongs to: the requests of one site for one object
-    /// that follow each other closely.
-    pub viewing: u32,
+    /// Number of the viewing session that the request belongs to: the requests of one site for one
+    /// object that follow each other closely.
+    pub session: u32,
     /// The client's timeout, in microseconds.
     pub timeout_us: u32,
     /// Latency of the recorded response, in microseconds; `None` if the request was not served.
--- a/crates/capacity/src/trace/recorded.rs
+++ b/crates/capacity/src/trace/recorded.rs
@@ -1,7 +1,7 @@
 //! Conversion of a recording into a trace. Clients' retries are recognized and left out.
 
 use super::object_size::{SizeEstimator, UnservedWaits};
-use super::viewings::ViewingTracker;
+use super::sessions::SessionTracker;
 use super::{Chunk, ChunkAddress, ChunkId, ListedEndpoint, Purge, Trace, TraceRequest};
 use crate::error::PlanError;
 use hollymux_capture::{
@@ -45,7 +45,7 @@
     /// Time at which the last request for a chunk at a site ended without being served, in
     /// microseconds.
     unserved_at_us: HashMap<SiteChunk, u64>,
-    viewings: ViewingTracker,
+    sessions: SessionTracker,
     unserved_waits: HashMap<ChunkId, UnservedWaits>,
     retries: usize,
 }
@@ -101,13 +101,13 @@
             self.retries += 1;
             return Ok(());
         }
-        let viewing = self.viewings.assign(site, recorded.object, recorded.arrived);
+        let session = self.sessions.assign(site, recorded.object, recorded.arrived);
         self.trace.requests.push(TraceRequest {
             arrived_us: recorded.arrived - self.first_arrival_us,
             chunk,
             site,
             router: recorded.router,
-            viewing,
+            session,
             timeout_us: recorded.timeout,
             latency_us: is_served(recorded).then(|| recorded.duration.max(1)),
         });
--- a/crates/capacity/src/trace/viewings.rs
+++ b/crates/capacity/src/trace/sessions.rs
@@ -1,46 +1,46 @@
-//! Grouping of requests into viewings: all requests of one site for one object that follow each
-//! other closely, such as those for its consecutive chunks. Load is scaled in units of viewings.
+//! Grouping of requests into sessions: all requests of one site for one object that follow each
+//! other closely, such as those for its consecutive chunks. Load is scaled in units of sessions.
 
 use std::collections::HashMap;
 
-/// Maximum time between two consecutive requests of one viewing, in microseconds.
-const MAX_VIEWING_GAP_US: u64 = 5_000_000;
+/// Maximum time between two consecutive requests of one session, in microseconds.
+const MAX_SESSION_GAP_US: u64 = 5_000_000;
 
-/// An object as requested at one site; the key of the latest viewings.
+/// An object as requested at one site; the key of the latest sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SiteObject {
     site: u16,
     object: u64,
 }
 
-/// The latest viewing of an object at a site.
+/// The latest session of an object at a site.
 #[derive(Clone, Copy, Debug)]
-struct LatestViewing {
+struct LatestSession {
     number: u32,
     last_request_us: u64,
 }
 
-/// Assigns requests to viewings. Requests must be passed in order of arrival.
+/// Assigns requests to sessions. Requests must be passed in order of arrival.
 #[derive(Debug, Default)]
-pub(super) struct ViewingTracker {
-    latest: HashMap<SiteObject, LatestViewing>,
+pub(super) struct SessionTracker {
+    latest: HashMap<SiteObject, LatestSession>,
     next_number: u32,
 }
 
-impl ViewingTracker {
-    /// Returns the number of the viewing that a request belongs to: the latest one of the object at
+impl SessionTracker {
+    /// Returns the number of the session that a request belongs to: the latest one of the object at
     /// the site, or a new one if there is none or its last request is too long ago.
     pub(super) fn assign(&mut self, site: u16, object: u64, arrived_us: u64) -> u32 {
         let site_object = SiteObject { site, object };
         let continued = self
             .latest
             .get(&site_object)
-            .filter(|latest| arrived_us <= latest.last_request_us + MAX_VIEWING_GAP_US);
+            .filter(|latest| arrived_us <= latest.last_request_us + MAX_SESSION_GAP_US);
         let number = match continued {
             Some(latest) => latest.number,
             None => self.allocate_number(),
         };
-        let latest = LatestViewing { number, last_request_us: arrived_us };
+        let latest = LatestSession { number, last_request_us: arrived_us };
         self.latest.insert(site_object, latest);
         number
     }
--- a/crates/capacity/tests/plans.rs
+++ b/crates/capacity/tests/plans.rs
@@ -61,7 +61,7 @@
             chunk: requested,
             site,
             router: site,
-            viewing: number as u32,
+            session: number as u32,
             timeout_us: 2_500_000,
             latency_us: None,
         });
