--- a/crates/hollymux/src/simulate/run.rs
+++ b/crates/hollymux/src/simulate/run.rs
@@ -74,7 +74,7 @@
         None => VirtualRecorders::counting(unserved),
     };
     let mut on_event = |router, event: &virtual_time::RouterRecord<'_>| recorders.on_event(router, event);
-    virtual_time::play(scenario, options.seed, &mut on_event)
+    virtual_time::run(scenario, options.seed, &mut on_event)
         .map_err(|cause| CommandError::Simulation(cause.into()))
 }
 
@@ -92,7 +92,7 @@
         dir: options.report.clone().unwrap_or_else(|| temp_dir.path().to_path_buf()),
         record: std::path::absolute(&recordings)?,
     };
-    let result = multi_process::play(scenario, options.seed, &router_options)
+    let result = multi_process::run(scenario, options.seed, &router_options)
         .map_err(|cause| CommandError::Simulation(cause.into()))?;
     unserved.count_recorded(&recordings, result.start)?;
     Ok(result)
--- a/crates/simulation/src/cluster/observe.rs
+++ b/crates/simulation/src/cluster/observe.rs
@@ -58,7 +58,7 @@
     }
 
     /// The number of reports by any router since `since` that a router failed.
-    pub fn lost_reports(&self, since: Time) -> usize {
+    pub fn failure_reports(&self, since: Time) -> usize {
         let lost = |observed: &&ObservedChange| {
             let is_lost = matches!(
                 &observed.change,
--- a/crates/simulation/src/cluster_benchmark.rs
+++ b/crates/simulation/src/cluster_benchmark.rs
@@ -103,7 +103,8 @@
     /// s.
     pub healed_s: Option<f64>,
     /// Routers falsely reported failed while the only fault is datagram loss.
-    pub falsely_lost: FalseReports,
+    #[serde(rename = "falsely_lost")]
+    pub false_failures: FalseReports,
     /// Datagrams that a router sends per second while nothing happens.
     pub datagrams_s: f64,
     /// Bytes that a router sends per second while nothing happens.
@@ -160,7 +161,7 @@
         self.cluster.run(SETTLING_TIME);
         let idle_since = self.cluster.now;
         let cost = self.measure_idle_cost();
-        let falsely_lost = self.count_false_reports(idle_since, minutes);
+        let false_failures = self.count_false_reports(idle_since, minutes);
         let memory_kb = self.memory_kb();
         let (crash, join) = self.crash_and_restart();
         let healing = self.partition_and_heal();
@@ -172,7 +173,7 @@
             join,
             heal: healing.known,
             healed_s: healing.healed_s,
-            falsely_lost,
+            false_failures,
             datagrams_s: cost.datagrams_s,
             bytes_s: cost.bytes_s,
             max_bytes_s: healing.max_bytes_s,
@@ -206,7 +207,7 @@
         let until = self.cluster.now + (minutes * 60e6) as Time;
         let mut reports = 0;
         loop {
-            reports += self.cluster.lost_reports(since);
+            reports += self.cluster.failure_reports(since);
             self.cluster.changes.clear();
             if self.cluster.now >= until {
                 break;
@@ -308,8 +309,8 @@
         row.join.text(),
         row.heal.text(),
         seconds_text(row.healed_s),
-        row.falsely_lost.reports,
-        row.falsely_lost.minutes,
+        row.false_failures.reports,
+        row.false_failures.minutes,
         row.datagrams_s,
         row.bytes_s,
         row.max_bytes_s,
--- a/crates/simulation/src/cluster_report.rs
+++ b/crates/simulation/src/cluster_report.rs
@@ -31,7 +31,7 @@
 
 /// A report by one router that another one failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LostReport {
+pub struct FailureReport {
     /// When the router was reported failed, in seconds since the start of the run.
     pub at_s: f64,
     /// The index of the reporting router.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ViewObservations {
     /// The reports of failed routers.
-    pub lost: Vec<LostReport>,
+    pub failure_reports: Vec<FailureReport>,
     /// When all running routers were first seen to hold the same view after the last fault, in
     /// seconds since the start of the run; `None` if they never were.
     pub converged_at_s: Option<f64>,
@@ -55,14 +55,14 @@
 /// Computes the figures from the observations of a run.
 pub fn summarize_views(scenario: &Scenario, observed: &ViewObservations) -> ClusterReport {
     let fault_end_s = last_router_fault_end(scenario);
-    let unfounded = |report: &&LostReport| {
+    let unfounded = |report: &&FailureReport| {
         let affected = |router| is_affected(scenario, router, report.at_s, report.at_s);
         !affected(report.of) && !affected(report.by)
     };
     let bytes_per_router = observed.bytes as f64 / scenario.router_count().max(1) as f64;
     ClusterReport {
         converged_s: observed.converged_at_s.map(|at_s| (at_s - fault_end_s).max(0.0)),
-        false_positives: observed.lost.iter().filter(unfounded).count() as u64,
+        false_positives: observed.failure_reports.iter().filter(unfounded).count() as u64,
         missed: scenario.faults.iter().map(|fault| missed_losses(scenario, observed, fault)).sum(),
         bytes_per_router_s: bytes_per_router / scenario.seconds,
     }
@@ -87,8 +87,8 @@
         return 0;
     }
     let reported = |by: usize, of: usize| {
-        let in_time = |report: &LostReport| (from_s..=to_s).contains(&report.at_s);
-        observed.lost.iter().any(|report| report.by == by && report.of == of && in_time(report))
+        let in_time = |report: &FailureReport| (from_s..=to_s).contains(&report.at_s);
+        observed.failure_reports.iter().any(|report| report.by == by && report.of == of && in_time(report))
     };
     let down = router_indices(routers);
     let observers = (0..scenario.router_count()).filter(|by| !is_affected(scenario, *by, from_s, to_s));
--- a/crates/simulation/src/model/accounting.rs
+++ b/crates/simulation/src/model/accounting.rs
@@ -12,7 +12,7 @@
     pub name: String,
     /// The share of its capacity that was used while accounting ran, usually from 0 to 1. For fills
     /// it is the peak number of concurrent fills over the maximum number.
-    pub part: f64,
+    pub share: f64,
     /// The bytes that a link carried; `None` for other resources.
     pub bytes: Option<f64>,
 }
@@ -64,9 +64,9 @@
         let mut resources = Vec::new();
         for (server, runtime) in self.servers.iter().zip(&self.runtimes) {
             let bytes = runtime.outgoing_link.carried();
-            let part = bytes / (runtime.bytes_per_s * seconds);
+            let share = bytes / (runtime.bytes_per_s * seconds);
             let name = format!("{} link out", server.name);
-            resources.push(ResourceUse { name, part, bytes: Some(bytes) });
+            resources.push(ResourceUse { name, share, bytes: Some(bytes) });
             resources.extend(worker_use(&server.name, server.kind, runtime, seconds));
             resources.extend(fill_use(&server.name, runtime));
         }
@@ -78,7 +78,7 @@
     fn site_link_use(&self, site: &Site, bytes: f64, seconds: f64) -> ResourceUse {
         let rate = site.link_in_flows * self.scenario.flow_bytes_per_s;
         let name = format!("{} link in", site.name);
-        ResourceUse { name, part: bytes / (rate * seconds), bytes: Some(bytes) }
+        ResourceUse { name, share: bytes / (rate * seconds), bytes: Some(bytes) }
     }
 
     /// Bytes that the incoming links of all sites carried since accounting started.
@@ -113,8 +113,8 @@
         ServerKind::ParentCache(_) => return None,
     };
     let busy_seconds = (runtime.work_done - runtime.work_before_accounting) / 1e6;
-    let part = busy_seconds / (runtime.workers as f64 * seconds);
-    Some(ResourceUse { name: format!("{name} {resource}"), part, bytes: None })
+    let share = busy_seconds / (runtime.workers as f64 * seconds);
+    Some(ResourceUse { name: format!("{name} {resource}"), share, bytes: None })
 }
 
 /// The peak number of concurrent fills over the maximum number; `None` for the origin, which fills
@@ -123,6 +123,6 @@
     if runtime.max_fills == 0 {
         return None;
     }
-    let part = runtime.peak_fills as f64 / runtime.max_fills as f64;
-    Some(ResourceUse { name: format!("{name} fill places (most)"), part, bytes: None })
+    let share = runtime.peak_fills as f64 / runtime.max_fills as f64;
+    Some(ResourceUse { name: format!("{name} fill places (most)"), share, bytes: None })
 }
--- a/crates/simulation/src/model/mod.rs
+++ b/crates/simulation/src/model/mod.rs
@@ -184,7 +184,7 @@
     /// Events that the driver has not taken yet, oldest first.
     pub events: Vec<ModelEvent>,
     violations: Violations,
-    falls_before_known: u64,
+    overloads_before_known: u64,
     warm_up_use: PerTier<Samples>,
     accounting_since: Time,
     final_use: Option<FinalUse>,
@@ -228,7 +228,7 @@
             start_known_at: BTreeMap::new(),
             events: Vec::new(),
             violations: Violations::new(),
-            falls_before_known: 0,
+            overloads_before_known: 0,
             warm_up_use: PerTier::default(),
             accounting_since: start,
             final_use: None,
@@ -310,8 +310,8 @@
     /// The number of servers that were overloaded while they warmed up, mainly by load that was
     /// sent before all routers knew of their start. Routers could not prevent that, so it violates
     /// no rule.
-    pub fn falls_before_known(&self) -> u64 {
-        self.falls_before_known
+    pub fn overloads_before_known(&self) -> u64 {
+        self.overloads_before_known
     }
 
     /// The load on servers that warm up, relative to what all routers together may send them: the
@@ -326,7 +326,7 @@
     }
 
     /// How often the origin stopped for a while because far too many requests reached it.
-    pub fn origin_falls(&self) -> u64 {
+    pub fn origin_stops(&self) -> u64 {
         self.origin_admission.falls
     }
 }
--- a/crates/simulation/src/model/warm_up.rs
+++ b/crates/simulation/src/model/warm_up.rs
@@ -170,7 +170,7 @@
         if load_after_known >= BLAMED_SHARE * load {
             self.violate("cold server pushed over");
         } else {
-            self.falls_before_known += 1;
+            self.overloads_before_known += 1;
         }
         self.stop(server, ServerState::Down);
     }
--- a/crates/simulation/src/multi_process/error.rs
+++ b/crates/simulation/src/multi_process/error.rs
@@ -23,7 +23,7 @@
     },
     /// A router did not log its listening address in time.
     #[error("router {router} did not log its listening address in time")]
-    RouterSilent {
+    RouterStartTimeout {
         /// The name of the router whose log has no listening address.
         router: String,
     },
--- a/crates/simulation/src/multi_process/mod.rs
+++ b/crates/simulation/src/multi_process/mod.rs
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// A socket can't be created, or a router does not start.
-pub fn play(scenario: &Scenario, seed: u64, options: &RouterOptions) -> Result<RunResult, MultiProcessError> {
+pub fn run(scenario: &Scenario, seed: u64, options: &RouterOptions) -> Result<RunResult, MultiProcessError> {
     let mut driver = Driver::new(scenario, seed, options)?;
     driver.open_servers()?;
     driver.start_routers()?;
--- a/crates/simulation/src/multi_process/router_process.rs
+++ b/crates/simulation/src/multi_process/router_process.rs
@@ -139,7 +139,7 @@
             .map_err(start_error)?;
         let (address, other_addresses) = started
             .recv_timeout(ROUTER_TIMEOUT)
-            .map_err(|_| MultiProcessError::RouterSilent { router: files.name() })?;
+            .map_err(|_| MultiProcessError::RouterStartTimeout { router: files.name() })?;
         process.address = address;
         process.admin = other_addresses.admin;
         process.cluster = other_addresses.cluster;
@@ -165,8 +165,8 @@
     pub fn core_use(&self, index: usize, accounted_s: f64) -> ResourceUse {
         let ticks = processor_ticks(self.child.id()).saturating_sub(self.ticks_at_accounting_start);
         let ticks_per_s = rustix::param::clock_ticks_per_second() as f64;
-        let part = ticks as f64 / ticks_per_s / accounted_s;
-        ResourceUse { name: format!("n{} core", index + 1), part, bytes: None }
+        let share = ticks as f64 / ticks_per_s / accounted_s;
+        ResourceUse { name: format!("n{} core", index + 1), share, bytes: None }
     }
 
     fn has_exited(&mut self) -> bool {
--- a/crates/simulation/src/multi_process/routers.rs
+++ b/crates/simulation/src/multi_process/routers.rs
@@ -4,7 +4,7 @@
 use super::router_process::{cluster_status, RouterFiles, RouterProcess};
 use super::{Driver, MultiProcessError};
 use crate::cluster::DEFAULT_SEEDS;
-use crate::cluster_report::LostReport;
+use crate::cluster_report::FailureReport;
 use crate::router_config::{router_config, router_slots};
 use crate::router_faults::{last_router_fault_end, link_faults, router_indices};
 use crate::scenario::{FaultKind, FaultPhase, FaultStep};
@@ -122,7 +122,7 @@
         for line in self.failure_log.take() {
             let at_s = line.at.saturating_duration_since(self.started).as_secs_f64();
             let lost = relay.addresses.iter().position(|address| line.names(*address));
-            self.views.lost.extend(lost.map(|of| LostReport { at_s, by: line.by, of }));
+            self.views.failure_reports.extend(lost.map(|of| FailureReport { at_s, by: line.by, of }));
         }
         let routers = 0..self.scenario.router_count();
         self.views.bytes = routers.map(|router| relay.sent_by(router).bytes).sum();
--- a/crates/simulation/src/report/mod.rs
+++ b/crates/simulation/src/report/mod.rs
@@ -114,7 +114,7 @@
     pub origin_requests_per_s: f64,
     /// How often the origin stopped because far too many requests reached it.
     #[serde(rename = "library_fell")]
-    pub origin_falls: u64,
+    pub origin_stops: u64,
     /// The figures of each class, in the scenario's order.
     pub classes: Vec<ClassReport>,
     /// The share of each resource that was used, the most used first.
@@ -135,7 +135,7 @@
     /// The number of servers that were overloaded while they warmed up, mainly by load that was
     /// sent before all routers knew of their start.
     #[serde(rename = "fell_untold")]
-    pub falls_before_known: u64,
+    pub overloads_before_known: u64,
     /// The load on servers that warm up, by the tier of the server.
     #[serde(rename = "limits")]
     pub warm_up_quotas: BTreeMap<String, QuotaReport>,
@@ -224,14 +224,14 @@
             attempts: ratio(run.counters.attempts as f64, run.completed.len() as f64),
             filled_per_served: ratio(model.filled_bytes(), served_bytes as f64),
             origin_requests_per_s: model.origin_requests() as f64 / scenario.seconds,
-            origin_falls: model.origin_falls(),
+            origin_stops: model.origin_stops(),
             classes: class_reports(scenario, &counted),
             resource_use: resource_use(model),
             carried_bytes: carried_bytes(model),
             reasons: BTreeMap::new(),
             rejected_by_server: rejected_by_server(model),
             violations: violations(model, &run.counters),
-            falls_before_known: model.falls_before_known(),
+            overloads_before_known: model.overloads_before_known(),
             warm_up_quotas: quota_reports(model, &run.counters),
             cluster: run.counters.cluster,
             seconds: weights_by_second(scenario, run),
@@ -278,7 +278,7 @@
 fn resource_use(model: &ServerModel) -> Vec<Named<f64>> {
     let resources = model.resource_use().into_iter();
     let mut resources_by_use: Vec<Named<f64>> =
-        resources.map(|resource| Named { name: resource.name, value: resource.part }).collect();
+        resources.map(|resource| Named { name: resource.name, value: resource.share }).collect();
     resources_by_use.sort_by(|one, other| other.value.total_cmp(&one.value).then(one.name.cmp(&other.name)));
     resources_by_use
 }
--- a/crates/simulation/src/report/text.rs
+++ b/crates/simulation/src/report/text.rs
@@ -65,11 +65,11 @@
 
     fn falls_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        if self.origin_falls > 0 {
-            lines.push(format!("the library stopped, asked for too much, {} times", self.origin_falls));
+        if self.origin_stops > 0 {
+            lines.push(format!("the library stopped, asked for too much, {} times", self.origin_stops));
         }
-        if self.falls_before_known > 0 {
-            let falls = self.falls_before_known;
+        if self.overloads_before_known > 0 {
+            let falls = self.overloads_before_known;
             lines.push(format!("cold servers that fell before their start was told: {falls}"));
         }
         lines
--- a/crates/simulation/src/sweep/mod.rs
+++ b/crates/simulation/src/sweep/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::report::{Report, SecondWeights, COLD_EDGE_CACHE, COLD_PARENT_CACHE};
 use crate::scenario::{Fault, FaultKind, Scenario, Site, MAX_ROUTERS_PER_SITE, ORIGIN_NAME};
-use crate::virtual_time::{play, VirtualTimeError};
+use crate::virtual_time::{self, VirtualTimeError};
 use hollymux_config_file::{Check, Faults};
 use rayon::prelude::*;
 use schemars::JsonSchema;
@@ -153,7 +153,7 @@
     /// The number of servers that were overloaded while they warmed up, mainly by load that was
     /// sent before all routers knew of their start.
     #[serde(rename = "fell_untold")]
-    pub falls_before_known: u64,
+    pub overloads_before_known: u64,
     /// The weight earned over the weight offered, from 0 to 1.
     #[serde(rename = "served_worth")]
     pub earned_share: f64,
@@ -290,7 +290,7 @@
 }
 
 fn play_row(at_s: f64, row: SweepRow, scenario: &Scenario) -> Result<SweepRow, VirtualTimeError> {
-    let run = play(scenario, row.seed, &mut |_, _| {})?;
+    let run = virtual_time::run(scenario, row.seed, &mut |_, _| {})?;
     let report = Report::new(scenario, &run);
     let duration_s = match row.outage {
         Outage::RollingReplacement => REPLACEMENT_S,
@@ -305,7 +305,7 @@
         origin_requests_per_s: report.origin_requests_per_s,
         attempts: report.attempts,
         violations: report.violations,
-        falls_before_known: report.falls_before_known,
+        overloads_before_known: report.overloads_before_known,
         ..row
     })
 }
--- a/crates/simulation/src/sweep/table.rs
+++ b/crates/simulation/src/sweep/table.rs
@@ -45,7 +45,7 @@
         key.duration_ms as f64 / 1_000.0,
         key.routers,
         rows.len(),
-        rows.iter().map(|row| row.falls_before_known).sum::<u64>(),
+        rows.iter().map(|row| row.overloads_before_known).sum::<u64>(),
         min(|row| row.earned_share),
         sum(|row| row.earned_share) / rows.len() as f64,
         seconds(recoveries.get(recoveries.len() / 2)),
--- a/crates/simulation/src/virtual_time/cluster.rs
+++ b/crates/simulation/src/virtual_time/cluster.rs
@@ -3,7 +3,7 @@
 
 use super::{Simulation, START};
 use crate::cluster::{router_at, ObservedChange, RouterCluster, CLOCK_START};
-use crate::cluster_report::LostReport;
+use crate::cluster_report::FailureReport;
 use crate::router_faults::{last_router_fault_end, link_faults, router_indices};
 use crate::scenario::{FaultKind, FaultPhase};
 use crate::time::as_seconds;
@@ -81,8 +81,8 @@
         if let MembershipChange::Updated { address, record, .. } = &observed.change {
             if record.state == MemberState::Failed {
                 let at_s = as_seconds(self.now - START);
-                let report = router_at(*address).map(|of| LostReport { at_s, by, of });
-                self.views.lost.extend(report);
+                let report = router_at(*address).map(|of| FailureReport { at_s, by, of });
+                self.views.failure_reports.extend(report);
             }
         }
         let router = &mut self.routers[by];
--- a/crates/simulation/src/virtual_time/mod.rs
+++ b/crates/simulation/src/virtual_time/mod.rs
@@ -209,7 +209,7 @@
 ///
 /// # Errors
 /// A router's configuration or its settings are invalid.
-pub fn play(
+pub fn run(
     scenario: &Scenario,
     seed: u64,
     records: &mut RecordSink<'_>,
--- a/crates/simulation/tests/cluster.rs
+++ b/crates/simulation/tests/cluster.rs
@@ -147,7 +147,7 @@
     let since = cluster.now;
     cluster.partition(&[0, 1], &[5, 6]);
     cluster.run(60 * SEC);
-    assert_eq!(cluster.lost_reports(since), 0, "the routers between reach both ends");
+    assert_eq!(cluster.failure_reports(since), 0, "the routers between reach both ends");
     assert_converges(&mut cluster, &all_routers(7), 5 * SEC);
 }
 
@@ -180,7 +180,7 @@
         let restarted = generation(&cluster);
         let since = cluster.now;
         cluster.run(12 * SEC);
-        assert_eq!((generation(&cluster), cluster.lost_reports(since)), (restarted, 0));
+        assert_eq!((generation(&cluster), cluster.failure_reports(since)), (restarted, 0));
         assert!(cluster.converged(&all_routers(5)));
         assert_eq!(cluster.min_possibly_active(&all_routers(5)), 5);
     }
@@ -195,7 +195,7 @@
         cluster.run(SEC);
         cluster.resume(1);
         cluster.run(10 * SEC);
-        assert_eq!(cluster.lost_reports(since), 0, "seed {seed}");
+        assert_eq!(cluster.failure_reports(since), 0, "seed {seed}");
         cluster.pause(1);
         assert_reported_failed(&mut cluster, &all_except(5, 1), 1, 8 * SEC);
         cluster.run(7 * SEC);
@@ -317,7 +317,7 @@
     }
     cluster.run(3 * SEC);
     assert_eq!(cluster.view(0).unwrap().digest(), digest);
-    assert_eq!(cluster.lost_reports(since), 0);
+    assert_eq!(cluster.failure_reports(since), 0);
     let after = cluster.view(0).unwrap().counters;
     assert!(after.rejected.total() - before.rejected.total() >= 15_000);
     assert!(
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use hollymux_simulation::report::Report;
 use hollymux_simulation::scenario::Scenario;
 use hollymux_simulation::sweep::{self, Sweep};
-use hollymux_simulation::virtual_time::play;
+use hollymux_simulation::virtual_time;
 
 const SERVERS: &str = r#"
  seconds: 40, warm_s: 8, rate_per_s: 110, purges_per_s: 1,
@@ -18,7 +18,7 @@
 }
 
 fn report_of(scenario: &Scenario, seed: u64) -> Report {
-    let run = play(scenario, seed, &mut |_, _| {}).expect("the scenario runs in virtual time");
+    let run = virtual_time::run(scenario, seed, &mut |_, _| {}).expect("the scenario runs in virtual time");
     assert!(run.completed.len() > 3_000, "{} requests", run.completed.len());
     Report::new(scenario, &run)
 }
@@ -88,10 +88,10 @@
         for seed in [1, 3] {
             let report = report_of(scenario, seed);
             assert!(
-                report.violations.is_empty() && report.falls_before_known == 0,
+                report.violations.is_empty() && report.overloads_before_known == 0,
                 "scenario {i}, seed {seed}: {:?} {}",
                 report.violations,
-                report.falls_before_known
+                report.overloads_before_known
             );
         }
     }
@@ -120,7 +120,7 @@
         assert_eq!((cluster.false_positives, cluster.missed), (0, 0), "{name}");
         assert!(cluster.bytes_per_router_s < 3_000.0, "{name}: {cluster:?}");
         assert!(
-            clustered.violations.is_empty() && clustered.falls_before_known == 0,
+            clustered.violations.is_empty() && clustered.overloads_before_known == 0,
             "{name}: {:?}",
             clustered.violations
         );
@@ -239,7 +239,7 @@
     );
     let scenario: Scenario = hollymux_config_file::read(&text).expect("the scenario is valid");
     let report = report_of(&scenario, 1);
-    assert!(report.origin_falls <= 1, "the origin stopped {} times", report.origin_falls);
+    assert!(report.origin_stops <= 1, "the origin stopped {} times", report.origin_stops);
     assert!(report.violations.is_empty(), "{:?}", report.violations);
     assert!(report.earned_share > 0.7, "{}", report.earned_share);
     let filings = report
