--- a/crates/simulator-adapter/tests/characterization.rs
+++ b/crates/simulator-adapter/tests/characterization.rs
@@ -13,7 +13,7 @@
 mod world;
 
 use frames::Adapter;
-use world::{ClassUse, Counts, Deployment, Notes, World};
+use world::{ClassUse, Counts, Deployment, ReportedStatuses, World};
 
 /// Number of worlds per deployment.
 const SEQUENCES: u16 = 1_000;
@@ -24,7 +24,7 @@
 
 /// A deployment in which endpoints report no cache status. Health probes are allowed, hedged
 /// requests are not.
-const UNTOLD: Deployment = Deployment {
+const WITHOUT_CACHE_STATUS: Deployment = Deployment {
     settings: "az=0
 groupSize=4
 familyInfo.countByZone=2,2
@@ -73,17 +73,17 @@
 classes.2.effect=fragile
 ",
     classes: &[
-        ClassUse { patience: 1_200 * MS, writes: false, streams: false },
-        ClassUse { patience: 2_500 * MS, writes: false, streams: false },
-        ClassUse { patience: 2_000 * MS, writes: true, streams: false },
+        ClassUse { max_wait: 1_200 * MS, writes: false, streams: false },
+        ClassUse { max_wait: 2_500 * MS, writes: false, streams: false },
+        ClassUse { max_wait: 2_000 * MS, writes: true, streams: false },
     ],
-    notes: Notes::Nothing,
-    sizes_told: false,
+    reported_statuses: ReportedStatuses::Nothing,
+    has_chunk_sizes: false,
 };
 
 /// A deployment with classes that use idempotency keys. Endpoints report cache hits, and the router
 /// subscribes to the endpoint list. Hedged requests are not allowed.
-const KEYED: Deployment = Deployment {
+const WITH_IDEMPOTENCY_KEYS: Deployment = Deployment {
     settings: "az=0
 groupSize=6
 familyInfo.countByZone=3,3
@@ -136,17 +136,17 @@
 classes.2.effect=retryable
 ",
     classes: &[
-        ClassUse { patience: 1_800 * MS, writes: true, streams: false },
-        ClassUse { patience: 1_500 * MS, writes: true, streams: false },
-        ClassUse { patience: 900 * MS, writes: false, streams: false },
+        ClassUse { max_wait: 1_800 * MS, writes: true, streams: false },
+        ClassUse { max_wait: 1_500 * MS, writes: true, streams: false },
+        ClassUse { max_wait: 900 * MS, writes: false, streams: false },
     ],
-    notes: Notes::Hits,
-    sizes_told: false,
+    reported_statuses: ReportedStatuses::Hits,
+    has_chunk_sizes: false,
 };
 
 /// A deployment in which hedged requests are allowed, endpoints report every cache status, requests
 /// carry the size of the chunk, and cached copies become stale.
-const TOLD: Deployment = Deployment {
+const WITH_CACHE_STATUS: Deployment = Deployment {
     settings: "az=0
 groupSize=3
 familyInfo.countByZone=2,1
@@ -202,21 +202,21 @@
 classes.2.effect=fragile
 ",
     classes: &[
-        ClassUse { patience: 1_000 * MS, writes: false, streams: false },
-        ClassUse { patience: 2_200 * MS, writes: false, streams: true },
-        ClassUse { patience: 1_600 * MS, writes: true, streams: false },
+        ClassUse { max_wait: 1_000 * MS, writes: false, streams: false },
+        ClassUse { max_wait: 2_200 * MS, writes: false, streams: true },
+        ClassUse { max_wait: 1_600 * MS, writes: true, streams: false },
     ],
-    notes: Notes::All,
-    sizes_told: true,
+    reported_statuses: ReportedStatuses::All,
+    has_chunk_sizes: true,
 };
 
 /// Runs all worlds of a deployment. Returns the digest of the replies and the counts.
-fn play(deployment: &Deployment) -> (u64, Counts) {
+fn run_worlds(deployment: &Deployment) -> (u64, Counts) {
     let mut adapter = Adapter::start();
     let mut counts = Counts::default();
     for sequence in 0..SEQUENCES {
         let seed = 0x5eed_0000 + u64::from(sequence);
-        World::new(&mut adapter, deployment, &mut counts, sequence, seed).play(EVENTS);
+        World::new(&mut adapter, deployment, &mut counts, sequence, seed).run(EVENTS);
     }
     (adapter.finish(), counts)
 }
@@ -225,12 +225,12 @@
 /// Before that, it checks that the worlds contain enough of each kind of event and action that
 /// every deployment allows; otherwise the digest would guard less than intended.
 fn check(deployment: &Deployment, recorded: (u64, Counts)) -> Counts {
-    let (digest, counts) = play(deployment);
+    let (digest, counts) = run_worlds(deployment);
     let frequent = [counts.attempts, counts.timers, counts.with_source];
     assert!(frequent.iter().all(|count| *count >= 10_000), "{counts:?}");
-    let occasional = [counts.retries, counts.refusals, counts.failures, counts.purges_told];
+    let occasional = [counts.retries, counts.rejections, counts.failures, counts.purges];
     assert!(occasional.iter().all(|count| *count >= 500), "{counts:?}");
-    let rare = [counts.drains_told, counts.restarts_told, counts.bounded_age];
+    let rare = [counts.drains, counts.restarts, counts.bounded_age];
     assert!(rare.iter().all(|count| *count >= 200), "{counts:?}");
     assert_eq!((format!("{digest:016x}"), counts), (format!("{:016x}", recorded.0), recorded.1));
     counts
@@ -239,7 +239,7 @@
 #[test]
 fn decisions_are_unchanged_where_no_cache_status_is_reported() {
     let counts = check(
-        &UNTOLD,
+        &WITHOUT_CACHE_STATUS,
         (
             0xec10_eb59_d501_40d8,
             Counts {
@@ -251,12 +251,12 @@
                 cancels: 472,
                 probes: 809,
                 subscriptions: 16,
-                refusals: 17_847,
+                rejections: 17_847,
                 failures: 2_585,
                 timers: 204_859,
-                purges_told: 2_846,
-                drains_told: 669,
-                restarts_told: 1_008,
+                purges: 2_846,
+                drains: 669,
+                restarts: 1_008,
             },
         ),
     );
@@ -266,7 +266,7 @@
 #[test]
 fn decisions_are_unchanged_with_idempotency_keys() {
     let counts = check(
-        &KEYED,
+        &WITH_IDEMPOTENCY_KEYS,
         (
             0x66e5_3455_0dea_91a8,
             Counts {
@@ -278,12 +278,12 @@
                 cancels: 803,
                 probes: 0,
                 subscriptions: 1_080,
-                refusals: 15_680,
+                rejections: 15_680,
                 failures: 1_844,
                 timers: 183_671,
-                purges_told: 2_827,
-                drains_told: 661,
-                restarts_told: 982,
+                purges: 2_827,
+                drains: 661,
+                restarts: 982,
             },
         ),
     );
@@ -294,7 +294,7 @@
 #[test]
 fn decisions_are_unchanged_with_hedged_requests_and_stale_copies() {
     let counts = check(
-        &TOLD,
+        &WITH_CACHE_STATUS,
         (
             0x3dc6_dacf_c757_c5d4,
             Counts {
@@ -306,12 +306,12 @@
                 cancels: 422,
                 probes: 0,
                 subscriptions: 6,
-                refusals: 10_542,
+                rejections: 10_542,
                 failures: 2_027,
                 timers: 189_990,
-                purges_told: 2_378,
-                drains_told: 553,
-                restarts_told: 798,
+                purges: 2_378,
+                drains: 553,
+                restarts: 798,
             },
         ),
     );
--- a/crates/simulator-adapter/tests/characterization/frames.rs
+++ b/crates/simulator-adapter/tests/characterization/frames.rs
@@ -14,9 +14,9 @@
 /// Number under which every endpoint list is defined.
 const LIST: u32 = 0;
 
-/// A host (endpoint) as an entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy)]
-pub struct ListedHost {
+pub struct ListedEndpoint {
     /// Endpoint id, of which the protocol carries the lower 48 bits.
     pub id: u64,
     pub cell: u16,
@@ -25,7 +25,7 @@
     pub weight: f32,
     /// Code of the state: 0 for gone, 1 for ready, 2 for draining.
     pub state: u8,
-    /// Time of the last start in microseconds; 0 if the host has not restarted.
+    /// Time of the last start in microseconds; 0 if the endpoint has not restarted.
     pub started: u64,
 }
 
@@ -47,27 +47,27 @@
 /// Fields of an attempt outcome record.
 pub struct OutcomeFields {
     pub request: u32,
-    pub host: u64,
+    pub endpoint: u64,
     /// Time since the attempt was sent, in microseconds.
     pub latency: u32,
     pub attempt: u16,
     pub status: u8,
     /// Whether the request is finished, by this or an earlier outcome.
-    pub ended: bool,
+    pub request_finished: bool,
     /// Code of the cache status; 0 for none.
-    pub note: u8,
+    pub cache_status: u8,
 }
 
 /// An action of a reply, with the fields that the simulated world uses.
 pub enum Action {
     Attempt(AttemptFields),
     Cancel { request: u32, attempt: u16 },
-    Refuse { request: u32 },
+    Reject { request: u32 },
     Fail { request: u32 },
     Timer { after: u32, token: u64 },
-    FetchHosts,
+    FetchEndpointList,
     Subscribe,
-    Probe { host: u64 },
+    Probe { endpoint: u64 },
     Other,
 }
 
@@ -75,10 +75,10 @@
 #[derive(Clone)]
 pub struct AttemptFields {
     pub request: u32,
-    pub host: u64,
+    pub endpoint: u64,
     /// Timeout in microseconds.
     pub timeout: u32,
-    /// Fill source; equal to `host` if there is none.
+    /// Fill source; equal to `endpoint` if there is none.
     pub source: u64,
     /// Retention priority of the copy; 0 if the copy is not retained.
     pub keep: u8,
@@ -120,28 +120,28 @@
         self.record(110, instance, &[]);
     }
 
-    /// Adds the definition of an endpoint list and its delivery to the instance. `how` is 0 for a
-    /// delta, 1 for a full list and 2 for a cached list.
-    pub fn hosts(&mut self, instance: u16, how: u8, hosts: &[ListedHost]) {
+    /// Adds the definition of an endpoint list and its delivery to the instance. `list_kind` is 0 for
+    /// a delta, 1 for a full list and 2 for a cached list.
+    pub fn endpoints(&mut self, instance: u16, list_kind: u8, endpoints: &[ListedEndpoint]) {
         let offset = self.tail.len() as u32;
-        for host in hosts {
-            self.tail.extend(host.cell.to_le_bytes());
-            self.tail.extend(&host.id.to_le_bytes()[..6]);
-            self.tail.extend(host.weight.to_le_bytes());
-            self.tail.push(host.state);
-            self.tail.extend(host.started.to_le_bytes());
-            self.tail.push(host.zone);
-            self.tail.extend(host.kind.to_le_bytes());
+        for endpoint in endpoints {
+            self.tail.extend(endpoint.cell.to_le_bytes());
+            self.tail.extend(&endpoint.id.to_le_bytes()[..6]);
+            self.tail.extend(endpoint.weight.to_le_bytes());
+            self.tail.push(endpoint.state);
+            self.tail.extend(endpoint.started.to_le_bytes());
+            self.tail.push(endpoint.zone);
+            self.tail.extend(endpoint.kind.to_le_bytes());
         }
-        let count = hosts.len() as u32;
+        let count = endpoints.len() as u32;
         let numbered: [(usize, &[u8]); 3] =
             [(1, &LIST.to_le_bytes()), (5, &offset.to_le_bytes()), (9, &count.to_le_bytes())];
         self.record(40, 0, &numbered);
-        self.record(50, instance, &[(3, &[how]), (8, &LIST.to_le_bytes())]);
+        self.record(50, instance, &[(3, &[list_kind]), (8, &LIST.to_le_bytes())]);
     }
 
     /// Adds the failure of a request for the endpoint list.
-    pub fn hosts_failed(&mut self, instance: u16) {
+    pub fn endpoint_list_failed(&mut self, instance: u16) {
         self.record(50, instance, &[(3, &[3])]);
     }
 
@@ -162,12 +162,12 @@
     pub fn outcome(&mut self, instance: u16, outcome: &OutcomeFields) {
         let fields: [(usize, &[u8]); 7] = [
             (3, &outcome.request.to_le_bytes()),
-            (11, &outcome.host.to_le_bytes()[..6]),
+            (11, &outcome.endpoint.to_le_bytes()[..6]),
             (17, &outcome.latency.to_le_bytes()),
             (21, &outcome.attempt.to_le_bytes()),
             (23, &[outcome.status]),
-            (24, &[u8::from(outcome.ended)]),
-            (25, &[outcome.note]),
+            (24, &[u8::from(outcome.request_finished)]),
+            (25, &[outcome.cache_status]),
         ];
         self.record(100, instance, &fields);
     }
@@ -192,8 +192,8 @@
         self.record(10, instance, &fields);
     }
 
-    pub fn probed(&mut self, instance: u16, host: u64, status: u8) {
-        self.record(120, instance, &[(3, &host.to_le_bytes()[..6]), (9, &[status])]);
+    pub fn probed(&mut self, instance: u16, endpoint: u64, status: u8) {
+        self.record(120, instance, &[(3, &endpoint.to_le_bytes()[..6]), (9, &[status])]);
     }
 
     fn frame(&self, now: u64) -> Vec<u8> {
@@ -290,7 +290,7 @@
     match record[0] {
         60 => Action::Attempt(AttemptFields {
             request,
-            host: number(record, 7, 6),
+            endpoint: number(record, 7, 6),
             timeout: number(record, 13, 4) as u32,
             source: number(record, 17, 6),
             keep: record[23],
@@ -298,12 +298,12 @@
             flags: record[28],
         }),
         30 => Action::Cancel { request, attempt: number(record, 7, 2) as u16 },
-        110 => Action::Refuse { request },
+        110 => Action::Reject { request },
         100 => Action::Fail { request },
         130 => Action::Timer { after: request, token: number(record, 7, 8) },
-        10 => Action::FetchHosts,
+        10 => Action::FetchEndpointList,
         70 => Action::Subscribe,
-        50 => Action::Probe { host: number(record, 3, 6) },
+        50 => Action::Probe { endpoint: number(record, 3, 6) },
         _ => Action::Other,
     }
 }
--- a/crates/simulator-adapter/tests/characterization/world.rs
+++ b/crates/simulator-adapter/tests/characterization/world.rs
@@ -1,7 +1,7 @@
 //! A simulated world around one instance of the decision module. Requests, endpoint behaviour,
 //! purges and changes of the endpoint list are generated from one seed.
 
-use super::frames::{Action, Adapter, AttemptFields, Batch, ListedHost, OutcomeFields, RequestFields};
+use super::frames::{Action, Adapter, AttemptFields, Batch, ListedEndpoint, OutcomeFields, RequestFields};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Microseconds in a millisecond.
@@ -11,9 +11,9 @@
 /// Number of objects, which are numbered from 1.
 const OBJECTS: u64 = 12;
 /// Upper bound of the time between two requests in most worlds, in milliseconds.
-const USUAL_GAP: u64 = 70;
+const USUAL_MAX_GAP_MS: u64 = 70;
 /// Upper bound of the time between two requests in worlds with high load, in milliseconds.
-const CROWDED_GAP: u64 = 8;
+const CROWDED_MAX_GAP_MS: u64 = 8;
 /// Number of object groups. An object belongs to the group of its number modulo this.
 const GROUPS: u64 = 3;
 /// Kind of the parent caches. Edge caches are of kind 0.
@@ -34,18 +34,19 @@
 const FULL: u8 = 254;
 const ERROR: u8 = 255;
 
-// Codes of the cache status of an attempt. Those above `NOTE_STALE` are causes of a failed fill.
-const NOTE_NONE: u8 = 0;
-const NOTE_HIT: u8 = 1;
-const NOTE_FILLED: u8 = 2;
-const NOTE_FILLED_BY_ORIGIN: u8 = 3;
-const NOTE_JOINED: u8 = 4;
-const NOTE_STALE: u8 = 5;
-const NOTE_SOURCE_REFUSED: u8 = 6;
-const NOTE_SOURCE_UNREACHABLE: u8 = 7;
-const NOTE_SOURCE_LACKS: u8 = 8;
-const NOTE_NO_FILL_PLACE: u8 = 9;
-const NOTE_ORIGIN_FAILED: u8 = 10;
+// Codes of the cache status of an attempt. Those above `CACHE_STATUS_STALE` are causes of a failed
+// fill.
+const CACHE_STATUS_NONE: u8 = 0;
+const CACHE_STATUS_HIT: u8 = 1;
+const CACHE_STATUS_FILLED: u8 = 2;
+const CACHE_STATUS_FILLED_BY_ORIGIN: u8 = 3;
+const CACHE_STATUS_JOINED: u8 = 4;
+const CACHE_STATUS_STALE: u8 = 5;
+const CACHE_STATUS_SOURCE_REFUSED: u8 = 6;
+const CACHE_STATUS_SOURCE_UNREACHABLE: u8 = 7;
+const CACHE_STATUS_SOURCE_LACKS: u8 = 8;
+const CACHE_STATUS_NO_FILL_PLACE: u8 = 9;
+const CACHE_STATUS_ORIGIN_FAILED: u8 = 10;
 
 // Codes of the state of an endpoint list entry.
 const GONE: u8 = 0;
@@ -53,13 +54,13 @@
 const DRAINING: u8 = 2;
 
 // Codes of the kind of an endpoint list: delta, full and cached.
-const LIST_CHANGES: u8 = 0;
-const LIST_ALL: u8 = 1;
-const LIST_REMEMBERED: u8 = 2;
+const LIST_DELTA: u8 = 0;
+const LIST_FULL: u8 = 1;
+const LIST_CACHED: u8 = 2;
 
 /// Which cache statuses the attempt outcomes of a deployment report.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Notes {
+pub enum ReportedStatuses {
     /// No cache status at all.
     Nothing,
     /// Hits, fills and stale copies, but no causes of failed fills.
@@ -71,7 +72,7 @@
 /// How the clients of a world use a request class.
 pub struct ClassUse {
     /// Upper bound of the time that a client waits, in microseconds. The lower bound is half of it.
-    pub patience: u64,
+    pub max_wait: u64,
     /// Whether the requests are writes.
     pub writes: bool,
     /// Whether responses are streamed.
@@ -85,9 +86,9 @@
     /// Request classes, in the order of the settings.
     pub classes: &'static [ClassUse],
     /// Cache statuses that endpoints report.
-    pub notes: Notes,
+    pub reported_statuses: ReportedStatuses,
     /// Whether requests carry the size of the chunk.
-    pub sizes_told: bool,
+    pub has_chunk_sizes: bool,
 }
 
 /// Numbers of actions of the module and of events sent to it. They show that the digest covers each
@@ -107,15 +108,15 @@
     pub probes: u32,
     pub subscriptions: u32,
     /// Rejected requests.
-    pub refusals: u32,
+    pub rejections: u32,
     /// Failed requests.
     pub failures: u32,
     pub timers: u32,
-    pub purges_told: u32,
-    /// Endpoint list entries that report a draining host.
-    pub drains_told: u32,
-    /// Endpoint list entries that report a restarted host.
-    pub restarts_told: u32,
+    pub purges: u32,
+    /// Endpoint list entries that report a draining endpoint.
+    pub drains: u32,
+    /// Endpoint list entries that report a restarted endpoint.
+    pub restarts: u32,
 }
 
 /// The pseudorandom number generator SplitMix64.
@@ -141,7 +142,7 @@
     }
 }
 
-/// How a host responds to attempts and probes.
+/// How an endpoint responds to attempts and probes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Health {
     Good,
@@ -152,11 +153,11 @@
 }
 
 /// An endpoint of the world.
-struct Host {
+struct TestEndpoint {
     /// Entry in the endpoint list.
-    listed: ListedHost,
+    listed: ListedEndpoint,
     health: Health,
-    /// Number of attempts in flight at this host.
+    /// Number of attempts in flight at this endpoint.
     outstanding: u64,
 }
 
@@ -168,7 +169,7 @@
 }
 
 /// A client's request. It remains in the world after it is closed, since attempts may still end.
-struct Open {
+struct ClientRequest {
     class: usize,
     object: u64,
     part: u64,
@@ -177,35 +178,35 @@
     /// Whether the request was served, rejected, failed or cancelled.
     closed: bool,
     /// Attempts in flight, by number.
-    out: BTreeMap<u16, Attempt>,
+    in_flight: BTreeMap<u16, Attempt>,
 }
 
-/// The end of an attempt that is neither cancelled nor cut off by a restart of its host.
+/// The end of an attempt that is neither cancelled nor cut off by a restart of its endpoint.
 struct Ending {
     /// Time from sending to the end, in microseconds.
     after: u64,
     status: u8,
     /// Code of the cache status.
-    note: u8,
+    cache_status: u8,
 }
 
 impl Ending {
-    fn new(after: u64, status: u8, note: u8) -> Ending {
-        Ending { after, status, note }
+    fn new(after: u64, status: u8, cache_status: u8) -> Ending {
+        Ending { after, status, cache_status }
     }
 }
 
 /// A scheduled event of the world.
 #[derive(Clone, Copy)]
-enum Due {
+enum ScheduledEvent {
     /// A client sends a request.
     Arrival,
-    /// The health or the list entry of a host changes.
+    /// The health or the list entry of an endpoint changes.
     Change,
     Purge,
     /// A timer of the module expires.
     Timer(u64),
-    /// A health probe of a host ends.
+    /// A health probe of an endpoint ends.
     Probed(u64),
     /// A streamed response starts.
     Started {
@@ -217,7 +218,7 @@
         request: u32,
         attempt: u16,
         status: u8,
-        note: u8,
+        cache_status: u8,
     },
     /// A client cancels its request.
     Withdrawal(u32),
@@ -234,23 +235,23 @@
     instance: u16,
     /// Current time in microseconds.
     now: u64,
-    hosts: Vec<Host>,
-    /// Cached copies as host, object and part.
+    endpoints: Vec<TestEndpoint>,
+    /// Cached copies as endpoint, object and part.
     copies: BTreeSet<(u64, u64, u64)>,
     /// All requests by id, including those that are closed.
-    open: BTreeMap<u32, Open>,
+    requests: BTreeMap<u32, ClientRequest>,
     /// Scheduled events by time and serial number.
-    due: BTreeMap<(u64, u64), Due>,
+    scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     /// Serial number of the event scheduled last, which orders events of the same time.
     serial: u64,
     next_request: u32,
     /// Number of requests left in a burst, which arrive at short intervals.
     burst: u64,
     /// Upper bound of the time between two requests outside bursts, in milliseconds.
-    longest_gap: u64,
-    /// End of the current failure storm, in microseconds. Until then, most attempts fail quickly
-    /// whatever their host.
-    storm_until: u64,
+    max_gap_ms: u64,
+    /// End of the current error burst, in microseconds. Until then, most attempts fail quickly
+    /// whatever their endpoint.
+    error_burst_until: u64,
 }
 
 impl<'a> World<'a> {
@@ -268,15 +269,15 @@
             counts,
             instance,
             now: START,
-            hosts: hosts(),
+            endpoints: endpoints(),
             copies: BTreeSet::new(),
-            open: BTreeMap::new(),
-            due: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             serial: 0,
             next_request: 1,
             burst: 0,
-            longest_gap: if random.percent(20) { CROWDED_GAP } else { USUAL_GAP },
-            storm_until: 0,
+            max_gap_ms: if random.percent(20) { CROWDED_MAX_GAP_MS } else { USUAL_MAX_GAP_MS },
+            error_burst_until: 0,
             random,
         };
         world.begin(seed);
@@ -287,69 +288,76 @@
     fn begin(&mut self, seed: u64) {
         let mut batch = Batch::default();
         batch.create(self.instance, seed, self.deployment.settings);
-        let how = if self.random.percent(20) { LIST_REMEMBERED } else { LIST_ALL };
-        let listed: Vec<ListedHost> = self.hosts.iter().map(|host| host.listed).collect();
-        batch.hosts(self.instance, how, &listed);
-        self.tell(&batch);
-        self.schedule(MS, Due::Arrival);
-        self.schedule(60 * MS, Due::Change);
-        self.schedule(150 * MS, Due::Purge);
+        let list_kind = if self.random.percent(20) { LIST_CACHED } else { LIST_FULL };
+        let listed: Vec<ListedEndpoint> = self.endpoints.iter().map(|endpoint| endpoint.listed).collect();
+        batch.endpoints(self.instance, list_kind, &listed);
+        self.deliver(&batch);
+        self.schedule(MS, ScheduledEvent::Arrival);
+        self.schedule(60 * MS, ScheduledEvent::Change);
+        self.schedule(150 * MS, ScheduledEvent::Purge);
     }
 
     /// Processes up to `events` scheduled events, then removes the instance.
-    pub fn play(mut self, events: usize) {
+    pub fn run(mut self, events: usize) {
         for _ in 0..events {
-            let Some(((at, _), due)) = self.due.pop_first() else { break };
+            let Some(((at, _), event)) = self.scheduled.pop_first() else { break };
             self.now = self.now.max(at);
-            self.happen(due);
+            self.process(event);
         }
         let mut batch = Batch::default();
         batch.power_off(self.instance);
-        self.tell(&batch);
+        self.deliver(&batch);
     }
 
-    fn schedule(&mut self, after: u64, due: Due) {
+    fn schedule(&mut self, after: u64, event: ScheduledEvent) {
         self.serial += 1;
-        self.due.insert((self.now + after, self.serial), due);
+        self.scheduled.insert((self.now + after, self.serial), event);
     }
 
     /// Sends a batch to the adapter and executes the actions of the reply.
-    fn tell(&mut self, batch: &Batch) {
+    fn deliver(&mut self, batch: &Batch) {
         for action in self.adapter.exchange(self.now, batch) {
-            self.obey(action);
+            self.execute(action);
         }
     }
 
     /// Processes a scheduled event.
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrive(),
-            Due::Change => self.change(),
-            Due::Purge => self.purge(),
-            Due::Timer(token) => {
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.send_request(),
+            ScheduledEvent::Change => self.apply_change(),
+            ScheduledEvent::Purge => self.send_purge(),
+            ScheduledEvent::Timer(token) => {
                 let mut batch = Batch::default();
                 batch.timer(self.instance, token);
-                self.tell(&batch);
+                self.deliver(&batch);
             }
-            Due::Probed(host) => self.probed(host),
-            Due::Started { request, attempt } => self.started(request, attempt),
-            Due::Outcome { request, attempt, status, note } => self.outcome(request, attempt, status, note),
-            Due::Withdrawal(request) => self.withdraw(request),
-            Due::List => self.list(),
+            ScheduledEvent::Probed(endpoint) => self.probed(endpoint),
+            ScheduledEvent::Started { request, attempt } => self.started(request, attempt),
+            ScheduledEvent::Outcome { request, attempt, status, cache_status } => {
+                self.outcome(request, attempt, status, cache_status)
+            }
+            ScheduledEvent::Withdrawal(request) => self.withdraw(request),
+            ScheduledEvent::List => self.send_full_list(),
         }
     }
 
     /// Executes an action of the module.
-    fn obey(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Attempt(fields) => self.send(fields),
+            Action::Attempt(fields) => self.start_attempt(fields),
             Action::Cancel { request, attempt } => {
                 self.counts.cancels += 1;
-                let due = Due::Outcome { request, attempt, status: CANCELLED, note: NOTE_NONE };
-                self.schedule(0, due);
+                let event = ScheduledEvent::Outcome {
+                    request,
+                    attempt,
+                    status: CANCELLED,
+                    cache_status: CACHE_STATUS_NONE,
+                };
+                self.schedule(0, event);
             }
-            Action::Refuse { request } => {
-                self.counts.refusals += 1;
+            Action::Reject { request } => {
+                self.counts.rejections += 1;
                 self.close(request);
             }
             Action::Fail { request } => {
@@ -358,30 +366,30 @@
             }
             Action::Timer { after, token } => {
                 self.counts.timers += 1;
-                self.schedule(u64::from(after), Due::Timer(token));
+                self.schedule(u64::from(after), ScheduledEvent::Timer(token));
             }
-            Action::FetchHosts => self.schedule(20 * MS, Due::List),
+            Action::FetchEndpointList => self.schedule(20 * MS, ScheduledEvent::List),
             Action::Subscribe => {
                 self.counts.subscriptions += 1;
-                self.schedule(20 * MS, Due::List);
+                self.schedule(20 * MS, ScheduledEvent::List);
             }
-            Action::Probe { host } => {
+            Action::Probe { endpoint } => {
                 self.counts.probes += 1;
                 let after = self.random.between(2, 60) * MS;
-                self.schedule(after, Due::Probed(host));
+                self.schedule(after, ScheduledEvent::Probed(endpoint));
             }
             Action::Other => {}
         }
     }
 
     fn close(&mut self, request: u32) {
-        if let Some(open) = self.open.get_mut(&request) {
+        if let Some(open) = self.requests.get_mut(&request) {
             open.closed = true;
         }
     }
 
     /// Sends a new request and schedules the next one.
-    fn arrive(&mut self) {
+    fn send_request(&mut self) {
         let id = self.next_request;
         self.next_request += 1;
         let class = self.random.below(self.deployment.classes.len() as u64) as usize;
@@ -389,8 +397,8 @@
         // The smaller one of two draws, so that some objects are requested more often than others.
         let object = 1 + self.random.below(OBJECTS).min(self.random.below(OBJECTS));
         let part = self.random.below(2);
-        let patience = usage.patience / 2 + self.random.below(usage.patience / 2);
-        let size_kb = if self.deployment.sizes_told { self.random.between(4, 400) as f32 } else { 0.0 };
+        let max_wait = usage.max_wait / 2 + self.random.below(usage.max_wait / 2);
+        let size_kb = if self.deployment.has_chunk_sizes { self.random.between(4, 400) as f32 } else { 0.0 };
         let repeat = self.random.percent(5);
         let fields = RequestFields {
             id,
@@ -398,19 +406,20 @@
             part: part as f32,
             class: class as u16,
             object,
-            deadline: self.now + patience,
+            deadline: self.now + max_wait,
             group: (object % GROUPS) as f32,
             flags: u8::from(repeat) << 1 | u8::from(usage.writes) << 2,
         };
-        let open = Open { class, object, part, attempts: 0, closed: false, out: BTreeMap::new() };
-        self.open.insert(id, open);
+        let open =
+            ClientRequest { class, object, part, attempts: 0, closed: false, in_flight: BTreeMap::new() };
+        self.requests.insert(id, open);
         if self.random.percent(8) {
-            let after = self.random.below(patience);
-            self.schedule(after, Due::Withdrawal(id));
+            let after = self.random.below(max_wait);
+            self.schedule(after, ScheduledEvent::Withdrawal(id));
         }
         let mut batch = Batch::default();
         batch.request(self.instance, &fields);
-        self.tell(&batch);
+        self.deliver(&batch);
         self.schedule_arrival();
     }
 
@@ -419,36 +428,41 @@
             self.burst = self.random.between(6, 60);
         }
         self.burst = self.burst.saturating_sub(1);
-        let gap = if self.burst > 0 { 400 } else { self.random.between(1, self.longest_gap) * MS };
-        self.schedule(gap, Due::Arrival);
+        let gap = if self.burst > 0 { 400 } else { self.random.between(1, self.max_gap_ms) * MS };
+        self.schedule(gap, ScheduledEvent::Arrival);
     }
 
     /// Starts an attempt and schedules its end.
-    fn send(&mut self, fields: AttemptFields) {
+    fn start_attempt(&mut self, fields: AttemptFields) {
         let request = fields.request;
-        let open = self.open.get_mut(&request).expect("the module sent an attempt of an unknown request");
+        let open = self.requests.get_mut(&request).expect("the module sent an attempt of an unknown request");
         self.counts.attempts += 1;
         self.counts.retries += u32::from(open.attempts > 0);
-        self.counts.hedges += u32::from(!open.out.is_empty());
-        self.counts.with_source += u32::from(fields.source != fields.host);
+        self.counts.hedges += u32::from(!open.in_flight.is_empty());
+        self.counts.with_source += u32::from(fields.source != fields.endpoint);
         self.counts.bounded_age += u32::from(fields.max_age != 0);
         let attempt = open.attempts;
         open.attempts += 1;
-        open.out.insert(attempt, Attempt { fields: fields.clone(), sent: self.now });
+        open.in_flight.insert(attempt, Attempt { fields: fields.clone(), sent: self.now });
         let (class, object, part) = (open.class, open.object, open.part);
         let ending = self.ending(&fields, class, object, part);
-        if let Some(host) = self.host(fields.host) {
-            host.outstanding += 1;
+        if let Some(endpoint) = self.endpoint(fields.endpoint) {
+            endpoint.outstanding += 1;
         }
         if self.deployment.classes[class].streams && ending.status == OK {
-            self.schedule(ending.after / 2, Due::Started { request, attempt });
+            self.schedule(ending.after / 2, ScheduledEvent::Started { request, attempt });
         }
-        let due = Due::Outcome { request, attempt, status: ending.status, note: ending.note };
-        self.schedule(ending.after, due);
+        let event = ScheduledEvent::Outcome {
+            request,
+            attempt,
+            status: ending.status,
+            cache_status: ending.cache_status,
+        };
+        self.schedule(ending.after, event);
     }
 
-    fn host(&mut self, id: u64) -> Option<&mut Host> {
-        self.hosts.iter_mut().find(|host| host.listed.id == id)
+    fn endpoint(&mut self, id: u64) -> Option<&mut TestEndpoint> {
+        self.endpoints.iter_mut().find(|endpoint| endpoint.listed.id == id)
     }
 
     /// Determines how an attempt ends, with its timeout and the reported cache statuses applied.
@@ -456,53 +470,55 @@
         let timeout = u64::from(fields.timeout);
         let ending = self.answer(fields, class, object, part);
         if ending.after > timeout {
-            return Ending::new(timeout, TIMEOUT, NOTE_NONE);
+            return Ending::new(timeout, TIMEOUT, CACHE_STATUS_NONE);
         }
-        let note = match self.deployment.notes {
-            Notes::Nothing => NOTE_NONE,
-            Notes::Hits if ending.note > NOTE_STALE => NOTE_NONE,
-            _ => ending.note,
+        let cache_status = match self.deployment.reported_statuses {
+            ReportedStatuses::Nothing => CACHE_STATUS_NONE,
+            ReportedStatuses::Hits if ending.cache_status > CACHE_STATUS_STALE => CACHE_STATUS_NONE,
+            _ => ending.cache_status,
         };
-        Ending { note, ..ending }
+        Ending { cache_status, ..ending }
     }
 
-    /// Determines how the host responds to an attempt, before the timeout is applied.
+    /// Determines how the endpoint responds to an attempt, before the timeout is applied.
     fn answer(&mut self, fields: &AttemptFields, class: usize, object: u64, part: u64) -> Ending {
-        let Some(host) = self.host(fields.host) else { return Ending::new(MS, CONNECT_FAILED, NOTE_NONE) };
-        let (health, kind, outstanding) = (host.health, host.listed.kind, host.outstanding);
-        let (state, room) = (host.listed.state, 2 * host.listed.weight as u64 + 4);
+        let Some(endpoint) = self.endpoint(fields.endpoint) else {
+            return Ending::new(MS, CONNECT_FAILED, CACHE_STATUS_NONE);
+        };
+        let (health, kind, outstanding) = (endpoint.health, endpoint.listed.kind, endpoint.outstanding);
+        let (state, room) = (endpoint.listed.state, 2 * endpoint.listed.weight as u64 + 4);
         let chance = self.random.below(100);
         let after = self.service_time(kind, health, outstanding);
-        if self.now < self.storm_until && chance >= 30 {
-            // Errors raise the error score of a host, misses do not.
-            return Ending::new(3 * MS, if chance < 55 { ERROR } else { MISS }, NOTE_NONE);
+        if self.now < self.error_burst_until && chance >= 30 {
+            // Errors raise the error score of an endpoint, misses do not.
+            return Ending::new(3 * MS, if chance < 55 { ERROR } else { MISS }, CACHE_STATUS_NONE);
         }
         if state == GONE || health == Health::Dead {
             let after = if chance < 50 { MS } else { CONNECT_TIMEOUT };
-            return Ending::new(after, CONNECT_FAILED, NOTE_NONE);
+            return Ending::new(after, CONNECT_FAILED, CACHE_STATUS_NONE);
         }
         if health == Health::Full && chance < 70 || outstanding > room {
-            return Ending::new(2 * MS, FULL, NOTE_NONE);
+            return Ending::new(2 * MS, FULL, CACHE_STATUS_NONE);
         }
         match (health, chance) {
-            (Health::Failing, 0..45) | (_, 0..2) => return Ending::new(after, ERROR, NOTE_NONE),
-            (Health::Failing, 45..65) | (_, 2..4) => return Ending::new(after, RESET, NOTE_NONE),
-            (_, 4) => return Ending::new(MS, MOOT, NOTE_NONE),
-            (_, 5..7) => return Ending::new(u64::from(fields.timeout) + 1, TIMEOUT, NOTE_NONE),
+            (Health::Failing, 0..45) | (_, 0..2) => return Ending::new(after, ERROR, CACHE_STATUS_NONE),
+            (Health::Failing, 45..65) | (_, 2..4) => return Ending::new(after, RESET, CACHE_STATUS_NONE),
+            (_, 4) => return Ending::new(MS, MOOT, CACHE_STATUS_NONE),
+            (_, 5..7) => return Ending::new(u64::from(fields.timeout) + 1, TIMEOUT, CACHE_STATUS_NONE),
             _ => {}
         }
         if self.deployment.classes[class].writes || kind != 0 {
-            return Ending::new(after, OK, NOTE_NONE);
+            return Ending::new(after, OK, CACHE_STATUS_NONE);
         }
-        if self.copies.contains(&(fields.host, object, part)) {
+        if self.copies.contains(&(fields.endpoint, object, part)) {
             let stale = fields.max_age != 0 && chance < 40;
-            return Ending::new(after, OK, if stale { NOTE_STALE } else { NOTE_HIT });
+            return Ending::new(after, OK, if stale { CACHE_STATUS_STALE } else { CACHE_STATUS_HIT });
         }
         self.fill(fields, object, part, after, chance)
     }
 
-    /// Draws the service time of a host in microseconds. It grows with the host's attempts in
-    /// flight.
+    /// Draws the service time of an endpoint in microseconds. It grows with the endpoint's attempts
+    /// in flight.
     fn service_time(&mut self, kind: u16, health: Health, outstanding: u64) -> u64 {
         let base = match kind {
             ORIGIN => self.random.between(50, 180),
@@ -516,88 +532,89 @@
     /// Determines how an attempt ends on a cache miss: with a miss if it has no fill source, and
     /// otherwise depending on the state of the fill source.
     fn fill(&mut self, fields: &AttemptFields, object: u64, part: u64, after: u64, chance: u64) -> Ending {
-        if fields.source == fields.host {
-            let note = if chance < 30 { NOTE_JOINED } else { NOTE_NONE };
-            return Ending::new(after, MISS, note);
+        if fields.source == fields.endpoint {
+            let cache_status = if chance < 30 { CACHE_STATUS_JOINED } else { CACHE_STATUS_NONE };
+            return Ending::new(after, MISS, cache_status);
         }
         if chance < 10 {
-            return Ending::new(after, FULL, NOTE_NO_FILL_PLACE);
+            return Ending::new(after, FULL, CACHE_STATUS_NO_FILL_PLACE);
         }
-        let Some(source) = self.host(fields.source) else {
-            return Ending::new(after, FULL, NOTE_SOURCE_UNREACHABLE);
+        let Some(source) = self.endpoint(fields.source) else {
+            return Ending::new(after, FULL, CACHE_STATUS_SOURCE_UNREACHABLE);
         };
         let (health, kind, outstanding) = (source.health, source.listed.kind, source.outstanding);
         let shallow = fields.flags & 2 != 0;
         let lacks = !self.copies.contains(&(fields.source, object, part)) && kind != ORIGIN;
         let after = after + self.service_time(kind, health, outstanding);
         match health {
-            Health::Dead => return Ending::new(after, FULL, NOTE_SOURCE_UNREACHABLE),
-            Health::Full => return Ending::new(after, FULL, NOTE_SOURCE_REFUSED),
-            Health::Failing => return Ending::new(after, ERROR, NOTE_ORIGIN_FAILED),
+            Health::Dead => return Ending::new(after, FULL, CACHE_STATUS_SOURCE_UNREACHABLE),
+            Health::Full => return Ending::new(after, FULL, CACHE_STATUS_SOURCE_REFUSED),
+            Health::Failing => return Ending::new(after, ERROR, CACHE_STATUS_ORIGIN_FAILED),
             Health::Good | Health::Slow => {}
         }
         if lacks && (shallow || kind == 0) {
-            return Ending::new(after, MISS, NOTE_SOURCE_LACKS);
+            return Ending::new(after, MISS, CACHE_STATUS_SOURCE_LACKS);
         }
         if fields.keep > 0 {
-            self.copies.insert((fields.host, object, part));
+            self.copies.insert((fields.endpoint, object, part));
         }
         if kind == PARENT {
             self.copies.insert((fields.source, object, part));
         }
         let joined = fields.flags & 1 != 0 && chance < 30;
-        let note = match (joined, lacks || kind == ORIGIN) {
-            (true, _) => NOTE_JOINED,
-            (false, true) => NOTE_FILLED_BY_ORIGIN,
-            (false, false) => NOTE_FILLED,
+        let cache_status = match (joined, lacks || kind == ORIGIN) {
+            (true, _) => CACHE_STATUS_JOINED,
+            (false, true) => CACHE_STATUS_FILLED_BY_ORIGIN,
+            (false, false) => CACHE_STATUS_FILLED,
         };
-        Ending::new(after, OK, note)
+        Ending::new(after, OK, cache_status)
     }
 
     /// Reports that a streamed response has started, unless its attempt or request is over.
     fn started(&mut self, request: u32, attempt: u16) {
-        let out = self.open.get(&request).filter(|open| !open.closed && open.out.contains_key(&attempt));
+        let out =
+            self.requests.get(&request).filter(|open| !open.closed && open.in_flight.contains_key(&attempt));
         if out.is_some() {
             let mut batch = Batch::default();
             batch.started(self.instance, request, attempt);
-            self.tell(&batch);
+            self.deliver(&batch);
         }
     }
 
     /// Reports the end of an attempt, unless it was reported before.
-    fn outcome(&mut self, request: u32, attempt: u16, status: u8, note: u8) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(ended) = open.out.remove(&attempt) else { return };
+    fn outcome(&mut self, request: u32, attempt: u16, status: u8, cache_status: u8) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(ended) = open.in_flight.remove(&attempt) else { return };
         open.closed |= status == OK;
         let fields = OutcomeFields {
             request,
-            host: ended.fields.host,
+            endpoint: ended.fields.endpoint,
             latency: (self.now - ended.sent) as u32,
             attempt,
             status,
-            ended: open.closed,
-            note,
+            request_finished: open.closed,
+            cache_status,
         };
-        if let Some(host) = self.host(ended.fields.host) {
-            host.outstanding = host.outstanding.saturating_sub(1);
+        if let Some(endpoint) = self.endpoint(ended.fields.endpoint) {
+            endpoint.outstanding = endpoint.outstanding.saturating_sub(1);
         }
         let mut batch = Batch::default();
         batch.outcome(self.instance, &fields);
-        self.tell(&batch);
+        self.deliver(&batch);
     }
 
     /// Cancels a request on behalf of its client, unless it is closed.
     fn withdraw(&mut self, request: u32) {
-        let Some(open) = self.open.get_mut(&request).filter(|open| !open.closed) else { return };
+        let Some(open) = self.requests.get_mut(&request).filter(|open| !open.closed) else { return };
         open.closed = true;
         let mut batch = Batch::default();
         batch.withdrawn(self.instance, request);
-        self.tell(&batch);
+        self.deliver(&batch);
     }
 
     /// Reports the result of a health probe.
     fn probed(&mut self, id: u64) {
-        let status = match self.host(id).map(|host| host.health) {
+        let status = match self.endpoint(id).map(|endpoint| endpoint.health) {
             Some(Health::Good | Health::Slow) => OK,
             Some(Health::Full) => FULL,
             Some(Health::Failing) => ERROR,
@@ -605,12 +622,12 @@
         };
         let mut batch = Batch::default();
         batch.probed(self.instance, id, status);
-        self.tell(&batch);
+        self.deliver(&batch);
     }
 
     /// Purges an object or a whole group, reports the purge and schedules the next one.
-    fn purge(&mut self) {
-        self.counts.purges_told += 1;
+    fn send_purge(&mut self) {
+        self.counts.purges += 1;
         let object = 1 + self.random.below(OBJECTS);
         let group = object % GROUPS;
         let whole_group = self.random.percent(25);
@@ -618,95 +635,100 @@
         let since = self.random.below(80 * MS) as u32;
         let mut batch = Batch::default();
         batch.purge(self.instance, since, group as u16, if whole_group { 0 } else { object });
-        self.tell(&batch);
+        self.deliver(&batch);
         let after = self.random.between(80, 600) * MS;
-        self.schedule(after, Due::Purge);
+        self.schedule(after, ScheduledEvent::Purge);
     }
 
     /// Sends the full endpoint list, or reports that the request for it failed.
-    fn list(&mut self) {
+    fn send_full_list(&mut self) {
         let mut batch = Batch::default();
         if self.random.percent(15) {
-            batch.hosts_failed(self.instance);
+            batch.endpoint_list_failed(self.instance);
         } else {
-            let all = self.hosts.iter().map(|host| host.listed);
-            let present: Vec<ListedHost> = all.filter(|listed| listed.state != GONE).collect();
-            batch.hosts(self.instance, LIST_ALL, &present);
+            let all = self.endpoints.iter().map(|endpoint| endpoint.listed);
+            let present: Vec<ListedEndpoint> = all.filter(|listed| listed.state != GONE).collect();
+            batch.endpoints(self.instance, LIST_FULL, &present);
         }
-        self.tell(&batch);
+        self.deliver(&batch);
     }
 
-    /// Changes the health or the list entry of a random host, restarts it, begins a failure storm,
-    /// or sends the full endpoint list; then schedules the next change.
-    fn change(&mut self) {
-        let place = self.random.below(self.hosts.len() as u64) as usize;
+    /// Changes the health or the list entry of a random endpoint, restarts it, begins an error
+    /// burst, or sends the full endpoint list; then schedules the next change.
+    fn apply_change(&mut self) {
+        let index = self.random.below(self.endpoints.len() as u64) as usize;
         match self.random.below(30) {
-            0..=4 => self.hosts[place].health = Health::Good,
-            5..=10 => self.hosts[place].health = Health::Slow,
-            11..=13 => self.hosts[place].health = Health::Failing,
-            14..=16 => self.hosts[place].health = Health::Dead,
-            17 => self.hosts[place].health = Health::Full,
-            18 | 19 => self.relist(place, DRAINING),
-            20 => self.relist(place, GONE),
-            21..=23 => self.relist(place, READY),
-            24..=26 => self.restart(place),
-            27 => self.storm_until = self.now + self.random.between(1_000, 3_000) * MS,
-            _ => self.list(),
+            0..=4 => self.endpoints[index].health = Health::Good,
+            5..=10 => self.endpoints[index].health = Health::Slow,
+            11..=13 => self.endpoints[index].health = Health::Failing,
+            14..=16 => self.endpoints[index].health = Health::Dead,
+            17 => self.endpoints[index].health = Health::Full,
+            18 | 19 => self.set_listed_state(index, DRAINING),
+            20 => self.set_listed_state(index, GONE),
+            21..=23 => self.set_listed_state(index, READY),
+            24..=26 => self.restart(index),
+            27 => self.error_burst_until = self.now + self.random.between(1_000, 3_000) * MS,
+            _ => self.send_full_list(),
         }
         let after = self.random.between(20, 160) * MS;
-        self.schedule(after, Due::Change);
+        self.schedule(after, ScheduledEvent::Change);
     }
 
-    /// Changes the state of a host in the endpoint list and reports the new entry.
-    fn relist(&mut self, place: usize, state: u8) {
-        self.counts.drains_told += u32::from(state == DRAINING);
-        self.hosts[place].listed.state = state;
-        self.tell_line(place);
+    /// Changes the state of an endpoint in the endpoint list and reports the new entry.
+    fn set_listed_state(&mut self, index: usize, state: u8) {
+        self.counts.drains += u32::from(state == DRAINING);
+        self.endpoints[index].listed.state = state;
+        self.send_entry(index);
     }
 
-    /// Restarts a host. It loses its cached copies, and the connections of its attempts are reset.
-    fn restart(&mut self, place: usize) {
-        self.counts.restarts_told += 1;
+    /// Restarts an endpoint. It loses its cached copies, and the connections of its attempts are
+    /// reset.
+    fn restart(&mut self, index: usize) {
+        self.counts.restarts += 1;
         let now = self.now;
-        let host = &mut self.hosts[place];
-        host.health = Health::Good;
-        host.listed.state = READY;
-        host.listed.started = now;
-        let id = host.listed.id;
+        let endpoint = &mut self.endpoints[index];
+        endpoint.health = Health::Good;
+        endpoint.listed.state = READY;
+        endpoint.listed.started = now;
+        let id = endpoint.listed.id;
         self.copies.retain(|copy| copy.0 != id);
         let mut lost = Vec::new();
-        for (request, open) in &self.open {
-            let at_host = open.out.iter().filter(|(_, attempt)| attempt.fields.host == id);
-            lost.extend(at_host.map(|(number, _)| (*request, *number)));
+        for (request, open) in &self.requests {
+            let at_endpoint = open.in_flight.iter().filter(|(_, attempt)| attempt.fields.endpoint == id);
+            lost.extend(at_endpoint.map(|(number, _)| (*request, *number)));
         }
         for (request, attempt) in lost {
-            self.schedule(MS, Due::Outcome { request, attempt, status: RESET, note: NOTE_NONE });
+            self.schedule(
+                MS,
+                ScheduledEvent::Outcome { request, attempt, status: RESET, cache_status: CACHE_STATUS_NONE },
+            );
         }
-        self.tell_line(place);
+        self.send_entry(index);
     }
 
-    /// Reports the list entry of a host as a change of the endpoint list.
-    fn tell_line(&mut self, place: usize) {
+    /// Reports the list entry of an endpoint as a change of the endpoint list.
+    fn send_entry(&mut self, index: usize) {
         let mut batch = Batch::default();
-        batch.hosts(self.instance, LIST_CHANGES, &[self.hosts[place].listed]);
-        self.tell(&batch);
+        batch.endpoints(self.instance, LIST_DELTA, &[self.endpoints[index].listed]);
+        self.deliver(&batch);
     }
 }
 
-/// The hosts of a world: three edge caches and a parent cache in each of two zones, and an origin.
-fn hosts() -> Vec<Host> {
-    let host = |place: u64| {
-        let kind = [0, 0, 0, 0, 0, 0, PARENT, PARENT, ORIGIN][place as usize];
-        let listed = ListedHost {
-            id: Random(place).next() >> 16,
-            cell: (place % 2) as u16,
-            zone: [0, 0, 0, 1, 1, 1, 0, 1, 0][place as usize],
+/// The endpoints of a world: three edge caches and a parent cache in each of two zones, and an
+/// origin.
+fn endpoints() -> Vec<TestEndpoint> {
+    let endpoint = |index: u64| {
+        let kind = [0, 0, 0, 0, 0, 0, PARENT, PARENT, ORIGIN][index as usize];
+        let listed = ListedEndpoint {
+            id: Random(index).next() >> 16,
+            cell: (index % 2) as u16,
+            zone: [0, 0, 0, 1, 1, 1, 0, 1, 0][index as usize],
             kind,
-            weight: [3.0, 4.0, 6.0, 4.0, 4.0, 5.0, 12.0, 12.0, 20.0][place as usize],
+            weight: [3.0, 4.0, 6.0, 4.0, 4.0, 5.0, 12.0, 12.0, 20.0][index as usize],
             state: READY,
             started: 0,
         };
-        Host { listed, health: Health::Good, outstanding: 0 }
+        TestEndpoint { listed, health: Health::Good, outstanding: 0 }
     };
-    (0..9).map(host).collect()
+    (0..9).map(endpoint).collect()
 }
