--- a/crates/hollymux/tests/admin_bytes.rs
+++ b/crates/hollymux/tests/admin_bytes.rs
@@ -4,10 +4,11 @@
 
 mod common;
 
+use common::reserved_address::free_udp_address;
 use common::*;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpStream};
 
 struct Setup {
     router: RouterProcess,
@@ -128,14 +129,9 @@
     }
 }
 
-/// A UDP address chosen by the system that is free again when this returns.
-fn free_address() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
-}
-
 /// Starts two routers that know each other and lease quotas.
 fn two_routers() -> [Setup; 2] {
-    let addresses = [free_address(), free_address()];
+    let addresses = [free_udp_address(), free_udp_address()];
     let seeds = addresses.map(|address| format!("'{address}'")).join(", ");
     ["n1", "n2"].map(|name| {
         let listen = addresses[usize::from(name == "n2")];
--- a/crates/hollymux/tests/cluster.rs
+++ b/crates/hollymux/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::reserved_address::ReservedAddress;
+use common::reserved_address::{free_udp_address, ReservedAddress};
 use common::*;
 use hollymux_simulation::link_fault::LinkFault;
 use hollymux_simulation::relay::Relay;
@@ -434,8 +434,7 @@
     let mut cluster = Cluster::new(5);
     // The cluster address is handed over too, so it must be known before: use a free one chosen by
     // the system.
-    let free_address = || UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let cluster_address = free_address();
+    let cluster_address = free_udp_address();
     let reserved = ReservedAddress::new();
     let client_address = reserved.addr;
     let dir = temp_file("nothing", "").parent().unwrap().to_path_buf();
--- a/crates/hollymux/tests/common/reserved_address.rs
+++ b/crates/hollymux/tests/common/reserved_address.rs
@@ -1,8 +1,10 @@
-//! A TCP address at which the program under test will listen, known before the program starts.
+//! Addresses at which the program under test will listen, known before the program starts: a TCP
+//! address that stays reserved, and UDP addresses that no other test gets.
 
 use rustix::net::{bind, getsockname, socket, sockopt, AddressFamily, SocketType};
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 use std::os::fd::OwnedFd;
+use std::sync::atomic::{AtomicU8, Ordering};
 
 /// An address at a port chosen by the system. It is kept from other users of such ports while this
 /// value lives.
@@ -31,3 +33,24 @@
         ReservedAddress { addr, _socket: socket }
     }
 }
+
+/// The second byte of loopback addresses made for a test process is at least this, apart from
+/// 127.0.0.1 and its neighbours.
+const FIRST_PROCESS_NETWORK: u32 = 64;
+/// Number of values that the second byte of such an address can take.
+const PROCESS_NETWORKS: u32 = 128;
+
+/// A UDP address with a port chosen by the system, which is free when this returns.
+///
+/// The port can't stay bound until the program binds it, as the program shares no UDP address. So
+/// the address is at a loopback IP address of its own, made from the process id and the number of
+/// the call: a test that runs at the same time can't be given the same address meanwhile, which
+/// would join the clusters of both tests.
+pub fn free_udp_address() -> SocketAddr {
+    static CALLS: AtomicU8 = AtomicU8::new(0);
+    let [_, _, high, low] = std::process::id().to_be_bytes();
+    let network = FIRST_PROCESS_NETWORK + u32::from(high) % PROCESS_NETWORKS;
+    let number = CALLS.fetch_add(1, Ordering::Relaxed) + 1;
+    let ip = Ipv4Addr::new(127, network as u8, low, number);
+    UdpSocket::bind((ip, 0)).unwrap().local_addr().unwrap()
+}
