--- a/crates/capture/src/result.rs
+++ b/crates/capture/src/result.rs
@@ -11,9 +11,13 @@
     Served,
     /// The client was told that its copy is current, without bytes of the object.
     NotModified,
-    /// The router rejected the request without executing it.
+    /// The router rejected the request: the client may send it again without harm. It may have been
+    /// executed only if it is idempotent or if every endpoint drops repeats by its idempotency key.
     Rejected,
-    /// The request failed.
+    /// The client, or the caller of a lookup, got a failure reply, which doesn't tell whether the
+    /// request was executed: sending it again may execute it twice. [`RecordedReason::NoEndpoint`]
+    /// and [`RecordedReason::InvalidRequest`] show that it was not sent; a reason that tells how
+    /// the last attempt ended doesn't exclude that an earlier attempt was executed.
     Failed,
     /// The client cancelled the request.
     Cancelled,
--- a/crates/registry/src/endpoint.rs
+++ b/crates/registry/src/endpoint.rs
@@ -95,7 +95,12 @@
     NonIdempotent,
 }
 
-/// An endpoint as the registry keeps it.
+/// The registry's record of one endpoint: the operator's specification, the status, the counts of
+/// attempts in flight, and the times and the ejection count on which status transitions depend.
+///
+/// Only the registry changes the record: the status on an operator's command, a health signal or
+/// the passing of time, and the counts of attempts when an attempt starts or ends. The
+/// specification never changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisteredEndpoint {
     /// The properties that the operator gave when adding the endpoint.
